--- a/lab/src/yardusher/lab/Group.java
+++ b/lab/src/yardusher/lab/Group.java
@@ -14,13 +14,13 @@
 import java.util.function.IntFunction;
 import yardusher.cli.Asking;
 import yardusher.error.WireError;
-import yardusher.resp.Malformed;
+import yardusher.resp.MalformedRespException;
 import yardusher.resp.Value;
 
 /**
  * 3 to 100 real {@code serve} processes in one folder, with discovery, regions, terminals and relays between them. Use:
  * {@code try (Group group = new Group(folder, 5, seed)) { group.region("r0", "hall-a"); group.settings(i -> "[view]\n..."); group.start();}
- * {@code Terminals.Try got = group.terminals().send(0, group.terminals().get(17, 500, 0, 5)); group.kill(1); group.restart(1);}
+ * {@code Terminals.TerminalRequest got = group.terminals().send(0, group.terminals().get(17, 500, 0, 5)); group.kill(1); group.restart(1);}
  * {@code group.datagrams().way(0, 2).cut(true); ... group.regionHistory(); group.terminalHistory(); group.log(i);} are what a checker
  * reads. A second port for each process: {@code group.port(i, "view")}, and what others know it by: {@code group.relayed(i, "view")}.
  * Faults by seed: {@link Faults}; many seeds with a replay command: {@link Seeds}. Ends all it started, also when it is cut off.
@@ -237,8 +237,8 @@
 
     private boolean isReady(int i) {
         try (Terminals.Connection connection = terminals.connect(i)) {
-            return connection.ask(1000, "PING") instanceof Value.Simple;
-        } catch (IOException | Malformed e) {
+            return connection.ask(1000, "PING") instanceof Value.SimpleString;
+        } catch (IOException | MalformedRespException e) {
             return false;
         }
     }
@@ -247,7 +247,7 @@
     public String ask(int i, int withinMs, String... words) {
         try {
             Value answer = Asking.ask(Programs.text(admins[i]), withinMs, words);
-            return answer instanceof Value.Bulk bulk ? bulk.text() : answer instanceof Value.Failure no ? "-" + no.text() : String.valueOf(answer);
+            return answer instanceof Value.BulkString bulk ? bulk.text() : answer instanceof Value.ErrorReply no ? "-" + no.text() : String.valueOf(answer);
         } catch (WireError e) {
             return null;
         }
--- a/src/test/java/yardusher/ColdAllowanceTest.java
+++ b/src/test/java/yardusher/ColdAllowanceTest.java
@@ -12,19 +12,19 @@
 class ColdAllowanceTest {
     private static final double PER_MS = 0.05;       // requests that a warm server can do
     /** What it answers of that, at all gateways. Where it answers all, by chance, the sum was up to 1.014 of the bound (docs/measurements/cold.md). */
-    private static final double ANSWERS = 0.95;
+    private static final double ANSWERED_FRACTION = 0.95;
     private static final double STEP_MS = 10;
-    private static final int WARM = 20;
+    private static final int WARM_SERVERS = 20;
 
     private static Settings settings(int self, int gateways, Rules rules) {
-        return new Settings(self, gateways, 0, 1, List.of(PolicyTest.SAFE), List.of(new Plan(0, 0, 0, 1, 0, 0, 0)), new Limits(4, true, true, 0), rules, List.of(),
+        return new Settings(self, gateways, 0, 1, List.of(PolicyTest.IDEMPOTENT), List.of(new Plan(0, 0, 0, 1, 0, 0, 0)), new Limits(4, true, true, 0), rules, List.of(),
                 false, 60, 1, 0, 0.01);
     }
 
     private static Host host(long id, double startedAt, Settings settings, Clock clock) {
         Host host = new Host(id, false, settings, clock);
-        host.place(new Server(id, 0, 0, 1, startedAt, Readiness.READY));
-        host.coldSince = startedAt == 0 ? Double.NEGATIVE_INFINITY : startedAt;
+        host.update(new Server(id, 0, 0, 1, startedAt, Readiness.READY));
+        host.coldSinceMs = startedAt == 0 ? Double.NEGATIVE_INFINITY : startedAt;
         return host;
     }
 
@@ -38,12 +38,12 @@
             Settings settings = settings(self, gateways, rules);
             allowance = new ColdAllowance(settings, clock, random);
             List<Host> warm = new ArrayList<>();
-            for (int i = 0; i < WARM; i++) { warm.add(host(10 + i, 0, settings, clock)); }
+            for (int i = 0; i < WARM_SERVERS; i++) { warm.add(host(10 + i, 0, settings, clock)); }
             for (double at = 0; at < startsAt; at += Clock.SWEEP_MS) {
                 clock.now = at;
-                double mean = part * WARM * ANSWERS * PER_MS * Clock.SWEEP_MS;
-                for (double n = -Math.log(1 - random.nextDouble()); n < mean; n -= Math.log(1 - random.nextDouble())) { allowance.warm.answered(warm.get(0)); }
-                allowance.warm.look(warm);
+                double mean = part * WARM_SERVERS * ANSWERED_FRACTION * PER_MS * Clock.SWEEP_MS;
+                for (double n = -Math.log(1 - random.nextDouble()); n < mean; n -= Math.log(1 - random.nextDouble())) { allowance.warmThroughput.recordAnswer(warm.get(0)); }
+                allowance.warmThroughput.sample(warm);
             }
             clock.now = startsAt;
             cold = host(2, startsAt, settings, clock);
@@ -57,7 +57,7 @@
         for (int i = 0; i < 25; i++) {
             long seed = i == 0 ? 19 : draws.nextInt(1 << 30);
             int gateways = i == 0 ? 214 : 1 + draws.nextInt(300), coldPercent = i == 0 ? 21 : 10 + draws.nextInt(41), spanMs = i == 0 ? 1201 : 1000 + draws.nextInt(2001);
-            double[] played = worst(seed, gateways, coldPercent, spanMs);
+            double[] played = highestLoad(seed, gateways, coldPercent, spanMs);
             String what = "seed " + seed + ", " + gateways + " gateways, " + coldPercent + "% warm at the start, spans of " + spanMs + " ms: ";
             assertThat(played[0]).as(what + "of N + 2 x root of N + 2").isLessThan(1);
             assertThat(played[1]).as(what + "and it is used").isGreaterThan(2 * PER_MS * coldPercent / 100 * 3 * spanMs);
@@ -65,7 +65,7 @@
     }
 
     /** The worst of all spans, as a part of what makes one fall, and how much was sent in all. */
-    static double[] worst(long seed, int gateways, int coldPercent, int spanMs) {
+    static double[] highestLoad(long seed, int gateways, int coldPercent, int spanMs) {
         Rules rules = new Rules(coldPercent / 100.0, 15_000, 3, spanMs, 10_000);
         SplittableRandom random = new SplittableRandom(seed);
         double startsAt = 120_000, all = 0;
@@ -77,8 +77,8 @@
         for (double now = startsAt; now < startsAt + 3 * spanMs; now += STEP_MS) {
             for (Gateway one : some) {
                 one.clock.now = now;
-                while (one.allowance.due(one.cold)) {
-                    one.cold.credit--;
+                while (one.allowance.isDue(one.cold)) {
+                    one.cold.coldTokens--;
                     sent.add(now);
                     assertThat(sent.size()).as("without end").isLessThan(100_000);
                 }
@@ -87,7 +87,7 @@
         double worst = 0;
         for (int from = 0, to = 0; from < sent.size(); from++) {
             while (to < sent.size() && sent.get(to) < sent.get(from) + spanMs) { to++; }
-            double warmth = Math.min(1, rules.coldFrom() + (1 - rules.coldFrom()) * (sent.get(from) - startsAt) / rules.warmAfterMs());
+            double warmth = Math.min(1, rules.initialWarmth() + (1 - rules.initialWarmth()) * (sent.get(from) - startsAt) / rules.warmAfterMs());
             double allowed = 3 * PER_MS * warmth * spanMs;
             worst = Math.max(worst, (to - from) / (allowed + 2 * Math.sqrt(allowed) + 2));
         }
@@ -95,41 +95,41 @@
     }
 
     @Test
-    void whoKnowsNothingOfWarmOnesSendsByTheDraws() {
+    void withUnknownWarmThroughputTheDrawsDecide() {
         Gateway fresh = new Gateway(0, 3, new Rules(0.2, 15_000, 3, 1000, 10_000), 1000, 0, new SplittableRandom(1));
-        assertThat(fresh.allowance.due(fresh.cold)).isTrue();
+        assertThat(fresh.allowance.isDue(fresh.cold)).isTrue();
         int let = 0;
-        for (int i = 0; i < 10_000; i++) { let += fresh.allowance.draws(0.2) ? 1 : 0; }
+        for (int i = 0; i < 10_000; i++) { let += fresh.allowance.isCandidate(0.2) ? 1 : 0; }
         assertThat(let).isBetween(1850, 2150);
     }
 
     /** Guards against a quiet time after which nothing is sent to cold servers, since warm ones are taken to do nothing. */
     @Test
-    void whatWasSeenBeforeAQuietTimeIsNotKnownAnyMore() {
+    void throughputIsUnknownAfterAnIdlePeriod() {
         Gateway one = new Gateway(0, 3, new Rules(0.2, 15_000, 3, 1000, 10_000), 60_000, 1, new SplittableRandom(1));
-        assertThat(one.allowance.warm.areKnown()).isTrue();
+        assertThat(one.allowance.warmThroughput.isKnown()).isTrue();
         Host warm = host(9, 0, settings(0, 3, new Rules(0.2, 15_000, 3, 1000, 10_000)), one.clock);
-        for (int i = 0; i < 5000; i++) { one.allowance.warm.look(List.of(warm)); }
-        assertThat(one.allowance.warm.areKnown()).isFalse();
-        assertThat(one.allowance.due(one.cold)).isTrue();
+        for (int i = 0; i < 5000; i++) { one.allowance.warmThroughput.sample(List.of(warm)); }
+        assertThat(one.allowance.warmThroughput.isKnown()).isFalse();
+        assertThat(one.allowance.isDue(one.cold)).isTrue();
     }
 
     /** Guards against answers that are many before the first look at them: their rate is not known, and is not 0. */
     @Test
-    void beforeTheFirstLookNothingIsKnown() {
+    void throughputIsUnknownBeforeTheFirstSample() {
         Gateway one = new Gateway(0, 1, new Rules(0.2, 15_000, 3, 1000, 10_000), 0, 1, new SplittableRandom(1));
         Host warm = host(9, 0, settings(0, 1, new Rules(0.2, 15_000, 3, 1000, 10_000)), one.clock);
-        for (int i = 0; i < 100; i++) { one.allowance.warm.answered(warm); }
-        assertThat(one.allowance.warm.areKnown()).isFalse();
+        for (int i = 0; i < 100; i++) { one.allowance.warmThroughput.recordAnswer(warm); }
+        assertThat(one.allowance.warmThroughput.isKnown()).isFalse();
     }
 
     /** Guards against late answers of cold servers that raise the pressure for all: twice what a fifth of its work lets expect. */
     @Test
-    void slowOnesAreDrawnLess() {
+    void slowColdServersAreDrawnLess() {
         Gateway one = new Gateway(0, 3, new Rules(0.2, 15_000, 3, 1000, 10_000), 1000, 0, new SplittableRandom(1));
-        for (int i = 0; i < 100; i++) { one.allowance.took(one.cold, 10); }
+        for (int i = 0; i < 100; i++) { one.allowance.recordLatency(one.cold, 10); }
         int let = 0;
-        for (int i = 0; i < 10_000; i++) { let += one.allowance.draws(0.2) ? 1 : 0; }
+        for (int i = 0; i < 10_000; i++) { let += one.allowance.isCandidate(0.2) ? 1 : 0; }
         assertThat(let).as("a quarter of 2000").isBetween(400, 600);
     }
 }
