--- a/src/main/java/yardusher/parts/Account.java
+++ b/src/main/java/yardusher/parts/Account.java
@@ -1,55 +1,55 @@
 package yardusher.parts;
 
 /**
- * What one ingress and one other have between them at one region, as this one knows it: four counters that only grow in a
- * pair of lives, and two remainders of earlier lives that only fall. A unit is one connection that may be open. Units lent go
- * back to whom they came from and nowhere else, so all that is ever said of them is said between two.
+ * Escrow account of this ingress with one peer at one region: four totals that only grow while both keep their incarnations,
+ * and two remainders of earlier incarnations that only fall. A unit is the right to have one connection open. Units that were lent go
+ * back to their lender and to nobody else, so their state is only ever exchanged between two ingresses.
  *
- * <p>What is lent is never more than what stands here, and what is held never more than was lent: {@link #granted} grows
- * before it is told, and {@link #returned} grows once the unit is no longer used, before that is told.
+ * <p>The peer never borrows more than is recorded as lent here: {@link #granted} grows before the peer is told, and
+ * {@link #returned} grows once a unit is no longer in use and before the peer is told.
  */
 final class Account {
-    int granted;                                     // mine, to it; only grows
-    int back;                                        // of those, which it says it has given back; only grows
-    int taken;                                       // its, to me: the most that it said; only grows
-    int returned;                                    // of those, which are given back; only grows
-    int old;                                         // its, lent by earlier lives of it and still held here; only falls
-    int bound;                                       // mine, lent by earlier lives of mine: it holds no more; only falls
-    int seenTaken;                                   // of my grants, which it has heard of
-    int seenReturned;                                // of what I gave back, which it has heard of
-    int has;                                         // what it says it may have open in all
-    int uses;                                        // what it would use now
-    int wants;                                       // and would like to keep
-    int asks;                                        // units that it asks for
-    int asksTaken;                                   // of my grants, what it had when it asked
+    int granted;                                     // own units lent to the peer; only grows
+    int back;                                        // of those, returned according to the peer; only grows
+    int taken;                                       // the peer's units lent to this ingress, the highest total heard; only grows
+    int returned;                                    // of those, returned to the peer; only grows
+    int old;                                         // the peer's units, lent by its earlier incarnations, held here; only falls
+    int bound;                                       // units of own earlier incarnations that the peer holds at most; only falls
+    int seenTaken;                                   // of granted, what the peer has acknowledged
+    int seenReturned;                                // of returned, what the peer has acknowledged
+    int has;                                         // connections that the peer may have open in all, as it reports
+    int uses;                                        // connections that the peer would use now
+    int wants;                                       // and that it would like to keep
+    int asks;                                        // units that the peer asks for
+    int asksTaken;                                   // of granted, what the peer had received when it asked
     double asksAt = Double.NEGATIVE_INFINITY;
-    int sentHome;                                    // units that went to a third for its sake since it asked
-    int asking;                                      // units asked of it
+    int sentHome;                                    // units returned to their lenders for the peer since it asked
+    int asking;                                      // units that the peer was asked for
     double askingAt = Double.NEGATIVE_INFINITY;
-    int sake;                                        // for whose sake units were given back to it last; one above the number
+    int sake;                                        // ingress for which units were last returned to the peer, as its number plus one
     boolean isAskNew;
-    int ask;                                         // number of the ask to it
-    int asksNo;                                      // and of its ask
-    int owing;
+    int ask;                                         // number of the last request to the peer
+    int asksNo;                                      // and of its last request
+    int owing;                                       // units to be given to the peer in this round
     int takenBefore;
     int backBefore;
-    int toldHas;                                     // what it was last told of this one
+    int toldHas;                                     // own allowance as last sent to the peer
     int toldWants;
     int toldUses;
-    boolean isDirty;                                 // something of it is to be told soon
+    boolean isDirty;                                 // the account is to be sent with the next message
 
-    /** How many of mine the other may hold, at the most. */
+    /** How many units of this ingress the peer may hold at most. */
     int lent() { return granted - back + bound; }
 
-    /** How many of the other's are held here. */
+    /** How many units of the peer are held here. */
     int held() { return taken - returned + old; }
 
-    /** Something has been done of which the other may not have heard. */
+    /** Whether the peer has not acknowledged a grant or a return yet. */
     boolean isUnheard() { return granted > seenTaken || returned > seenReturned; }
 
     /**
-     * The other begins a new life, and its earlier ones have ended: what they held is back, what they lent is still held
-     * here and no more of it is taken.
+     * The peer has begun a new incarnation, and its earlier ones have ended: what they borrowed is back, what they lent is
+     * still held here, and no further loan of theirs is accepted.
      */
     void reborn() {
         old += taken - returned;
--- a/src/main/java/yardusher/parts/Ledger.java
+++ b/src/main/java/yardusher/parts/Ledger.java
@@ -6,27 +6,28 @@
 import java.util.Map;
 
 /**
- * Who may have how many connections open, as one life of one ingress knows it. Each region's number is divided into fixed
- * shares, one for each configured ingress, without a word between them. An ingress lends of its share and borrows of others';
- * it may have open what is left of its share and what it holds of others'. Over all ingresses that is never more than the
- * number, whatever is lost, doubled, late or out of order, since every loan is less here before it is told there.
+ * Tracks how many connections one incarnation of an ingress may have open, and guarantees the limit of each region. The limit
+ * is divided into fixed shares, one for each configured ingress, which each ingress computes without a message. An ingress lends from its
+ * share and borrows from others; it may have open what is left of its share and what it has borrowed. Over all ingresses
+ * that is never more than the limit, whatever messages are lost, duplicated, late or out of order, because a lender
+ * reduces its own allowance before it tells the borrower of the loan.
  *
- * <p>A life that begins with an empty memory owns its whole share, but does not know what of it its earlier lives lent: each
- * other ingress is held to have all of it until it has said what it holds, to this very life. Free of I/O and clock.
+ * <p>An incarnation that starts without stored loans owns its whole share but does not know what its earlier ones lent: it
+ * assumes that each peer holds all of the share until that peer has told this incarnation what it holds. No I/O and no clock.
  */
 final class Ledger {
-    /** What is left out, to see that the rules notice. */
+    /** A rule that the models leave out, to check that they detect the violation. The names are arguments of the models. */
     enum Without { NOTHING, LESS_BEFORE_MORE, REPEAT_CHECK, STOPPED_KEEPS, OLD_LIVES }
 
-    /** A region's accounts, by the number of the other ingress. */
+    /** One region: its limit, this ingress's share, and the accounts by the number of the peer. */
     static final class Region {
         final long id;
         final Account[] accounts;
-        int number;                                  // of connections, now
-        int most;                                    // the highest number that it had here
-        int share;                                   // of it, this ingress's
-        int guest;                                   // of the share, given to the next version's process beside this one
-        int open;                                    // connections from before they are dialled to after their close
+        int number;                                  // connections in all, now
+        int most;                                    // highest limit that it had here
+        int share;                                   // of the limit, this ingress's own
+        int guest;                                   // of the share, given to the next version's process that runs beside this one
+        int open;                                    // counted from before the dial until the region has closed too
         boolean gone;                                // no longer listed
 
         Region(long id, int count) {
@@ -49,21 +50,21 @@
         }
     }
 
-    private static final int MOST_REGIONS = 4096;    // listed ones beside those that only others tell of
+    private static final int MOST_REGIONS = 4096;    // listed ones and those that only peers report
 
     final int self;
     final int count;
     final long life;
     private final Memory memory;
-    final long[] lives;                      // of the others, 0 for one not heard yet
-    final boolean[] settled;                 // what earlier lives lent to it is known
+    final long[] lives;                      // of the peers, 0 for one that was not heard yet
+    final boolean[] settled;                 // peers that have reported what earlier incarnations lent them
     private final boolean remembers;
     int unsettled;
     private final Map<Long, Region> regions = new HashMap<>();
-    long far;                                        // figures that cannot be true
+    long far;                                        // rows with impossible figures
     Without without = Without.NOTHING;
 
-    /** {@code remembers}: the memory holds all that earlier lives lent, and is believed. */
+    /** {@code hasTrustedLoans}: the store holds all that earlier incarnations lent. */
     Ledger(int self, int count, long life, Memory memory, boolean remembers) {
         this.self = self;
         this.count = count;
@@ -77,8 +78,8 @@
     }
 
     /**
-     * The part of a region's number that an ingress owns: as even as can be, and what is left over falls to other ingresses
-     * at other regions. They add up to the number, and none falls where the number grows.
+     * The share of a region's limit that an ingress owns. Shares are as even as possible, and the remainder goes to different
+     * ingresses at different regions. They add up to the limit, and none shrinks when the limit grows.
      */
     static int share(long region, int number, int ingress, int count) {
         int turn = (int) Long.remainderUnsigned(mix(region) + ingress, count);
@@ -91,7 +92,7 @@
         return (x ^ x >>> 32) >>> 1;
     }
 
-    /** A region has this number from now on. */
+    /** Lists a region, or changes its limit. */
     Region number(long id, int number) {
         Region region = regions.computeIfAbsent(id, this::begun);
         region.number = number;
@@ -110,13 +111,13 @@
         return region;
     }
 
-    /** A region is no longer listed: its connections close, and it is forgotten once nothing is lent or held there. */
+    /** A region is no longer listed: its connections close, and it is removed once nothing is lent or borrowed there. */
     void gone(long id) {
         Region region = regions.get(id);
         if (region != null) { region.gone = true; }
     }
 
-    /** Forgets regions that are gone and where nothing stands any more. */
+    /** Removes the delisted regions where nothing is open, lent or borrowed. */
     void sweep() {
         for (Iterator<Region> all = regions.values().iterator(); all.hasNext();) {
             Region region = all.next();
@@ -134,36 +135,36 @@
 
     boolean isSettled(int ingress) { return settled[ingress]; }
 
-    /** How many others have not said yet what they hold of this one's earlier lives. */
+    /** Number of peers that have not reported yet what they hold of this ingress's earlier incarnations. */
     int unsettled() { return unsettled; }
 
-    /** Of its own share, what is not lent; negative where the number was lowered below what is lent. */
+    /** The part of the own share that is not lent; negative if the limit was lowered below what is lent. */
     int home(Region region) {
-        // Guards against units that an earlier life lent and this one does not know of: without a memory, all may be there.
+        // Without stored loans, earlier incarnations may have lent the whole share unknown to this one.
         if (unsettled > 0 && !remembers && without != Without.OLD_LIVES) { return Math.min(0, region.share - region.lent()); }
         int home = region.share - region.lent();
-        if (without == Without.LESS_BEFORE_MORE) { // less here only once it is more there
+        if (without == Without.LESS_BEFORE_MORE) { // planted: reduced only after the borrower has received it
             for (Account one : region.accounts) { home += one == null ? 0 : one.granted - Math.min(one.granted, Math.max(one.seenTaken, one.back)); }
         }
         return home;
     }
 
-    /** How many connections may be open; negative where the number was lowered and it is owed to others. */
+    /** How many connections may be open; negative if the limit was lowered and peers hold more than the new share. */
     int allowance(Region region) { return home(region) + region.held(); }
 
     int spare(Region region) { return allowance(region) - region.open; }
 
-    /** A connection is to be opened: counts from here on, where there is room. */
+    /** Counts a connection that is about to be dialled; false if there is no unit for it. */
     boolean take(Region region) {
         if (spare(region) <= 0) { return false; }
         region.open++;
         return true;
     }
 
-    /** A connection has ended at the region too. */
+    /** A connection has been closed by the region too. */
     void ended(Region region) { region.open--; }
 
-    /** Lends up to so many that are not in use; the result says how many. */
+    /** Lends up to so many units that are not in use; returns how many. */
     int lend(Region region, int to, int wanted) {
         int many = Math.min(wanted, Math.min(home(region), spare(region)));
         if (many <= 0 || lives[to] == 0 || to == self) { return 0; }
@@ -173,14 +174,14 @@
         return many;
     }
 
-    /** Gives the next version's process beside this one up to so many that are not in use; the result says how many. */
+    /** Gives the next version's process up to so many units that are not in use; returns how many. */
     int giveGuest(Region region, int wanted) {
         int many = Math.max(0, Math.min(wanted, Math.min(home(region), spare(region))));
         region.guest += many;
         return many;
     }
 
-    /** Gives back up to so many of another's that are not in use; the result says how many. */
+    /** Returns up to so many borrowed units that are not in use to their lender; returns how many. */
     int giveBack(Region region, int to, int wanted) {
         Account account = region.account(to);
         int many = Math.min(wanted, Math.min(account.held(), spare(region)));
@@ -192,8 +193,8 @@
     }
 
     /**
-     * Another ingress speaks as this life, whose earlier ones have all ended; false for one of an earlier life, which is
-     * passed over.
+     * A message of a peer names this incarnation, which means that all its earlier ones have ended; false for an incarnation that
+     * has ended itself, whose message is ignored.
      */
     boolean alive(int ingress, long heardLife) {
         if (heardLife < lives[ingress] || ingress == self) { return false; }
@@ -202,7 +203,7 @@
                 Account account = region.accounts[ingress];
                 if (account == null) { continue; }
                 account.reborn();
-                if (settled[ingress]) { account.bound = 0; } // nobody is left who could hold any of them
+                if (settled[ingress]) { account.bound = 0; } // no process is left that could hold any of them
                 remember(region, ingress, account);
             }
             lives[ingress] = heardLife;
@@ -210,7 +211,7 @@
         return true;
     }
 
-    /** Takes in what another says of an account, to this very life. A row that cannot be true is passed over and counted. */
+    /** Applies a peer's row that was addressed to this incarnation. An impossible row is counted and ignored. */
     boolean row(int from, Telling.Row row) {
         Region region = regions.get(row.region());
         if (region == null) {
@@ -239,7 +240,7 @@
         return true;
     }
 
-    /** Another has said, to this very life, at which regions it holds what earlier lives lent; at all others it holds nothing of them. */
+    /** A peer has told this incarnation at which regions it holds units that earlier ones lent; it holds none elsewhere. */
     void settle(int from, Map<Long, Integer> held) {
         if (settled[from]) { return; }
         settled[from] = true;
@@ -262,10 +263,10 @@
         });
     }
 
-    /** What became of something heard. */
+    /** What became of a received message. */
     enum Heard { STALE, OF_ANOTHER_LIFE, TAKEN }
 
-    /** Takes in what another ingress tells: who it is, what it holds of earlier lives where that is asked, and its counters. */
+    /** Applies a peer's message: its incarnation, what it holds of earlier incarnations of this ingress, and its totals. */
     Heard hears(Telling telling) {
         int from = telling.number();
         if (!alive(from, telling.life())) { return Heard.STALE; }
@@ -279,7 +280,7 @@
         return Heard.TAKEN;
     }
 
-    /** Holds an ingress to have ended, and its connections with it: what it held comes back. Only for who can prove that. */
+    /** Treats a peer as ended, with all its connections: what it borrowed comes back. Only for callers that can prove it. */
     void ended(int ingress) {
         for (Region region : regions.values()) {
             Account account = region.accounts[ingress];
@@ -288,7 +289,7 @@
             account.bound = 0;
             remember(region, ingress, account);
         }
-        lives[ingress] = lives[ingress] == 0 ? 1 : lives[ingress] + 1; // whoever speaks as that life is not believed
+        lives[ingress] = lives[ingress] == 0 ? 1 : lives[ingress] + 1; // messages of that incarnation are ignored from now on
         if (!settled[ingress]) {
             settled[ingress] = true;
             unsettled--;
--- a/src/main/java/yardusher/parts/Memory.java
+++ b/src/main/java/yardusher/parts/Memory.java
@@ -1,11 +1,11 @@
 package yardusher.parts;
 
 /**
- * What outlives a process: how many units it may have lent to each other ingress at each region. Written before a loan is
- * told to anyone, so that what is read after a death is never too little.
+ * Stores how many units an ingress has lent to each peer at each region, beyond the life of its process. A loan is stored
+ * before it is sent to anyone, so that what is read after a crash is never too low.
  */
 interface Memory {
-    /** Remembers nothing: whoever starts asks all others. */
+    /** Stores nothing: after a start all peers have to be asked. */
     Memory NONE = new Memory() {
         @Override
         public int lent(long region, int ingress) { return UNKNOWN; }
@@ -15,9 +15,9 @@
     };
     int UNKNOWN = -1;
 
-    /** The most that earlier lives have lent there; {@link #UNKNOWN} where this is not known. */
+    /** Upper bound of what earlier incarnations lent there; {@link #UNKNOWN} if it is not known. */
     int lent(long region, int ingress);
 
-    /** Writes it down; false where there is no room, and then nothing may be lent. */
+    /** Stores the units lent in all; false if there is no room for it, in which case nothing may be lent. */
     boolean put(long region, int ingress, int lent);
 }
--- a/src/main/java/yardusher/parts/Telling.java
+++ b/src/main/java/yardusher/parts/Telling.java
@@ -7,29 +7,31 @@
 import yardusher.error.PartError;
 
 /**
- * One datagram from one ingress to another. {@code number} of {@code count} ingresses and {@code life} say who speaks, {@code to} which life of
- * the hearer is spoken to, 0 for any. {@code settled}: the speaker knows all that its earlier lives lent to the hearer.
- * {@code whole}: each region where the speaker holds units of the hearer's earlier lives is among the rows. {@code asks}: the rows are to be
- * answered, since the speaker does not know that they were heard.
+ * One datagram from one ingress to another. {@code sender}, the number of an ingress among {@code ingressCount}, and
+ * {@code incarnation} identify the sender; {@code recipientIncarnation} is the incarnation that is addressed, 0 for any.
+ * {@code settled}: the sender knows all that its earlier incarnations lent to the recipient. {@code legacyComplete}: the rows
+ * include each region where the sender still holds units of the recipient's earlier incarnations. {@code needsReply}: the
+ * recipient is to answer with the same rows, because the sender does not know that its totals have arrived.
  */
 record Telling(int number, int count, int weight, long life, long to, int order, boolean settled, boolean whole, boolean asks,
         List<Row> rows) {
     /**
-     * A region: the speaker's counters of its account with the hearer, what it has, uses and wants in all. {@code back} and {@code taken}
-     * are the hearer's own counters as the speaker has heard them. {@code asks}: units that it would like of the hearer now, in its {@code ask}th ask;
-     * {@code sake}: for whose sake it gave back lately, one above that number, 0 for nobody's.
+     * One region: the totals of the sender's account with the recipient, and the sender's allowance, need and wish there in all.
+     * {@code recovered} and {@code received} acknowledge the recipient's own totals {@code returned} and {@code granted}.
+     * {@code requested}: units that the sender asks the recipient for now, with its request {@code requestNumber}.
+     * {@code beneficiary}: the ingress for which the sender last returned units, as its number plus one; 0 for none.
      */
     record Row(long region, int granted, int back, int taken, int returned, int old, int has, int uses, int wants,
             int asks, int ask, int sake) { }
 
     static final int MOST_BYTES = 1200;
-    private static final int HEAD = 40;              // at the most
+    private static final int HEAD = 40;
     private static final int ROW = 4 + 5 * 5 + 6 * 3;
     private static final int VERSION = 1;
-    /** Figures of one region at the most; what is above is made up. */
+    /** Most units at one region; a message with a larger figure is rejected. */
     static final int MOST = 1 << 20;
 
-    /** How many rows are sure to fit one datagram. */
+    /** Number of rows that always fit into one datagram. */
     static final int ROWS = (MOST_BYTES - HEAD) / ROW;
 
     byte[] bytes() {
@@ -63,16 +65,16 @@
             value |= (next & 0x7F) << shift;
             if (next >= 0) { return value; }
         }
-        throw new PartError.Message(null, "-", "a figure too long");
+        throw new PartError.Message(null, "-", "a variable-length integer of more than 5 bytes");
     }
 
     private static int figure(ByteBuffer in, int most) {
         int value = get(in);
-        if (value < 0 || value > most) { throw new PartError.Message(null, "-", "a figure of " + value); }
+        if (value < 0 || value > most) { throw new PartError.Message(null, "-", "a value out of range: " + value); }
         return value;
     }
 
-    /** Reads a body; a {@link PartError.Message} for one that is none. */
+    /** Decodes a message; throws {@link PartError.Message} for bytes that are none. */
     static Telling of(byte[] body) {
         try {
             ByteBuffer in = ByteBuffer.wrap(body);
@@ -102,7 +104,7 @@
                 all.add(new Row(region, granted, back, taken, returned, old, has, uses, wants, asked, figure(in, MOST), figure(in, MOST)));
             }
             if (in.hasRemaining() || flags > 7 || flags < 0 || number >= count || weight < 1 || life <= 0 || to < 0) {
-                throw new PartError.Message(null, "-", "not a telling");
+                throw new PartError.Message(null, "-", "flags, sender, weight or incarnation out of range");
             }
             return new Telling(number, count, weight, life, to, order, (flags & 1) != 0, (flags & 2) != 0, (flags & 4) != 0, all);
         } catch (BufferUnderflowException e) {
