--- a/src/main/java/yardusher/parts/Division.java
+++ b/src/main/java/yardusher/parts/Division.java
@@ -1,9 +1,10 @@
 package yardusher.parts;
 
 /**
- * How a region's connections are divided by need, as one ingress works it out from what it was told: the least served come
- * first (max-min), by weight, and nobody gets more than it needs while another needs more. All who know the same come to the
- * same result; who knows less gives too little or too much, and later back. Free of I/O and clock; arrays are used again.
+ * Weighted max-min fair allocation of a region's connections by need, as one ingress computes it from what its peers reported:
+ * no ingress gets more than it needs while another one needs more. Ingresses with the same information compute the same result;
+ * one with outdated information lends too little or too much, which is corrected later. No I/O and no clock; the arrays
+ * are reused.
  */
 final class Division {
     private int size;
@@ -16,7 +17,7 @@
     private int[] fair = new int[8];
     private int[] givers = new int[8];
     private boolean scarce;
-    private boolean starves;                         // somebody who needs one gets none
+    private boolean starves;                         // an ingress that needs units gets none
 
     void clear() { size = 0; }
 
@@ -38,7 +39,7 @@
         weight[size++] = Math.max(1, itsWeight);
     }
 
-    /** Whether anyone wants more than it has. */
+    /** Whether any ingress wants more than it has. */
     boolean isWanted() {
         for (int i = 0; i < size; i++) {
             if (wants[i] > has[i]) { return true; }
@@ -46,12 +47,12 @@
         return false;
     }
 
-    /** Whether all together need more than there is, by the last {@link #divide}. */
+    /** Whether, at the last {@link #allocate}, all ingresses together wanted more than there is. */
     boolean isScarce() { return scarce; }
 
     /**
-     * Works the fair parts out: where there is enough each gets what it wants, else what it uses, and where there is too
-     * little even for that the level rises evenly. {@code region} and {@code turn} decide who gets what cannot be split.
+     * Computes the fair shares: what each ingress wants if there is enough for all, else what it needs, and if there is too little even
+     * for that, max-min shares of the needs. {@code region} and {@code rotation} decide who gets the units that cannot be split.
      */
     void divide(long region, long turn) {
         int all = 0;
@@ -75,7 +76,7 @@
         }
     }
 
-    /** Divides so many units by {@link #need}, which is more. */
+    /** Allocates fewer units than the sum of {@link #demands}. */
     private void fillAll(long region, long turn, int units) {
         java.util.Arrays.fill(fair, 0, size, -1);
         int left = units;
@@ -85,7 +86,7 @@
             left -= fair[i];
         }
         starves = level < 1;
-        for (; left > 0; left--) {                   // one each to those whom the draw names first
+        for (; left > 0; left--) {                   // one each, in the order of the shortfall and the hash
             int best = -1;
             for (int i = 0; i < size; i++) {
                 if (fair[i] < need[i] && (best < 0 || before(region, turn, i, best, level))) { best = i; }
@@ -102,10 +103,10 @@
         return draw(region, turn, who[a]) < draw(region, turn, who[b]);
     }
 
-    /** Where some get none, who they are changes with the turn. */
+    /** Breaks ties by a hash. Where some ingresses get nothing, the hash changes with the rotation, so that none starves. */
     private long draw(long region, long turn, int ingress) { return Ledger.mix(region * 1_000_003 + ingress + (starves ? turn * 7919 : 0)); }
 
-    /** The level of the water; those whose need lies below it are filled. */
+    /** Computes the water level of max-min filling and satisfies those whose demand lies below it. */
     private double fill(int units) {
         double left = units;
         for (;;) {
@@ -133,7 +134,7 @@
         return 0;
     }
 
-    /** Units that one has beyond its fair part, and could give. */
+    /** Units that an ingress has beyond its fair share and could give. */
     int excess(int ingress) {
         for (int i = 0; i < size; i++) {
             if (who[i] == ingress) { return Math.max(0, has[i] - fair[i]); }
@@ -141,19 +142,19 @@
         return 0;
     }
 
-    /** What all but one have beyond their fair parts. */
+    /** Units that all other ingresses have beyond their fair shares. */
     int excessBut(int ingress) {
         int excess = 0;
         for (int i = 0; i < size; i++) { excess += who[i] == ingress ? 0 : Math.max(0, has[i] - fair[i]); }
         return excess;
     }
 
-    /** What is done for each that is asked. */
+    /** Receives how many units to request from which ingress. */
     interface Asked {
         void ask(int giver, int units);
     }
 
-    /** Chooses whom to ask for so many units: who has most beyond its fair part comes first. */
+    /** Chooses the ingresses to request units from: the one with the most units beyond its fair share comes first. */
     void choose(int asker, int units, Asked asked) {
         int many = 0;
         for (int i = 0; i < size; i++) {
@@ -173,7 +174,7 @@
         }
     }
 
-    /** Askers go to different ones where several have as much. */
+    /** Orders by excess; a hash with the requester spreads the requesters over lenders with the same excess. */
     private boolean ahead(int a, int b, int asker) {
         int overA = has[a] - fair[a];
         int overB = has[b] - fair[b];
--- a/src/main/java/yardusher/parts/Need.java
+++ b/src/main/java/yardusher/parts/Need.java
@@ -1,20 +1,20 @@
 package yardusher.parts;
 
 /**
- * How many connections an ingress needs over all regions: what is in use, what it would like to keep, since it was in use
- * lately, and its part of what was turned away since no region had room. The sum is looked at and not each region, since a
- * request goes where there is room. Free of I/O and clock.
+ * Estimates how many connections an ingress needs over all regions: those in use, those in use recently, which it would
+ * like to keep, and its part of the requests that were refused because no region had room. The sum is estimated and not each
+ * region, because a request goes to any region that has room. No I/O and no clock.
  */
 final class Need {
-    private static final double USES_MS = 60;        // over which it is seen what is in use: where there is too little, that counts
-    private static final double WANTS_FALL_MS = 6000; // by 63%: what is kept where there is enough, so that no unit is sent to and fro
-    private static final double ROOM = 1.15;         // a region is chosen among those with room
+    private static final double USES_MS = 60;        // scarce units are divided by use, so the estimate has to be recent
+    private static final double WANTS_FALL_MS = 6000; // decay by 63%; long, so that units don't move back and forth
+    private static final double ROOM = 1.15;         // spare units: a request can only go to a region with room
     private double used;
     private double wantsPeak;
-    private double unmetFast;                        // attempts that would have been out
+    private double unmetFast;                        // refused attempts that would be in progress
     private double unmet;
 
-    /** {@code busy} connections carry an attempt; {@code wanted} more would, of those that were refused for want of room. */
+    /** Adds a sample: {@code busy} connections carry an attempt, {@code unmetAttempts} more would if none had been refused. */
     void seen(double sinceMs, int busy, double wanted) {
         double fast = Math.exp(-sinceMs / USES_MS);
         double slow = Math.exp(-sinceMs / WANTS_FALL_MS);
@@ -24,9 +24,9 @@
         unmet = Math.max(wanted, unmet * slow);
     }
 
-    /** Connections that would be used now. */
+    /** Connections that would be in use now if none were refused. */
     double uses() { return used + unmetFast; }
 
-    /** Connections that were of use lately. */
+    /** Connections that were needed recently, which the ingress would like to keep. */
     double wants() { return Math.max(uses(), wantsPeak * ROOM + (unmetFast > 0.5 ? unmet : 0)); }
 }
