--- a/src/main/java/yardusher/parts/Claim.java
+++ b/src/main/java/yardusher/parts/Claim.java
@@ -13,11 +13,11 @@
 import java.util.Map;
 
 /**
- * An ingress's claim to its share, and what outlives its process: a small file that is locked for as long as the process
- * lives. The system gives the lock up when a process dies, however it dies, and not while it is stopped: who gets it knows
- * that the life before has ended. The file is mapped, so that a loan is written down without a call to the system, and
- * what was written is there after a death of the process; after a loss of power it is believed only where the last
- * life ended in order.
+ * The file by which a process claims its ingress's share and in which loans outlive the process. It is locked for as long as
+ * the process lives. The system releases the lock when the process dies, however it dies, but not while it is stopped: whoever
+ * gets the lock knows that the previous incarnation has ended. The file is mapped, so that a loan is recorded without a
+ * system call, and what was written is there after a crash of the process. After a power loss it is trusted only if the
+ * last incarnation ended cleanly.
  */
 final class Claim implements Memory {
     private static final long MAGIC = 0x7961726470617274L; // yardpart
@@ -30,7 +30,7 @@
     private final int count;
     private FileChannel channel;
     private FileLock lock;
-    private FileLock guestLock;                      // of the one process that may stand beside the claim's holder
+    private FileLock guestLock;                      // of the one process that may run beside the claim's owner
     private MappedByteBuffer map;
     private final Map<Long, Integer> rows = new HashMap<>();
     private long life;
@@ -42,7 +42,7 @@
         this.count = count;
     }
 
-    /** The claim of an ingress of this name; an {@link IOException} where the folder cannot be written. */
+    /** Opens the claim file of the ingress of this name; throws {@link IOException} if the folder cannot be written. */
     static Claim at(Path folder, String name, int count) throws IOException {
         Files.createDirectories(folder);
         Claim claim = new Claim(folder.resolve("yardusher-" + name.replaceAll("[^A-Za-z0-9._-]", "_") + ".parts"), count);
@@ -52,14 +52,14 @@
     }
 
     /**
-     * Takes the claim, or false while another process has it. {@code now} is Unix time in milliseconds: a life's number,
-     * but always above the last one's. {@code begins}: where there is nothing in the file, this ingress never ran.
+     * Takes the claim, or returns false while another process has it. {@code nowMs}, Unix time, becomes the incarnation unless the
+     * last one's is higher. {@code emptyMeansFirstStart}: an empty file means that this ingress has never run.
      */
     boolean take(double now, boolean begins) throws IOException {
         try {
             lock = channel.tryLock(0, 1, false);
         } catch (OverlappingFileLockException e) {
-            lock = null;                             // another of this very process, in a test
+            lock = null;                             // held within this process, which happens in tests
         }
         if (lock == null) { return false; }
         boolean absent = channel.size() == 0;
@@ -76,7 +76,7 @@
             for (int i = 0; i < ROWS; i++) {
                 long id = map.getLong(at(i));
                 if (id != 0) { rows.put(id - 1, i); }
-                map.putInt(at(i) + 8 + 2 * count, 0); // nobody stands beside this one yet
+                map.putInt(at(i) + 8 + 2 * count, 0); // no successor process runs yet
             }
         } else {
             for (int i = HEAD; i < map.capacity(); i++) { map.put(i, (byte) 0); }
@@ -91,12 +91,12 @@
     }
 
     /**
-     * Brings what {@link #take} wrote to the disk; nothing is lent before. Guards against a loss of power after which the file still
-     * says that an earlier life ended in order. May wait for a disk.
+     * Forces what {@link #tryLock} wrote to the disk, before anything is lent. Guards against a power loss after which the file
+     * still says that an earlier incarnation ended cleanly. Blocks on the disk.
      */
     void sync() { map.force(); }
 
-    /** Which start of the machine this is, 0 where that cannot be told. */
+    /** Identifies the boot of the machine; 0 if it cannot be read. */
     private static long boot() {
         try {
             return Ledger.mix(Files.readString(Path.of("/proc/sys/kernel/random/boot_id")).strip().hashCode()) | 1;
@@ -106,15 +106,15 @@
     }
 
     /**
-     * Stands beside the process that has the claim, as its next version; false where another does. What that one gives is
-     * read with {@link #given}.
+     * Registers this process as the successor that runs beside the claim's owner; false if another process already does. What
+     * the owner gives is then read by {@link #exchangeAsSuccessor}.
      */
     boolean takeBeside() throws IOException {
         if (guestLock != null) { return true; }
         try {
             guestLock = channel.tryLock(1, 1, false);
         } catch (OverlappingFileLockException e) {
-            return false;                            // another of this very process, in a test
+            return false;                            // held within this process, which happens in tests
         }
         if (guestLock == null) { return false; }
         map = channel.map(FileChannel.MapMode.READ_WRITE, 0, HEAD + (long) ROWS * row());
@@ -126,9 +126,9 @@
         return known;
     }
 
-    /** Whether a process stands beside this one, which has the claim. */
+    /** Whether a successor process runs beside this one, which owns the claim. */
     boolean hasBeside() {
-        if (guestLock != null) { return false; }     // this one stood beside another until a moment ago
+        if (guestLock != null) { return false; }     // this process itself was the successor until a moment ago
         try {
             FileLock free = channel.tryLock(1, 1, false);
             if (free == null) { return true; }
@@ -137,33 +137,33 @@
         } catch (OverlappingFileLockException e) {
             return true;
         } catch (IOException e) {
-            return true;                             // not known: what was given stays given
+            return true;                             // unknown: what was given stays given
         }
     }
 
-    /** The next version may stand beside this one from now on. */
+    /** Allows another process to become the successor of this one. */
     void leaveBeside() throws IOException {
         if (guestLock != null) { guestLock.release(); }
         guestLock = null;
     }
 
-    /** What is given to the process beside, by the one that has the claim. */
+    /** Writes, as the claim's owner, how many units the successor has been given. */
     void give(long region, int units) {
         Integer row = rows.get(region);
         if (row == null && units > 0) { row = begin(region); }
         if (row != null) { map.putShort(at(row) + 8 + 2 * count, (short) units); }
     }
 
-    /** Whether so many can be written down at all. */
+    /** Whether there is a row for the region, or room for a new one. */
     boolean canGive(long region) { return rows.containsKey(region) || begin(region) != null; }
 
-    /** What the process beside wants, as that one writes it. */
+    /** How many units the successor wants, as it has written. */
     int wanted(long region) {
         Integer row = rows.get(region);
         return row == null ? 0 : map.getShort(at(row) + 10 + 2 * count) & 0xFFFF;
     }
 
-    /** Of the process beside: what it has been given, by region; and what it wants is written. Walks the file. */
+    /** As the successor: reads what has been given at each region and writes what is wanted there. Scans the whole file. */
     void beside(Beside each) {
         for (int i = 0; i < ROWS; i++) {
             long id = map.getLong(at(i));
@@ -173,7 +173,7 @@
         }
     }
 
-    /** What the process beside makes of a region's units; the result is what it wants there. */
+    /** Takes over, in the successor, the units given at a region; returns how many it wants there. */
     interface Beside {
         int given(long region, int units);
     }
@@ -193,13 +193,13 @@
 
     long life() { return life; }
 
-    /** Whether the file holds all that earlier lives lent. */
+    /** Whether the file holds all that earlier incarnations lent. */
     boolean remembers() { return remembers; }
 
-    /** Whether the life before ended in order, with all its connections closed. */
+    /** Whether the previous incarnation ended cleanly, with all its connections closed. */
     boolean wasClean() { return clean; }
 
-    /** What earlier lives lent is known by the others' word now: from here on the file holds all of it. */
+    /** All peers have reported what earlier incarnations lent them: from here on the file holds all of it. */
     void trust() { map.putInt(AT_VALID, 1); }
 
     @Override
@@ -238,13 +238,13 @@
         return -1;
     }
 
-    /** The process ends with no connection open: the next life need not wait. */
+    /** Writes at the end of the process whether no connection was open, in which case the next incarnation need not wait. */
     void end(boolean inOrder) {
         if (lock == null) { return; }
         if (inOrder) { map.putInt(AT_CLEAN, 1); }
         map.force();
     }
 
-    /** Gives the claim up; in tests alone, else the process's end does it. */
+    /** Releases the claim. Only tests call it; otherwise the end of the process releases the lock. */
     void close() throws IOException { channel.close(); }
 }
--- a/src/main/java/yardusher/parts/Guest.java
+++ b/src/main/java/yardusher/parts/Guest.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 
 /**
- * The connections of a process that stands beside the one that has its ingress's claim, as its next version: it has open what
- * that one gives it of the share, tells it what it wants, and negotiates with nobody until the claim is its own. Free of
- * I/O and clock.
+ * The connections of a process that runs, as the next version, beside the process that owns its ingress's claim. It opens
+ * what the owner gives it of the share, tells the owner what it wants, and negotiates with no other ingress until it owns the
+ * claim itself. No I/O and no clock.
  */
 final class Guest {
-    /** A region as this process stands there. */
+    /** This process's connections at one region. */
     static final class Stand {
         int given;
         int open;
@@ -26,7 +26,7 @@
 
     Stand stand(long region) { return stands.computeIfAbsent(region, none -> new Stand()); }
 
-    /** So much has been given there so far; the result is what is wanted. What is given is never taken back from a living process. */
+    /** Sets how many units the owner has given in all, and returns how many are wanted. None are taken back from a living process. */
     int given(long region, int units) {
         Stand stand = stand(region);
         stand.given = units;
@@ -55,7 +55,7 @@
         tell(region, stand);
     }
 
-    /** The module's list is new: the room is told again. */
+    /** The decision module has a new backend list: reports the attempt limit again. */
     void relisted(long region) {
         Stand stand = stand(region);
         stand.room = -1;
--- a/src/main/java/yardusher/parts/PartSettings.java
+++ b/src/main/java/yardusher/parts/PartSettings.java
@@ -9,22 +9,27 @@
 import yardusher.discovery.DiscoveredBackends;
 
 /**
- * What deploy/yardusher.toml says in its table {@code parts}. {@code connections} is how many a region holds, of all ingresses
- * together; {@code regions} are exceptions, by id before those by zone. {@code least}: wanted in all while there is
- * traffic; {@code movesPerS}: units that one ingress gives away at a region; {@code endedMs}: how long regions take to notice
- * that a process has died; {@code coldPercent}: of the number, for a region that is not warm yet; {@code ingresses}: how many are
- * configured, 0 for what the platform's settings say; {@code folder}: null for the environment's TMPDIR; {@code begins}: what a
- * folder without a file means, that this ingress never ran.
+ * The table {@code parts} of the settings file, described in deploy/yardusher.toml.
+ *
+ * @param connections limit of a region, for all ingresses together
+ * @param overrides limits of single regions or zones; one by id comes before one by zone
+ * @param minUnits units that an ingress wants in all while there is traffic
+ * @param maxMovesPerS units per second that one ingress gives away at a region
+ * @param crashDetectionMs how long regions take to notice that a process has died
+ * @param coldPercent percentage of the limit for a region that is not warm yet
+ * @param ingressCount configured ingresses; 0 for the number in the platform's settings
+ * @param folder folder of the claim file; null for TMPDIR of the environment
+ * @param absentMeansFirstStart a missing claim file means that this ingress has never run
  */
 public record PartSettings(int connections, List<Special> regions, int least, int weight, int movesPerS, int endedMs, int coldPercent,
         int ingresses, String folder, boolean begins) {
-    /** A region by its id, or all of a zone; the other is null. */
+    /** Limit of one region, by id, or of all regions of a zone; the other one is null. */
     public record Special(String id, String zone, int connections) { }
 
-    private static final int MOST = 30_000;          // of one region: it is written down in two bytes
+    private static final int MOST = 30_000;          // of one region: the claim file stores it in two bytes
     private static final Set<String> KEYS = Set.of("connections", "region", "least", "weight", "moves_per_s", "ended_ms", "cold_percent", "ingresses", "folder", "absent");
 
-    /** Reads the table; a {@link ConfigError} names the key and what is allowed. Null where it is left out. */
+    /** Reads the table, null if it is missing. Throws a {@link ConfigError} that names the key and what is allowed. */
     public static PartSettings of(Toml file) {
         Toml table = file.table("parts");
         if (table == null) { return null; }
@@ -45,7 +50,7 @@
                 table.choice("absent", "ask", "ask", "begin").equals("begin"));
     }
 
-    /** How many connections a region holds now. */
+    /** How many connections a region may hold now, of all ingresses together. */
     int number(Api.Server region, List<String> zones, double now, double warmAfterMs) {
         int number = connections;
         boolean byId = false;
