--- a/src/main/java/yardusher/parts/Negotiator.java
+++ b/src/main/java/yardusher/parts/Negotiator.java
@@ -10,69 +10,69 @@
 import yardusher.parts.Ledger.Region;
 
 /**
- * The decisions of one life of one ingress on its connections: what it needs, to whom it lends and gives back, what it tells
- * whom and when. Free of I/O and clock: times are milliseconds of Unix time that never go back, everything else comes and
- * goes by {@link World}. Nothing here can break the number, which {@link Ledger} keeps; what is decided on old news, on a
- * wrong list of members or on made-up needs costs use only.
+ * Decides for one incarnation of an ingress how many connections it needs, to which peers it lends and returns units, and what it
+ * sends to whom and when. No I/O and no clock: times are milliseconds of Unix time that never go back, everything else goes
+ * through {@link Environment}. Nothing here can exceed a region's limit, which {@link Ledger} guarantees; decisions on
+ * outdated reports, on a wrong list of members or on invented needs only cost utilization.
  */
 final class Negotiator {
-    /** What it sees and does. */
+    /** What the negotiator observes and acts on. */
     interface World {
         /** Connections to a region that carry an attempt. */
         int busy(long region);
 
-        /** Requests that were turned away for want of room, since the start. */
+        /** Requests that were refused for lack of room, since the start. */
         long refused();
 
-        /** Attempts begun, since the start. */
+        /** Attempts started, since the start. */
         long begun();
 
-        /** No more attempts than this are to be out at a region. */
+        /** Sets how many attempts may be in progress at a region at most. */
         void room(long region, int most);
 
-        /** Closes so many connections that stand idle; the result says how many it began to close. */
+        /** Begins to close up to so many idle connections; returns how many. */
         int shed(long region, int count);
 
         void send(InetSocketAddress to, byte[] body);
 
-        /** An ingress that has so many units of this one has fallen silent: they are kept back. */
+        /** A peer that holds so many units of this ingress has stopped sending: the units stay reserved for it. */
         default void silent(int ingress, int units) { }
     }
 
-    /** {@code least}: units wanted in all while there is traffic; {@code movesPerS} by region, at the most. */
+    /** {@code minUnits}: wanted in all while there is traffic; {@code maxMovesPerS}: units given away at one region. */
     record Rules(int least, int weight, double movesPerS) { }
 
-    static final double FRESH_MS = 3000;             // who was silent for longer is asked for nothing
-    private static final double BEAT_MS = 1000;      // to each other, where nothing is to be told
+    static final double FRESH_MS = 3000;             // a peer that was silent for longer is not asked for units
+    private static final double BEAT_MS = 1000;      // between messages to a peer without changes
     private static final double SILENT_BEAT_MS = 4000;
-    private static final int WHOLE_BEATS = 4;        // each so many beats tell all that stands
-    private static final double REPEAT_MS = 100;     // what was not heard is told again
+    private static final int WHOLE_BEATS = 4;        // one heartbeat in so many sends all rows
+    private static final double REPEAT_MS = 100;     // rows that were not acknowledged are sent again
     private static final double ACTIVE_MS = 2000;
     private static final double BUSY_TICK_MS = 20;
     private static final double IDLE_TICK_MS = 200;
-    private static final double ASK_MS = 60;         // an ask counts so long
-    private static final double LACK_MS = 100;       // a small lack is asked for once it has lasted so long
+    private static final double ASK_MS = 60;         // after which a request is void on both sides
+    private static final double LACK_MS = 100;       // how long a small shortage has to last before units are requested
     private static final double LARGE_LACK = 0.1;
-    private static final double RATE_MS = 100;       // over which refusals and attempts are counted
-    private static final double USED_MS = 3000;      // over which it is seen where attempts go
-    private static final double TURN_MS = 2000;     // where some get none, others do after this
-    private static final double HOME_MS = 10_000;    // what is borrowed and not used so long goes back, one by one
-    private static final double LEAVE_MS = 2000;     // at the end of a process, to give back
-    private static final double AHEAD_MS = 86_400_000; // a life that begins a day from now is made up
-
-    /** A region as this ingress stands there. */
+    private static final double RATE_MS = 100;       // time constant of the rates of refusals and attempts
+    private static final double USED_MS = 3000;      // time constant of the use of single regions
+    private static final double TURN_MS = 2000;     // where some ingresses get nothing, others do after this time
+    private static final double HOME_MS = 10_000;    // borrowed units that were not needed for so long are returned, one by one
+    private static final double LEAVE_MS = 2000;     // time for returning units at shutdown
+    private static final double AHEAD_MS = 86_400_000; // an incarnation that lies a day ahead is rejected as invalid
+
+    /** Demand, targets and pending work of this ingress at one region. */
     static final class Stand {
         final Region region;
-        private double used;                         // connections in use lately
-        int uses;                                    // of what this ingress uses in all, what it would like here
-        int wants;                                   // and of what it would like to keep
-        private double part;
-        private double full;                         // part of the time in which there was no room, lately
-        private double rest;
-        int leaving;                                 // connections on their way to be closed at both ends
-        int owed;                                    // units to be given as soon as connections close
+        private double used;                         // connections in use, smoothed
+        int uses;                                    // part of the needed connections that is planned for this region
+        int wants;                                   // part of the wanted connections
+        private double part;                         // weight for further units, half by limit and half by use
+        private double full;                         // part of the time without room, smoothed
+        private double rest;                         // fraction of a unit that rounding down left over
+        int leaving;                                 // connections that are being closed, until both ends are
+        int owed;                                    // units to be given to peers as soon as connections close
         private int room = -1;
-        private double tokens;
+        private double tokens;                       // of the token bucket for units given away
         private double filledAt;
         private double lacksSince;
         private double idleSince;
@@ -80,7 +80,7 @@
         private int newsHas;
         private int newsWants;
         private int newsUses;
-        private int avail;                           // what others have beyond their fair parts
+        private int avail;                           // units that peers have beyond their fair shares
 
         Stand(Region region, double now) {
             this.region = region;
@@ -89,7 +89,7 @@
         }
     }
 
-    /** Another ingress, by its number. */
+    /** Another ingress of the installation. */
     private static final class Other {
         final int number;
         InetSocketAddress at;
@@ -99,9 +99,9 @@
         int beats;
         int weight = 1;
         int order;
-        boolean settledMe;                           // it knows what its earlier lives lent to this one
-        boolean urgent;
-        boolean isSilent;                            // and was said to be
+        boolean settledMe;                           // the peer knows what its earlier incarnations lent to this ingress
+        boolean urgent;                              // a message is to be sent at the next tick
+        boolean isSilent;                            // and was reported as silent
 
         Other(int number) { this.number = number; }
     }
@@ -116,20 +116,20 @@
     private List<InetSocketAddress> members = List.of();
     private double lastTick;
     private double activeAt = Double.NEGATIVE_INFINITY;
-    private double refusals;                         // a millisecond, lately
-    private double attempts;
+    private double refusals;                         // smoothed
+    private double attempts;                         // smoothed
     private long refusedBefore;
     private long begunBefore;
     private double hellosAt;
     private double newsAt = Double.NEGATIVE_INFINITY;
     private int order;
-    private boolean leaves;                          // the process ends: it keeps what it uses and no more
+    private boolean leaves;                          // the process ends: it keeps only what it still uses
     private double leavesAt;
-    long bad;                                        // bodies that are no telling
-    long foreign;                                    // of another count of ingresses, or of this ingress's own number
-    long stale;                                      // of a life that has ended
-    long asked;                                      // units asked for
-    long moved;                                      // units lent or given back
+    long bad;                                        // bodies that cannot be decoded or have an impossible incarnation
+    long foreign;                                    // with another ingress count or with this ingress's own number
+    long stale;                                      // from an incarnation that has ended
+    long asked;                                      // units requested from peers
+    long moved;                                      // units lent or returned
     long heard;
     long told;
     long toldBytes;
@@ -153,7 +153,7 @@
 
     Stand stand(long region) { return stands.get(region); }
 
-    /** A listed region holds so many connections in all, now. */
+    /** Lists a region or changes its limit. */
     void number(double now, long region, int number) {
         Region one = ledger.number(region, number);
         if (!stands.containsKey(region)) { stands.put(region, new Stand(one, now)); }
@@ -167,28 +167,28 @@
         if (stand != null) { stand.wants = 0; }
     }
 
-    /** Who is there, by the view: only whom to ask first. */
+    /** Addresses of the current members; only used to greet ingresses that were not heard yet. */
     void members(List<InetSocketAddress> there) { members = there; }
 
-    /** The process ends: what is borrowed goes back, and its share goes to who asks, as soon as it is not used any more. */
+    /** The process ends: units that are no longer used are returned if borrowed, or lent to peers that request them. */
     void leave(double now) {
         leaves = true;
         leavesAt = now;
     }
 
-    /** A connection is to be dialled; false where there is no unit for it. */
+    /** Counts a connection that is about to be dialled; false if there is no unit for it. */
     boolean take(long region) {
         Stand stand = stands.get(region);
         return stand != null && !stand.region.gone && spare(stand) > 0 && ledger.take(stand.region);
     }
 
-    /** Whether a connection that comes to rest is to be closed, since its unit is owed. */
+    /** Whether a connection that becomes idle is to be closed, because its unit is owed to a peer. */
     boolean isSurplus(long region) {
         Stand stand = stands.get(region);
         return stand == null || stand.region.gone || ledger.spare(stand.region) + stand.leaving < stand.owed;
     }
 
-    /** A connection begins to close; its unit stays in use until the region has closed too. */
+    /** A connection begins to close; its unit stays in use until the region has closed its side too. */
     void leaving(long region) {
         Stand stand = stands.get(region);
         if (stand == null) { return; }
@@ -196,7 +196,7 @@
         room(stand);
     }
 
-    /** A connection is over at both ends. */
+    /** A connection is closed at both ends. */
     void ended(long region, boolean wasLeaving) {
         Stand stand = stands.get(region);
         if (stand == null) { return; }
@@ -215,7 +215,7 @@
         }
     }
 
-    /** Connections that this process had there before it had the claim: of its own share. */
+    /** Takes over the connections that this process opened as a successor; they now use its own share. */
     void had(long region, int open, int leaving) {
         Stand stand = stands.get(region);
         if (stand == null) { return; }
@@ -224,7 +224,7 @@
         room(stand);
     }
 
-    /** The next version stands beside this process and wants so many connections in all there; the result is how many it has now. */
+    /** The successor process wants so many connections in all at a region; returns how many it has been given so far. */
     int beside(long region, int wanted) {
         Stand stand = stands.get(region);
         if (stand == null || stand.region.gone) { return 0; }
@@ -238,7 +238,7 @@
         return stand.region.guest;
     }
 
-    /** The process beside has ended, and regions have seen it. */
+    /** The successor has ended, and regions have noticed: its units are free again. */
     void alone() {
         for (Stand stand : stands.values()) {
             stand.region.guest = 0;
@@ -246,7 +246,7 @@
         }
     }
 
-    /** A region came into the module's list anew: its room is to be told again. */
+    /** A region was listed anew in the decision module, which therefore needs its attempt limit again. */
     void relisted(long region) {
         Stand stand = stands.get(region);
         if (stand == null) { return; }
@@ -254,7 +254,7 @@
         room(stand);
     }
 
-    /** Takes a body in. */
+    /** Handles a datagram of another ingress. */
     void heard(double now, InetSocketAddress from, byte[] body) {
         Telling telling;
         try {
@@ -290,7 +290,7 @@
         other.at = from;
         other.heardAt = now;
         other.weight = telling.weight();
-        if (how == Ledger.Heard.OF_ANOTHER_LIFE) {   // it does not know this life yet
+        if (how == Ledger.Heard.OF_ANOTHER_LIFE) {   // the peer does not know this incarnation yet
             other.urgent = true;
             return;
         }
@@ -332,7 +332,7 @@
         }
     }
 
-    /** Units came home for somebody's sake: they go on at once, where they are not needed more here. */
+    /** Lends units that were returned for the benefit of {@code taker} on to it, unless they are needed here. */
     private void pass(Region region, Other taker, int units, double now) {
         Stand stand = stands.get(region.id);
         if (stand == null || region.gone || !isFresh(taker, now)) { return; }
@@ -340,7 +340,7 @@
         if (lent > 0) { done(stand, taker, lent); }
     }
 
-    /** Looks, decides and tells; the result is when it is to be called again at the latest. */
+    /** Measures the demand, moves units and sends messages; returns when it is to be called again at the latest. */
     double tick(double now) {
         look(now);
         for (Stand stand : stands.values()) {
@@ -360,7 +360,7 @@
             for (Region region : ledger.regions()) { units += other.isSilent && region.accounts[other.number] != null ? region.accounts[other.number].lent() : 0; }
             if (units > 0) { world.silent(other.number, units); }
         }
-        for (Other other : others) {                 // planted, to see that the rules notice
+        for (Other other : others) {                 // planted, to check that the models detect it
             if (ledger.without == Ledger.Without.STOPPED_KEEPS && other != null && other.at != null && lastTick - other.heardAt > FRESH_MS) {
                 ledger.ended(other.number);
                 other.at = null;
@@ -370,7 +370,7 @@
         stands.values().removeIf(stand -> stand.region.gone && ledger.region(stand.region.id) == null);
     }
 
-    /** What is needed, by what is out and what was turned away. */
+    /** Estimates the demand from the attempts in progress and the refused requests, and sets the targets of the regions. */
     private void look(double now) {
         double since = Math.max(0, now - lastTick);
         lastTick = now;
@@ -387,7 +387,7 @@
         int busy = 0;
         for (Stand stand : stands.values()) { busy += world.busy(stand.region.id); }
         if (busy > 0) { activeAt = now; }
-        // By Little's law: what was turned away would have been out as long as what was let in.
+        // Little's law: refused requests would have been in progress as long as accepted ones.
         double holdMs = attempts > 1e-6 ? busy / attempts : 100;
         double unmet = refusals * Math.min(5000, Math.max(1, holdMs));
         boolean active = now - activeAt < ACTIVE_MS;
@@ -411,15 +411,16 @@
     }
 
     /**
-     * Spreads what is needed in all over the regions, in whole units: first over what is there already, so that nothing is
-     * moved without need, and what is more by where attempts go. Who needs little does not need some of every region.
+     * Distributes the needed or wanted connections over the regions, in whole units: first over the units that are already here, so that
+     * none is moved without need, and further ones by where attempts go. An ingress with little demand needs no unit at
+     * most regions.
      */
     private void spread(double units, boolean wants) {
         int all = (int) Math.ceil(units - 0.02);
         int there = 0;
         for (Stand stand : stands.values()) { there += stand.region.gone ? 0 : Math.max(0, ledger.allowance(stand.region)); }
         int more = Math.max(0, all - there);
-        double parts = 0;                            // of regions where there is something to be had
+        double parts = 0;                            // of regions where peers have units to spare
         for (Stand stand : stands.values()) { parts += stand.avail > 0 ? stand.part : 0; }
         int left = all;
         for (Stand stand : stands.values()) {
@@ -438,12 +439,12 @@
             best.rest = -1;
             set(best, (wants ? best.wants : best.uses) + 1, wants);
         }
-        for (Stand stand : stands.values()) {        // those that are full all the time although there is room elsewhere
+        for (Stand stand : stands.values()) {        // regions that are always full although others have room
             if (wants && more == 0 && stand.full > 0.6 && !stand.region.gone) { set(stand, ledger.allowance(stand.region) + 1, true); }
         }
     }
 
-    /** Coarse, so that the same regions are ahead for as long as the use is about the same. */
+    /** Compares remainders coarsely, so that the same regions come first while the use hardly changes. */
     private boolean ahead(Stand one, Stand other) {
         long a = Math.round(one.rest * 4);
         long b = Math.round(other.rest * 4);
@@ -457,7 +458,7 @@
 
     private boolean isFresh(Other other, double now) { return other != null && now - other.heardAt < FRESH_MS; }
 
-    /** Lends and gives back what others need more, and makes room for it. */
+    /** Lends and returns units that peers need more, and closes connections for it. */
     private void give(Stand stand, double now) {
         Region region = stand.region;
         stand.owed = 0;
@@ -499,7 +500,7 @@
         } else if (now - stand.idleSince > HOME_MS && now >= stand.homeAt) {
             home(stand, now);
         }
-        // Where the number fell below what is open, or units are owed: connections close between requests.
+        // If the limit fell below what is open, or units are owed, connections close between requests.
         int over = stand.owed - Math.max(0, spare(stand)) + Math.max(0, -spare(stand)) - stand.leaving;
         if (over > 0) { world.shed(region.id, over); }
     }
@@ -509,7 +510,7 @@
         return account != null && account.asks > 0 && now - account.asksAt < ASK_MS;
     }
 
-    /** Gives to those who ask what is beyond the fair part here, a unit each in turn. */
+    /** Gives the units beyond the own fair share to the peers that requested some, one unit each in turn. */
     private void answer(Stand stand, double now) {
         int excess = Math.min(division.excess(ledger.self), (int) stand.tokens);
         for (boolean given = true; given && excess > 0;) {
@@ -531,7 +532,7 @@
             if (account.owing > 0) {
                 gift(stand, other.number, account.owing, now);
                 account.owing = 0;
-            } else if (account.isAskNew) {           // so that it asks another
+            } else if (account.isAskNew) {           // tells the peer, so that it asks another one
                 account.isDirty = true;
                 other.urgent = true;
             }
@@ -539,7 +540,7 @@
         }
     }
 
-    /** Asks those who have most beyond their fair parts for what is missing here. */
+    /** Requests the missing units from the peers that have most beyond their fair shares. */
     private void ask(Stand stand, double now) {
         int missing = division.fair(ledger.self) - ledger.allowance(stand.region);
         for (Other other : others) {
@@ -551,7 +552,7 @@
             stand.lacksSince = now;
             return;
         }
-        // Guards against units that go to and fro with the noise of a full fleet: a small lack has to last.
+        // Guards against units that move back and forth with the noise of a fully used fleet: a small shortage has to last.
         if (missing < Math.max(2, LARGE_LACK * ledger.allowance(stand.region)) && now - stand.lacksSince < LACK_MS && ledger.allowance(stand.region) > 0) { return; }
         division.choose(ledger.self, missing, (giver, units) -> {
             Account account = stand.region.account(giver);
@@ -574,7 +575,7 @@
             if (lent > 0) { done(stand, other, lent); }
             left -= lent;
         }
-        // What is held of a third goes home to it, with a word for whose sake.
+        // Units borrowed from a third ingress are returned to it, together with the number of the ingress that is to get them.
         while (left > 0 && spare(stand) > 0) {
             Other owner = null;
             for (Other one : others) {
@@ -608,7 +609,7 @@
         moved += units;
     }
 
-    /** Nobody needs it and neither does this one: borrowed units go home, so that a death here costs less. */
+    /** No ingress needs the units: returns a borrowed one, so that a crash of this process makes fewer units unusable. */
     private void home(Stand stand, double now) {
         for (Other other : others) {
             if (isFresh(other, now) && held(stand, other) > 0) {
@@ -621,7 +622,7 @@
     }
 
     private void tell(double now) {
-        double apart = Math.max(BUSY_TICK_MS, 2.0 * ledger.count); // so that news cost no more at more ingresses
+        double apart = Math.max(BUSY_TICK_MS, 2.0 * ledger.count); // keeps the cost of updates bounded with many ingresses
         List<Stand> news = new ArrayList<>();
         for (Stand stand : stands.values()) {
             int has = ledger.allowance(stand.region);
@@ -646,7 +647,7 @@
         }
     }
 
-    /** What is used changes all the time; only a change that matters is news. */
+    /** The need changes all the time; only a considerable change is sent. */
     private static boolean isOther(int uses, int told) { return Math.abs(uses - told) >= Math.max(2, told / 8) || (uses == 0) != (told == 0); }
 
     private boolean isKnown(InetSocketAddress at, double now) {
@@ -670,7 +671,7 @@
         List<Telling.Row> rows = new ArrayList<>();
         boolean asks = false;
         int olds = 0;
-        for (Region region : ledger.regions()) {     // what is held of earlier lives first: it is to be told whole
+        for (Region region : ledger.regions()) {     // legacy units first: they have to be complete in one message
             Account account = region.accounts[other.number];
             if (account != null && account.old > 0 && !other.settledMe) { rows.add(row(region, account)); }
         }
@@ -693,7 +694,7 @@
             from += some.size();
             send(other.at, new Telling(ledger.self, ledger.count, rules.weight, ledger.life, ledger.life(other.number), ++order,
                     ledger.isSettled(other.number), whole, asks, some), now, other);
-            whole = false;                           // what is held of earlier lives stood in the first
+            whole = false;                           // the first message held the legacy units
         } while (from < rows.size());
     }
 
@@ -723,7 +724,7 @@
         world.send(to, body);
     }
 
-    /** Whether something is still open, or held of somebody who is there; at the end, for a bounded time. */
+    /** Whether connections are open, or units of a live peer are held; during shutdown false after a bounded time. */
     boolean holds(double now) {
         if (leaves && now - leavesAt > LEAVE_MS) { return false; }
         for (Region region : ledger.regions()) {
@@ -735,14 +736,14 @@
         return false;
     }
 
-    /** Others heard lately. */
+    /** Number of peers that were heard recently. */
     int freshOthers(double now) {
         int fresh = 0;
         for (Other other : others) { fresh += isFresh(other, now) ? 1 : 0; }
         return fresh;
     }
 
-    /** Units that cannot be used as this one knows: lent to who is silent, and the silent ones' own shares. */
+    /** Units that, as far as this ingress knows, nobody can use: those lent to silent peers, and the silent peers' own shares. */
     int leak(double now) {
         int leak = 0;
         for (Stand stand : stands.values()) {
--- a/src/main/java/yardusher/parts/PartsSubsystem.java
+++ b/src/main/java/yardusher/parts/PartsSubsystem.java
@@ -20,13 +20,18 @@
 import yardusher.view.View;
 
 /**
- * Connection quotas that the ingresses of an installation negotiate at the regions that they share: docs/parts.md. Until this
- * process has its ingress's claim it opens no connection at all.
+ * Connection quotas that the ingresses of an installation negotiate at the regions that they share: docs/parts.md. This class
+ * connects the {@link Negotiator} and the {@link ClaimFile} with the event loop, the connection pool, the mesh and the settings.
+ * A process opens no connection before it owns its ingress's claim or is given units as the successor of the owner.
+ *
+ * <p>Terms of this package: a <em>unit</em> is the right to have one connection open at a region; a <em>share</em> is the
+ * fixed part of a region's limit that an ingress owns; an <em>incarnation</em> is one run of an ingress's process; the
+ * <em>claim</em> is the file lock that proves that no earlier incarnation is left.
  */
 public final class PartsSubsystem implements Subsystem, Allowance, Negotiator.World {
-    private static final double CLAIM_MS = 200;      // between two looks whether the process before has ended
-    private static final double BESIDE_MS = 50;      // between two looks at what a process beside is given
-    private static final double SOON_MS = 1;         // news of one moment are looked at together
+    private static final double CLAIM_MS = 200;      // between two attempts to lock the claim file
+    private static final double BESIDE_MS = 50;      // between two exchanges of a process and its successor
+    private static final double SOON_MS = 1;         // changes of one moment are handled by one tick
 
     private PartSettings settings;
     private final Path folder;
@@ -34,8 +39,8 @@
     private EventLoop loop;
     private Counters counters;
     private Claim claim;
-    private Negotiator negotiator;                   // null until the claim is there
-    private Guest guest;                             // while this is the next version of a process that has it
+    private Negotiator negotiator;                   // null until the claim is taken
+    private Guest guest;                             // set while this process is the successor of the claim's owner
     private boolean hadBeside;
     private double besideAt;
     private double besideGoneAt = Double.POSITIVE_INFINITY;
@@ -44,16 +49,16 @@
     private boolean trusted;
     private boolean closed;
     private boolean inOrder;
-    private String claimState = "waits for the process before to end";
+    private String claimState = "waiting for the previous process to end";
 
-    /** A {@link ConfigError} where there is no folder. */
+    /** Throws a {@link ConfigError} if neither the settings nor TMPDIR name a folder. */
     public PartsSubsystem(PartSettings settings) { this(settings, System.getenv("TMPDIR")); }
 
     PartsSubsystem(PartSettings settings, String tmpdir) {
         this.settings = settings;
         String named = settings.folder() != null ? settings.folder() : tmpdir;
         if (named == null || named.isEmpty()) {
-            throw new ConfigError.Missing(null, "parts.folder", "a folder that outlives the process in parts.folder, since the environment names no TMPDIR");
+            throw new ConfigError.Missing(null, "parts.folder", "a folder that outlives the process in parts.folder, since TMPDIR is not set");
         }
         folder = Path.of(named);
     }
@@ -77,7 +82,7 @@
             throw new ConfigError.Value(null, "parts.folder", "a folder that can be written, which " + folder + " is not");
         }
         joined.pool().allow(this);
-        joined.table().follow(() -> loop.afterwards(this::listed)); // once the module has the list
+        joined.table().follow(() -> loop.afterwards(this::listed)); // after the decision module has the new list
         joined.mesh().hear(Mesh.Kind.PARTS, this::heard);
         if (joined.view() != null) { joined.view().follow(change -> members(change.now())); }
         listed();
@@ -86,7 +91,7 @@
     @Override
     public void start() throws IOException { claim(); }
 
-    /** Takes the claim, now or as soon as the process before has ended. */
+    /** Takes the claim, now or as soon as the previous process has ended. */
     private void claim() {
         if (closed) { return; }
         try {
@@ -96,12 +101,12 @@
                 return;
             }
         } catch (IOException e) {
-            site.events().warn("parts cannot be claimed", "why", String.valueOf(e.getMessage()));
+            site.events().warn("connection quotas: the claim file cannot be locked or mapped", "why", String.valueOf(e.getMessage()));
             loop.deadlines().at(loop.now() + CLAIM_MS, this::claim);
             return;
         }
-        claimState = "waits for its file";
-        Thread thread = new Thread(() -> {           // no turn waits for a disk
+        claimState = "writing the claim file";
+        Thread thread = new Thread(() -> {           // the event loop must not block on the disk
             claim.sync();
             loop.turn(this::claimed);
         }, "parts-claim");
@@ -109,18 +114,18 @@
         thread.start();
     }
 
-    /** The life before may have died a moment ago: regions take a while to see its connections close. */
+    /** The previous incarnation may have crashed a moment ago, and regions take a while to see its connections close. */
     private void claimed() {
         double wait = claim.wasClean() ? 0 : settings.endedMs();
-        claimState = "waits until regions have seen the life before end";
+        claimState = "waiting until regions have noticed the end of the previous process";
         if (wait == 0) { begin(); } else { loop.deadlines().at(loop.now() + wait, this::begin); }
     }
 
-    /** The process before still has the claim: this one has open what that one gives it. */
+    /** The previous process still owns the claim: this one opens only what that one gives it. */
     private void standBeside() throws IOException {
         if (guest == null && claim.takeBeside()) {
             guest = new Guest(this);
-            claimState = "stands beside the process before";
+            claimState = "running beside the previous process as its successor";
         }
         if (guest != null) { claim.beside(guest::given); }
     }
@@ -131,7 +136,7 @@
         Ledger ledger = new Ledger(site.settings().self(), count, claim.life(), claim, claim.remembers());
         negotiator = new Negotiator(ledger, new Negotiator.Rules(settings.least(), settings.weight(), settings.movesPerS()), this, loop.now());
         claimState = "claimed";
-        site.events().info("parts: claimed", "life", claim.life(), "remembers", claim.remembers(), "in_order", claim.wasClean());
+        site.events().info("connection quotas: claim taken", "life", claim.life(), "remembers", claim.remembers(), "in_order", claim.wasClean());
         trusted = claim.remembers();
         if (site.view() != null) { members(site.view().picture()); }
         Guest was = guest;
@@ -144,7 +149,7 @@
             }
             try {
                 claim.leaveBeside();
-            } catch (IOException e) { /* no next version finds room beside this one, until it ends */ }
+            } catch (IOException e) { /* no successor can register beside this process until it ends */ }
         }
         soon();
     }
@@ -155,7 +160,7 @@
         negotiator.members(picture.members().stream().filter(one -> !one.name().equals(own)).map(View.Member::at).toList());
     }
 
-    /** The service table changed, or its numbers did. */
+    /** The backend list or the limits of its regions have changed. */
     private void listed() {
         Set<Long> listed = new HashSet<>();
         double now = loop.now();
@@ -202,7 +207,7 @@
         tickBy(next);
     }
 
-    /** Gives a next version of this process what it wants of the share, and takes it back once that one has ended. */
+    /** Gives a successor process what it wants of the share, and takes it back once that process has ended. */
     private void beside() {
         double now = loop.now();
         if (now < besideAt) { return; }
@@ -223,7 +228,7 @@
         }
     }
 
-    /** Numbers of regions that have become warm. */
+    /** Raises the limits of regions that have become warm. */
     private void warmed() {
         double now = loop.now();
         for (Api.Server region : site.table().listed().values()) {
@@ -250,7 +255,7 @@
                 + (waits ? (numbers ? ", the rest" : "") + " waits for a restart" : "");
     }
 
-    // What the pool asks and tells.
+    // Called by the connection pool.
 
     @Override
     public boolean take(long region) {
@@ -277,7 +282,7 @@
     @Override
     public boolean isSurplus(long region) { return negotiator != null && negotiator.isSurplus(region); }
 
-    // What the negotiator sees and does.
+    // Called by the negotiator.
 
     @Override
     public int busy(long region) { return site.pool().busy(region); }
@@ -301,10 +306,11 @@
 
     @Override
     public void silent(int ingress, int units) {
-        site.events().warn("parts: an ingress has fallen silent", new PartError.Unproven(units + " connections", "ingress " + ingress));
+        site.events().warn("connection quotas: a silent peer still holds units of this ingress",
+                new PartError.Unproven(units + " connections", "ingress " + ingress));
     }
 
-    // What operators see.
+    // Counters and reports for operators.
 
     @Override
     public String line() {
@@ -349,7 +355,7 @@
         return out.toString();
     }
 
-    // The end.
+    // Shutdown.
 
     @Override
     public void drain() {
