--- a/lab/src/yardusher/parts/PartsModel.java
+++ b/lab/src/yardusher/parts/PartsModel.java
@@ -9,25 +9,25 @@
 import java.util.Map;
 
 /**
- * Every state of three ingresses that share one region of a small number. Each may lend, give back, tell another what stands
- * between them, die with or without its memory and begin anew; what was told may arrive at any time, any number of times, in any
- * order or never. A process that is stopped is one that does nothing, and its allowance stands; a dead one's connections are
- * counted until its next life begins. The rule: all that may be open is never more than the number. The ingresses decide by
- * {@link Ledger}, the very code that runs.
+ * Model checker that visits every state of a few ingresses that share one region with a small limit. An ingress may lend, return
+ * units, send a message to a peer, crash with or without its stored loans, and restart; a message may arrive at any time, any number
+ * of times, in any order or never. A stopped process is one that takes no step and keeps its allowance; a crashed one's connections
+ * count until its next incarnation begins. Invariant: the allowances never add up to more than the limit. The ingresses run
+ * the production {@link Ledger}.
  */
 public final class PartsModel {
     private static final long REGION = 7;
 
-    /** What was found; {@code breach} is the shortest way to a state that breaks the rule, null for none. */
+    /** Result of a run; {@code breach} is the shortest sequence of steps to a state that violates the invariant, null for none. */
     public record Found(int states, List<String> breach) { }
 
-    /** One state, decoded. */
+    /** A decoded state. */
     private final class State {
         final Ledger[] ledgers = new Ledger[n];
         final boolean[] dead = new boolean[n];
-        final int[] loans = new int[n];              // begun by this life
-        final int[][] kept = new int[n][];           // what a dead one may have lent, by its memory; null for a living one
-        final List<byte[]> said = new ArrayList<>(); // each still able to change something
+        final int[] loans = new int[n];              // given by this incarnation
+        final int[][] kept = new int[n][];           // loans stored by a crashed ingress; null for a live one
+        final List<byte[]> said = new ArrayList<>(); // those that can still change something
     }
 
     private final int n;
@@ -39,8 +39,8 @@
     private final long[] seen = new long[1 << 25];
     private int states;
     private final ArrayDeque<byte[]> next = new ArrayDeque<>();
-    private final Map<String, String[]> from = new HashMap<>(); // for traces: state, the one before, by what
-    private int deaths;                              // of the state at hand
+    private final Map<String, String[]> from = new HashMap<>(); // for traces: state to its predecessor and the step
+    private int deaths;                              // in the state that is being expanded
     private String now;
     private String breach;
 
@@ -53,7 +53,7 @@
         this.traces = traces;
     }
 
-    /** Visits all states in which each life begins at most so many loans, and so many deaths come in all; {@code traces} keeps the ways. */
+    /** Visits all states with at most so many loans by one incarnation and so many crashes; {@code keepTraces} records the steps. */
     public static Found explore(int ingresses, int number, int mostLoans, int mostDeaths, Ledger.Without without, boolean traces) {
         return new PartsModel(ingresses, number, mostLoans, mostDeaths, without, traces).run();
     }
@@ -66,7 +66,7 @@
             Arrays.fill(first.ledgers[i].settled, true);
             first.ledgers[i].unsettled = 0;
         }
-        add(first, null, "begins");
+        add(first, null, "start");
         for (byte[] bytes; breach == null && (bytes = next.poll()) != null;) { expand(bytes); }
         List<String> way = null;
         if (breach != null) {
@@ -92,23 +92,23 @@
                 if (!s.dead[i]) {
                     if (s.loans[i] < mostLoans && s.ledgers[i].lend(s.ledgers[i].region(REGION), j, 1) > 0) {
                         s.loans[i]++;
-                        add(s, now, i + " lends to " + j);
+                        add(s, now, i + " lends a unit to " + j);
                         s = decode(bytes);
                     }
                     if (s.ledgers[i].giveBack(s.ledgers[i].region(REGION), j, 1) > 0) {
-                        add(s, now, i + " gives back to " + j);
+                        add(s, now, i + " returns a unit to " + j);
                         s = decode(bytes);
                     }
                     s.said.add(tells(s.ledgers[i], j));
-                    add(s, now, i + " tells " + j);
-                    for (long life = 1; s.ledgers[j].life >= life; life++) { // any life of the other may have been heard of
+                    add(s, now, i + " sends to " + j);
+                    for (long life = 1; s.ledgers[j].life >= life; life++) { // any incarnation of the peer may have been heard of
                         s = decode(bytes);
-                        if (s.ledgers[i].alive(j, life)) { add(s, now, i + " hears of life " + life + " of " + j); }
+                        if (s.ledgers[i].alive(j, life)) { add(s, now, i + " hears of incarnation " + life + " of " + j); }
                     }
                     if (without == Ledger.Without.STOPPED_KEEPS) {
                         s = decode(bytes);
                         s.ledgers[i].ended(j);
-                        add(s, now, i + " holds " + j + " to have ended");
+                        add(s, now, i + " assumes that " + j + " has ended");
                     }
                 }
             }
@@ -118,9 +118,9 @@
                     s.dead[i] = true;
                     s.kept[i] = new int[n];
                     for (int j = 0; j < n; j++) { s.kept[i][j] = j == i ? 0 : s.ledgers[i].region(REGION).account(j).lent(); }
-                    if (s.ledgers[i].unsettled > 0 && !remembers(s.ledgers[i])) { s.kept[i][i] = 1; } // the memory was not whole yet
+                    if (s.ledgers[i].unsettled > 0 && !remembers(s.ledgers[i])) { s.kept[i][i] = 1; } // the stored loans are incomplete
                     deaths++;
-                    add(s, now, i + " dies");
+                    add(s, now, i + " crashes");
                     deaths--;
                 }
             } else {
@@ -135,7 +135,7 @@
             int to = said[1];
             if (s.dead[to]) { continue; }
             s.ledgers[to].hears(telling(said));
-            add(s, now, to + " hears " + Arrays.toString(said));
+            add(s, now, to + " receives " + Arrays.toString(said));
         }
     }
 
@@ -153,12 +153,12 @@
         s.dead[i] = false;
         s.kept[i] = null;
         s.loans[i] = 0;
-        add(s, now, i + " begins anew " + (remembers ? "with its memory" : "with nothing"));
+        add(s, now, i + " restarts " + (remembers ? "with its stored loans" : "without stored loans"));
     }
 
     private static boolean remembers(Ledger ledger) { return ledger.remembers(); }
 
-    /** From, to, life, life spoken to, settled, granted, back, taken, returned, old. */
+    /** Sender, recipient, incarnation, addressed incarnation, settled, granted, recovered, received, returned, legacyBorrowed. */
     private static byte[] tells(Ledger ledger, int to) {
         Account a = ledger.region(REGION).account(to);
         return new byte[] {(byte) ledger.self, (byte) to, (byte) ledger.life, (byte) ledger.lives[to], (byte) (ledger.settled[to] ? 1 : 0), (byte) a.granted, (byte) a.back,
@@ -169,7 +169,7 @@
         return new Telling(m[0], n, 1, m[2], m[3], 0, m[4] == 1, true, false, List.of(new Telling.Row(REGION, m[5], m[6], m[7], m[8], m[9], 0, 0, 0, 0, 0, 0)));
     }
 
-    /** Whether it can change nothing any more, now or later; that its sender lived is known without it. */
+    /** Whether the message can change nothing any more, now or later; its sender's incarnation is known without it. */
     private boolean isSpent(State s, byte[] m) {
         if (without == Ledger.Without.REPEAT_CHECK) { return false; }
         Ledger hearer = s.ledgers[m[1]];
@@ -192,7 +192,7 @@
         int open = 0;
         for (Ledger ledger : s.ledgers) { open += Math.max(0, ledger.allowance(ledger.region(REGION))); }
         if (open > number && breach == null) {
-            breach = by + ": " + open + " may be open of " + number;
+            breach = by + ": " + open + " may be open, limit " + number;
             return;
         }
         if (breach == null) { next.add(bytes); }
@@ -282,7 +282,7 @@
         return s;
     }
 
-    /** INGRESSES NUMBER LOANS DEATHS [WITHOUT]: a breach is told with its way. */
+    /** Arguments: INGRESSES LIMIT LOANS CRASHES [OMITTED_RULE]. A breach is printed with the steps that lead to it. */
     public static void main(String[] args) {
         Ledger.Without without = args.length > 4 ? Ledger.Without.valueOf(args[4]) : Ledger.Without.NOTHING;
         long began = System.nanoTime();
--- a/lab/src/yardusher/parts/PartsScripted.java
+++ b/lab/src/yardusher/parts/PartsScripted.java
@@ -12,37 +12,38 @@
 import java.util.Random;
 
 /**
- * Ingresses, regions and the mesh on scripted time, by seed. The ingresses decide by {@link Negotiator}, the very code that
- * runs; pools, regions and the network are small models. Each region counts its connections from accept to close at every
- * instant. By seed: messages lost, doubled, late; cuts; processes killed, stopped, started with and without a memory; regions
- * that are stopped or restart; numbers lowered. It stands in this package since it looks at decisions that are nobody else's.
+ * Discrete-event simulation of ingresses, regions and the mesh, reproducible by seed. The ingresses run the production
+ * {@link Negotiator}; pools, regions and the network are small models. Each region counts its connections from accept to close
+ * at every instant. Faults, by seed: messages lost, duplicated and late; partitions; processes killed, stopped, and started with and
+ * without stored loans; regions that are stopped or restart; lowered limits. It is in this package because it reads
+ * package-private state.
  */
 public final class PartsScripted {
-    /** Which way connections are divided. NEED: without a word, each keeps to as many regions as it needs, by a draw of its own. */
+    /** How connections are divided. NEED: without messages, each ingress uses only as many regions as it needs, in an order of its own. */
     public enum Way { TODAY, FIXED, SUBSETS, NEED, PARTS }
 
-    /** What is done to them. */
+    /** Which faults are injected. */
     public enum Faults { NONE, ALL }
 
-    /** How demand lies. */
+    /** How the demand is distributed. */
     public enum Load { LIGHT, AMPLE, FULL, SCARCE, HALF_HOT, MOVES, RANDOM }
 
-    /** {@code regions} hold {@code number} connections each. */
+    /** Each of {@code regions} regions holds at most {@code limit} connections. */
     public record Setup(int ingresses, int regions, int number, Way way, Faults faults, Load load, double seconds, Ledger.Without without) { }
 
-    /** How it went; times in milliseconds, {@code breach} null where the rule held. */
+    /** Result of a seed; times in milliseconds, {@code breach} null if no limit was exceeded. */
     public record Run(long seed, String breach, long asked, long served, long refused, long tooMany, long handshakes, double use, double jain,
             double p50, double p99, List<Double> hotMs, long moved, long told, double toldBytes, int faults, int mostLeak) { }
 
     private static final double LIGHT_PER_S = Double.parseDouble(System.getProperty("lab.light", "30"));
     private static final double KEPT = Double.parseDouble(System.getProperty("lab.kept", "0"));
-    private static final double LAT_MS = 0.3;        // one way, on a network of one installation
-    private static final double HANDSHAKE_MS = 1.5;  // beyond that, as TLS would
+    private static final double LAT_MS = 0.3;        // one way, within one installation
+    private static final double HANDSHAKE_MS = 1.5;  // in addition, as for TLS
     private static final double SERVICE_MS = 30;
     private static final double SETTLED_MS = 30;
     private static final double ENDED_MS = 1000;
     private static final double RETIRE_MS = 21_000;
-    private static final double LOWERED_MS = 10_000; // by then a lowered number holds, where nobody is away
+    private static final double LOWERED_MS = 10_000; // after which a lowered limit holds, if no ingress is stopped or cut off
     private static final double START = 1e12;
 
     private record Due(double at, long order, Runnable work) implements Comparable<Due> {
@@ -56,7 +57,7 @@
     private static final class Place {
         int open;
         int number;
-        int before;                                  // the number before it was lowered
+        int before;                                  // highest earlier limit
         double loweredAt = Double.NEGATIVE_INFINITY;
         double stoppedUntil;
         int life;
@@ -65,19 +66,19 @@
     private static final class Conn {
         final int region;
         boolean accepted;
-        boolean dead;                                // its process ended before it was accepted
+        boolean dead;                                // its process died before the accept
         double deadAt;
-        boolean closed;                              // at the region
+        boolean closed;                              // by the region
         boolean idle;
-        boolean over;                                // from the ingress's side
+        boolean over;                                // closed by the ingress
         double restsSince;
-        int tries;                                   // of its request before it
-        int life;                                    // of the region
+        int tries;                                   // earlier attempts of its request
+        int life;                                    // incarnation of the region that accepted it
 
         Conn(int region) { this.region = region; }
     }
 
-    /** What outlives a process, if it does. */
+    /** The stored loans of an ingress, which outlive its process unless they are deleted. */
     private static final class Kept implements Memory {
         final Map<Long, Map<Integer, Integer>> lent = new HashMap<>();
         boolean valid;
@@ -100,7 +101,7 @@
         Negotiator negotiator;
         boolean dead;
         boolean stopped;
-        boolean waits = true;                        // has not begun yet
+        boolean waits = true;                        // has not started to negotiate yet
         final ArrayDeque<Runnable> queued = new ArrayDeque<>();
         final int[] room = new int[setup.regions];
         final int[] open = new int[setup.regions];
@@ -202,8 +203,8 @@
     private final Proc[] procs;
     private final Kept[] kepts;
     private final int[] cut;
-    private final double[] rate;                     // requests a millisecond, by ingress
-    private final double[] wished;                   // connections that would be busy, by ingress
+    private final double[] rate;                     // requests per millisecond, by ingress
+    private final double[] wished;                   // connections that its demand would keep busy, by ingress
     private double now = START;
     private long order;
     private String breach;
@@ -259,11 +260,11 @@
         if (proc.stopped) { proc.queued.add(work); } else { work.run(); }
     }
 
-    /** What an ingress may have open at a region where nobody negotiates. */
+    /** Number of connections that an ingress may have open at a region if nothing is negotiated. */
     private int fixed(int ingress, int region) {
         if (setup.way == Way.TODAY || setup.way == Way.NEED) { return Integer.MAX_VALUE; }
         if (setup.way == Way.FIXED) { return Ledger.share(id(region), setup.number, ingress, setup.ingresses); }
-        // Subsets: each region serves so many ingresses that each has four at least, each ingress as many regions.
+        // Subsets: each region serves as many ingresses as can have four connections each, and each ingress has as many regions.
         int shared = Math.max(1, Math.min(setup.ingresses, setup.number / 4));
         int mine = (int) Math.floorMod(ingress - region * (long) Math.max(1, setup.ingresses / setup.regions), (long) setup.ingresses);
         return mine < shared ? setup.number / shared : 0;
@@ -314,7 +315,7 @@
         if (setup.way == Way.PARTS) { later(now + (kepts[number].clean ? 0 : ENDED_MS), () -> run(proc, () -> proc.begin(kepts[number]))); }
     }
 
-    /** Keeps a process to as many regions as it needs, the first of a draw of its own. */
+    /** Restricts an ingress to as many regions as it needs, in an order of its own by hash. */
     private void keep(Proc proc, double peak) {
         int busy = Arrays.stream(proc.busy).sum();
         double now100 = Math.max(busy, peak * 0.97);
@@ -328,7 +329,7 @@
 
     // Demand.
 
-    /** How many connections are needed in all, at a region's pace. */
+    /** Connections of all regions together. */
     private double capacity() { return (double) setup.regions * setup.number; }
 
     private void demand(int ingress, double connections) {
@@ -340,7 +341,7 @@
         int n = setup.ingresses;
         switch (setup.load) {
             case LIGHT -> {
-                for (int i = 0; i < n; i++) { demand(i, LIGHT_PER_S * SERVICE_MS / 1000); } // from the first moment of a new process
+                for (int i = 0; i < n; i++) { demand(i, LIGHT_PER_S * SERVICE_MS / 1000); } // measured from the start of the processes
             }
             case AMPLE -> {
                 for (int i = 0; i < n; i++) { demand(i, 0.4 * capacity() / n); }
@@ -362,8 +363,8 @@
         }
     }
 
-    /** All demand moves to the next ingress at one stroke, 85% of the number; it has its part when it may use 90% of what
-     * the others' few requests leave. */
+    /** Moves the demand, 85% of the limit, to the next ingress at once. That ingress has its part when it may use 90% of what the
+     * few requests of the others leave. */
     private void stroke(int turn) {
         int hot = turn % setup.ingresses;
         for (int i = 0; i < setup.ingresses; i++) { demand(i, i == hot ? 0.85 * capacity() : 0.002 * capacity()); }
@@ -376,7 +377,7 @@
     private void watchHot(int hot, double from) {
         int may = 0;
         for (int r = 0; r < setup.regions; r++) { may += Math.min(procs[hot].room[r], setup.number); }
-        if (may >= 0.9 * Math.min(0.85 * capacity(), capacity() - setup.ingresses + 1)) { // the others need one each
+        if (may >= 0.9 * Math.min(0.85 * capacity(), capacity() - setup.ingresses + 1)) { // the others need one unit each
             hotMs.add(now - from);
         } else if (now - from > 2900) {
             hotMs.add(3000.0);
@@ -389,7 +390,7 @@
         double mean = rate[ingress] <= 0 ? 1e9 : 1 / rate[ingress];
         double with = rate[ingress];
         later(now - Math.log(1 - random.nextDouble()) * Math.min(mean, 1000), () -> {
-            if (with != rate[ingress] && setup.load == Load.MOVES && rate[ingress] > with) { return; } // begun anew by the stroke
+            if (with != rate[ingress] && setup.load == Load.MOVES && rate[ingress] > with) { return; } // restarted when the demand moved
             if (mean <= 1000) { request(ingress); }
             nextRequest(ingress);
         });
@@ -429,7 +430,7 @@
         }
         boolean may = setup.way == Way.PARTS ? conn == null && proc.negotiator.take(id(region)) : proc.open[region] < proc.room[region];
         if (conn == null && !may && !idle.isEmpty()) { conn = idle.remove(0); }
-        if (conn == null && !may) {                  // known too late: the module would not have chosen it
+        if (conn == null && !may) {                  // the limit was learnt too late; the decision module would not have chosen the region
             proc.busy[region]--;
             refused += counts ? 1 : 0;
             return;
@@ -447,7 +448,7 @@
         later(Math.max(now + LAT_MS, places[region].stoppedUntil), () -> accept(proc, fresh, asksAt));
     }
 
-    /** What a choice goes by; {@code lab.kept}: a connection that stands ready there counts for so much less. */
+    /** Load by which regions are compared; {@code lab.kept} is subtracted for a region with a reusable idle connection. */
     private double load(Proc proc, int region) {
         List<Conn> idle = proc.idle.get(region);
         return proc.busy[region] - (KEPT > 0 && !idle.isEmpty() && now - idle.get(0).restsSince >= SETTLED_MS ? KEPT : 0);
@@ -465,7 +466,7 @@
             }));
             return;
         }
-        if (conn.dead && now > conn.deadAt + ENDED_MS) { // stated: a region takes note of a process's end within that time
+        if (conn.dead && now > conn.deadAt + ENDED_MS) { // assumption of the design: regions notice the death of a process within that time
             conn.closed = true;
             return;
         }
@@ -484,7 +485,7 @@
     private void check(int region) {
         Place place = places[region];
         int most = now - place.loweredAt < LOWERED_MS || faults > 0 ? Math.max(place.number, place.before) : place.number;
-        if (place.open > most) { breach = (now - START) + " ms: region " + region + " holds " + place.open + " connections of " + most; }
+        if (place.open > most) { breach = (now - START) + " ms: region " + region + " has " + place.open + " open connections, limit " + most; }
     }
 
     private void carry(Proc proc, Conn conn, double asksAt) {
@@ -517,7 +518,7 @@
         }));
     }
 
-    /** Closes from the ingress's side; with parts it waits for the region's close. */
+    /** Closes from the ingress's side; with negotiated quotas the unit stays in use until the region has closed too. */
     private void close(Proc proc, Conn conn) {
         if (conn.over) { return; }
         conn.over = true;
@@ -539,9 +540,9 @@
         if (conn.accepted && conn.life == places[conn.region].life) { places[conn.region].open--; }
     }
 
-    /** The region closed it, or refused it. */
+    /** The region closed or refused the connection. */
     private void ended(Proc proc, Conn conn) {
-        if (conn.over) { return; }                   // its end comes by the way of closing
+        if (conn.over) { return; }                   // close() reports its end
         conn.over = true;
         if (conn.idle) { proc.idle.get(conn.region).remove(conn); } else { proc.busy[conn.region]--; }
         gone(proc, conn, false);
@@ -592,7 +593,8 @@
             conn.over = true;
             conn.deadAt = now;
             double at = now + LAT_MS + random.nextDouble() * 300;
-            if (places[conn.region].stoppedUntil > at) { places[conn.region].stoppedUntil = at; } // stated: regions take note within ENDED_MS
+            // Assumption of the design: regions notice the death of a process within ENDED_MS.
+            if (places[conn.region].stoppedUntil > at) { places[conn.region].stoppedUntil = at; }
             later(at, () -> {
                 if (!conn.accepted && !conn.closed) { conn.dead = true; } else { closedThere(conn); }
             });
@@ -608,7 +610,7 @@
         for (Runnable work; !proc.stopped && (work = proc.queued.poll()) != null;) { work.run(); }
     }
 
-    /** A region's process dies and comes back: all its connections are reset. */
+    /** A region's process restarts, which resets all its connections. */
     private void restart(int region) {
         Place place = places[region];
         place.life++;
@@ -623,7 +625,7 @@
         }
     }
 
-    /** The number is changed at all ingresses, one after another. */
+    /** Changes the limit of a region at all ingresses, one after another. */
     private void renumber(int region) {
         Place place = places[region];
         int next = Math.max(1, setup.number / 2 + random.nextInt(setup.number / 2 + 1));
@@ -639,7 +641,7 @@
         }
     }
 
-    // What is measured each 50 ms.
+    // Measurements every 50 ms.
 
     private void look() {
         later(now + 50, this::look);
@@ -667,7 +669,7 @@
             useSum += (double) busy / number;
             useCount++;
         }
-        if (setup.load == Load.SCARCE && now > START + setup.seconds * 1000 - 200) { // what each was served, all wanting the same
+        if (setup.load == Load.SCARCE && now > START + setup.seconds * 1000 - 200) { // all ingresses have the same demand
             for (int i = 0; i < setup.ingresses; i++) {
                 sum += servedBy[i];
                 squares += (double) servedBy[i] * servedBy[i];
@@ -678,7 +680,7 @@
         }
     }
 
-    /** Runs seeds: INGRESSES REGIONS NUMBER WAY FAULTS LOAD SECONDS FROM COUNT [WITHOUT]. */
+    /** Runs seeds. Arguments: INGRESSES REGIONS LIMIT WAY FAULTS LOAD SECONDS FIRST_SEED COUNT [OMITTED_RULE]. */
     public static void main(String[] args) {
         Setup setup = new Setup(Integer.parseInt(args[0]), Integer.parseInt(args[1]), Integer.parseInt(args[2]), Way.valueOf(args[3]), Faults.valueOf(args[4]),
                 Load.valueOf(args[5]), Double.parseDouble(args[6]), args.length > 9 ? Ledger.Without.valueOf(args[9]) : Ledger.Without.NOTHING);
