--- a/lab/src/yardusher/lab/parts/PartsBench.java
+++ b/lab/src/yardusher/lab/parts/PartsBench.java
@@ -15,8 +15,8 @@
 import yardusher.lab.Terminals;
 
 /**
- * Ways to divide connections beside each other, in real processes under the same load: today's (each opens what it likes and
- * the region turns away what is beyond its number), fixed shares (parts that know nobody) and parts that are negotiated.
+ * Compares ways to divide connections, in real processes under the same load: no division (each ingress opens what it likes
+ * and the region rejects connections above its limit), fixed shares (quotas without any known peer) and negotiated quotas.
  */
 public final class PartsBench {
     private static final int SERVICE_MS = 40;
@@ -27,7 +27,7 @@
 
     private PartsBench() { }
 
-    /** {@code FOLDER PROCESSES NUMBER SECONDS [WAY...]}: each way through even load that is ample, load beyond the number, strokes and rest. */
+    /** Arguments: {@code FOLDER PROCESSES LIMIT SECONDS [WAY...]}. Runs light load, load above the limit, moving load and no load. */
     public static void main(String[] args) throws Exception {
         int processes = Integer.parseInt(args[1]);
         int number = Integer.parseInt(args[2]);
@@ -100,14 +100,14 @@
         return figures;
     }
 
-    /** {@code hot}: where all of it goes, -1 for everywhere. */
+    /** {@code hot}: the ingress that gets all load, -1 for an even distribution. */
     private static Figures load(Group group, int number, double perSecond, int terminals, int seconds, int hot) throws Exception {
         int events = group.regionHistory().size();
         int tries = group.terminalHistory().size();
         double from;
         double until;
         try (Crowd load = new Crowd(group, terminals, perSecond, hot)) {
-            Thread.sleep(1000);                      // settled, as the goals say
+            Thread.sleep(1000);                      // not measured, so that the load settles
             from = Chronicle.now();
             Thread.sleep(seconds * 500L);
             Thread.sleep(seconds * 500L);
@@ -152,7 +152,7 @@
                 at(took, 0.5), at(took, 0.99));
     }
 
-    /** Terminals that send at random times, so many a second in all, wherever they are told. */
+    /** Terminals that send requests at random times, at a given total rate, to one ingress or to all. */
     private static final class Crowd implements AutoCloseable {
         private final List<Thread> threads = new ArrayList<>();
         private volatile boolean over;
@@ -195,7 +195,7 @@
                 processes, number, what, f.sent, f.served / (double) Math.max(1, f.sent), f.refused / (double) Math.max(1, f.sent), f.other, f.handshakes / (double) Math.max(1, f.served), f.turnedAway, f.use, f.jain, f.p50, f.p99);
     }
 
-    /** Processor time of all processes so far, in ms. */
+    /** CPU time of all processes so far, in ms. */
     private static double cpu(Group group) throws IOException {
         double ms = 0;
         for (int i = 0; i < group.size(); i++) {
--- a/lab/src/yardusher/lab/parts/PartsCases.java
+++ b/lab/src/yardusher/lab/parts/PartsCases.java
@@ -14,17 +14,17 @@
 import yardusher.lab.Seeds;
 import yardusher.lab.Terminals;
 
-/** The hard cases of divided connections, each by real processes and by itself; what is found is a line for each breach. */
+/** Difficult cases of connection quotas, each with real processes; the result is one line per breach. */
 public final class PartsCases {
-    /** Which. */
+    /** A case; the names are arguments of {@link #main}. */
     public enum Case { STOPPED, LOWERED, COLD, ROLL, UPGRADE, CUT, MANY, KILLED, FROZEN }
 
     private static final String REGION = "00000000";
-    private static final int LOWERED_MS = 5000;      // by then a lowered number holds, where all are told and nobody is away
+    private static final int LOWERED_MS = 5000;      // after which a lowered limit holds, if all ingresses run and have reloaded
 
     private PartsCases() { }
 
-    /** {@code FOLDER CASE PROCESSES NUMBER MS}. */
+    /** Arguments: {@code FOLDER CASE PROCESSES LIMIT MS}. */
     public static void main(String[] args) throws Exception {
         StringBuilder note = new StringBuilder();
         Path folder = Path.of(args[0]).resolve(args[1].toLowerCase(java.util.Locale.ROOT));
@@ -34,7 +34,7 @@
         System.exit(found.isEmpty() ? 0 : 1);
     }
 
-    /** Plays a case whose trouble lasts so long. */
+    /** Runs a case whose disturbance lasts so long; returns the breaches. */
     public static List<String> play(Path folder, Case what, int processes, int number, long ms, StringBuilder note) throws Exception {
         List<String> found = new ArrayList<>();
         try (Group group = new Group(folder, processes, 11)) {
@@ -71,7 +71,7 @@
                         note.append("from ").append(number).append(" to ").append(number / 2).append(" in ").append(Math.round(last - from)).append(" ms under load");
                         Thread.sleep(ms);
                         group.regionHistory().stream().filter(one -> one.what().equals("open") && one.atMs() > by && one.open() > number / 2).limit(3)
-                                .forEach(one -> found.add("above the lowered number: " + one));
+                                .forEach(one -> found.add("above the lowered limit: " + one));
                     }
                 }
                 case COLD -> {
@@ -80,11 +80,11 @@
                         group.crash(region);
                         Thread.sleep(300);
                         group.restart(region);
-                        double from = Chronicle.now() + 3000; // by then the list has been told
+                        double from = Chronicle.now() + 3000; // by then the ingresses have the new backend list
                         Thread.sleep(3000 + ms);
                         note.append("most open while cold ").append(group.regionHistory().stream().filter(one -> one.atMs() > from).mapToInt(Region.Event::open).max().orElse(0));
                         group.regionHistory().stream().filter(one -> one.what().equals("open") && one.atMs() > from && one.open() > number / 2).limit(3)
-                                .forEach(one -> found.add("above the cold number: " + one));
+                                .forEach(one -> found.add("above the cold limit: " + one));
                     }
                 }
                 case ROLL -> {
@@ -100,7 +100,7 @@
                             longest = Math.max(longest, Chronicle.now() - from);
                         }
                     }
-                    note.append("longest from start to a part ").append(Math.round(longest)).append(" ms");
+                    note.append("longest time from the start to a quota ").append(Math.round(longest)).append(" ms");
                 }
                 case UPGRADE -> upgrade(group, number, ms, note, found);
                 case CUT -> {
@@ -119,7 +119,7 @@
                     long served = java.util.stream.IntStream.range(0, processes).filter(i -> group.terminalHistory().stream()
                             .anyMatch(one -> one.ingress() == i && one.end() == Terminals.End.SERVED)).count();
                     note.append(served).append(" of ").append(processes).append(" ingresses served something");
-                    if (served < processes) { found.add(processes - served + " ingresses starved"); }
+                    if (served < processes) { found.add(processes - served + " ingresses served nothing"); }
                 }
                 case KILLED -> {
                     int kills = 0;
@@ -129,7 +129,7 @@
                             int hot = kills % processes;
                             try (Crowd stroke = new Crowd(group, 2 * number, 20, (hot + 1) % processes)) {
                                 Thread.sleep(100 + random.nextInt(300));
-                                group.kill(hot);     // while it gives
+                                group.kill(hot);     // while it gives units away
                                 Thread.sleep(50);
                             }
                             if (random.nextBoolean()) { Files.deleteIfExists(PartsRun.claim(group, hot)); }
@@ -137,9 +137,9 @@
                             group.awaitReady(hot, 30_000);
                         }
                     }
-                    note.append(kills).append(" givers killed");
+                    note.append(kills).append(" lenders killed");
                 }
-                case FROZEN -> {                     // what is given up there is not free until it has closed
+                case FROZEN -> {                     // a unit is not free until the region has closed the connection
                     try (Crowd all = new Crowd(group, 2 * number, 30, -1)) {
                         for (int i = 0; i < 3; i++) {
                             Thread.sleep(500);
@@ -159,7 +159,7 @@
         return found;
     }
 
-    /** The next version of one takes over from it under load. The environment of this program has to name a TMPDIR, by which they find each other. */
+    /** A successor process takes over under load. TMPDIR has to be set for this program, since the two find each other by it. */
     private static void upgrade(Group group, int number, long ms, StringBuilder note, List<String> found) throws Exception {
         if (System.getenv("TMPDIR") == null) { throw new IllegalStateException("no TMPDIR in the environment"); }
         Path log = group.folder().resolve("next.log");
@@ -180,7 +180,7 @@
             group.terminate(0, 12_000);
             Thread.sleep(1500 + ms);
             note.append("old one ended: ").append(served(group, until, Chronicle.now())).append(", ");
-            if (!Files.readString(log).contains(" serves at")) { found.add("the next version does not serve"); }
+            if (!Files.readString(log).contains(" serves at")) { found.add("the successor does not serve"); }
         } finally {
             if (next != null) {
                 next.destroyForcibly();
@@ -191,7 +191,7 @@
         }
     }
 
-    /** Of what was sent to the first ingress in a time: served of all. */
+    /** Counts the served and the lost requests among those sent to the first ingress in a period. */
     private static String served(Group group, double from, double until) {
         List<Terminals.Try> there = group.terminalHistory().stream().filter(one -> one.ingress() == 0 && one.sentMs() > from && one.sentMs() < until).toList();
         return there.stream().filter(one -> one.end() == Terminals.End.SERVED).count() + " served and " + there.stream().filter(one -> one.end() == Terminals.End.LOST
@@ -207,7 +207,7 @@
         }
     }
 
-    /** Waits until each knows what its earlier lives lent. */
+    /** Waits until each ingress knows what its earlier incarnations lent. */
     static void settled(Group group) throws InterruptedException {
         for (int i = 0; i < group.size(); i++) {
             int one = i;
@@ -236,7 +236,7 @@
         }
     }
 
-    /** Terminals that each have one transaction out after another, at one ingress or, with -1, at any. */
+    /** Terminals that each send one request after another, to one ingress or, with -1, to a random one. */
     static final class Crowd implements AutoCloseable {
         private final List<Thread> threads = new ArrayList<>();
         private volatile boolean over;
--- a/lab/src/yardusher/lab/parts/PartsRun.java
+++ b/lab/src/yardusher/lab/parts/PartsRun.java
@@ -26,16 +26,16 @@
 import yardusher.resp.Value;
 
 /**
- * Real processes that negotiate their connections at stand-in regions, under faults by seed. Each region counts from accept
- * to close; the rule is that it never counts more than its number.
+ * Runs real ingress processes that negotiate connection quotas at simulated regions, under faults by seed. Each region counts
+ * its connections from accept to close; the invariant is that it never counts more than its limit.
  */
 public final class PartsRun {
     static final int REGIONS = 3;
-    private static final int HEAL_MS = 20_000;       // on a machine with much else to do
+    private static final int HEAL_MS = 20_000;       // generous, for a machine under other load
 
     private PartsRun() { }
 
-    /** {@code FOLDER FIRST COUNT [PROCESSES [MS [NUMBER]]]}: traffic with faults for so long, then calm. */
+    /** Arguments: {@code FOLDER FIRST COUNT [PROCESSES [MS [LIMIT]]]}. Traffic with faults for so long, then without faults. */
     public static void main(String[] args) throws Exception {
         int processes = args.length > 3 ? Integer.parseInt(args[3]) : 3;
         long ms = args.length > 4 ? Long.parseLong(args[4]) : 4000;
@@ -43,7 +43,7 @@
         System.exit(Seeds.run(PartsRun.class, args, (folder, seed, note) -> play(folder, seed, processes, ms, number, note)) == 0 ? 0 : 1);
     }
 
-    /** The settings of one process: the view by the relay, claims in one folder of the group. */
+    /** Settings of one process: the view goes through the relay, and the claim files are in one folder of the group. */
     static String settings(Group group, int i, int number, String more) {
         StringBuilder seeds = new StringBuilder();
         for (int j = 0; j < Math.min(3, group.size()); j++) { seeds.append(j == 0 ? "" : ", ").append('"').append(Programs.text(group.relayed(j, "mesh"))).append('"'); }
@@ -53,14 +53,15 @@
 
     static Path claim(Group group, int i) { return group.folder().resolve("claims").resolve("yardusher-n" + i + ".parts"); }
 
-    /** Plays a seed; the breaches. */
+    /** Runs a seed; returns the breaches. */
     public static List<String> play(Path folder, long seed, int processes, long ms, int number, StringBuilder note) throws Exception {
         Random random = new Random(seed);
         try (Group group = new Group(folder, processes, seed)) {
             for (int i = 0; i < REGIONS; i++) { group.region("0000000" + i, "hall-" + "abc".charAt(i)).takes(2, 25); }
             group.settings(i -> {
                 try {
-                    if (random.nextInt(3) == 0) { Files.deleteIfExists(claim(group, i)); } // a life with an empty memory: the one before has ended
+                    // The previous incarnation has ended; the next one starts without stored loans.
+                    if (random.nextInt(3) == 0) { Files.deleteIfExists(claim(group, i)); }
                 } catch (IOException e) {
                     throw new java.io.UncheckedIOException(e);
                 }
@@ -78,7 +79,7 @@
         }
     }
 
-    /** The rule at each region, and that something was served. */
+    /** Checks the limit at each region, and that every ingress serves again. */
     static List<String> check(Group group, int number, StringBuilder note) {
         List<String> found = new ArrayList<>(Checks.connections(group.regionHistory()));
         Map<String, Integer> most = new TreeMap<>();
@@ -90,14 +91,14 @@
         return found;
     }
 
-    /** After the calm each serves again, in a stated time. */
+    /** Waits until each ingress serves again after the faults; a breach if that takes longer than {@link #HEAL_MS}. */
     private static double heals(Group group, List<String> found) {
         double from = Chronicle.now();
         for (int i = 0; i < group.size(); i++) {
             for (boolean served = false; !served;) {
                 served = group.terminals().send(i, group.terminals().get(77_000 + (long) Chronicle.now() % 1000, 500, i, 1)).end() == Terminals.End.SERVED;
                 if (Chronicle.now() - from > HEAL_MS) {
-                    found.add("n" + i + " serves nothing " + HEAL_MS + " ms after the calm");
+                    found.add("n" + i + " serves nothing " + HEAL_MS + " ms after the faults");
                     return Chronicle.now() - from;
                 }
             }
@@ -105,7 +106,7 @@
         return Chronicle.now() - from;
     }
 
-    /** One call at a process's second address; null where it does not answer in time. */
+    /** Sends one call to a process's admin address; null if it does not answer in time. */
     static String call(Group group, int i, String call, int withinMs) {
         try (Socket socket = new Socket()) {
             socket.connect(group.admin(i), withinMs);
@@ -118,11 +119,11 @@
                 String text = all.toString(StandardCharsets.US_ASCII);
                 if (text.endsWith("EOF\n") || text.startsWith("ERR") && text.endsWith("\n")) { return text; }
             }
-        } catch (IOException e) { /* as good as no answer */ }
+        } catch (IOException e) { /* counts as no answer */ }
         return null;
     }
 
-    /** A figure of a process's counters line; 0 where there is none. */
+    /** A value of a process's counters line; 0 if there is none. */
     static double figure(Group group, int i, String name) {
         try (Terminals.Connection connection = group.terminals().connect(i)) {
             Value said = connection.ask(2000, "INFO");
@@ -130,11 +131,11 @@
             for (String pair : line.split("\\s")) {
                 if (pair.startsWith(name + "=")) { return Double.parseDouble(pair.substring(name.length() + 1)); }
             }
-        } catch (IOException | Malformed e) { /* as good as no figure */ }
+        } catch (IOException | Malformed e) { /* counts as no value */ }
         return 0;
     }
 
-    /** Figures of all processes, added up. */
+    /** Counter values, summed over all processes. */
     static Map<String, Double> figures(Group group, List<String> names) {
         Map<String, Double> all = new HashMap<>();
         for (int i = 0; i < group.size(); i++) {
--- a/src/test/java/yardusher/lab/parts/PartsStoryTest.java
+++ b/src/test/java/yardusher/lab/parts/PartsStoryTest.java
@@ -14,7 +14,7 @@
 import yardusher.lab.Programs;
 import yardusher.lab.Region;
 
-/** Hard cases of divided connections by real processes, short; the long forms are lab commands. */
+/** Difficult cases of connection quotas with real processes, in a short form; the long forms are lab commands. */
 class PartsStoryTest {
     @TempDir
     Path folder;
--- a/src/test/java/yardusher/parts/ClaimTest.java
+++ b/src/test/java/yardusher/parts/ClaimTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** One process at a time has the claim, and what it lent outlives it. */
+/** One process at a time owns the claim, and its loans outlive it. */
 class ClaimTest {
     @TempDir
     Path folder;
@@ -32,7 +32,7 @@
         Claim first = claim();
         first.take(1000, false);
         first.put(7, 2, 5);
-        first.close();                               // died before all others had answered: not believed
+        first.close();                               // crashed before all peers had answered: not trusted
         Claim second = claim();
         second.take(2000, false);
         assertThat(second.remembers()).isFalse();
@@ -60,7 +60,7 @@
     void rowsWithoutALoanMakeRoomAndAFullFileLendsNothing() throws Exception {
         Claim claim = claim();
         claim.take(1, true);
-        assertThat(claim.remembers()).isTrue();      // told that it never ran
+        assertThat(claim.remembers()).isTrue();      // an absent file means that the ingress never ran
         for (int i = 0; i < 1024; i++) { assertThat(claim.put(100 + i, 1, 1)).isTrue(); }
         assertThat(claim.put(5000, 1, 1)).isFalse();
         claim.put(300, 1, 0);
@@ -88,7 +88,7 @@
         assertThat(elder.hasBeside()).isFalse();
         assertThat(younger.takeBeside()).isTrue();
         assertThat(elder.hasBeside()).isTrue();
-        assertThat(claim().takeBeside()).isFalse();  // one at most
+        assertThat(claim().takeBeside()).isFalse();  // there is at most one successor
         assertThat(elder.canGive(7)).isTrue();
         elder.give(7, 3);
         elder.put(7, 1, 2);
--- a/src/test/java/yardusher/parts/DivisionTest.java
+++ b/src/test/java/yardusher/parts/DivisionTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** Max-min by need and weight, and whom one asks. */
+/** Max-min allocation by need and weight, and the choice of lenders. */
 class DivisionTest {
     private final Division division = new Division();
 
@@ -45,7 +45,7 @@
         division.add(1, 0, 20, 20, 2);
         division.divide(7, 0);
         assertThat(List.of(division.fair(0), division.fair(1))).containsExactly(4, 8);
-        division.clear();                            // enough for what is used, not for what both would keep
+        division.clear();                            // enough for what both need, not for what both would like to keep
         division.add(0, 10, 4, 10, 1);
         division.add(1, 2, 3, 6, 1);
         division.divide(7, 0);
--- a/src/test/java/yardusher/parts/LedgerTest.java
+++ b/src/test/java/yardusher/parts/LedgerTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import yardusher.error.PartError;
 
-/** Shares, loans and returns between two ingresses, what a repeat and a new life change, and what is not believed. */
+/** Shares, loans and returns between ingresses, repeated messages, new incarnations, and implausible messages. */
 class LedgerTest {
     private static final long R = 5;
 
@@ -22,7 +22,7 @@
         return ledger;
     }
 
-    /** What one tells another now. */
+    /** The message that one ingress would send to another now. */
     static Telling tells(Ledger from, int to) {
         Account a = from.region(R).account(to);
         return new Telling(from.self, from.count, 1, from.life, from.lives[to], 1, from.settled[to], true, false,
@@ -59,7 +59,7 @@
         for (int i = 0; i < 3; i++) { b.hears(told); }
         assertThat(b.allowance(b.region(R))).isEqualTo(8);
         assertThat(b.giveBack(b.region(R), 0, 3)).isEqualTo(3);
-        b.hears(told);                               // late, after some went back
+        b.hears(told);                               // late: some units were returned since
         assertThat(b.allowance(b.region(R))).isEqualTo(5);
         assertThat(a.allowance(a.region(R))).isZero();
         Telling back = tells(b, 0);
@@ -97,7 +97,7 @@
         again.number(R, 12);
         assertThat(again.allowance(again.region(R))).isZero();
         b.alive(0, 2);
-        b.hears(late);                               // of the life before: no more of it is taken
+        b.hears(late);                               // of the previous incarnation: no further loan is accepted
         assertThat(b.allowance(b.region(R))).isEqualTo(7);
         again.alive(1, 1);
         again.hears(tells(b, 0));
@@ -108,7 +108,7 @@
         again.hears(tells(c, 0));
         assertThat(again.unsettled()).isZero();
         assertThat(again.allowance(again.region(R))).isEqualTo(1);
-        b.giveBack(b.region(R), 0, 2);               // of the loan of the life before
+        b.giveBack(b.region(R), 0, 2);               // of the previous incarnation's loan
         again.hears(tells(b, 0));
         assertThat(again.allowance(again.region(R))).isEqualTo(3);
         assertThat(b.allowance(b.region(R))).isEqualTo(5);
@@ -146,7 +146,7 @@
         a.lend(a.region(R), 1, 2);
         a.ended(1);
         assertThat(a.allowance(a.region(R))).isEqualTo(4);
-        assertThat(a.alive(1, 2)).isFalse();         // whoever speaks as that life is not believed any more
+        assertThat(a.alive(1, 2)).isFalse();         // messages of that incarnation are ignored from now on
         assertThat(a.alive(1, 4)).isTrue();
     }
 
@@ -181,7 +181,7 @@
         try {
             Telling telling = Telling.of(bytes);
             assertThat(telling.number()).isLessThan(telling.count());
-        } catch (PartError e) { /* as it should */ }
+        } catch (PartError e) { /* expected for malformed bytes */ }
     }
 
     @Test
--- a/src/test/java/yardusher/parts/PartsModelTest.java
+++ b/src/test/java/yardusher/parts/PartsModelTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** All orders of a few ingresses at one region, and seeds on scripted time; what is planted is noticed. */
+/** The model checker and the simulation: the production rules keep the limit, and each omitted rule is detected. */
 class PartsModelTest {
     @Test
     void noOrderOfEventsBreaksTheNumber() {
