--- a/lab/src/yardusher/parts/PartsModel.java
+++ b/lab/src/yardusher/parts/PartsModel.java
@@ -107,7 +107,7 @@
                     }
                     if (without == Ledger.Without.STOPPED_KEEPS) {
                         s = decode(bytes);
-                        s.ledgers[i].ended(j);
+                        s.ledgers[i].peerEnded(j);
                         add(s, now, i + " assumes that " + j + " has ended");
                     }
                 }
--- a/src/main/java/yardusher/parts/Ledger.java
+++ b/src/main/java/yardusher/parts/Ledger.java
@@ -281,7 +281,7 @@
     }
 
     /** Treats a peer as ended, with all its connections: what it borrowed comes back. Only for callers that can prove it. */
-    void ended(int ingress) {
+    void peerEnded(int ingress) {
         for (Region region : regions.values()) {
             Account account = region.accounts[ingress];
             if (account == null) { continue; }
--- a/src/main/java/yardusher/parts/Negotiator.java
+++ b/src/main/java/yardusher/parts/Negotiator.java
@@ -362,7 +362,7 @@
         }
         for (Other other : others) {                 // planted, to check that the models detect it
             if (ledger.without == Ledger.Without.STOPPED_KEEPS && other != null && other.at != null && lastTick - other.heardAt > FRESH_MS) {
-                ledger.ended(other.number);
+                ledger.peerEnded(other.number);
                 other.at = null;
             }
         }
--- a/src/test/java/yardusher/parts/LedgerTest.java
+++ b/src/test/java/yardusher/parts/LedgerTest.java
@@ -144,7 +144,7 @@
         a.alive(1, 2);
         assertThat(a.allowance(a.region(R))).isEqualTo(4);
         a.lend(a.region(R), 1, 2);
-        a.ended(1);
+        a.peerEnded(1);
         assertThat(a.allowance(a.region(R))).isEqualTo(4);
         assertThat(a.alive(1, 2)).isFalse();         // messages of that incarnation are ignored from now on
         assertThat(a.alive(1, 4)).isTrue();
