--- a/lab/src/yardusher/parts/PartsScripted.java
+++ b/lab/src/yardusher/parts/PartsScripted.java
@@ -19,13 +19,16 @@
  * package-private state.
  */
 public final class PartsScripted {
-    /** How connections are divided. NEED: without messages, each ingress uses only as many regions as it needs, in an order of its own. */
+    /**
+     * How connections are divided. TODAY: not at all. FIXED: in equal shares. SUBSETS: each ingress uses some of the regions.
+     * NEED: without messages, each ingress uses only as many regions as it needs, in an order of its own. PARTS: by negotiation.
+     */
     public enum Way { TODAY, FIXED, SUBSETS, NEED, PARTS }
 
     /** Which faults are injected. */
     public enum Faults { NONE, ALL }
 
-    /** How the demand is distributed. */
+    /** How the demand is distributed, relative to the limits of all regions. MOVES: it moves from one ingress to the next. */
     public enum Load { LIGHT, AMPLE, FULL, SCARCE, HALF_HOT, MOVES, RANDOM }
 
     /** Each of {@code regions} regions holds at most {@code limit} connections. */
--- a/src/main/java/yardusher/parts/Claim.java
+++ b/src/main/java/yardusher/parts/Claim.java
@@ -24,6 +24,7 @@
     private static final int VERSION = 1;
     private static final int ROWS = 1024;
     private static final int HEAD = 64;
+    /** Offsets of the fields in the header; the magic number is at 0. */
     private static final int AT_VERSION = 8, AT_COUNT = 12, AT_LIFE = 16, AT_BOOT = 24, AT_VALID = 32, AT_CLEAN = 36;
 
     private final Path file;
@@ -59,7 +60,7 @@
         try {
             lock = channel.tryLock(0, 1, false);
         } catch (OverlappingFileLockException e) {
-            lock = null;                             // held within this process, which happens in tests
+            lock = null;                             // locked by this very process, which only happens in tests
         }
         if (lock == null) { return false; }
         boolean absent = channel.size() == 0;
@@ -114,7 +115,7 @@
         try {
             guestLock = channel.tryLock(1, 1, false);
         } catch (OverlappingFileLockException e) {
-            return false;                            // held within this process, which happens in tests
+            return false;                            // locked by this very process, which only happens in tests
         }
         if (guestLock == null) { return false; }
         map = channel.map(FileChannel.MapMode.READ_WRITE, 0, HEAD + (long) ROWS * row());
@@ -187,6 +188,7 @@
         return row;
     }
 
+    /** Size of a row: the region's id plus one, the units lent to each ingress, those given to the successor and those it wants. */
     private int row() { return 8 + 2 * count + 4; }
 
     private int at(int row) { return HEAD + row * row(); }
--- a/src/main/java/yardusher/parts/Division.java
+++ b/src/main/java/yardusher/parts/Division.java
@@ -106,7 +106,7 @@
     /** Breaks ties by a hash. Where some ingresses get nothing, the hash changes with the rotation, so that none starves. */
     private long draw(long region, long turn, int ingress) { return Ledger.mix(region * 1_000_003 + ingress + (starves ? turn * 7919 : 0)); }
 
-    /** Computes the water level of max-min filling and satisfies those whose demand lies below it. */
+    /** Water filling: satisfies the demands that lie below the level, and returns the level. */
     private double fill(int units) {
         double left = units;
         for (;;) {
--- a/src/main/java/yardusher/parts/Ledger.java
+++ b/src/main/java/yardusher/parts/Ledger.java
@@ -16,7 +16,11 @@
  * assumes that each peer holds all of the share until that peer has told this incarnation what it holds. No I/O and no clock.
  */
 final class Ledger {
-    /** A rule that the models leave out, to check that they detect the violation. The names are arguments of the models. */
+    /**
+     * A rule that the models leave out, to check that they detect the violation. The names are arguments of the models.
+     * LESS_BEFORE_MORE: a lender's allowance falls before the borrower's grows. REPEAT_CHECK: a repeated message does not count
+     * again. STOPPED_KEEPS: a silent peer keeps its units. OLD_LIVES: a new incarnation asks what earlier ones lent.
+     */
     enum Without { NOTHING, LESS_BEFORE_MORE, REPEAT_CHECK, STOPPED_KEEPS, OLD_LIVES }
 
     /** One region: its limit, this ingress's share, and the accounts by the number of the peer. */
