--- a/lab/src/yardusher/parts/PartsScripted.java
+++ b/lab/src/yardusher/parts/PartsScripted.java
@@ -43,7 +43,7 @@
     private static final double LAT_MS = 0.3;        // one way, within one installation
     private static final double HANDSHAKE_MS = 1.5;  // in addition, as for TLS
     private static final double SERVICE_MS = 30;
-    private static final double SETTLED_MS = 30;
+    private static final double SETTLED_MS = 30;     // pause before reuse, in which a second answer would show
     private static final double ENDED_MS = 1000;
     private static final double RETIRE_MS = 21_000;
     private static final double LOWERED_MS = 10_000; // after which a lowered limit holds, if no ingress is stopped or cut off
