--- a/src/main/java/yardusher/parts/Memory.java
+++ b/src/main/java/yardusher/connectionquota/LoanStore.java
@@ -1,17 +1,17 @@
-package yardusher.parts;
+package yardusher.connectionquota;
 
 /**
  * Stores how many units an ingress has lent to each peer at each region, beyond the life of its process. A loan is stored
  * before it is sent to anyone, so that what is read after a crash is never too low.
  */
-interface Memory {
+interface LoanStore {
     /** Stores nothing: after a start all peers have to be asked. */
-    Memory NONE = new Memory() {
+    LoanStore NONE = new LoanStore() {
         @Override
         public int lent(long region, int ingress) { return UNKNOWN; }
 
         @Override
-        public boolean put(long region, int ingress, int lent) { return true; }
+        public boolean store(long region, int ingress, int lent) { return true; }
     };
     int UNKNOWN = -1;
 
@@ -19,5 +19,5 @@
     int lent(long region, int ingress);
 
     /** Stores the units lent in all; false if there is no room for it, in which case nothing may be lent. */
-    boolean put(long region, int ingress, int lent);
+    boolean store(long region, int ingress, int lent);
 }
