--- a/lab/src/yardusher/connectionquota/PartsScripted.java
+++ b/lab/src/yardusher/connectionquota/PartsScripted.java
@@ -36,7 +36,7 @@
 
     /** Result of a seed; times in milliseconds, {@code breach} null if no limit was exceeded. */
     public record Result(long seed, String breach, long requests, long served, long refused, long rejectedAtRegion, long handshakes, double utilization, double jainIndex,
-            double p50, double p99, List<Double> hotspotMs, long movedUnits, long sentMessages, double sentBytes, int faultCount, int maxUnusableUnits) { }
+            double p50Ms, double p99Ms, List<Double> hotspotMs, long movedUnits, long sentMessages, double sentBytes, int faultCount, int maxUnusableUnits) { }
 
     private static final double LIGHT_PER_S = Double.parseDouble(System.getProperty("lab.light", "30"));
     private static final double IDLE_BONUS = Double.parseDouble(System.getProperty("lab.kept", "0"));
@@ -97,7 +97,7 @@
         }
     }
 
-    private final class Ingress implements Negotiator.World {
+    private final class Ingress implements Negotiator.Environment {
         final int number;
         final long incarnation;
         final InetSocketAddress address;
@@ -167,14 +167,14 @@
         public long startedAttempts() { return startedAttempts; }
 
         @Override
-        public void setAttemptLimit(long region, int most) { attemptLimits[regionIndex(region)] = most; }
+        public void setAttemptLimit(long region, int maxAttempts) { attemptLimits[regionIndex(region)] = maxAttempts; }
 
         @Override
         public int closeIdle(long region, int count) {
             int index = regionIndex(region);
-            int shed = 0;
-            for (; shed < count && !idle.get(index).isEmpty(); shed++) { close(this, idle.get(index).remove(0)); }
-            return shed;
+            int closed = 0;
+            for (; closed < count && !idle.get(index).isEmpty(); closed++) { close(this, idle.get(index).remove(0)); }
+            return closed;
         }
 
         @Override
@@ -368,13 +368,13 @@
 
     /** Moves the demand, 85% of the limit, to the next ingress at once. That ingress has its part when it may use 90% of what the
      * few requests of the others leave. */
-    private void moveDemand(int turn) {
-        int hot = turn % setup.ingresses;
+    private void moveDemand(int round) {
+        int hot = round % setup.ingresses;
         for (int i = 0; i < setup.ingresses; i++) { setDemand(i, i == hot ? 0.85 * capacity() : 0.002 * capacity()); }
         scheduleRequest(hot);
         double startedAtMs = now;
-        if (turn > 0 && startedAtMs > measureFromMs) { watchHotspot(hot, startedAtMs); }
-        schedule(now + 3000, () -> moveDemand(turn + 1));
+        if (round > 0 && startedAtMs > measureFromMs) { watchHotspot(hot, startedAtMs); }
+        schedule(now + 3000, () -> moveDemand(round + 1));
     }
 
     private void watchHotspot(int hot, double startedAtMs) {
@@ -699,7 +699,7 @@
                 breaches++;
                 if (breaches <= 5) { System.out.println("seed " + seed + " breach: " + result.breach); }
             }
-            double[] values = {result.requests, result.served, result.refused, result.rejectedAtRegion, result.handshakes, result.utilization, result.jainIndex, result.p50, result.p99, result.movedUnits, result.sentMessages, result.faultCount};
+            double[] values = {result.requests, result.served, result.refused, result.rejectedAtRegion, result.handshakes, result.utilization, result.jainIndex, result.p50Ms, result.p99Ms, result.movedUnits, result.sentMessages, result.faultCount};
             for (int i = 0; i < values.length; i++) { sums[i] += values[i]; }
             hotspotMs.addAll(result.hotspotMs);
         }
--- a/lab/src/yardusher/lab/parts/PartsBench.java
+++ b/lab/src/yardusher/lab/parts/PartsBench.java
@@ -113,13 +113,13 @@
             Thread.sleep(seconds * 500L);
             untilMs = Chronicle.now();
         }
-        List<Region.Event> seen = group.regionHistory();
+        List<Region.Event> events = group.regionHistory();
         double busyMs = 0;
         double lastEventAtMs = fromMs;
         int running = 0;
         long opened = 0;
         long rejected = 0;
-        for (Region.Event event : seen.subList(eventsBefore, seen.size())) {
+        for (Region.Event event : events.subList(eventsBefore, events.size())) {
             if (event.atMs() > untilMs) { break; }
             if (event.atMs() > fromMs) {
                 busyMs += running * (event.atMs() - lastEventAtMs);
@@ -137,18 +137,18 @@
         List<Double> latenciesMs = new ArrayList<>();
         long sent = 0;
         long refused = 0;
-        long other = 0;
+        long otherEnds = 0;
         List<Terminals.Try> attempts = group.terminalHistory();
         for (Terminals.Try one : attempts.subList(triesBefore, attempts.size())) {
             if (one.sentMs() < fromMs || one.sentMs() > untilMs) { continue; }
             sent++;
             servedBy.merge(one.ingress(), one.end() == Terminals.End.SERVED ? 1L : 0L, Long::sum);
-            if (one.end() == Terminals.End.SERVED) { latenciesMs.add(one.answeredMs() - one.sentMs()); } else if (one.end() == Terminals.End.REFUSED) { refused++; } else { other++; }
+            if (one.end() == Terminals.End.SERVED) { latenciesMs.add(one.answeredMs() - one.sentMs()); } else if (one.end() == Terminals.End.REFUSED) { refused++; } else { otherEnds++; }
         }
         latenciesMs.sort(null);
         double sum = servedBy.values().stream().mapToDouble(Long::doubleValue).sum();
         double squares = servedBy.values().stream().mapToDouble(one -> (double) one * one).sum();
-        return new Measurements(sent, latenciesMs.size(), refused, other, opened + rejected, rejected, busyMs / (untilMs - fromMs) / limit / PartsRun.REGIONS, squares == 0 ? 0 : sum * sum / squares / servedBy.size(),
+        return new Measurements(sent, latenciesMs.size(), refused, otherEnds, opened + rejected, rejected, busyMs / (untilMs - fromMs) / limit / PartsRun.REGIONS, squares == 0 ? 0 : sum * sum / squares / servedBy.size(),
                 percentile(latenciesMs, 0.5), percentile(latenciesMs, 0.99));
     }
 
--- a/src/main/java/yardusher/connectionquota/ConnectionQuotaSubsystem.java
+++ b/src/main/java/yardusher/connectionquota/ConnectionQuotaSubsystem.java
@@ -28,7 +28,7 @@
  * fixed part of a region's limit that an ingress owns; an <em>incarnation</em> is one run of an ingress's process; the
  * <em>claim</em> is the file lock that proves that no earlier incarnation is left.
  */
-public final class ConnectionQuotaSubsystem implements Subsystem, Allowance, Negotiator.World {
+public final class ConnectionQuotaSubsystem implements Subsystem, Allowance, Negotiator.Environment {
     private static final double CLAIM_RETRY_MS = 200;      // between two attempts to lock the claim file
     private static final double SUCCESSOR_POLL_MS = 50;      // between two exchanges of a process and its successor
     private static final double TICK_DELAY_MS = 1;         // changes of one moment are handled by one tick
@@ -294,8 +294,8 @@
     public long startedAttempts() { return counters.attempts; }
 
     @Override
-    public void setAttemptLimit(long region, int most) {
-        if (!isClosed) { site.ingress().tell(new Api.Room(region, most)); }
+    public void setAttemptLimit(long region, int maxAttempts) {
+        if (!isClosed) { site.ingress().tell(new Api.Room(region, maxAttempts)); }
     }
 
     @Override
--- a/src/main/java/yardusher/connectionquota/Negotiator.java
+++ b/src/main/java/yardusher/connectionquota/Negotiator.java
@@ -17,7 +17,7 @@
  */
 final class Negotiator {
     /** What the negotiator observes and acts on. */
-    interface World {
+    interface Environment {
         /** Connections to a region that carry an attempt. */
         int busy(long region);
 
@@ -108,7 +108,7 @@
 
     private final Ledger ledger;
     private final Options options;
-    private final World environment;
+    private final Environment environment;
     private final MaxMinAllocator allocator = new MaxMinAllocator();
     private final DemandEstimator demand = new DemandEstimator();
     private final Map<Long, RegionState> regionStates = new HashMap<>();
@@ -134,7 +134,7 @@
     long sentMessages;
     long sentBytes;
 
-    Negotiator(Ledger ledger, Options options, World environment, double now) {
+    Negotiator(Ledger ledger, Options options, Environment environment, double now) {
         this.ledger = ledger;
         this.options = options;
         this.environment = environment;
@@ -417,15 +417,15 @@
      */
     private void distribute(double units, boolean setsWanted) {
         int total = (int) Math.ceil(units - 0.02);
-        int present = 0;
-        for (RegionState state : regionStates.values()) { present += state.region.isDelisted ? 0 : Math.max(0, ledger.allowance(state.region)); }
-        int additional = Math.max(0, total - present);
+        int presentTotal = 0;
+        for (RegionState state : regionStates.values()) { presentTotal += state.region.isDelisted ? 0 : Math.max(0, ledger.allowance(state.region)); }
+        int additional = Math.max(0, total - presentTotal);
         double totalWeight = 0;                            // of regions where peers have units to spare
         for (RegionState state : regionStates.values()) { totalWeight += state.othersExcess > 0 ? state.demandWeight : 0; }
         int remaining = total;
         for (RegionState state : regionStates.values()) {
             int presentHere = state.region.isDelisted ? 0 : Math.max(0, ledger.allowance(state.region));
-            double target = additional > 0 ? presentHere + (totalWeight > 0 ? additional * (state.othersExcess > 0 ? state.demandWeight : 0) / totalWeight : additional * state.demandWeight) : present == 0 ? 0 : (double) total * presentHere / present;
+            double target = additional > 0 ? presentHere + (totalWeight > 0 ? additional * (state.othersExcess > 0 ? state.demandWeight : 0) / totalWeight : additional * state.demandWeight) : presentTotal == 0 ? 0 : (double) total * presentHere / presentTotal;
             state.remainder = state.region.isDelisted ? -1 : target - Math.floor(target);
             setTarget(state, (int) Math.floor(target), setsWanted);
             remaining -= setsWanted ? state.wanted : state.needed;
--- a/src/main/java/yardusher/connectionquota/SuccessorQuota.java
+++ b/src/main/java/yardusher/connectionquota/SuccessorQuota.java
@@ -19,10 +19,10 @@
         private int attemptLimit() { return Math.max(0, givenUnits - closing); }
     }
 
-    private final Negotiator.World environment;
+    private final Negotiator.Environment environment;
     private final Map<Long, RegionQuota> regions = new HashMap<>();
 
-    SuccessorQuota(Negotiator.World environment) { this.environment = environment; }
+    SuccessorQuota(Negotiator.Environment environment) { this.environment = environment; }
 
     RegionQuota regionQuota(long region) { return regions.computeIfAbsent(region, none -> new RegionQuota()); }
 
