--- a/lab/src/yardusher/connectionquota/PartsModel.java
+++ b/lab/src/yardusher/connectionquota/PartsModel.java
@@ -25,8 +25,8 @@
     private final class State {
         final Ledger[] ledgers = new Ledger[ingressCount];
         final boolean[] crashed = new boolean[ingressCount];
-        final int[] loans = new int[ingressCount];              // given by this incarnation
-        final int[][] storedLoans = new int[ingressCount][];           // loans stored by a crashed ingress; null for a live one
+        final int[] loans = new int[ingressCount];   // given by this incarnation
+        final int[][] storedLoans = new int[ingressCount][]; // of a crashed ingress; null for a live one
         final List<byte[]> messages = new ArrayList<>(); // those that can still change something
     }
 
@@ -40,7 +40,7 @@
     private int stateCount;
     private final ArrayDeque<byte[]> pending = new ArrayDeque<>();
     private final Map<String, String[]> predecessors = new HashMap<>(); // for traces: state to its predecessor and the step
-    private int crashes;                              // in the state that is being expanded
+    private int crashes;                             // in the state that is being expanded
     private String currentKey;
     private String breach;
 
@@ -101,7 +101,8 @@
                     }
                     state.messages.add(encodeMessage(state.ledgers[i], j));
                     visit(state, currentKey, i + " sends to " + j);
-                    for (long incarnation = 1; state.ledgers[j].incarnation >= incarnation; incarnation++) { // any incarnation of the peer may have been heard of
+                    // The ingress may have heard of any incarnation of the peer.
+                    for (long incarnation = 1; state.ledgers[j].incarnation >= incarnation; incarnation++) {
                         state = decode(bytes);
                         if (state.ledgers[i].observeIncarnation(j, incarnation)) { visit(state, currentKey, i + " hears of incarnation " + incarnation + " of " + j); }
                     }
@@ -118,7 +119,8 @@
                     state.crashed[i] = true;
                     state.storedLoans[i] = new int[ingressCount];
                     for (int j = 0; j < ingressCount; j++) { state.storedLoans[i][j] = j == i ? 0 : state.ledgers[i].region(REGION).account(j).lent(); }
-                    if (state.ledgers[i].unsettledPeers > 0 && !hasTrustedLoans(state.ledgers[i])) { state.storedLoans[i][i] = 1; } // the stored loans are incomplete
+                    // The stored loans are incomplete, so the ingress cannot restart with them.
+                    if (state.ledgers[i].unsettledPeers > 0 && !hasTrustedLoans(state.ledgers[i])) { state.storedLoans[i][i] = 1; }
                     crashes++;
                     visit(state, currentKey, i + " crashes");
                     crashes--;
--- a/lab/src/yardusher/connectionquota/PartsScripted.java
+++ b/lab/src/yardusher/connectionquota/PartsScripted.java
@@ -40,10 +40,10 @@
 
     private static final double LIGHT_PER_S = Double.parseDouble(System.getProperty("lab.light", "30"));
     private static final double IDLE_BONUS = Double.parseDouble(System.getProperty("lab.kept", "0"));
-    private static final double ONE_WAY_LATENCY_MS = 0.3;        // one way, within one installation
+    private static final double ONE_WAY_LATENCY_MS = 0.3; // within one installation
     private static final double HANDSHAKE_MS = 1.5;  // in addition, as for TLS
     private static final double SERVICE_MS = 30;
-    private static final double REUSE_DELAY_MS = 30;     // pause before reuse, in which a second answer would show
+    private static final double REUSE_DELAY_MS = 30; // pause before reuse, in which a second answer would show
     private static final double CRASH_DETECTION_MS = 1000;
     private static final double IDLE_TIMEOUT_MS = 21_000;
     private static final double LOWERED_LIMIT_MS = 10_000; // after which a lowered limit holds, if no ingress is stopped or cut off
@@ -60,7 +60,7 @@
     private static final class SimulatedRegion {
         int open;
         int limit;
-        int previousLimit;                                  // highest earlier limit
+        int previousLimit;                           // highest earlier limit
         double loweredAtMs = Double.NEGATIVE_INFINITY;
         double stoppedUntilMs;
         int incarnation;
@@ -69,14 +69,14 @@
     private static final class Connection {
         final int region;
         boolean isAccepted;
-        boolean isProcessDead;                                // its process died before the accept
+        boolean isProcessDead;                       // its process died before the accept
         double processDiedAtMs;
-        boolean isClosedByRegion;                              // by the region
+        boolean isClosedByRegion;
         boolean isIdle;
-        boolean isClosedByIngress;                                // closed by the ingress
+        boolean isClosedByIngress;
         double idleSinceMs;
-        int previousAttempts;                                   // earlier attempts of its request
-        int regionIncarnation;                                    // incarnation of the region that accepted it
+        int previousAttempts;                        // of its request
+        int regionIncarnation;                       // when it was accepted
 
         Connection(int region) { this.region = region; }
     }
@@ -104,7 +104,7 @@
         Negotiator negotiator;
         boolean isDead;
         boolean isStopped;
-        boolean isWaiting = true;                        // has not started to negotiate yet
+        boolean isWaiting = true;                    // has not started to negotiate yet
         final ArrayDeque<Runnable> queued = new ArrayDeque<>();
         final int[] attemptLimits = new int[setup.regions];
         final int[] open = new int[setup.regions];
@@ -186,12 +186,12 @@
             for (int i = 0; i < copies; i++) {
                 double delay = ONE_WAY_LATENCY_MS * (0.5 + random.nextDouble()) + (random.nextDouble() < lateRate ? random.nextDouble() * 2000 : 0);
                 schedule(now + delay, () -> {
-                    Ingress hearer = ingresses[recipient];
-                    if (hearer == null || partitions[number] != partitions[recipient]) { return; }
-                    run(hearer, () -> {
-                        if (hearer.negotiator == null) { return; }
-                        hearer.negotiator.receive(now, address, body);
-                        hearer.tickBy(now + 1);
+                    Ingress receiver = ingresses[recipient];
+                    if (receiver == null || partitions[number] != partitions[recipient]) { return; }
+                    run(receiver, () -> {
+                        if (receiver.negotiator == null) { return; }
+                        receiver.negotiator.receive(now, address, body);
+                        receiver.tickBy(now + 1);
                     });
                 });
             }
@@ -206,8 +206,8 @@
     private final Ingress[] ingresses;
     private final StoredLoans[] loanStores;
     private final int[] partitions;
-    private final double[] requestsPerMs;                     // requests per millisecond, by ingress
-    private final double[] wantedConnections;                   // connections that its demand would keep busy, by ingress
+    private final double[] requestsPerMs;            // by ingress
+    private final double[] wantedConnections;        // connections that its demand would keep busy, by ingress
     private double now = START_MS;
     private long eventSequence;
     private String breach;
@@ -318,7 +318,7 @@
         if (setup.scheme == Scheme.PARTS) { schedule(now + (loanStores[number].endedCleanly ? 0 : CRASH_DETECTION_MS), () -> run(ingress, () -> ingress.startNegotiating(loanStores[number]))); }
     }
 
-    /** Restricts an ingress to as many regions as it needs, in an order of its own by hash. */
+    /** Restricts an ingress to as many regions as it needs, in an order given by a hash with its number. */
     private void restrictRegions(Ingress ingress, double peak) {
         int busy = Arrays.stream(ingress.busy).sum();
         double decayedPeak = Math.max(busy, peak * 0.97);
@@ -393,7 +393,8 @@
         double meanMs = requestsPerMs[ingress] <= 0 ? 1e9 : 1 / requestsPerMs[ingress];
         double rateBefore = requestsPerMs[ingress];
         schedule(now - Math.log(1 - random.nextDouble()) * Math.min(meanMs, 1000), () -> {
-            if (rateBefore != requestsPerMs[ingress] && setup.load == Load.MOVES && requestsPerMs[ingress] > rateBefore) { return; } // restarted when the demand moved
+            // The move of the demand has scheduled a request of its own.
+            if (rateBefore != requestsPerMs[ingress] && setup.load == Load.MOVES && requestsPerMs[ingress] > rateBefore) { return; }
             if (meanMs <= 1000) { request(ingress); }
             scheduleRequest(ingress);
         });
@@ -433,7 +434,7 @@
         }
         boolean mayOpen = setup.scheme == Scheme.PARTS ? connection == null && ingress.negotiator.tryAcquire(regionId(region)) : ingress.open[region] < ingress.attemptLimits[region];
         if (connection == null && !mayOpen && !idle.isEmpty()) { connection = idle.remove(0); }
-        if (connection == null && !mayOpen) {                  // the limit was learnt too late; the decision module would not have chosen the region
+        if (connection == null && !mayOpen) {        // the attempt limit was outdated; else the region would not have been chosen
             ingress.busy[region]--;
             refused += isMeasured ? 1 : 0;
             return;
@@ -469,7 +470,8 @@
             }));
             return;
         }
-        if (connection.isProcessDead && now > connection.processDiedAtMs + CRASH_DETECTION_MS) { // assumption of the design: regions notice the death of a process within that time
+        // Assumption of the design: regions notice the death of a process within that time.
+        if (connection.isProcessDead && now > connection.processDiedAtMs + CRASH_DETECTION_MS) {
             connection.isClosedByRegion = true;
             return;
         }
@@ -545,7 +547,7 @@
 
     /** The region closed or refused the connection. */
     private void regionClosed(Ingress ingress, Connection connection) {
-        if (connection.isClosedByIngress) { return; }                   // close() reports its end
+        if (connection.isClosedByIngress) { return; } // close() reports its end
         connection.isClosedByIngress = true;
         if (connection.isIdle) { ingress.idle.get(connection.region).remove(connection); } else { ingress.busy[connection.region]--; }
         removeConnection(ingress, connection, false);
@@ -596,7 +598,7 @@
             connection.isClosedByIngress = true;
             connection.processDiedAtMs = now;
             double noticedAtMs = now + ONE_WAY_LATENCY_MS + random.nextDouble() * 300;
-            // Assumption of the design: regions notice the death of a process within ENDED_MS.
+            // Assumption of the design: regions notice the death of a process within CRASH_DETECTION_MS.
             if (regions[connection.region].stoppedUntilMs > noticedAtMs) { regions[connection.region].stoppedUntilMs = noticedAtMs; }
             schedule(noticedAtMs, () -> {
                 if (!connection.isAccepted && !connection.isClosedByRegion) { connection.isProcessDead = true; } else { closeAtRegion(connection); }
@@ -638,8 +640,8 @@
         for (int i = 0; i < setup.ingresses; i++) {
             int number = i;
             schedule(now + random.nextInt(2000), () -> {
-                Ingress proc = ingresses[number];
-                if (proc != null) { run(proc, () -> { if (proc.negotiator != null) { proc.negotiator.setLimit(now, regionId(index), region.limit); } }); }
+                Ingress ingress = ingresses[number];
+                if (ingress != null) { run(ingress, () -> { if (ingress.negotiator != null) { ingress.negotiator.setLimit(now, regionId(index), region.limit); } }); }
             });
         }
     }
@@ -683,7 +685,7 @@
         }
     }
 
-    /** Runs seeds. Arguments: INGRESSES REGIONS LIMIT WAY FAULTS LOAD SECONDS FIRST_SEED COUNT [OMITTED_RULE]. */
+    /** Runs seeds. Arguments: INGRESSES REGIONS LIMIT SCHEME FAULTS LOAD SECONDS FIRST_SEED COUNT [OMITTED_RULE]. */
     public static void main(String[] args) {
         Setup setup = new Setup(Integer.parseInt(args[0]), Integer.parseInt(args[1]), Integer.parseInt(args[2]), Scheme.valueOf(args[3]), Faults.valueOf(args[4]),
                 Load.valueOf(args[5]), Double.parseDouble(args[6]), args.length > 9 ? Ledger.OmittedRule.valueOf(args[9]) : Ledger.OmittedRule.NOTHING);
--- a/lab/src/yardusher/lab/parts/PartsBench.java
+++ b/lab/src/yardusher/lab/parts/PartsBench.java
@@ -27,7 +27,7 @@
 
     private PartsBench() { }
 
-    /** Arguments: {@code FOLDER PROCESSES LIMIT SECONDS [WAY...]}. Runs light load, load above the limit, moving load and no load. */
+    /** Arguments: {@code FOLDER PROCESSES LIMIT SECONDS [SCHEME...]}. Runs light load, load above the limit, moving load and no load. */
     public static void main(String[] args) throws Exception {
         int processes = Integer.parseInt(args[1]);
         int limit = Integer.parseInt(args[2]);
@@ -64,12 +64,12 @@
                 lastHotspot = measureHotspot(group, scheme, limit, requestsPerS, totalLimit, round % processes, hotspotMs);
             }
             hotspotMs.sort(null);
-            print(scheme, processes, limit, "the last of 5 strokes, 85% at one; part there after " + hotspotMs + " ms", lastHotspot);
+            print(scheme, processes, limit, "the last of 5 rounds with 85% at one ingress, which had its part after " + hotspotMs + " ms", lastHotspot);
             System.out.println("refused by reason so far: " + new TreeMap<>(PartsRun.counters(group, List.of("refused_quota", "refused_ceiling", "refused_pressure", "refused_no_server", "refused_attempts",
                     "refused_late", "attempts_connect_failed", "attempts_connection_lost", "attempts_not_sent", "attempts_timed_out", "attempts_cancelled"))));
             double cpuBeforeMs = cpuMs(group);
             Thread.sleep(6000);
-            System.out.printf("%s n=%d number=%d at rest: %.2f%% of a core each; told %s%n", scheme, processes, limit, (cpuMs(group) - cpuBeforeMs) / 6000 / processes * 100,
+            System.out.printf("%s n=%d number=%d without load: %.2f%% of a core each; counters %s%n", scheme, processes, limit, (cpuMs(group) - cpuBeforeMs) / 6000 / processes * 100,
                     scheme == Scheme.PARTS ? new TreeMap<>(PartsRun.counters(group, List.of("parts_told", "parts_moved", "parts_leak", "mesh_sent", "parts_bad", "parts_far"))) : "-");
         }
     }
@@ -77,12 +77,12 @@
     private static Measurements measureHotspot(Group group, Scheme scheme, int limit, double requestsPerS, int totalLimit, int hot, List<Double> reachedAfterMs) throws Exception {
         double startedAtMs = Chronicle.now();
         Thread watcher = new Thread(() -> {
-            double want = 0.9 * Math.min(0.85 * totalLimit, totalLimit - group.size() + 1);
+            double wanted = 0.9 * Math.min(0.85 * totalLimit, totalLimit - group.size() + 1);
             while (Chronicle.now() - startedAtMs < 3000) {
                 String report = PartsRun.call(group, hot, "parts", 500);
-                int may = 0;
-                for (String cell : report == null ? new String[0] : report.split("[\t\n]")) { may += cell.startsWith("may=") ? Integer.parseInt(cell.substring(4)) : 0; }
-                if (may >= want) {
+                int allowance = 0;
+                for (String cell : report == null ? new String[0] : report.split("[\t\n]")) { allowance += cell.startsWith("may=") ? Integer.parseInt(cell.substring(4)) : 0; }
+                if (allowance >= wanted) {
                     reachedAfterMs.add((double) Math.round(Chronicle.now() - startedAtMs));
                     return;
                 }
@@ -139,15 +139,15 @@
         long refused = 0;
         long otherEnds = 0;
         List<Terminals.Try> attempts = group.terminalHistory();
-        for (Terminals.Try one : attempts.subList(triesBefore, attempts.size())) {
-            if (one.sentMs() < fromMs || one.sentMs() > untilMs) { continue; }
+        for (Terminals.Try attempt : attempts.subList(triesBefore, attempts.size())) {
+            if (attempt.sentMs() < fromMs || attempt.sentMs() > untilMs) { continue; }
             sent++;
-            servedBy.merge(one.ingress(), one.end() == Terminals.End.SERVED ? 1L : 0L, Long::sum);
-            if (one.end() == Terminals.End.SERVED) { latenciesMs.add(one.answeredMs() - one.sentMs()); } else if (one.end() == Terminals.End.REFUSED) { refused++; } else { otherEnds++; }
+            servedBy.merge(attempt.ingress(), attempt.end() == Terminals.End.SERVED ? 1L : 0L, Long::sum);
+            if (attempt.end() == Terminals.End.SERVED) { latenciesMs.add(attempt.answeredMs() - attempt.sentMs()); } else if (attempt.end() == Terminals.End.REFUSED) { refused++; } else { otherEnds++; }
         }
         latenciesMs.sort(null);
         double sum = servedBy.values().stream().mapToDouble(Long::doubleValue).sum();
-        double squares = servedBy.values().stream().mapToDouble(one -> (double) one * one).sum();
+        double squares = servedBy.values().stream().mapToDouble(served -> (double) served * served).sum();
         return new Measurements(sent, latenciesMs.size(), refused, otherEnds, opened + rejected, rejected, busyMs / (untilMs - fromMs) / limit / PartsRun.REGIONS, squares == 0 ? 0 : sum * sum / squares / servedBy.size(),
                 percentile(latenciesMs, 0.5), percentile(latenciesMs, 0.99));
     }
@@ -159,20 +159,20 @@
 
         RandomLoad(Group group, int terminals, double perSecond, int hot) {
             for (int i = 0; i < terminals; i++) {
-                int me = i;
+                int terminal = i;
                 Thread thread = new Thread(() -> {
-                    Random random = new Random(me);
-                    double next = Chronicle.now();
-                    for (long at = 0; !isClosed; at++) {
-                        next = Math.max(next - Math.log(1 - random.nextDouble()) * terminals / perSecond * 1000, Chronicle.now() - 500);
-                        double wait = next - Chronicle.now();
+                    Random random = new Random(terminal);
+                    double nextAtMs = Chronicle.now();
+                    for (long number = 0; !isClosed; number++) {
+                        nextAtMs = Math.max(nextAtMs - Math.log(1 - random.nextDouble()) * terminals / perSecond * 1000, Chronicle.now() - 500);
+                        double waitMs = nextAtMs - Chronicle.now();
                         try {
-                            if (wait > 0) { Thread.sleep((long) wait, (int) (wait % 1 * 999_999)); }
+                            if (waitMs > 0) { Thread.sleep((long) waitMs, (int) (waitMs % 1 * 999_999)); }
                         } catch (InterruptedException e) {
                             return;
                         }
                         int to = hot >= 0 ? hot : random.nextInt(group.size());
-                        group.terminals().send(to, group.terminals().get(1000 + me * 200L + at % 200, 1500, to, 1));
+                        group.terminals().send(to, group.terminals().get(1000 + terminal * 200L + number % 200, 1500, to, 1));
                     }
                 }, "terminal " + i);
                 thread.setDaemon(true);
@@ -191,7 +191,7 @@
     private static double percentile(List<Double> sorted, double fraction) { return sorted.isEmpty() ? 0 : sorted.get((int) Math.min(sorted.size() - 1, fraction * sorted.size())); }
 
     private static void print(Scheme scheme, int processes, int limit, String what, Measurements measurements) {
-        System.out.printf("%s n=%d number=%d %s: sent %d, served %.3f, refused %.3f, other %d, handshakes a served one %.4f, turned away %d, use %.3f, jain %.3f, p50 %.1f, p99 %.1f ms%n", scheme,
+        System.out.printf("%s n=%d number=%d %s: sent %d, served %.3f, refused %.3f, other %d, handshakes per served request %.4f, rejected %d, use %.3f, jain %.3f, p50 %.1f, p99 %.1f ms%n", scheme,
                 processes, limit, what, measurements.sent, measurements.served / (double) Math.max(1, measurements.sent), measurements.refused / (double) Math.max(1, measurements.sent), measurements.otherEnds, measurements.handshakes / (double) Math.max(1, measurements.served), measurements.rejected, measurements.utilization, measurements.jainIndex, measurements.p50Ms, measurements.p99Ms);
     }
 
--- a/lab/src/yardusher/lab/parts/PartsCases.java
+++ b/lab/src/yardusher/lab/parts/PartsCases.java
@@ -20,7 +20,7 @@
     public enum Case { STOPPED, LOWERED, COLD, ROLL, UPGRADE, CUT, MANY, KILLED, FROZEN }
 
     private static final String REGION = "00000000";
-    private static final int LOWERED_LIMIT_MS = 5000;      // after which a lowered limit holds, if all ingresses run and have reloaded
+    private static final int LOWERED_LIMIT_MS = 5000; // after which a lowered limit holds, if all ingresses run and have reloaded
 
     private PartsCases() { }
 
@@ -80,10 +80,10 @@
                         group.crash(region);
                         Thread.sleep(300);
                         group.restart(region);
-                        double startedAtMs = Chronicle.now() + 3000; // by then the ingresses have the new backend list
+                        double coldFromMs = Chronicle.now() + 3000; // by then the ingresses have the new backend list
                         Thread.sleep(3000 + durationMs);
-                        note.append("most open while cold ").append(group.regionHistory().stream().filter(one -> one.atMs() > startedAtMs).mapToInt(Region.Event::open).max().orElse(0));
-                        group.regionHistory().stream().filter(one -> one.what().equals("open") && one.atMs() > startedAtMs && one.open() > limit / 2).limit(3)
+                        note.append("most open while cold ").append(group.regionHistory().stream().filter(one -> one.atMs() > coldFromMs).mapToInt(Region.Event::open).max().orElse(0));
+                        group.regionHistory().stream().filter(one -> one.what().equals("open") && one.atMs() > coldFromMs && one.open() > limit / 2).limit(3)
                                 .forEach(one -> found.add("above the cold limit: " + one));
                     }
                 }
@@ -91,12 +91,12 @@
                     double longestMs = 0;
                     try (TerminalLoad all = new TerminalLoad(group, limit, 30, -1)) {
                         for (int i = 0; i < processes; i++) {
-                            int one = i;
+                            int index = i;
                             group.terminate(i, 10_000);
                             double startedAtMs = Chronicle.now();
                             group.launch(i);
                             group.awaitReady(i, 30_000);
-                            await(() -> allowance(group, one) > 0, 10_000);
+                            await(() -> allowance(group, index) > 0, 10_000);
                             longestMs = Math.max(longestMs, Chronicle.now() - startedAtMs);
                         }
                     }
@@ -127,7 +127,7 @@
                     try (TerminalLoad all = new TerminalLoad(group, 2 * limit, 40, -1)) {
                         for (Random random = new Random(3); Chronicle.now() < untilMs; kills++) {
                             int hot = kills % processes;
-                            try (TerminalLoad stroke = new TerminalLoad(group, 2 * limit, 20, (hot + 1) % processes)) {
+                            try (TerminalLoad hotspot = new TerminalLoad(group, 2 * limit, 20, (hot + 1) % processes)) {
                                 Thread.sleep(100 + random.nextInt(300));
                                 group.kill(hot);     // while it gives units away
                                 Thread.sleep(50);
@@ -243,14 +243,14 @@
 
         TerminalLoad(Group group, int terminals, int pauseMs, int target) {
             for (int i = 0; i < terminals; i++) {
-                int me = i;
+                int terminal = i;
                 Thread thread = new Thread(() -> {
-                    Random random = new Random(me);
+                    Random random = new Random(terminal);
                     for (long number = 0; !isClosed; number++) {
                         int to = target >= 0 ? target : random.nextInt(group.size());
-                        Terminals.Try got = group.terminals().send(to, group.terminals().get(1000 + me * 200L + number % 200, 1000, to, 1));
+                        Terminals.Try attempt = group.terminals().send(to, group.terminals().get(1000 + terminal * 200L + number % 200, 1000, to, 1));
                         try {
-                            Thread.sleep(got.end() == Terminals.End.SERVED ? random.nextInt(pauseMs) : pauseMs + random.nextInt(pauseMs));
+                            Thread.sleep(attempt.end() == Terminals.End.SERVED ? random.nextInt(pauseMs) : pauseMs + random.nextInt(pauseMs));
                         } catch (InterruptedException e) {
                             return;
                         }
--- a/lab/src/yardusher/lab/parts/PartsRun.java
+++ b/lab/src/yardusher/lab/parts/PartsRun.java
@@ -31,7 +31,7 @@
  */
 public final class PartsRun {
     static final int REGIONS = 3;
-    private static final int RECOVERY_TIMEOUT_MS = 20_000;       // generous, for a machine under other load
+    private static final int RECOVERY_TIMEOUT_MS = 20_000; // generous, for a machine under other load
 
     private PartsRun() { }
 
@@ -91,7 +91,7 @@
         return found;
     }
 
-    /** Waits until each ingress serves again after the faults; a breach if that takes longer than {@link #HEAL_MS}. */
+    /** Waits until each ingress serves again after the faults; a breach if that takes longer than {@link #RECOVERY_TIMEOUT_MS}. */
     private static double awaitRecovery(Group group, List<String> found) {
         double startedAtMs = Chronicle.now();
         for (int i = 0; i < group.size(); i++) {
--- a/src/main/java/yardusher/connectionquota/ClaimFile.java
+++ b/src/main/java/yardusher/connectionquota/ClaimFile.java
@@ -31,7 +31,7 @@
     private final int ingressCount;
     private FileChannel channel;
     private FileLock ownerLock;
-    private FileLock successorLock;                      // of the one process that may run beside the claim's owner
+    private FileLock successorLock;                  // of the one process that may run beside the claim's owner
     private MappedByteBuffer buffer;
     private final Map<Long, Integer> rowByRegion = new HashMap<>();
     private long incarnation;
@@ -60,7 +60,7 @@
         try {
             ownerLock = channel.tryLock(0, 1, false);
         } catch (OverlappingFileLockException e) {
-            ownerLock = null;                             // locked by this very process, which only happens in tests
+            ownerLock = null;                        // locked by this very process, which only happens in tests
         }
         if (ownerLock == null) { return false; }
         boolean isEmpty = channel.size() == 0;
@@ -129,7 +129,7 @@
 
     /** Whether a successor process runs beside this one, which owns the claim. */
     boolean hasSuccessor() {
-        if (successorLock != null) { return false; }     // this process itself was the successor until a moment ago
+        if (successorLock != null) { return false; } // this process itself was the successor until a moment ago
         try {
             FileLock probe = channel.tryLock(1, 1, false);
             if (probe == null) { return true; }
--- a/src/main/java/yardusher/connectionquota/ConnectionQuotaSettings.java
+++ b/src/main/java/yardusher/connectionquota/ConnectionQuotaSettings.java
@@ -26,7 +26,7 @@
     /** Limit of one region, by id, or of all regions of a zone; the other one is null. */
     public record RegionOverride(String id, String zone, int connections) { }
 
-    private static final int MAX_CONNECTIONS = 30_000;          // of one region: the claim file stores it in two bytes
+    private static final int MAX_CONNECTIONS = 30_000; // of one region: the claim file stores it in two bytes
     private static final Set<String> KEYS = Set.of("connections", "region", "least", "weight", "moves_per_s", "ended_ms", "cold_percent", "ingresses", "folder", "absent");
 
     /** Reads the table, null if it is missing. Throws a {@link ConfigError} that names the key and what is allowed. */
--- a/src/main/java/yardusher/connectionquota/ConnectionQuotaSubsystem.java
+++ b/src/main/java/yardusher/connectionquota/ConnectionQuotaSubsystem.java
@@ -29,9 +29,9 @@
  * <em>claim</em> is the file lock that proves that no earlier incarnation is left.
  */
 public final class ConnectionQuotaSubsystem implements Subsystem, Allowance, Negotiator.Environment {
-    private static final double CLAIM_RETRY_MS = 200;      // between two attempts to lock the claim file
-    private static final double SUCCESSOR_POLL_MS = 50;      // between two exchanges of a process and its successor
-    private static final double TICK_DELAY_MS = 1;         // changes of one moment are handled by one tick
+    private static final double CLAIM_RETRY_MS = 200; // between two attempts to lock the claim file
+    private static final double SUCCESSOR_POLL_MS = 50; // between two exchanges of a process and its successor
+    private static final double TICK_DELAY_MS = 1;   // changes of one moment are handled by one tick
 
     private ConnectionQuotaSettings settings;
     private final Path folder;
@@ -40,7 +40,7 @@
     private Counters counters;
     private ClaimFile claim;
     private Negotiator negotiator;                   // null until the claim is taken
-    private SuccessorQuota successorQuota;                             // set while this process is the successor of the claim's owner
+    private SuccessorQuota successorQuota;           // set while this process is the successor of the claim's owner
     private boolean hadSuccessor;
     private double nextSuccessorCheckAtMs;
     private double successorReclaimAtMs = Double.POSITIVE_INFINITY;
@@ -157,7 +157,7 @@
     private void updateMembers(View.Picture picture) {
         if (negotiator == null) { return; }
         String ownName = site.view().self().name();
-        negotiator.setMembers(picture.members().stream().filter(one -> !one.name().equals(ownName)).map(View.Member::at).toList());
+        negotiator.setMembers(picture.members().stream().filter(member -> !member.name().equals(ownName)).map(View.Member::at).toList());
     }
 
     /** The backend list or the limits of its regions have changed. */
--- a/src/main/java/yardusher/connectionquota/DemandEstimator.java
+++ b/src/main/java/yardusher/connectionquota/DemandEstimator.java
@@ -6,12 +6,12 @@
  * region, because a request goes to any region that has room. No I/O and no clock.
  */
 final class DemandEstimator {
-    private static final double NEED_SMOOTHING_MS = 60;        // scarce units are divided by use, so the estimate has to be recent
+    private static final double NEED_SMOOTHING_MS = 60; // scarce units are divided by use, so the estimate has to be recent
     private static final double WANT_DECAY_MS = 6000; // decay by 63%; long, so that units don't move back and forth
-    private static final double HEADROOM = 1.15;         // spare units: a request can only go to a region with room
+    private static final double HEADROOM = 1.15;     // spare units: a request can only go to a region with room
     private double smoothedBusy;
     private double busyPeak;
-    private double recentUnmet;                        // refused attempts that would be in progress
+    private double recentUnmet;                      // refused attempts that would be in progress
     private double unmetPeak;
 
     /** Adds a sample: {@code busy} connections carry an attempt, {@code unmetAttempts} more would if none had been refused. */
--- a/src/main/java/yardusher/connectionquota/Ledger.java
+++ b/src/main/java/yardusher/connectionquota/Ledger.java
@@ -27,12 +27,12 @@
     static final class Region {
         final long id;
         final PeerAccount[] accounts;
-        int limit;                                  // connections in all, now
-        int highestLimit;                                    // highest limit that it had here
+        int limit;                                   // connections in all, now
+        int highestLimit;                            // since the region was first heard of
         int share;                                   // of the limit, this ingress's own
-        int successorUnits;                                   // of the share, given to the next version's process that runs beside this one
+        int successorUnits;                          // of the share, given to the next version's process that runs beside this one
         int open;                                    // counted from before the dial until the region has closed too
-        boolean isDelisted;                                // no longer listed
+        boolean isDelisted;
 
         Region(long id, int ingressCount) {
             this.id = id;
@@ -54,18 +54,18 @@
         }
     }
 
-    private static final int MAX_REGIONS = 4096;    // listed ones and those that only peers report
+    private static final int MAX_REGIONS = 4096;     // listed ones and those that only peers report
 
     final int self;
     final int ingressCount;
     final long incarnation;
     private final LoanStore loanStore;
-    final long[] peerIncarnations;                      // of the peers, 0 for one that was not heard yet
-    final boolean[] settledPeers;                 // peers that have reported what earlier incarnations lent them
+    final long[] peerIncarnations;                   // 0 for a peer that was not heard yet
+    final boolean[] settledPeers;                    // peers that have reported what earlier incarnations lent them
     private final boolean hasTrustedLoans;
     int unsettledPeers;
     private final Map<Long, Region> regions = new HashMap<>();
-    long implausibleRows;                                        // rows with impossible figures
+    long implausibleRows;
     OmittedRule omittedRule = OmittedRule.NOTHING;
 
     /** {@code hasTrustedLoans}: the store holds all that earlier incarnations lent. */
@@ -125,7 +125,7 @@
     void sweep() {
         for (Iterator<Region> iterator = regions.values().iterator(); iterator.hasNext();) {
             Region region = iterator.next();
-            if (region.isDelisted && region.open == 0 && Arrays.stream(region.accounts).allMatch(one -> one == null || one.isEmpty())) { iterator.remove(); }
+            if (region.isDelisted && region.open == 0 && Arrays.stream(region.accounts).allMatch(account -> account == null || account.isEmpty())) { iterator.remove(); }
         }
     }
 
@@ -185,7 +185,7 @@
         return units;
     }
 
-    /** Returns up to so many borrowed units that are not in use to their lender; returns how many. */
+    /** Gives up to so many borrowed units that are not in use back to their lender; returns how many. */
     int giveBack(Region region, int lender, int wanted) {
         PeerAccount account = region.account(lender);
         int units = Math.min(wanted, Math.min(account.borrowed(), spare(region)));
@@ -221,7 +221,7 @@
         if (region == null) {
             if (row.granted() == 0 && row.returned() == 0 && row.legacyBorrowed() == 0 || regions.size() >= MAX_REGIONS) { return true; }
             region = regions.computeIfAbsent(row.region(), this::newRegion);
-            region.isDelisted = true;                      // until it is listed here too
+            region.isDelisted = true;                // until it is listed here too
         }
         PeerAccount account = region.account(sender);
         int maxPlausible = Math.max(region.highestLimit, region.isDelisted ? QuotaMessage.MAX_UNITS : 0);
@@ -293,7 +293,8 @@
             account.maxLegacyLent = 0;
             storeLent(region, ingress, account);
         }
-        peerIncarnations[ingress] = peerIncarnations[ingress] == 0 ? 1 : peerIncarnations[ingress] + 1; // messages of that incarnation are ignored from now on
+        // Messages of the ended incarnation are ignored from now on.
+        peerIncarnations[ingress] = peerIncarnations[ingress] == 0 ? 1 : peerIncarnations[ingress] + 1;
         if (!settledPeers[ingress]) {
             settledPeers[ingress] = true;
             unsettledPeers--;
--- a/src/main/java/yardusher/connectionquota/MaxMinAllocator.java
+++ b/src/main/java/yardusher/connectionquota/MaxMinAllocator.java
@@ -17,7 +17,7 @@
     private int[] fairShares = new int[8];
     private int[] lenders = new int[8];
     private boolean isScarce;
-    private boolean someGetNone;                         // an ingress that needs units gets none
+    private boolean someGetNone;                     // an ingress that needs units gets none
 
     void clear() { size = 0; }
 
@@ -86,7 +86,7 @@
             remaining -= fairShares[i];
         }
         someGetNone = level < 1;
-        for (; remaining > 0; remaining--) {                   // one each, in the order of the shortfall and the hash
+        for (; remaining > 0; remaining--) {         // one each, in the order of the shortfall and the hash
             int best = -1;
             for (int i = 0; i < size; i++) {
                 if (fairShares[i] < demands[i] && (best < 0 || precedes(region, rotation, i, best, level))) { best = i; }
--- a/src/main/java/yardusher/connectionquota/Negotiator.java
+++ b/src/main/java/yardusher/connectionquota/Negotiator.java
@@ -42,37 +42,37 @@
     /** {@code minUnits}: wanted in all while there is traffic; {@code maxMovesPerS}: units given away at one region. */
     record Options(int minUnits, int weight, double maxMovesPerS) { }
 
-    static final double PEER_TIMEOUT_MS = 3000;             // a peer that was silent for longer is not asked for units
-    private static final double HEARTBEAT_MS = 1000;      // between messages to a peer without changes
+    static final double PEER_TIMEOUT_MS = 3000;      // a peer that was silent for longer is not asked for units
+    private static final double HEARTBEAT_MS = 1000; // between messages to a peer without changes
     private static final double SILENT_PEER_HEARTBEAT_MS = 4000;
-    private static final int HEARTBEATS_PER_FULL_UPDATE = 4;        // one heartbeat in so many sends all rows
-    private static final double RETRANSMIT_MS = 100;     // rows that were not acknowledged are sent again
+    private static final int HEARTBEATS_PER_FULL_UPDATE = 4; // one heartbeat in so many sends all rows
+    private static final double RETRANSMIT_MS = 100; // rows that were not acknowledged are sent again
     private static final double ACTIVITY_WINDOW_MS = 2000;
     private static final double BUSY_TICK_MS = 20;
     private static final double IDLE_TICK_MS = 200;
-    private static final double REQUEST_TIMEOUT_MS = 60;         // after which a request is void on both sides
-    private static final double SMALL_SHORTAGE_MS = 100;       // how long a small shortage has to last before units are requested
+    private static final double REQUEST_TIMEOUT_MS = 60; // after which a request is void on both sides
+    private static final double SMALL_SHORTAGE_MS = 100; // how long a small shortage has to last before units are requested
     private static final double LARGE_SHORTAGE_RATIO = 0.1;
-    private static final double RATE_SMOOTHING_MS = 100;       // time constant of the rates of refusals and attempts
-    private static final double REGION_USE_SMOOTHING_MS = 3000;      // time constant of the use of single regions
-    private static final double ROTATION_MS = 2000;     // where some ingresses get nothing, others do after this time
-    private static final double IDLE_RETURN_MS = 10_000;    // borrowed units that were not needed for so long are returned, one by one
-    private static final double SHUTDOWN_RETURN_MS = 2000;     // time for returning units at shutdown
+    private static final double RATE_SMOOTHING_MS = 100; // time constant of the rates of refusals and attempts
+    private static final double REGION_USE_SMOOTHING_MS = 3000; // time constant of the use of single regions
+    private static final double ROTATION_MS = 2000;  // where some ingresses get nothing, others do after this time
+    private static final double IDLE_RETURN_MS = 10_000; // borrowed units that were not needed for so long are returned, one by one
+    private static final double SHUTDOWN_RETURN_MS = 2000; // time for returning units at shutdown
     private static final double MAX_INCARNATION_LEAD_MS = 86_400_000; // an incarnation that lies a day ahead is rejected as invalid
 
     /** Demand, targets and pending work of this ingress at one region. */
     static final class RegionState {
         final Region region;
-        private double smoothedBusy;                         // connections in use, smoothed
-        int needed;                                    // part of the needed connections that is planned for this region
-        int wanted;                                   // part of the wanted connections
-        private double demandWeight;                         // weight for further units, half by limit and half by use
-        private double fullFraction;                         // part of the time without room, smoothed
-        private double remainder;                         // fraction of a unit that rounding down left over
+        private double smoothedBusy;
+        int needed;                                  // part of the needed connections that is planned for this region
+        int wanted;                                  // part of the wanted connections
+        private double demandWeight;                 // weight for further units, half by limit and half by use
+        private double fullFraction;                 // of the time, smoothed
+        private double remainder;                    // fraction of a unit that rounding down left over
         int closing;                                 // connections that are being closed, until both ends are
         int owed;                                    // units to be given to peers as soon as connections close
         private int reportedLimit = -1;
-        private double moveTokens;                       // of the token bucket for units given away
+        private double moveTokens;                   // of the token bucket for units given away
         private double tokensFilledAtMs;
         private double shortageSinceMs;
         private double surplusSinceMs;
@@ -80,7 +80,7 @@
         private int announcedAllowance;
         private int announcedWanted;
         private int announcedNeeded;
-        private int othersExcess;                           // units that peers have beyond their fair shares
+        private int othersExcess;                    // units that peers have beyond their fair shares
 
         RegionState(Region region, double now) {
             this.region = region;
@@ -99,9 +99,9 @@
         int heartbeats;
         int weight = 1;
         int lastSequence;
-        boolean hasSettledWithUs;                           // the peer knows what its earlier incarnations lent to this ingress
+        boolean hasSettledWithUs;                    // the peer knows what its earlier incarnations lent to this ingress
         boolean urgent;                              // a message is to be sent at the next tick
-        boolean isReportedSilent;                            // and was reported as silent
+        boolean isReportedSilent;
 
         Peer(int number) { this.number = number; }
     }
@@ -116,20 +116,20 @@
     private List<InetSocketAddress> memberAddresses = List.of();
     private double lastTickMs;
     private double lastActiveAtMs = Double.NEGATIVE_INFINITY;
-    private double refusalsPerMs;                         // smoothed
-    private double attemptsPerMs;                         // smoothed
+    private double refusalsPerMs;                    // smoothed
+    private double attemptsPerMs;                    // smoothed
     private long previousRefused;
     private long previousStarted;
     private double nextHelloAtMs;
     private double lastAnnouncedAtMs = Double.NEGATIVE_INFINITY;
     private int sequence;
-    private boolean isShuttingDown;                          // the process ends: it keeps only what it still uses
+    private boolean isShuttingDown;                  // keeps only the units that are still in use
     private double shutdownAtMs;
-    long malformedMessages;                                        // bodies that cannot be decoded or have an impossible incarnation
-    long foreignMessages;                                    // with another ingress count or with this ingress's own number
-    long staleMessages;                                      // from an incarnation that has ended
-    long requestedUnits;                                      // units requested from peers
-    long movedUnits;                                      // units lent or returned
+    long malformedMessages;                          // bodies that cannot be decoded or have an impossible incarnation
+    long foreignMessages;                            // with another ingress count or with this ingress's own number
+    long staleMessages;                              // from an incarnation that has ended
+    long requestedUnits;
+    long movedUnits;                                 // units lent or returned
     long receivedMessages;
     long sentMessages;
     long sentBytes;
@@ -290,7 +290,7 @@
         peer.address = from;
         peer.lastReceivedAtMs = now;
         peer.weight = message.weight();
-        if (result == Ledger.MessageResult.OTHER_INCARNATION) {   // the peer does not know this incarnation yet
+        if (result == Ledger.MessageResult.OTHER_INCARNATION) { // the peer does not know this incarnation yet
             peer.urgent = true;
             return;
         }
@@ -332,7 +332,7 @@
         }
     }
 
-    /** Lends units that were returned for the benefit of {@code taker} on to it, unless they are needed here. */
+    /** Lends units that were returned for the benefit of {@code borrower} on to it, unless they are needed here. */
     private void passOn(Region region, Peer borrower, int units, double now) {
         RegionState state = regionStates.get(region.id);
         if (state == null || region.isDelisted || !isLive(borrower, now)) { return; }
@@ -360,14 +360,14 @@
             for (Region region : ledger.regions()) { units += peer.isReportedSilent && region.accounts[peer.number] != null ? region.accounts[peer.number].lent() : 0; }
             if (units > 0) { environment.peerSilent(peer.number, units); }
         }
-        for (Peer peer : peers) {                 // planted, to check that the models detect it
+        for (Peer peer : peers) {                    // planted, to check that the models detect it
             if (ledger.omittedRule == Ledger.OmittedRule.STOPPED_KEEPS && peer != null && peer.address != null && lastTickMs - peer.lastReceivedAtMs > PEER_TIMEOUT_MS) {
                 ledger.peerEnded(peer.number);
                 peer.address = null;
             }
         }
         ledger.sweep();
-        regionStates.values().removeIf(stand -> stand.region.isDelisted && ledger.region(stand.region.id) == null);
+        regionStates.values().removeIf(state -> state.region.isDelisted && ledger.region(state.region.id) == null);
     }
 
     /** Estimates the demand from the attempts in progress and the refused requests, and sets the targets of the regions. */
@@ -420,7 +420,7 @@
         int presentTotal = 0;
         for (RegionState state : regionStates.values()) { presentTotal += state.region.isDelisted ? 0 : Math.max(0, ledger.allowance(state.region)); }
         int additional = Math.max(0, total - presentTotal);
-        double totalWeight = 0;                            // of regions where peers have units to spare
+        double totalWeight = 0;                      // of regions where peers have units to spare
         for (RegionState state : regionStates.values()) { totalWeight += state.othersExcess > 0 ? state.demandWeight : 0; }
         int remaining = total;
         for (RegionState state : regionStates.values()) {
@@ -439,7 +439,7 @@
             best.remainder = -1;
             setTarget(best, (setsWanted ? best.wanted : best.needed) + 1, setsWanted);
         }
-        for (RegionState state : regionStates.values()) {        // regions that are always full although others have room
+        for (RegionState state : regionStates.values()) { // regions that are always full although others have room
             if (setsWanted && additional == 0 && state.fullFraction > 0.6 && !state.region.isDelisted) { setTarget(state, ledger.allowance(state.region) + 1, true); }
         }
     }
@@ -532,7 +532,7 @@
             if (account.allotted > 0) {
                 giveUnits(state, peer.number, account.allotted, now);
                 account.allotted = 0;
-            } else if (account.isPeerRequestNew) {           // tells the peer, so that it asks another one
+            } else if (account.isPeerRequestNew) {   // tells the peer, so that it asks another one
                 account.isDirty = true;
                 peer.urgent = true;
             }
@@ -554,14 +554,14 @@
         }
         // Guards against units that move back and forth with the noise of a fully used fleet: a small shortage has to last.
         if (missing < Math.max(2, LARGE_SHORTAGE_RATIO * ledger.allowance(state.region)) && now - state.shortageSinceMs < SMALL_SHORTAGE_MS && ledger.allowance(state.region) > 0) { return; }
-        allocator.chooseLenders(ledger.self, missing, (giver, units) -> {
-            PeerAccount account = state.region.account(giver);
+        allocator.chooseLenders(ledger.self, missing, (lender, units) -> {
+            PeerAccount account = state.region.account(lender);
             if (account.requestedFromPeer > 0) { return; }
             account.requestedFromPeer = units;
             account.requestNumber = (account.requestNumber + 1) % QuotaMessage.MAX_UNITS;
             account.requestSentAtMs = now;
             account.isDirty = true;
-            peers[giver].urgent = true;
+            peers[lender].urgent = true;
             requestedUnits += units;
         });
     }
@@ -694,7 +694,7 @@
             nextRow += batch.size();
             send(peer.address, new QuotaMessage(ledger.self, ledger.ingressCount, options.weight, ledger.incarnation, ledger.peerIncarnation(peer.number), ++sequence,
                     ledger.isSettled(peer.number), legacyComplete, needsReply, batch), now, peer);
-            legacyComplete = false;                           // the first message held the legacy units
+            legacyComplete = false;                  // the first message held the legacy units
         } while (nextRow < rows.size());
     }
 
--- a/src/main/java/yardusher/connectionquota/PeerAccount.java
+++ b/src/main/java/yardusher/connectionquota/PeerAccount.java
@@ -10,30 +10,30 @@
  */
 final class PeerAccount {
     int granted;                                     // own units lent to the peer; only grows
-    int recovered;                                        // of those, returned according to the peer; only grows
-    int received;                                       // the peer's units lent to this ingress, the highest total heard; only grows
+    int recovered;                                   // of those, returned according to the peer; only grows
+    int received;                                    // the peer's units lent to this ingress, the highest total heard; only grows
     int returned;                                    // of those, returned to the peer; only grows
-    int legacyBorrowed;                                         // the peer's units, lent by its earlier incarnations, held here; only falls
-    int maxLegacyLent;                                       // units of own earlier incarnations that the peer holds at most; only falls
-    int ackedGranted;                                   // of granted, what the peer has acknowledged
-    int ackedReturned;                                // of returned, what the peer has acknowledged
-    int peerAllowance;                                         // connections that the peer may have open in all, as it reports
-    int peerNeeded;                                        // connections that the peer would use now
-    int peerWanted;                                       // and that it would like to keep
-    int requestedByPeer;                                        // units that the peer asks for
-    int peerReceivedAtRequest;                                   // of granted, what the peer had received when it asked
+    int legacyBorrowed;                              // the peer's units, lent by its earlier incarnations, held here; only falls
+    int maxLegacyLent;                               // units of own earlier incarnations that the peer holds at most; only falls
+    int ackedGranted;                                // of granted, what the peer has acknowledged
+    int ackedReturned;                               // of returned, what the peer has acknowledged
+    int peerAllowance;                               // connections that the peer may have open in all, as it reports
+    int peerNeeded;                                  // connections that the peer would use now
+    int peerWanted;                                  // and that it would like to keep
+    int requestedByPeer;                             // units that the peer asks for
+    int peerReceivedAtRequest;                       // of granted, what the peer had received when it asked
     double peerRequestAtMs = Double.NEGATIVE_INFINITY;
-    int redirectedForPeer;                                    // units returned to their lenders for the peer since it asked
-    int requestedFromPeer;                                      // units that the peer was asked for
+    int redirectedForPeer;                           // units returned to their lenders for the peer since it asked
+    int requestedFromPeer;                           // units that the peer was asked for
     double requestSentAtMs = Double.NEGATIVE_INFINITY;
-    int beneficiary;                                        // ingress for which units were last returned to the peer, as its number plus one
+    int beneficiary;                                 // ingress for which units were last returned to the peer, as its number plus one
     boolean isPeerRequestNew;
-    int requestNumber;                                         // number of the last request to the peer
-    int peerRequestNumber;                                      // and of its last request
-    int allotted;                                       // units to be given to the peer in this round
+    int requestNumber;                               // number of the last request to the peer
+    int peerRequestNumber;                           // and of its last request
+    int allotted;                                    // units to be given to the peer in this round
     int previousReceived;
     int previousRecovered;
-    int sentAllowance;                                     // own allowance as last sent to the peer
+    int sentAllowance;                               // own allowance as last sent to the peer
     int sentWanted;
     int sentNeeded;
     boolean isDirty;                                 // the account is to be sent with the next message
--- a/src/test/java/yardusher/connectionquota/ClaimFileTest.java
+++ b/src/test/java/yardusher/connectionquota/ClaimFileTest.java
@@ -60,7 +60,7 @@
     void rowsWithoutALoanAreReusedAndAFullFileRejectsLoans() throws Exception {
         ClaimFile claim = openClaim();
         claim.tryLock(1, true);
-        assertThat(claim.hasTrustedLoans()).isTrue();      // an absent file means that the ingress never ran
+        assertThat(claim.hasTrustedLoans()).isTrue(); // an absent file means that the ingress never ran
         for (int i = 0; i < 1024; i++) { assertThat(claim.store(100 + i, 1, 1)).isTrue(); }
         assertThat(claim.store(5000, 1, 1)).isFalse();
         claim.store(300, 1, 0);
@@ -88,7 +88,7 @@
         assertThat(owner.hasSuccessor()).isFalse();
         assertThat(successor.tryLockAsSuccessor()).isTrue();
         assertThat(owner.hasSuccessor()).isTrue();
-        assertThat(openClaim().tryLockAsSuccessor()).isFalse();  // there is at most one successor
+        assertThat(openClaim().tryLockAsSuccessor()).isFalse(); // there is at most one successor
         assertThat(owner.canRecord(7)).isTrue();
         owner.writeGivenUnits(7, 3);
         owner.store(7, 1, 2);
--- a/src/test/java/yardusher/connectionquota/LedgerTest.java
+++ b/src/test/java/yardusher/connectionquota/LedgerTest.java
@@ -97,7 +97,7 @@
         restarted.setLimit(REGION, 12);
         assertThat(restarted.allowance(restarted.region(REGION))).isZero();
         b.observeIncarnation(0, 2);
-        b.apply(delayed);                               // of the previous incarnation: no further loan is accepted
+        b.apply(delayed);                            // of the previous incarnation: no further loan is accepted
         assertThat(b.allowance(b.region(REGION))).isEqualTo(7);
         restarted.observeIncarnation(1, 1);
         restarted.apply(messageOf(b, 0));
@@ -108,7 +108,7 @@
         restarted.apply(messageOf(c, 0));
         assertThat(restarted.unsettledPeers()).isZero();
         assertThat(restarted.allowance(restarted.region(REGION))).isEqualTo(1);
-        b.giveBack(b.region(REGION), 0, 2);               // of the previous incarnation's loan
+        b.giveBack(b.region(REGION), 0, 2);          // of the previous incarnation's loan
         restarted.apply(messageOf(b, 0));
         assertThat(restarted.allowance(restarted.region(REGION))).isEqualTo(3);
         assertThat(b.allowance(b.region(REGION))).isEqualTo(5);
@@ -146,7 +146,7 @@
         a.lend(a.region(REGION), 1, 2);
         a.peerEnded(1);
         assertThat(a.allowance(a.region(REGION))).isEqualTo(4);
-        assertThat(a.observeIncarnation(1, 2)).isFalse();         // messages of that incarnation are ignored from now on
+        assertThat(a.observeIncarnation(1, 2)).isFalse(); // messages of that incarnation are ignored from now on
         assertThat(a.observeIncarnation(1, 4)).isTrue();
     }
 
@@ -185,7 +185,7 @@
     }
 
     @Test
-    void aTruncatedMessageIsRejected() {
+    void messagesKeepTheirContentAndTruncatedOnesAreRejected() {
         Ledger a = ledger(0, 2, 1, 8);
         a.observeIncarnation(1, 1);
         a.lend(a.region(REGION), 1, 3);
--- a/src/test/java/yardusher/connectionquota/MaxMinAllocatorTest.java
+++ b/src/test/java/yardusher/connectionquota/MaxMinAllocatorTest.java
@@ -45,7 +45,7 @@
         allocator.add(1, 0, 20, 20, 2);
         allocator.allocate(7, 0);
         assertThat(List.of(allocator.fairShare(0), allocator.fairShare(1))).containsExactly(4, 8);
-        allocator.clear();                            // enough for what both need, not for what both would like to keep
+        allocator.clear();                           // enough for what both need, not for what both would like to keep
         allocator.add(0, 10, 4, 10, 1);
         allocator.add(1, 2, 3, 6, 1);
         allocator.allocate(7, 0);
@@ -61,7 +61,7 @@
             allocator.allocate(7, rotation);
             for (int i = 0; i < 6; i++) { unitsByIngress.merge(i, allocator.fairShare(i), Integer::sum); }
         }
-        assertThat(unitsByIngress.values()).allMatch(turns -> turns >= 5).satisfies(all -> assertThat(all.stream().mapToInt(i -> i).sum()).isEqualTo(120));
+        assertThat(unitsByIngress.values()).allMatch(units -> units >= 5).satisfies(all -> assertThat(all.stream().mapToInt(i -> i).sum()).isEqualTo(120));
     }
 
     @Test
--- a/src/test/java/yardusher/connectionquota/PartsModelTest.java
+++ b/src/test/java/yardusher/connectionquota/PartsModelTest.java
@@ -10,9 +10,9 @@
 class PartsModelTest {
     @Test
     void noOrderOfEventsExceedsTheLimit() {
-        assertThat(PartsModel.explore(2, 2, 2, 1, Ledger.OmittedRule.NOTHING, false)).satisfies(found -> {
-            assertThat(found.breach()).isNull();
-            assertThat(found.states()).isGreaterThan(10_000);
+        assertThat(PartsModel.explore(2, 2, 2, 1, Ledger.OmittedRule.NOTHING, false)).satisfies(result -> {
+            assertThat(result.breach()).isNull();
+            assertThat(result.states()).isGreaterThan(10_000);
         });
         assertThat(PartsModel.explore(3, 3, 1, 0, Ledger.OmittedRule.NOTHING, false).breach()).isNull();
     }
