--- a/lab/src/yardusher/connectionquota/PartsModel.java
+++ b/lab/src/yardusher/connectionquota/PartsModel.java
@@ -54,7 +54,8 @@
     }
 
     /** Visits all states with at most so many loans by one incarnation and so many crashes; {@code keepTraces} records the steps. */
-    public static Result explore(int ingresses, int limit, int maxLoans, int maxCrashes, Ledger.OmittedRule omittedRule, boolean keepTraces) {
+    public static Result explore(int ingresses, int limit, int maxLoans, int maxCrashes, Ledger.OmittedRule omittedRule,
+            boolean keepTraces) {
         return new PartsModel(ingresses, limit, maxLoans, maxCrashes, omittedRule, keepTraces).run();
     }
 
@@ -71,7 +72,9 @@
         List<String> trace = null;
         if (breach != null) {
             trace = new ArrayList<>(List.of(breach));
-            for (String key = currentKey; keepTraces && predecessors.containsKey(key); key = predecessors.get(key)[0]) { trace.add(0, predecessors.get(key)[1]); }
+            for (String key = currentKey; keepTraces && predecessors.containsKey(key); key = predecessors.get(key)[0]) {
+                trace.add(0, predecessors.get(key)[1]);
+            }
         }
         return new Result(stateCount, trace);
     }
@@ -104,7 +107,9 @@
                     // The ingress may have heard of any incarnation of the peer.
                     for (long incarnation = 1; state.ledgers[j].incarnation >= incarnation; incarnation++) {
                         state = decode(bytes);
-                        if (state.ledgers[i].observeIncarnation(j, incarnation)) { visit(state, currentKey, i + " hears of incarnation " + incarnation + " of " + j); }
+                        if (state.ledgers[i].observeIncarnation(j, incarnation)) {
+                            visit(state, currentKey, i + " hears of incarnation " + incarnation + " of " + j);
+                        }
                     }
                     if (omittedRule == Ledger.OmittedRule.STOPPED_KEEPS) {
                         state = decode(bytes);
@@ -118,7 +123,9 @@
                 if (crashes < maxCrashes) {
                     state.crashed[i] = true;
                     state.storedLoans[i] = new int[ingressCount];
-                    for (int j = 0; j < ingressCount; j++) { state.storedLoans[i][j] = j == i ? 0 : state.ledgers[i].region(REGION).account(j).lent(); }
+                    for (int j = 0; j < ingressCount; j++) {
+                        state.storedLoans[i][j] = j == i ? 0 : state.ledgers[i].region(REGION).account(j).lent();
+                    }
                     // The stored loans are incomplete, so the ingress cannot restart with them.
                     if (state.ledgers[i].unsettledPeers > 0 && !hasTrustedLoans(state.ledgers[i])) { state.storedLoans[i][i] = 1; }
                     crashes++;
@@ -151,7 +158,8 @@
             @Override
             public boolean store(long region, int ingress, int lent) { return true; }
         };
-        state.ledgers[ingress] = newLedger(ingress, state.ledgers[ingress].incarnation + 1, hasTrustedLoans ? loanStore : LoanStore.NONE, hasTrustedLoans);
+        state.ledgers[ingress] = newLedger(ingress, state.ledgers[ingress].incarnation + 1,
+                hasTrustedLoans ? loanStore : LoanStore.NONE, hasTrustedLoans);
         state.crashed[ingress] = false;
         state.storedLoans[ingress] = null;
         state.loans[ingress] = 0;
@@ -163,12 +171,14 @@
     /** Sender, recipient, incarnation, addressed incarnation, settled, granted, recovered, received, returned, legacyBorrowed. */
     private static byte[] encodeMessage(Ledger ledger, int recipient) {
         PeerAccount account = ledger.region(REGION).account(recipient);
-        return new byte[] {(byte) ledger.self, (byte) recipient, (byte) ledger.incarnation, (byte) ledger.peerIncarnations[recipient], (byte) (ledger.settledPeers[recipient] ? 1 : 0), (byte) account.granted, (byte) account.recovered,
+        return new byte[] {(byte) ledger.self, (byte) recipient, (byte) ledger.incarnation, (byte) ledger.peerIncarnations[recipient],
+                (byte) (ledger.settledPeers[recipient] ? 1 : 0), (byte) account.granted, (byte) account.recovered,
                 (byte) account.received, (byte) account.returned, (byte) account.legacyBorrowed};
     }
 
     private QuotaMessage decodeMessage(byte[] message) {
-        return new QuotaMessage(message[0], ingressCount, 1, message[2], message[3], 0, message[4] == 1, true, false, List.of(new QuotaMessage.Row(REGION, message[5], message[6], message[7], message[8], message[9], 0, 0, 0, 0, 0, 0)));
+        return new QuotaMessage(message[0], ingressCount, 1, message[2], message[3], 0, message[4] == 1, true, false,
+                List.of(new QuotaMessage.Row(REGION, message[5], message[6], message[7], message[8], message[9], 0, 0, 0, 0, 0, 0)));
     }
 
     /** Whether the message can change nothing any more, now or later; its sender's incarnation is known without it. */
@@ -178,7 +188,8 @@
         if (message[2] < recipient.peerIncarnations[message[0]] || message[3] < recipient.incarnation) { return true; }
         if (message[2] != recipient.peerIncarnations[message[0]] || message[3] != recipient.incarnation) { return false; }
         PeerAccount account = recipient.region(REGION).account(message[0]);
-        return recipient.settledPeers[message[0]] && message[5] <= account.received && message[6] <= account.ackedReturned && message[7] <= account.ackedGranted && message[8] <= account.recovered && message[9] >= account.maxLegacyLent;
+        return recipient.settledPeers[message[0]] && message[5] <= account.received && message[6] <= account.ackedReturned
+                && message[7] <= account.ackedGranted && message[8] <= account.recovered && message[9] >= account.maxLegacyLent;
     }
 
     private void visit(State state, String predecessor, String step) {
@@ -233,7 +244,10 @@
                 if (j == i) { continue; }
                 PeerAccount account = ledger.region(REGION).account(j);
                 out.write((int) ledger.peerIncarnations[j] | (ledger.settledPeers[j] ? 16 : 0));
-                for (int value : new int[] {account.granted, account.recovered, account.received, account.returned, account.legacyBorrowed, account.maxLegacyLent, account.ackedGranted, account.ackedReturned}) { out.write(value); }
+                for (int value : new int[] {account.granted, account.recovered, account.received, account.returned, account.legacyBorrowed,
+                        account.maxLegacyLent, account.ackedGranted, account.ackedReturned}) {
+                    out.write(value);
+                }
             }
             if (state.crashed[i]) {
                 for (int value : state.storedLoans[i]) { out.write(value); }
@@ -288,8 +302,10 @@
     public static void main(String[] args) {
         Ledger.OmittedRule omittedRule = args.length > 4 ? Ledger.OmittedRule.valueOf(args[4]) : Ledger.OmittedRule.NOTHING;
         long startedAtNs = System.nanoTime();
-        Result result = explore(Integer.parseInt(args[0]), Integer.parseInt(args[1]), Integer.parseInt(args[2]), Integer.parseInt(args[3]), omittedRule, omittedRule != Ledger.OmittedRule.NOTHING);
-        System.out.println(result.states() + " states in " + (System.nanoTime() - startedAtNs) / 100_000_000 / 10.0 + " s" + (result.breach() == null ? ", no breach" : ", breach after " + result.breach().size() + " events"));
+        Result result = explore(Integer.parseInt(args[0]), Integer.parseInt(args[1]), Integer.parseInt(args[2]), Integer.parseInt(args[3]),
+                omittedRule, omittedRule != Ledger.OmittedRule.NOTHING);
+        System.out.println(result.states() + " states in " + (System.nanoTime() - startedAtNs) / 100_000_000 / 10.0 + " s"
+                + (result.breach() == null ? ", no breach" : ", breach after " + result.breach().size() + " events"));
         if (result.breach() != null) { result.breach().forEach(System.out::println); }
     }
 }
--- a/lab/src/yardusher/connectionquota/PartsScripted.java
+++ b/lab/src/yardusher/connectionquota/PartsScripted.java
@@ -32,11 +32,13 @@
     public enum Load { LIGHT, AMPLE, FULL, SCARCE, HALF_HOT, MOVES, RANDOM }
 
     /** Each of {@code regions} regions holds at most {@code limit} connections. */
-    public record Setup(int ingresses, int regions, int limit, Scheme scheme, Faults faults, Load load, double seconds, Ledger.OmittedRule omittedRule) { }
+    public record Setup(int ingresses, int regions, int limit, Scheme scheme, Faults faults, Load load, double seconds,
+            Ledger.OmittedRule omittedRule) { }
 
     /** Result of a seed; times in milliseconds, {@code breach} null if no limit was exceeded. */
-    public record Result(long seed, String breach, long requests, long served, long refused, long rejectedAtRegion, long handshakes, double utilization, double jainIndex,
-            double p50Ms, double p99Ms, List<Double> hotspotMs, long movedUnits, long sentMessages, double sentBytes, int faultCount, int maxUnusableUnits) { }
+    public record Result(long seed, String breach, long requests, long served, long refused, long rejectedAtRegion, long handshakes,
+            double utilization, double jainIndex, double p50Ms, double p99Ms, List<Double> hotspotMs, long movedUnits, long sentMessages,
+            double sentBytes, int faultCount, int maxUnusableUnits) { }
 
     private static final double LIGHT_PER_S = Double.parseDouble(System.getProperty("lab.light", "30"));
     private static final double IDLE_BONUS = Double.parseDouble(System.getProperty("lab.kept", "0"));
@@ -184,7 +186,8 @@
             int recipient = to.getPort() - 10_000;
             int copies = random.nextDouble() < lossRate ? 0 : random.nextDouble() < duplicateRate ? 2 : 1;
             for (int i = 0; i < copies; i++) {
-                double delay = ONE_WAY_LATENCY_MS * (0.5 + random.nextDouble()) + (random.nextDouble() < lateRate ? random.nextDouble() * 2000 : 0);
+                double delay = ONE_WAY_LATENCY_MS * (0.5 + random.nextDouble())
+                        + (random.nextDouble() < lateRate ? random.nextDouble() * 2000 : 0);
                 schedule(now + delay, () -> {
                     Ingress receiver = ingresses[recipient];
                     if (receiver == null || partitions[number] != partitions[recipient]) { return; }
@@ -298,11 +301,15 @@
             event.action.run();
         }
         double[] sorted = overheadsMs.stream().mapToDouble(Double::doubleValue).sorted().toArray();
-        return new Result(seed, breach, requests, served, refused, rejectedAtRegion, handshakes, utilizationSamples == 0 ? 0 : utilizationSum / utilizationSamples,
-                jainSamples == 0 ? 0 : jainSum / jainSamples, percentile(sorted, 0.5), percentile(sorted, 0.99), hotspotMs, movedUnits(), sentMessages, sentBytes, faultCount, maxUnusableUnits);
+        return new Result(seed, breach, requests, served, refused, rejectedAtRegion, handshakes,
+                utilizationSamples == 0 ? 0 : utilizationSum / utilizationSamples, jainSamples == 0 ? 0 : jainSum / jainSamples,
+                percentile(sorted, 0.5), percentile(sorted, 0.99), hotspotMs, movedUnits(), sentMessages,
+                sentBytes, faultCount, maxUnusableUnits);
     }
 
-    static double percentile(double[] sorted, double fraction) { return sorted.length == 0 ? 0 : sorted[(int) Math.min(sorted.length - 1, fraction * sorted.length)]; }
+    static double percentile(double[] sorted, double fraction) {
+        return sorted.length == 0 ? 0 : sorted[(int) Math.min(sorted.length - 1, fraction * sorted.length)];
+    }
 
     private long movedUnits() {
         long moved = 0;
@@ -315,7 +322,10 @@
         Ingress ingress = new Ingress(number, (long) now);
         ingresses[number] = ingress;
         if (setup.scheme == Scheme.NEED) { restrictRegions(ingress, 0); }
-        if (setup.scheme == Scheme.PARTS) { schedule(now + (loanStores[number].endedCleanly ? 0 : CRASH_DETECTION_MS), () -> run(ingress, () -> ingress.startNegotiating(loanStores[number]))); }
+        if (setup.scheme == Scheme.PARTS) {
+            schedule(now + (loanStores[number].endedCleanly ? 0 : CRASH_DETECTION_MS),
+                    () -> run(ingress, () -> ingress.startNegotiating(loanStores[number])));
+        }
     }
 
     /** Restricts an ingress to as many regions as it needs, in an order given by a hash with its number. */
@@ -432,7 +442,9 @@
         for (int i = idle.size() - 1; i >= 0 && connection == null; i--) {
             if (now - idle.get(i).idleSinceMs >= REUSE_DELAY_MS) { connection = idle.remove(i); }
         }
-        boolean mayOpen = setup.scheme == Scheme.PARTS ? connection == null && ingress.negotiator.tryAcquire(regionId(region)) : ingress.open[region] < ingress.attemptLimits[region];
+        boolean mayOpen = setup.scheme == Scheme.PARTS
+                ? connection == null && ingress.negotiator.tryAcquire(regionId(region))
+                : ingress.open[region] < ingress.attemptLimits[region];
         if (connection == null && !mayOpen && !idle.isEmpty()) { connection = idle.remove(0); }
         if (connection == null && !mayOpen) {        // the attempt limit was outdated; else the region would not have been chosen
             ingress.busy[region]--;
@@ -455,7 +467,8 @@
     /** Load by which regions are compared; {@code lab.kept} is subtracted for a region with a reusable idle connection. */
     private double regionLoad(Ingress ingress, int region) {
         List<Connection> idle = ingress.idle.get(region);
-        return ingress.busy[region] - (IDLE_BONUS > 0 && !idle.isEmpty() && now - idle.get(0).idleSinceMs >= REUSE_DELAY_MS ? IDLE_BONUS : 0);
+        return ingress.busy[region] - (IDLE_BONUS > 0 && !idle.isEmpty() && now - idle.get(0).idleSinceMs >= REUSE_DELAY_MS
+                ? IDLE_BONUS : 0);
     }
 
     private void accept(Ingress ingress, Connection connection, double requestedAtMs) {
@@ -489,8 +502,11 @@
 
     private void checkLimit(int index) {
         SimulatedRegion region = regions[index];
-        int allowed = now - region.loweredAtMs < LOWERED_LIMIT_MS || faultCount > 0 ? Math.max(region.limit, region.previousLimit) : region.limit;
-        if (region.open > allowed) { breach = (now - START_MS) + " ms: region " + index + " has " + region.open + " open connections, limit " + allowed; }
+        int allowed = now - region.loweredAtMs < LOWERED_LIMIT_MS || faultCount > 0
+                ? Math.max(region.limit, region.previousLimit) : region.limit;
+        if (region.open > allowed) {
+            breach = (now - START_MS) + " ms: region " + index + " has " + region.open + " open connections, limit " + allowed;
+        }
     }
 
     private void serveRequest(Ingress ingress, Connection connection, double requestedAtMs) {
@@ -518,7 +534,10 @@
             connection.isIdle = true;
             ingress.idle.get(connection.region).add(connection);
             schedule(now + IDLE_TIMEOUT_MS, () -> run(ingress, () -> {
-                if (connection.isIdle && now - connection.idleSinceMs >= IDLE_TIMEOUT_MS - 1 && ingress.idle.get(connection.region).remove(connection)) { close(ingress, connection); }
+                if (connection.isIdle && now - connection.idleSinceMs >= IDLE_TIMEOUT_MS - 1
+                        && ingress.idle.get(connection.region).remove(connection)) {
+                    close(ingress, connection);
+                }
             }));
         }));
     }
@@ -542,7 +561,9 @@
     private void closeAtRegion(Connection connection) {
         if (connection.isClosedByRegion) { return; }
         connection.isClosedByRegion = true;
-        if (connection.isAccepted && connection.regionIncarnation == regions[connection.region].incarnation) { regions[connection.region].open--; }
+        if (connection.isAccepted && connection.regionIncarnation == regions[connection.region].incarnation) {
+            regions[connection.region].open--;
+        }
     }
 
     /** The region closed or refused the connection. */
@@ -601,7 +622,11 @@
             // Assumption of the design: regions notice the death of a process within CRASH_DETECTION_MS.
             if (regions[connection.region].stoppedUntilMs > noticedAtMs) { regions[connection.region].stoppedUntilMs = noticedAtMs; }
             schedule(noticedAtMs, () -> {
-                if (!connection.isAccepted && !connection.isClosedByRegion) { connection.isProcessDead = true; } else { closeAtRegion(connection); }
+                if (!connection.isAccepted && !connection.isClosedByRegion) {
+                    connection.isProcessDead = true;
+                } else {
+                    closeAtRegion(connection);
+                }
             });
         }
         if (deletesLoans) { loanStores[number] = new StoredLoans(); }
@@ -641,7 +666,11 @@
             int number = i;
             schedule(now + random.nextInt(2000), () -> {
                 Ingress ingress = ingresses[number];
-                if (ingress != null) { run(ingress, () -> { if (ingress.negotiator != null) { ingress.negotiator.setLimit(now, regionId(index), region.limit); } }); }
+                if (ingress != null) {
+                    run(ingress, () -> {
+                        if (ingress.negotiator != null) { ingress.negotiator.setLimit(now, regionId(index), region.limit); }
+                    });
+                }
             });
         }
     }
@@ -687,8 +716,9 @@
 
     /** Runs seeds. Arguments: INGRESSES REGIONS LIMIT SCHEME FAULTS LOAD SECONDS FIRST_SEED COUNT [OMITTED_RULE]. */
     public static void main(String[] args) {
-        Setup setup = new Setup(Integer.parseInt(args[0]), Integer.parseInt(args[1]), Integer.parseInt(args[2]), Scheme.valueOf(args[3]), Faults.valueOf(args[4]),
-                Load.valueOf(args[5]), Double.parseDouble(args[6]), args.length > 9 ? Ledger.OmittedRule.valueOf(args[9]) : Ledger.OmittedRule.NOTHING);
+        Setup setup = new Setup(Integer.parseInt(args[0]), Integer.parseInt(args[1]), Integer.parseInt(args[2]), Scheme.valueOf(args[3]),
+                Faults.valueOf(args[4]), Load.valueOf(args[5]), Double.parseDouble(args[6]),
+                args.length > 9 ? Ledger.OmittedRule.valueOf(args[9]) : Ledger.OmittedRule.NOTHING);
         long firstSeed = Long.parseLong(args[7]);
         int count = Integer.parseInt(args[8]);
         int breaches = 0;
@@ -701,14 +731,20 @@
                 breaches++;
                 if (breaches <= 5) { System.out.println("seed " + seed + " breach: " + result.breach); }
             }
-            double[] values = {result.requests, result.served, result.refused, result.rejectedAtRegion, result.handshakes, result.utilization, result.jainIndex, result.p50Ms, result.p99Ms, result.movedUnits, result.sentMessages, result.faultCount};
+            double[] values = {result.requests, result.served, result.refused, result.rejectedAtRegion, result.handshakes,
+                    result.utilization, result.jainIndex, result.p50Ms, result.p99Ms, result.movedUnits, result.sentMessages,
+                    result.faultCount};
             for (int i = 0; i < values.length; i++) { sums[i] += values[i]; }
             hotspotMs.addAll(result.hotspotMs);
         }
         double[] sortedHotspotMs = hotspotMs.stream().mapToDouble(Double::doubleValue).sorted().toArray();
-        System.out.printf(java.util.Locale.ROOT, "%s %s %s n=%d regions=%d number=%d seeds=%d breaches=%d asked=%.0f served=%.3f refused=%.3f too_many=%.4f handshakes=%.4f use=%.3f jain=%.3f"
-                + " p50+=%.2f p99+=%.2f hot=%d hot_p50=%.0f hot_p99=%.0f moved/s=%.1f told/s=%.1f faults=%.0f in %.1f s%n", setup.scheme, setup.load, setup.faults, setup.ingresses,
-                setup.regions, setup.limit, count, breaches, sums[0], sums[1] / sums[0], sums[2] / sums[0], sums[3] / sums[0], sums[4] / Math.max(1, sums[1]), sums[5] / count, sums[6] / count, sums[7] / count,
-                sums[8] / count, sortedHotspotMs.length, percentile(sortedHotspotMs, 0.5), percentile(sortedHotspotMs, 0.99), sums[9] / count / setup.seconds / setup.ingresses, sums[10] / count / setup.seconds / setup.ingresses, sums[11], (System.nanoTime() - startedAtNs) / 1e9);
+        System.out.printf(java.util.Locale.ROOT,
+                "%s %s %s n=%d regions=%d number=%d seeds=%d breaches=%d asked=%.0f served=%.3f refused=%.3f too_many=%.4f handshakes=%.4f use=%.3f jain=%.3f"
+                + " p50+=%.2f p99+=%.2f hot=%d hot_p50=%.0f hot_p99=%.0f moved/s=%.1f told/s=%.1f faults=%.0f in %.1f s%n", setup.scheme,
+                setup.load, setup.faults, setup.ingresses, setup.regions, setup.limit, count, breaches, sums[0], sums[1] / sums[0],
+                sums[2] / sums[0], sums[3] / sums[0], sums[4] / Math.max(1, sums[1]), sums[5] / count, sums[6] / count, sums[7] / count,
+                sums[8] / count, sortedHotspotMs.length, percentile(sortedHotspotMs, 0.5), percentile(sortedHotspotMs, 0.99),
+                sums[9] / count / setup.seconds / setup.ingresses, sums[10] / count / setup.seconds / setup.ingresses, sums[11],
+                (System.nanoTime() - startedAtNs) / 1e9);
     }
 }
--- a/lab/src/yardusher/lab/parts/PartsBench.java
+++ b/lab/src/yardusher/lab/parts/PartsBench.java
@@ -23,7 +23,8 @@
 
     private enum Scheme { TODAY, FIXED, PARTS }
 
-    private record Measurements(long sent, long served, long refused, long otherEnds, long handshakes, long rejected, double utilization, double jainIndex, double p50Ms, double p99Ms) { }
+    private record Measurements(long sent, long served, long refused, long otherEnds, long handshakes, long rejected, double utilization,
+            double jainIndex, double p50Ms, double p99Ms) { }
 
     private PartsBench() { }
 
@@ -44,7 +45,8 @@
     private static void run(Path folder, Scheme scheme, int processes, int limit, int seconds) throws Exception {
         try (Group group = new Group(folder, processes, 7)) {
             for (int i = 0; i < PartsRun.REGIONS; i++) {
-                group.region("0000000" + i, "hall-" + "abc".charAt(i)).takes(SERVICE_MS - 10, SERVICE_MS + 10).cap(limit, Region.Over.CLOSE);
+                group.region("0000000" + i, "hall-" + "abc".charAt(i)).takes(SERVICE_MS - 10, SERVICE_MS + 10)
+                        .cap(limit, Region.Over.CLOSE);
             }
             if (scheme != Scheme.TODAY) {
                 group.settings(i -> {
@@ -64,24 +66,32 @@
                 lastHotspot = measureHotspot(group, scheme, limit, requestsPerS, totalLimit, round % processes, hotspotMs);
             }
             hotspotMs.sort(null);
-            print(scheme, processes, limit, "the last of 5 rounds with 85% at one ingress, which had its part after " + hotspotMs + " ms", lastHotspot);
-            System.out.println("refused by reason so far: " + new TreeMap<>(PartsRun.counters(group, List.of("refused_quota", "refused_ceiling", "refused_pressure", "refused_no_server", "refused_attempts",
-                    "refused_late", "attempts_connect_failed", "attempts_connection_lost", "attempts_not_sent", "attempts_timed_out", "attempts_cancelled"))));
+            print(scheme, processes, limit, "the last of 5 rounds with 85% at one ingress, which had its part after " + hotspotMs + " ms",
+                    lastHotspot);
+            System.out.println("refused by reason so far: " + new TreeMap<>(PartsRun.counters(group,
+                    List.of("refused_quota", "refused_ceiling", "refused_pressure", "refused_no_server", "refused_attempts",
+                            "refused_late", "attempts_connect_failed", "attempts_connection_lost", "attempts_not_sent",
+                            "attempts_timed_out", "attempts_cancelled"))));
             double cpuBeforeMs = cpuMs(group);
             Thread.sleep(6000);
-            System.out.printf("%s n=%d number=%d without load: %.2f%% of a core each; counters %s%n", scheme, processes, limit, (cpuMs(group) - cpuBeforeMs) / 6000 / processes * 100,
-                    scheme == Scheme.PARTS ? new TreeMap<>(PartsRun.counters(group, List.of("parts_told", "parts_moved", "parts_leak", "mesh_sent", "parts_bad", "parts_far"))) : "-");
+            System.out.printf("%s n=%d number=%d without load: %.2f%% of a core each; counters %s%n", scheme, processes, limit,
+                    (cpuMs(group) - cpuBeforeMs) / 6000 / processes * 100,
+                    scheme == Scheme.PARTS ? new TreeMap<>(PartsRun.counters(group,
+                            List.of("parts_told", "parts_moved", "parts_leak", "mesh_sent", "parts_bad", "parts_far"))) : "-");
         }
     }
 
-    private static Measurements measureHotspot(Group group, Scheme scheme, int limit, double requestsPerS, int totalLimit, int hot, List<Double> reachedAfterMs) throws Exception {
+    private static Measurements measureHotspot(Group group, Scheme scheme, int limit, double requestsPerS, int totalLimit, int hot,
+            List<Double> reachedAfterMs) throws Exception {
         double startedAtMs = Chronicle.now();
         Thread watcher = new Thread(() -> {
             double wanted = 0.9 * Math.min(0.85 * totalLimit, totalLimit - group.size() + 1);
             while (Chronicle.now() - startedAtMs < 3000) {
                 String report = PartsRun.call(group, hot, "parts", 500);
                 int allowance = 0;
-                for (String cell : report == null ? new String[0] : report.split("[\t\n]")) { allowance += cell.startsWith("may=") ? Integer.parseInt(cell.substring(4)) : 0; }
+                for (String cell : report == null ? new String[0] : report.split("[\t\n]")) {
+                    allowance += cell.startsWith("may=") ? Integer.parseInt(cell.substring(4)) : 0;
+                }
                 if (allowance >= wanted) {
                     reachedAfterMs.add((double) Math.round(Chronicle.now() - startedAtMs));
                     return;
@@ -143,12 +153,19 @@
             if (attempt.sentMs() < fromMs || attempt.sentMs() > untilMs) { continue; }
             sent++;
             servedBy.merge(attempt.ingress(), attempt.end() == Terminals.End.SERVED ? 1L : 0L, Long::sum);
-            if (attempt.end() == Terminals.End.SERVED) { latenciesMs.add(attempt.answeredMs() - attempt.sentMs()); } else if (attempt.end() == Terminals.End.REFUSED) { refused++; } else { otherEnds++; }
+            if (attempt.end() == Terminals.End.SERVED) {
+                latenciesMs.add(attempt.answeredMs() - attempt.sentMs());
+            } else if (attempt.end() == Terminals.End.REFUSED) {
+                refused++;
+            } else {
+                otherEnds++;
+            }
         }
         latenciesMs.sort(null);
         double sum = servedBy.values().stream().mapToDouble(Long::doubleValue).sum();
         double squares = servedBy.values().stream().mapToDouble(served -> (double) served * served).sum();
-        return new Measurements(sent, latenciesMs.size(), refused, otherEnds, opened + rejected, rejected, busyMs / (untilMs - fromMs) / limit / PartsRun.REGIONS, squares == 0 ? 0 : sum * sum / squares / servedBy.size(),
+        return new Measurements(sent, latenciesMs.size(), refused, otherEnds, opened + rejected, rejected,
+                busyMs / (untilMs - fromMs) / limit / PartsRun.REGIONS, squares == 0 ? 0 : sum * sum / squares / servedBy.size(),
                 percentile(latenciesMs, 0.5), percentile(latenciesMs, 0.99));
     }
 
@@ -164,7 +181,8 @@
                     Random random = new Random(terminal);
                     double nextAtMs = Chronicle.now();
                     for (long number = 0; !isClosed; number++) {
-                        nextAtMs = Math.max(nextAtMs - Math.log(1 - random.nextDouble()) * terminals / perSecond * 1000, Chronicle.now() - 500);
+                        nextAtMs = Math.max(nextAtMs - Math.log(1 - random.nextDouble()) * terminals / perSecond * 1000,
+                                Chronicle.now() - 500);
                         double waitMs = nextAtMs - Chronicle.now();
                         try {
                             if (waitMs > 0) { Thread.sleep((long) waitMs, (int) (waitMs % 1 * 999_999)); }
@@ -188,11 +206,17 @@
         }
     }
 
-    private static double percentile(List<Double> sorted, double fraction) { return sorted.isEmpty() ? 0 : sorted.get((int) Math.min(sorted.size() - 1, fraction * sorted.size())); }
+    private static double percentile(List<Double> sorted, double fraction) {
+        return sorted.isEmpty() ? 0 : sorted.get((int) Math.min(sorted.size() - 1, fraction * sorted.size()));
+    }
 
     private static void print(Scheme scheme, int processes, int limit, String what, Measurements measurements) {
-        System.out.printf("%s n=%d number=%d %s: sent %d, served %.3f, refused %.3f, other %d, handshakes per served request %.4f, rejected %d, use %.3f, jain %.3f, p50 %.1f, p99 %.1f ms%n", scheme,
-                processes, limit, what, measurements.sent, measurements.served / (double) Math.max(1, measurements.sent), measurements.refused / (double) Math.max(1, measurements.sent), measurements.otherEnds, measurements.handshakes / (double) Math.max(1, measurements.served), measurements.rejected, measurements.utilization, measurements.jainIndex, measurements.p50Ms, measurements.p99Ms);
+        System.out.printf(
+                "%s n=%d number=%d %s: sent %d, served %.3f, refused %.3f, other %d, handshakes per served request %.4f, rejected %d, use %.3f, jain %.3f, p50 %.1f, p99 %.1f ms%n",
+                scheme, processes, limit, what, measurements.sent, measurements.served / (double) Math.max(1, measurements.sent),
+                measurements.refused / (double) Math.max(1, measurements.sent), measurements.otherEnds,
+                measurements.handshakes / (double) Math.max(1, measurements.served), measurements.rejected, measurements.utilization,
+                measurements.jainIndex, measurements.p50Ms, measurements.p99Ms);
     }
 
     /** CPU time of all processes so far, in ms. */
--- a/lab/src/yardusher/lab/parts/PartsCases.java
+++ b/lab/src/yardusher/lab/parts/PartsCases.java
@@ -29,13 +29,16 @@
         StringBuilder note = new StringBuilder();
         Path folder = Path.of(args[0]).resolve(args[1].toLowerCase(java.util.Locale.ROOT));
         if (Files.exists(folder)) { Seeds.delete(folder); }
-        List<String> found = play(Files.createDirectories(folder), Case.valueOf(args[1]), Integer.parseInt(args[2]), Integer.parseInt(args[3]), Long.parseLong(args[4]), note);
-        System.out.println(args[1] + " n=" + args[2] + " number=" + args[3] + ": " + note + (found.isEmpty() ? ", no breach" : ", BREACH " + found));
+        List<String> found = play(Files.createDirectories(folder), Case.valueOf(args[1]), Integer.parseInt(args[2]),
+                Integer.parseInt(args[3]), Long.parseLong(args[4]), note);
+        System.out.println(args[1] + " n=" + args[2] + " number=" + args[3] + ": " + note
+                + (found.isEmpty() ? ", no breach" : ", BREACH " + found));
         System.exit(found.isEmpty() ? 0 : 1);
     }
 
     /** Runs a case whose disturbance lasts so long; returns the breaches. */
-    public static List<String> play(Path folder, Case scenario, int processes, int limit, long durationMs, StringBuilder note) throws Exception {
+    public static List<String> play(Path folder, Case scenario, int processes, int limit, long durationMs,
+            StringBuilder note) throws Exception {
         List<String> found = new ArrayList<>();
         try (Group group = new Group(folder, processes, 11)) {
             Region region = group.region(REGION, "hall-a").takes(15, 25);
@@ -45,16 +48,20 @@
             awaitSettled(group);
             switch (scenario) {
                 case STOPPED -> {
-                    try (TerminalLoad hot = new TerminalLoad(group, 2 * limit, 30, 0)) { await(() -> allowance(group, 0) >= limit - processes, 8000); }
+                    try (TerminalLoad hot = new TerminalLoad(group, 2 * limit, 30, 0)) {
+                        await(() -> allowance(group, 0) >= limit - processes, 8000);
+                    }
                     int keptUnits = allowance(group, 0);
                     group.pause(0);
                     try (TerminalLoad others = new TerminalLoad(group, 2 * limit, 30, 1)) {
                         Thread.sleep(durationMs);
-                        note.append("stopped with ").append(keptUnits).append(" of ").append(limit).append(", the other had ").append(allowance(group, 1)).append(" after ").append(durationMs).append(" ms, ");
+                        note.append("stopped with ").append(keptUnits).append(" of ").append(limit).append(", the other had ")
+                                .append(allowance(group, 1)).append(" after ").append(durationMs).append(" ms, ");
                         group.resume(0);
                         double startedAtMs = Chronicle.now();
                         await(() -> allowance(group, 1) >= limit - processes, 8000);
-                        note.append(allowance(group, 1)).append(" ").append(Math.round(Chronicle.now() - startedAtMs)).append(" ms after it woke");
+                        note.append(allowance(group, 1)).append(" ").append(Math.round(Chronicle.now() - startedAtMs))
+                                .append(" ms after it woke");
                     }
                 }
                 case LOWERED -> {
@@ -67,10 +74,13 @@
                         }
                         Thread.sleep(LOWERED_LIMIT_MS);
                         double loweredByMs = Chronicle.now();
-                        double lastAboveAtMs = group.regionHistory().stream().filter(one -> one.open() > limit / 2).mapToDouble(Region.Event::atMs).max().orElse(startedAtMs);
-                        note.append("from ").append(limit).append(" to ").append(limit / 2).append(" in ").append(Math.round(lastAboveAtMs - startedAtMs)).append(" ms under load");
+                        double lastAboveAtMs = group.regionHistory().stream().filter(one -> one.open() > limit / 2)
+                                .mapToDouble(Region.Event::atMs).max().orElse(startedAtMs);
+                        note.append("from ").append(limit).append(" to ").append(limit / 2).append(" in ")
+                                .append(Math.round(lastAboveAtMs - startedAtMs)).append(" ms under load");
                         Thread.sleep(durationMs);
-                        group.regionHistory().stream().filter(one -> one.what().equals("open") && one.atMs() > loweredByMs && one.open() > limit / 2).limit(3)
+                        group.regionHistory().stream()
+                                .filter(one -> one.what().equals("open") && one.atMs() > loweredByMs && one.open() > limit / 2).limit(3)
                                 .forEach(one -> found.add("above the lowered limit: " + one));
                     }
                 }
@@ -82,8 +92,10 @@
                         group.restart(region);
                         double coldFromMs = Chronicle.now() + 3000; // by then the ingresses have the new backend list
                         Thread.sleep(3000 + durationMs);
-                        note.append("most open while cold ").append(group.regionHistory().stream().filter(one -> one.atMs() > coldFromMs).mapToInt(Region.Event::open).max().orElse(0));
-                        group.regionHistory().stream().filter(one -> one.what().equals("open") && one.atMs() > coldFromMs && one.open() > limit / 2).limit(3)
+                        note.append("most open while cold ").append(group.regionHistory().stream().filter(one -> one.atMs() > coldFromMs)
+                                .mapToInt(Region.Event::open).max().orElse(0));
+                        group.regionHistory().stream()
+                                .filter(one -> one.what().equals("open") && one.atMs() > coldFromMs && one.open() > limit / 2).limit(3)
                                 .forEach(one -> found.add("above the cold limit: " + one));
                     }
                 }
@@ -105,13 +117,15 @@
                 case UPGRADE -> upgrade(group, limit, durationMs, note, found);
                 case CUT -> {
                     setPartitioned(group, true);
-                    try (TerminalLoad left = new TerminalLoad(group, limit, 30, 0); TerminalLoad right = new TerminalLoad(group, limit, 30, processes - 1)) {
+                    try (TerminalLoad left = new TerminalLoad(group, limit, 30, 0);
+                            TerminalLoad right = new TerminalLoad(group, limit, 30, processes - 1)) {
                         Thread.sleep(durationMs);
                         note.append("cut: ").append(allowance(group, 0)).append(" and ").append(allowance(group, processes - 1));
                         setPartitioned(group, false);
                         double startedAtMs = Chronicle.now();
                         await(() -> allowance(group, 0) + allowance(group, processes - 1) >= limit - processes, 8000);
-                        note.append(", healed: ").append(allowance(group, 0)).append(" and ").append(allowance(group, processes - 1)).append(" after ").append(Math.round(Chronicle.now() - startedAtMs)).append(" ms");
+                        note.append(", healed: ").append(allowance(group, 0)).append(" and ").append(allowance(group, processes - 1))
+                                .append(" after ").append(Math.round(Chronicle.now() - startedAtMs)).append(" ms");
                     }
                 }
                 case MANY -> {
@@ -164,8 +178,10 @@
         if (System.getenv("TMPDIR") == null) { throw new IllegalStateException("no TMPDIR in the environment"); }
         Path log = group.folder().resolve("next.log");
         List<String> command = Programs.command(24);
-        command.addAll(List.of("serve", group.config(0).toString(), "--limits", "none", "--settings", group.folder().resolve("n0.toml").toString()));
-        ProcessBuilder builder = new ProcessBuilder(command).redirectInput(new java.io.File("/dev/null")).redirectErrorStream(true).redirectOutput(log.toFile());
+        command.addAll(List.of("serve", group.config(0).toString(), "--limits", "none", "--settings",
+                group.folder().resolve("n0.toml").toString()));
+        ProcessBuilder builder = new ProcessBuilder(command).redirectInput(new java.io.File("/dev/null")).redirectErrorStream(true)
+                .redirectOutput(log.toFile());
         java.net.InetSocketAddress admin = Programs.free(Programs.place(Programs.nextGroup(), 1));
         builder.environment().put("RELAY_ADMIN_ADDR", Programs.text(admin));
         Process next = null;
@@ -193,9 +209,12 @@
 
     /** Counts the served and the lost requests among those sent to the first ingress in a period. */
     private static String describeServed(Group group, double fromMs, double untilMs) {
-        List<Terminals.Try> attempts = group.terminalHistory().stream().filter(one -> one.ingress() == 0 && one.sentMs() > fromMs && one.sentMs() < untilMs).toList();
-        return attempts.stream().filter(one -> one.end() == Terminals.End.SERVED).count() + " served and " + attempts.stream().filter(one -> one.end() == Terminals.End.LOST
-                || one.end() == Terminals.End.SILENT || one.end() == Terminals.End.UNSENT).count() + " lost of " + attempts.size() + " at n0";
+        List<Terminals.Try> attempts = group.terminalHistory().stream()
+                .filter(one -> one.ingress() == 0 && one.sentMs() > fromMs && one.sentMs() < untilMs).toList();
+        return attempts.stream().filter(one -> one.end() == Terminals.End.SERVED).count() + " served and "
+                + attempts.stream().filter(one -> one.end() == Terminals.End.LOST
+                        || one.end() == Terminals.End.SILENT || one.end() == Terminals.End.UNSENT).count()
+                + " lost of " + attempts.size() + " at n0";
     }
 
     private static void setPartitioned(Group group, boolean isCut) {
@@ -219,7 +238,9 @@
     static int allowance(Group group, int i) {
         String report = PartsRun.call(group, i, "parts", 1000);
         int allowance = 0;
-        for (String cell : report == null ? new String[0] : report.split("[\t\n]")) { allowance += cell.startsWith("may=") ? Integer.parseInt(cell.substring(4)) : 0; }
+        for (String cell : report == null ? new String[0] : report.split("[\t\n]")) {
+            allowance += cell.startsWith("may=") ? Integer.parseInt(cell.substring(4)) : 0;
+        }
         return allowance;
     }
 
@@ -248,9 +269,11 @@
                     Random random = new Random(terminal);
                     for (long number = 0; !isClosed; number++) {
                         int to = target >= 0 ? target : random.nextInt(group.size());
-                        Terminals.Try attempt = group.terminals().send(to, group.terminals().get(1000 + terminal * 200L + number % 200, 1000, to, 1));
+                        Terminals.Try attempt = group.terminals().send(to,
+                                group.terminals().get(1000 + terminal * 200L + number % 200, 1000, to, 1));
                         try {
-                            Thread.sleep(attempt.end() == Terminals.End.SERVED ? random.nextInt(pauseMs) : pauseMs + random.nextInt(pauseMs));
+                            Thread.sleep(attempt.end() == Terminals.End.SERVED
+                                    ? random.nextInt(pauseMs) : pauseMs + random.nextInt(pauseMs));
                         } catch (InterruptedException e) {
                             return;
                         }
--- a/lab/src/yardusher/lab/parts/PartsRun.java
+++ b/lab/src/yardusher/lab/parts/PartsRun.java
@@ -46,8 +46,11 @@
     /** Settings of one process: the view goes through the relay, and the claim files are in one folder of the group. */
     static String settings(Group group, int i, int limit, String extra) {
         StringBuilder seeds = new StringBuilder();
-        for (int j = 0; j < Math.min(3, group.size()); j++) { seeds.append(j == 0 ? "" : ", ").append('"').append(Programs.text(group.relayed(j, "mesh"))).append('"'); }
-        return "[view]\nlisten = \"" + Programs.text(group.port(i, "mesh")) + "\"\nadvertise = \"" + Programs.text(group.relayed(i, "mesh")) + "\"\ninstallation = \"lab\"\nseeds = ["
+        for (int j = 0; j < Math.min(3, group.size()); j++) {
+            seeds.append(j == 0 ? "" : ", ").append('"').append(Programs.text(group.relayed(j, "mesh"))).append('"');
+        }
+        return "[view]\nlisten = \"" + Programs.text(group.port(i, "mesh")) + "\"\nadvertise = \""
+                + Programs.text(group.relayed(i, "mesh")) + "\"\ninstallation = \"lab\"\nseeds = ["
                 + seeds + "]\n[parts]\nconnections = " + limit + "\nfolder = '" + group.folder().resolve("claims") + "'\n" + extra;
     }
 
@@ -68,11 +71,12 @@
                 return settings(group, i, limit, "");
             });
             group.start();
-            Faults faults = new Faults(group, seed, EnumSet.of(Faults.Kind.KILL, Faults.Kind.TERM, Faults.Kind.PAUSE, Faults.Kind.STARVE, Faults.Kind.REGION,
-                    Faults.Kind.CUT_ONE_WAY, Faults.Kind.CUT_ONE, Faults.Kind.SPLIT, Faults.Kind.LOSS, Faults.Kind.MESS), 4 + processes / 2, ms, ms / 20, ms / 3);
+            Faults faults = new Faults(group, seed, EnumSet.of(Faults.Kind.KILL, Faults.Kind.TERM, Faults.Kind.PAUSE, Faults.Kind.STARVE,
+                    Faults.Kind.REGION, Faults.Kind.CUT_ONE_WAY, Faults.Kind.CUT_ONE, Faults.Kind.SPLIT, Faults.Kind.LOSS,
+                    Faults.Kind.MESS), 4 + processes / 2, ms, ms / 20, ms / 3);
             int hot = (int) (seed % processes);
-            try (Terminals.Load load = group.terminals().load(24, 600, 1, (terminal, at) -> group.terminals().get(1000 + terminal * 50L + at % 50, 800,
-                    at % 3 != 0 ? hot : (int) (at % processes), 1))) {
+            try (Terminals.Load load = group.terminals().load(24, 600, 1, (terminal, number) -> group.terminals().get(
+                    1000 + terminal * 50L + number % 50, 800, number % 3 != 0 ? hot : (int) (number % processes), 1))) {
                 faults.play();
             }
             return check(group, limit, note.append(faults.schedule().size()).append(" faults, "));
@@ -84,8 +88,11 @@
         List<String> found = new ArrayList<>(Checks.connections(group.regionHistory()));
         Map<String, Integer> maxOpen = new TreeMap<>();
         for (Region.Event event : group.regionHistory()) { maxOpen.merge(event.region(), event.open(), Math::max); }
-        for (Region region : group.regions()) { found.addAll(Checks.atMost(group.regionHistory(), region.name(), limit).stream().limit(3).toList()); }
-        Map<Terminals.End, Long> ends = group.terminalHistory().stream().collect(Collectors.groupingBy(Terminals.Try::end, TreeMap::new, Collectors.counting()));
+        for (Region region : group.regions()) {
+            found.addAll(Checks.atMost(group.regionHistory(), region.name(), limit).stream().limit(3).toList());
+        }
+        Map<Terminals.End, Long> ends = group.terminalHistory().stream()
+                .collect(Collectors.groupingBy(Terminals.Try::end, TreeMap::new, Collectors.counting()));
         note.append(ends).append(", most open ").append(maxOpen.values()).append(" of ").append(limit);
         note.append(", all served again after ").append(Math.round(awaitRecovery(group, found))).append(" ms");
         return found;
@@ -96,7 +103,8 @@
         double startedAtMs = Chronicle.now();
         for (int i = 0; i < group.size(); i++) {
             for (boolean isServed = false; !isServed;) {
-                isServed = group.terminals().send(i, group.terminals().get(77_000 + (long) Chronicle.now() % 1000, 500, i, 1)).end() == Terminals.End.SERVED;
+                isServed = group.terminals().send(i, group.terminals().get(77_000 + (long) Chronicle.now() % 1000, 500, i, 1))
+                        .end() == Terminals.End.SERVED;
                 if (Chronicle.now() - startedAtMs > RECOVERY_TIMEOUT_MS) {
                     found.add("n" + i + " serves nothing " + RECOVERY_TIMEOUT_MS + " ms after the faults");
                     return Chronicle.now() - startedAtMs;
--- a/src/main/java/yardusher/connectionquota/ClaimFile.java
+++ b/src/main/java/yardusher/connectionquota/ClaimFile.java
@@ -25,7 +25,8 @@
     private static final int MAX_REGIONS = 1024;
     private static final int HEADER_BYTES = 64;
     /** Offsets of the fields in the header; the magic number is at 0. */
-    private static final int VERSION_OFFSET = 8, INGRESS_COUNT_OFFSET = 12, INCARNATION_OFFSET = 16, BOOT_ID_OFFSET = 24, TRUSTED_OFFSET = 32, CLEAN_OFFSET = 36;
+    private static final int VERSION_OFFSET = 8, INGRESS_COUNT_OFFSET = 12, INCARNATION_OFFSET = 16, BOOT_ID_OFFSET = 24,
+            TRUSTED_OFFSET = 32, CLEAN_OFFSET = 36;
 
     private final Path file;
     private final int ingressCount;
@@ -47,7 +48,8 @@
     static ClaimFile open(Path folder, String name, int ingressCount) throws IOException {
         Files.createDirectories(folder);
         ClaimFile claim = new ClaimFile(folder.resolve("yardusher-" + name.replaceAll("[^A-Za-z0-9._-]", "_") + ".parts"), ingressCount);
-        claim.channel = FileChannel.open(claim.file, java.util.Set.of(StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE),
+        claim.channel = FileChannel.open(claim.file,
+                java.util.Set.of(StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE),
                 PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------")));
         return claim;
     }
@@ -66,9 +68,11 @@
         boolean isEmpty = channel.size() == 0;
         buffer = channel.map(FileChannel.MapMode.READ_WRITE, 0, HEADER_BYTES + (long) MAX_REGIONS * rowBytes());
         long bootId = bootId();
-        boolean isKnownFormat = buffer.getLong(0) == MAGIC && buffer.getInt(VERSION_OFFSET) == VERSION && buffer.getInt(INGRESS_COUNT_OFFSET) == ingressCount;
+        boolean isKnownFormat = buffer.getLong(0) == MAGIC && buffer.getInt(VERSION_OFFSET) == VERSION
+                && buffer.getInt(INGRESS_COUNT_OFFSET) == ingressCount;
         wasCleanShutdown = isKnownFormat && buffer.getInt(CLEAN_OFFSET) == 1;
-        hasTrustedLoans = isEmpty && emptyMeansFirstStart || isKnownFormat && buffer.getInt(TRUSTED_OFFSET) == 1 && (wasCleanShutdown || buffer.getLong(BOOT_ID_OFFSET) == bootId && bootId != 0);
+        hasTrustedLoans = isEmpty && emptyMeansFirstStart || isKnownFormat && buffer.getInt(TRUSTED_OFFSET) == 1
+                && (wasCleanShutdown || buffer.getLong(BOOT_ID_OFFSET) == bootId && bootId != 0);
         incarnation = Math.max((long) nowMs, isKnownFormat ? buffer.getLong(INCARNATION_OFFSET) + 1 : 1);
         if (isEmpty && emptyMeansFirstStart) { wasCleanShutdown = true; }
         buffer.putInt(CLEAN_OFFSET, 0);
@@ -119,7 +123,8 @@
         }
         if (successorLock == null) { return false; }
         buffer = channel.map(FileChannel.MapMode.READ_WRITE, 0, HEADER_BYTES + (long) MAX_REGIONS * rowBytes());
-        boolean isKnownFormat = buffer.getLong(0) == MAGIC && buffer.getInt(VERSION_OFFSET) == VERSION && buffer.getInt(INGRESS_COUNT_OFFSET) == ingressCount;
+        boolean isKnownFormat = buffer.getLong(0) == MAGIC && buffer.getInt(VERSION_OFFSET) == VERSION
+                && buffer.getInt(INGRESS_COUNT_OFFSET) == ingressCount;
         if (!isKnownFormat) {
             successorLock.release();
             successorLock = null;
@@ -231,7 +236,9 @@
         }
         for (Map.Entry<Long, Integer> entry : rowByRegion.entrySet()) {
             boolean isEmpty = true;
-            for (int i = 0; i < ingressCount + 1 && isEmpty; i++) { isEmpty = buffer.getShort(rowOffset(entry.getValue()) + 8 + 2 * i) == 0; }
+            for (int i = 0; i < ingressCount + 1 && isEmpty; i++) {
+                isEmpty = buffer.getShort(rowOffset(entry.getValue()) + 8 + 2 * i) == 0;
+            }
             if (isEmpty) {
                 rowByRegion.remove(entry.getKey());
                 return entry.getValue();
--- a/src/main/java/yardusher/connectionquota/ConnectionQuotaSettings.java
+++ b/src/main/java/yardusher/connectionquota/ConnectionQuotaSettings.java
@@ -21,13 +21,14 @@
  * @param folder folder of the claim file; null for TMPDIR of the environment
  * @param absentMeansFirstStart a missing claim file means that this ingress has never run
  */
-public record ConnectionQuotaSettings(int connections, List<RegionOverride> overrides, int minUnits, int weight, int maxMovesPerS, int crashDetectionMs, int coldPercent,
-        int ingressCount, String folder, boolean absentMeansFirstStart) {
+public record ConnectionQuotaSettings(int connections, List<RegionOverride> overrides, int minUnits, int weight, int maxMovesPerS,
+        int crashDetectionMs, int coldPercent, int ingressCount, String folder, boolean absentMeansFirstStart) {
     /** Limit of one region, by id, or of all regions of a zone; the other one is null. */
     public record RegionOverride(String id, String zone, int connections) { }
 
     private static final int MAX_CONNECTIONS = 30_000; // of one region: the claim file stores it in two bytes
-    private static final Set<String> KEYS = Set.of("connections", "region", "least", "weight", "moves_per_s", "ended_ms", "cold_percent", "ingresses", "folder", "absent");
+    private static final Set<String> KEYS = Set.of("connections", "region", "least", "weight", "moves_per_s", "ended_ms", "cold_percent",
+            "ingresses", "folder", "absent");
 
     /** Reads the table, null if it is missing. Throws a {@link ConfigError} that names the key and what is allowed. */
     public static ConnectionQuotaSettings of(Toml file) {
@@ -39,13 +40,18 @@
             entry.only(Set.of("id", "zone", "connections"));
             String id = entry.text("id", null);
             String zone = entry.text("zone", null);
-            if ((id == null) == (zone == null)) { throw new ConfigError.Missing(null, "parts.region", "either an id or a zone in parts.region"); }
+            if ((id == null) == (zone == null)) {
+                throw new ConfigError.Missing(null, "parts.region", "either an id or a zone in parts.region");
+            }
             int connections = entry.whole("connections", -1, 1, MAX_CONNECTIONS);
-            if (connections < 0) { throw new ConfigError.Missing(null, "parts.region.connections", "a whole number in parts.region.connections"); }
+            if (connections < 0) {
+                throw new ConfigError.Missing(null, "parts.region.connections", "a whole number in parts.region.connections");
+            }
             overrides.add(new RegionOverride(id, zone, connections));
         }
-        return new ConnectionQuotaSettings(table.whole("connections", 64, 1, MAX_CONNECTIONS), List.copyOf(overrides), table.whole("least", 1, 0, 100),
-                table.whole("weight", 1, 1, 100), table.whole("moves_per_s", 200, 1, 10_000), table.whole("ended_ms", 1000, 0, 600_000),
+        return new ConnectionQuotaSettings(table.whole("connections", 64, 1, MAX_CONNECTIONS), List.copyOf(overrides),
+                table.whole("least", 1, 0, 100), table.whole("weight", 1, 1, 100),
+                table.whole("moves_per_s", 200, 1, 10_000), table.whole("ended_ms", 1000, 0, 600_000),
                 table.whole("cold_percent", 100, 1, 100), table.whole("ingresses", 0, 0, 1000), table.text("folder", null),
                 table.choice("absent", "ask", "ask", "begin").equals("begin"));
     }
@@ -58,7 +64,8 @@
             if (override.id != null && DiscoveredBackends.id(override.id) == region.id()) {
                 limit = override.connections;
                 foundById = true;
-            } else if (!foundById && override.zone != null && region.zone() >= 0 && region.zone() < zones.size() && override.zone.equals(zones.get(region.zone()))) {
+            } else if (!foundById && override.zone != null && region.zone() >= 0 && region.zone() < zones.size()
+                    && override.zone.equals(zones.get(region.zone()))) {
                 limit = override.connections;
             }
         }
--- a/src/main/java/yardusher/connectionquota/ConnectionQuotaSubsystem.java
+++ b/src/main/java/yardusher/connectionquota/ConnectionQuotaSubsystem.java
@@ -58,7 +58,8 @@
         this.settings = settings;
         String folderName = settings.folder() != null ? settings.folder() : tmpdir;
         if (folderName == null || folderName.isEmpty()) {
-            throw new ConfigError.Missing(null, "parts.folder", "a folder that outlives the process in parts.folder, since TMPDIR is not set");
+            throw new ConfigError.Missing(null, "parts.folder",
+                    "a folder that outlives the process in parts.folder, since TMPDIR is not set");
         }
         folder = Path.of(folderName);
     }
@@ -134,9 +135,11 @@
         if (isClosed) { return; }
         int ingressCount = settings.ingressCount() > 0 ? settings.ingressCount() : site.settings().gateways();
         Ledger ledger = new Ledger(site.settings().self(), ingressCount, claim.incarnation(), claim, claim.hasTrustedLoans());
-        negotiator = new Negotiator(ledger, new Negotiator.Options(settings.minUnits(), settings.weight(), settings.maxMovesPerS()), this, loop.now());
+        negotiator = new Negotiator(ledger, new Negotiator.Options(settings.minUnits(), settings.weight(), settings.maxMovesPerS()), this,
+                loop.now());
         claimState = "claimed";
-        site.events().info("connection quotas: claim taken", "life", claim.incarnation(), "remembers", claim.hasTrustedLoans(), "in_order", claim.wasCleanShutdown());
+        site.events().info("connection quotas: claim taken", "life", claim.incarnation(), "remembers", claim.hasTrustedLoans(),
+                "in_order", claim.wasCleanShutdown());
         isClaimTrusted = claim.hasTrustedLoans();
         if (site.view() != null) { updateMembers(site.view().picture()); }
         SuccessorQuota successor = successorQuota;
@@ -217,7 +220,10 @@
             hadSuccessor = true;
             successorReclaimAtMs = Double.POSITIVE_INFINITY;
             for (Negotiator.RegionState state : negotiator.regionStates()) {
-                if (claim.canRecord(state.region.id)) { claim.writeGivenUnits(state.region.id, negotiator.giveSuccessor(state.region.id, claim.readWantedUnits(state.region.id))); }
+                if (claim.canRecord(state.region.id)) {
+                    claim.writeGivenUnits(state.region.id,
+                            negotiator.giveSuccessor(state.region.id, claim.readWantedUnits(state.region.id)));
+                }
             }
         } else if (hadSuccessor) {
             successorReclaimAtMs = Math.min(successorReclaimAtMs, now + settings.crashDetectionMs());
@@ -242,8 +248,10 @@
     public String reload(Settings next) {
         ConnectionQuotaSettings updated = next == null ? null : next.parts();
         if (updated == null || updated.equals(settings)) { return null; }
-        boolean limitsChanged = updated.connections() != settings.connections() || !updated.overrides().equals(settings.overrides()) || updated.coldPercent() != settings.coldPercent();
-        ConnectionQuotaSettings kept = new ConnectionQuotaSettings(updated.connections(), updated.overrides(), settings.minUnits(), settings.weight(), settings.maxMovesPerS(), settings.crashDetectionMs(),
+        boolean limitsChanged = updated.connections() != settings.connections() || !updated.overrides().equals(settings.overrides())
+                || updated.coldPercent() != settings.coldPercent();
+        ConnectionQuotaSettings kept = new ConnectionQuotaSettings(updated.connections(), updated.overrides(), settings.minUnits(),
+                settings.weight(), settings.maxMovesPerS(), settings.crashDetectionMs(),
                 updated.coldPercent(), settings.ingressCount(), settings.folder(), settings.absentMeansFirstStart());
         boolean needsRestart = !kept.equals(updated);
         settings = kept;
@@ -265,7 +273,11 @@
 
     @Override
     public void leaving(long region) {
-        if (negotiator != null) { negotiator.connectionClosing(region); } else if (successorQuota != null) { successorQuota.connectionClosing(region); }
+        if (negotiator != null) {
+            negotiator.connectionClosing(region);
+        } else if (successorQuota != null) {
+            successorQuota.connectionClosing(region);
+        }
     }
 
     @Override
@@ -330,10 +342,12 @@
             closing += state.closing;
             wanted += state.wanted;
         }
-        return "parts_claimed=1 parts_may=" + allowance + " parts_borrowed=" + borrowed + " parts_lent=" + lent + " parts_open=" + open + " parts_closing=" + closing
-                + " parts_wanted=" + wanted + " parts_moved=" + current.movedUnits + " parts_leak=" + current.unusableUnits(loop.now()) + " parts_unsettled=" + current.ledger().unsettledPeers()
-                + " parts_told=" + current.sentMessages + " parts_told_bytes=" + current.sentBytes + " parts_heard=" + current.receivedMessages + " parts_bad=" + current.malformedMessages + " parts_foreign=" + current.foreignMessages
-                + " parts_stale=" + current.staleMessages + " parts_far=" + current.ledger().implausibleRows;
+        return "parts_claimed=1 parts_may=" + allowance + " parts_borrowed=" + borrowed + " parts_lent=" + lent + " parts_open=" + open
+                + " parts_closing=" + closing + " parts_wanted=" + wanted + " parts_moved=" + current.movedUnits
+                + " parts_leak=" + current.unusableUnits(loop.now()) + " parts_unsettled=" + current.ledger().unsettledPeers()
+                + " parts_told=" + current.sentMessages + " parts_told_bytes=" + current.sentBytes
+                + " parts_heard=" + current.receivedMessages + " parts_bad=" + current.malformedMessages
+                + " parts_foreign=" + current.foreignMessages + " parts_stale=" + current.staleMessages + " parts_far=" + current.ledger().implausibleRows;
     }
 
     @Override
@@ -344,11 +358,14 @@
         if (negotiator == null) { return out.toString(); }
         Ledger ledger = negotiator.ledger();
         out.append("self\t").append(ledger.self).append(" of ").append(ledger.ingressCount).append("\tlife=").append(ledger.incarnation)
-                .append("\tunsettled=").append(ledger.unsettledPeers()).append("\tfresh=").append(negotiator.livePeers(loop.now())).append('\n');
+                .append("\tunsettled=").append(ledger.unsettledPeers()).append("\tfresh=").append(negotiator.livePeers(loop.now()))
+                .append('\n');
         for (Negotiator.RegionState state : negotiator.regionStates()) {
             yardusher.connectionquota.Ledger.Region region = state.region;
-            out.append("region\t").append(String.format(java.util.Locale.ROOT, "s-%08x", region.id)).append("\tnumber=").append(region.limit).append("\tshare=").append(region.share)
-                    .append("\tlent=").append(region.lent()).append("\tborrowed=").append(region.borrowed()).append("\tmay=").append(ledger.allowance(region)).append("\topen=").append(region.open)
+            out.append("region\t").append(String.format(java.util.Locale.ROOT, "s-%08x", region.id))
+                    .append("\tnumber=").append(region.limit).append("\tshare=").append(region.share)
+                    .append("\tlent=").append(region.lent()).append("\tborrowed=").append(region.borrowed())
+                    .append("\tmay=").append(ledger.allowance(region)).append("\topen=").append(region.open)
                     .append("\tclosing=").append(state.closing).append("\twants=").append(state.wanted).append("\towed=").append(state.owed)
                     .append(region.isDelisted ? "\tgone" : "").append('\n');
         }
--- a/src/main/java/yardusher/connectionquota/Ledger.java
+++ b/src/main/java/yardusher/connectionquota/Ledger.java
@@ -125,7 +125,10 @@
     void sweep() {
         for (Iterator<Region> iterator = regions.values().iterator(); iterator.hasNext();) {
             Region region = iterator.next();
-            if (region.isDelisted && region.open == 0 && Arrays.stream(region.accounts).allMatch(account -> account == null || account.isEmpty())) { iterator.remove(); }
+            if (region.isDelisted && region.open == 0
+                    && Arrays.stream(region.accounts).allMatch(account -> account == null || account.isEmpty())) {
+                iterator.remove();
+            }
         }
     }
 
@@ -145,10 +148,15 @@
     /** The part of the own share that is not lent; negative if the limit was lowered below what is lent. */
     int unlentShare(Region region) {
         // Without stored loans, earlier incarnations may have lent the whole share unknown to this one.
-        if (unsettledPeers > 0 && !hasTrustedLoans && omittedRule != OmittedRule.OLD_LIVES) { return Math.min(0, region.share - region.lent()); }
+        if (unsettledPeers > 0 && !hasTrustedLoans && omittedRule != OmittedRule.OLD_LIVES) {
+            return Math.min(0, region.share - region.lent());
+        }
         int unlent = region.share - region.lent();
         if (omittedRule == OmittedRule.LESS_BEFORE_MORE) { // planted: reduced only after the borrower has received it
-            for (PeerAccount account : region.accounts) { unlent += account == null ? 0 : account.granted - Math.min(account.granted, Math.max(account.ackedGranted, account.recovered)); }
+            for (PeerAccount account : region.accounts) {
+                unlent += account == null ? 0
+                        : account.granted - Math.min(account.granted, Math.max(account.ackedGranted, account.recovered));
+            }
         }
         return unlent;
     }
--- a/src/main/java/yardusher/connectionquota/MaxMinAllocator.java
+++ b/src/main/java/yardusher/connectionquota/MaxMinAllocator.java
@@ -104,7 +104,9 @@
     }
 
     /** Breaks ties by a hash. Where some ingresses get nothing, the hash changes with the rotation, so that none starves. */
-    private long tieBreak(long region, long rotation, int ingress) { return Ledger.mix(region * 1_000_003 + ingress + (someGetNone ? rotation * 7919 : 0)); }
+    private long tieBreak(long region, long rotation, int ingress) {
+        return Ledger.mix(region * 1_000_003 + ingress + (someGetNone ? rotation * 7919 : 0));
+    }
 
     /** Water filling: satisfies the demands that lie below the level, and returns the level. */
     private double fillToLevel(int units) {
@@ -163,7 +165,9 @@
         for (int i = 1; i < lenderCount; i++) {
             int candidate = lenders[i];
             int position = i;
-            for (; position > 0 && precedesAsLender(candidate, lenders[position - 1], requester); position--) { lenders[position] = lenders[position - 1]; }
+            for (; position > 0 && precedesAsLender(candidate, lenders[position - 1], requester); position--) {
+                lenders[position] = lenders[position - 1];
+            }
             lenders[position] = candidate;
         }
         int remaining = units;
@@ -178,6 +182,7 @@
     private boolean precedesAsLender(int a, int b, int requester) {
         int excessA = allowances[a] - fairShares[a];
         int excessB = allowances[b] - fairShares[b];
-        return excessA != excessB ? excessA > excessB : Ledger.mix(ingresses[a] * 1009L + requester) < Ledger.mix(ingresses[b] * 1009L + requester);
+        return excessA != excessB ? excessA > excessB
+                : Ledger.mix(ingresses[a] * 1009L + requester) < Ledger.mix(ingresses[b] * 1009L + requester);
     }
 }
--- a/src/main/java/yardusher/connectionquota/Negotiator.java
+++ b/src/main/java/yardusher/connectionquota/Negotiator.java
@@ -232,7 +232,9 @@
         if (missing > 0) {
             int kept = Math.max(state.needed, isShuttingDown ? 0 : ledger.allowance(state.region) / 2);
             int given = ledger.giveSuccessor(state.region, Math.min(missing, ledger.allowance(state.region) - kept));
-            if (given < missing && ledger.unlentShare(state.region) > kept) { environment.closeIdle(region, Math.min(missing - given, ledger.unlentShare(state.region) - kept)); }
+            if (given < missing && ledger.unlentShare(state.region) > kept) {
+                environment.closeIdle(region, Math.min(missing - given, ledger.unlentShare(state.region) - kept));
+            }
             updateAttemptLimit(state);
         }
         return state.region.successorUnits;
@@ -309,7 +311,8 @@
             account.previousReceived = account.received;
             int recovered = account.recovered - account.previousRecovered;
             account.previousRecovered = account.recovered;
-            if (recovered > 0 && row.beneficiary() > 0 && row.beneficiary() <= peers.length && row.beneficiary() - 1 != ledger.self && peers[row.beneficiary() - 1] != null) {
+            if (recovered > 0 && row.beneficiary() > 0 && row.beneficiary() <= peers.length && row.beneficiary() - 1 != ledger.self
+                    && peers[row.beneficiary() - 1] != null) {
                 passOn(region, peers[row.beneficiary() - 1], recovered, now);
             }
             if (isNewer) {
@@ -357,11 +360,14 @@
             if (peer == null || peer.address == null || isLive(peer, lastTickMs) != peer.isReportedSilent) { continue; }
             peer.isReportedSilent = !peer.isReportedSilent;
             int units = 0;
-            for (Region region : ledger.regions()) { units += peer.isReportedSilent && region.accounts[peer.number] != null ? region.accounts[peer.number].lent() : 0; }
+            for (Region region : ledger.regions()) {
+                units += peer.isReportedSilent && region.accounts[peer.number] != null ? region.accounts[peer.number].lent() : 0;
+            }
             if (units > 0) { environment.peerSilent(peer.number, units); }
         }
         for (Peer peer : peers) {                    // planted, to check that the models detect it
-            if (ledger.omittedRule == Ledger.OmittedRule.STOPPED_KEEPS && peer != null && peer.address != null && lastTickMs - peer.lastReceivedAtMs > PEER_TIMEOUT_MS) {
+            if (ledger.omittedRule == Ledger.OmittedRule.STOPPED_KEEPS && peer != null && peer.address != null
+                    && lastTickMs - peer.lastReceivedAtMs > PEER_TIMEOUT_MS) {
                 ledger.peerEnded(peer.number);
                 peer.address = null;
             }
@@ -396,14 +402,17 @@
         double totalUsed = 0;
         double totalLimit = 0;
         for (RegionState state : regionStates.values()) {
-            state.fullFraction += regionSmoothing * ((environment.busy(state.region.id) >= state.reportedLimit ? 1 : 0) - state.fullFraction);
+            state.fullFraction += regionSmoothing
+                    * ((environment.busy(state.region.id) >= state.reportedLimit ? 1 : 0) - state.fullFraction);
             state.smoothedBusy += regionSmoothing * (environment.busy(state.region.id) - state.smoothedBusy);
             totalUsed += state.smoothedBusy;
             totalLimit += state.region.isDelisted ? 0 : state.region.limit;
         }
         for (RegionState state : regionStates.values()) {
             state.demandWeight = state.region.isDelisted || totalLimit == 0 ? 0 : state.region.limit / totalLimit;
-            if (totalUsed > 0.01 && !state.region.isDelisted) { state.demandWeight = 0.5 * state.demandWeight + 0.5 * state.smoothedBusy / totalUsed; }
+            if (totalUsed > 0.01 && !state.region.isDelisted) {
+                state.demandWeight = 0.5 * state.demandWeight + 0.5 * state.smoothedBusy / totalUsed;
+            }
         }
         double minUnits = isActive ? options.minUnits : 0;
         distribute(isActive ? Math.max(minUnits, demand.needed()) : 0, false);
@@ -418,14 +427,20 @@
     private void distribute(double units, boolean setsWanted) {
         int total = (int) Math.ceil(units - 0.02);
         int presentTotal = 0;
-        for (RegionState state : regionStates.values()) { presentTotal += state.region.isDelisted ? 0 : Math.max(0, ledger.allowance(state.region)); }
+        for (RegionState state : regionStates.values()) {
+            presentTotal += state.region.isDelisted ? 0 : Math.max(0, ledger.allowance(state.region));
+        }
         int additional = Math.max(0, total - presentTotal);
         double totalWeight = 0;                      // of regions where peers have units to spare
         for (RegionState state : regionStates.values()) { totalWeight += state.othersExcess > 0 ? state.demandWeight : 0; }
         int remaining = total;
         for (RegionState state : regionStates.values()) {
             int presentHere = state.region.isDelisted ? 0 : Math.max(0, ledger.allowance(state.region));
-            double target = additional > 0 ? presentHere + (totalWeight > 0 ? additional * (state.othersExcess > 0 ? state.demandWeight : 0) / totalWeight : additional * state.demandWeight) : presentTotal == 0 ? 0 : (double) total * presentHere / presentTotal;
+            double target = additional > 0
+                    ? presentHere + (totalWeight > 0
+                            ? additional * (state.othersExcess > 0 ? state.demandWeight : 0) / totalWeight
+                            : additional * state.demandWeight)
+                    : presentTotal == 0 ? 0 : (double) total * presentHere / presentTotal;
             state.remainder = state.region.isDelisted ? -1 : target - Math.floor(target);
             setTarget(state, (int) Math.floor(target), setsWanted);
             remaining -= setsWanted ? state.wanted : state.needed;
@@ -440,7 +455,9 @@
             setTarget(best, (setsWanted ? best.wanted : best.needed) + 1, setsWanted);
         }
         for (RegionState state : regionStates.values()) { // regions that are always full although others have room
-            if (setsWanted && additional == 0 && state.fullFraction > 0.6 && !state.region.isDelisted) { setTarget(state, ledger.allowance(state.region) + 1, true); }
+            if (setsWanted && additional == 0 && state.fullFraction > 0.6 && !state.region.isDelisted) {
+                setTarget(state, ledger.allowance(state.region) + 1, true);
+            }
         }
     }
 
@@ -448,7 +465,8 @@
     private boolean hasLargerRemainder(RegionState first, RegionState second) {
         long firstRemainder = Math.round(first.remainder * 4);
         long secondRemainder = Math.round(second.remainder * 4);
-        return firstRemainder != secondRemainder ? firstRemainder > secondRemainder : Ledger.mix(first.region.id * 31 + ledger.self) < Ledger.mix(second.region.id * 31 + ledger.self);
+        return firstRemainder != secondRemainder ? firstRemainder > secondRemainder
+                : Ledger.mix(first.region.id * 31 + ledger.self) < Ledger.mix(second.region.id * 31 + ledger.self);
     }
 
     private static void setTarget(RegionState state, int units, boolean setsWanted) {
@@ -465,7 +483,9 @@
         if (region.isDelisted) {
             state.owed = ledger.allowance(region);
             for (Peer peer : peers) {
-                if (peer != null && region.accounts[peer.number] != null) { giveBack(state, peer, region.accounts[peer.number].borrowed()); }
+                if (peer != null && region.accounts[peer.number] != null) {
+                    giveBack(state, peer, region.accounts[peer.number].borrowed());
+                }
             }
             environment.closeIdle(region.id, region.open);
             return;
@@ -519,7 +539,8 @@
                 int borrower = (i + ledger.self) % peers.length;
                 if (!hasPendingRequest(state, peers[borrower], now)) { continue; }
                 PeerAccount account = state.region.account(borrower);
-                int due = account.requestedByPeer - Math.max(0, account.granted - account.peerReceivedAtRequest) - account.redirectedForPeer - account.allotted;
+                int due = account.requestedByPeer - Math.max(0, account.granted - account.peerReceivedAtRequest)
+                        - account.redirectedForPeer - account.allotted;
                 if (due <= 0) { continue; }
                 account.allotted++;
                 excess--;
@@ -546,14 +567,21 @@
         for (Peer peer : peers) {
             PeerAccount account = peer == null ? null : state.region.accounts[peer.number];
             if (account == null || account.requestedFromPeer == 0) { continue; }
-            if (now - account.requestSentAtMs >= REQUEST_TIMEOUT_MS) { account.requestedFromPeer = 0; } else { missing -= account.requestedFromPeer; }
+            if (now - account.requestSentAtMs >= REQUEST_TIMEOUT_MS) {
+                account.requestedFromPeer = 0;
+            } else {
+                missing -= account.requestedFromPeer;
+            }
         }
         if (missing <= 0) {
             state.shortageSinceMs = now;
             return;
         }
         // Guards against units that move back and forth with the noise of a fully used fleet: a small shortage has to last.
-        if (missing < Math.max(2, LARGE_SHORTAGE_RATIO * ledger.allowance(state.region)) && now - state.shortageSinceMs < SMALL_SHORTAGE_MS && ledger.allowance(state.region) > 0) { return; }
+        if (missing < Math.max(2, LARGE_SHORTAGE_RATIO * ledger.allowance(state.region)) && now - state.shortageSinceMs < SMALL_SHORTAGE_MS
+                && ledger.allowance(state.region) > 0) {
+            return;
+        }
         allocator.chooseLenders(ledger.self, missing, (lender, units) -> {
             PeerAccount account = state.region.account(lender);
             if (account.requestedFromPeer > 0) { return; }
@@ -579,7 +607,10 @@
         while (remaining > 0 && spare(state) > 0) {
             Peer lender = null;
             for (Peer candidate : peers) {
-                if (isLive(candidate, now) && borrowedFrom(state, candidate) > 0 && (lender == null || borrowedFrom(state, candidate) > borrowedFrom(state, lender))) { lender = candidate; }
+                if (isLive(candidate, now) && borrowedFrom(state, candidate) > 0
+                        && (lender == null || borrowedFrom(state, candidate) > borrowedFrom(state, lender))) {
+                    lender = candidate;
+                }
             }
             int returned = lender == null ? 0 : giveBack(state, lender, remaining);
             if (returned == 0) { break; }
@@ -626,8 +657,10 @@
         List<RegionState> changedRegions = new ArrayList<>();
         for (RegionState state : regionStates.values()) {
             int allowance = ledger.allowance(state.region);
-            boolean isChanged = allowance != state.announcedAllowance || state.wanted != state.announcedWanted || differsMuch(state.needed, state.announcedNeeded);
-            boolean isContended = state.wanted > allowance || state.announcedWanted > state.announcedAllowance || now - state.surplusSinceMs < ACTIVITY_WINDOW_MS;
+            boolean isChanged = allowance != state.announcedAllowance || state.wanted != state.announcedWanted
+                    || differsMuch(state.needed, state.announcedNeeded);
+            boolean isContended = state.wanted > allowance || state.announcedWanted > state.announcedAllowance
+                    || now - state.surplusSinceMs < ACTIVITY_WINDOW_MS;
             if (isChanged && isContended && now - lastAnnouncedAtMs >= minIntervalMs) {
                 state.announcedAllowance = allowance;
                 state.announcedWanted = state.wanted;
@@ -642,13 +675,18 @@
         if (now >= nextHelloAtMs) {
             nextHelloAtMs = now + HEARTBEAT_MS;
             for (InetSocketAddress member : memberAddresses) {
-                if (!isLiveAddress(member, now)) { send(member, new QuotaMessage(ledger.self, ledger.ingressCount, options.weight, ledger.incarnation, 0, ++sequence, false, false, false, List.of()), now, null); }
+                if (!isLiveAddress(member, now)) {
+                    send(member, new QuotaMessage(ledger.self, ledger.ingressCount, options.weight, ledger.incarnation, 0, ++sequence,
+                            false, false, false, List.of()), now, null);
+                }
             }
         }
     }
 
     /** The need changes all the time; only a considerable change is sent. */
-    private static boolean differsMuch(int needed, int sent) { return Math.abs(needed - sent) >= Math.max(2, sent / 8) || (needed == 0) != (sent == 0); }
+    private static boolean differsMuch(int needed, int sent) {
+        return Math.abs(needed - sent) >= Math.max(2, sent / 8) || (needed == 0) != (sent == 0);
+    }
 
     private boolean isLiveAddress(InetSocketAddress address, double now) {
         for (Peer peer : peers) {
@@ -680,10 +718,12 @@
             PeerAccount account = region.account(peer.number);
             RegionState state = regionStates.get(region.id);
             if (account.legacyBorrowed > 0 && !peer.hasSettledWithUs) { continue; }
-            boolean changed = account.sentAllowance != ledger.allowance(region) || state != null && (account.sentWanted != state.wanted || differsMuch(state.needed, account.sentNeeded));
+            boolean changed = account.sentAllowance != ledger.allowance(region)
+                    || state != null && (account.sentWanted != state.wanted || differsMuch(state.needed, account.sentNeeded));
             boolean unacknowledged = account.hasUnacknowledged();
             needsReply |= unacknowledged;
-            if (sendAll || account.isDirty || unacknowledged && (isRetransmission || isHeartbeat) || isHeartbeat && changed || state != null && changedRegions.contains(state)) {
+            if (sendAll || account.isDirty || unacknowledged && (isRetransmission || isHeartbeat) || isHeartbeat && changed
+                    || state != null && changedRegions.contains(state)) {
                 rows.add(buildRow(region, account));
             }
         }
@@ -692,8 +732,9 @@
         do {
             List<QuotaMessage.Row> batch = rows.subList(nextRow, Math.min(rows.size(), nextRow + QuotaMessage.MAX_ROWS));
             nextRow += batch.size();
-            send(peer.address, new QuotaMessage(ledger.self, ledger.ingressCount, options.weight, ledger.incarnation, ledger.peerIncarnation(peer.number), ++sequence,
-                    ledger.isSettled(peer.number), legacyComplete, needsReply, batch), now, peer);
+            send(peer.address, new QuotaMessage(ledger.self, ledger.ingressCount, options.weight, ledger.incarnation,
+                    ledger.peerIncarnation(peer.number), ++sequence, ledger.isSettled(peer.number), legacyComplete, needsReply, batch),
+                    now, peer);
             legacyComplete = false;                  // the first message held the legacy units
         } while (nextRow < rows.size());
     }
@@ -712,8 +753,9 @@
         account.sentAllowance = ledger.allowance(region);
         account.sentWanted = state == null ? 0 : state.wanted;
         account.sentNeeded = state == null ? 0 : state.needed;
-        return new QuotaMessage.Row(region.id, account.granted, account.recovered, account.received, account.returned, account.legacyBorrowed, account.sentAllowance,
-                state == null ? 0 : state.needed, account.sentWanted, account.requestedFromPeer, account.requestNumber, account.beneficiary);
+        return new QuotaMessage.Row(region.id, account.granted, account.recovered, account.received, account.returned,
+                account.legacyBorrowed, account.sentAllowance, state == null ? 0 : state.needed, account.sentWanted,
+                account.requestedFromPeer, account.requestNumber, account.beneficiary);
     }
 
     private void send(InetSocketAddress to, QuotaMessage message, double now, Peer peer) {
@@ -730,7 +772,9 @@
         for (Region region : ledger.regions()) {
             if (region.open > 0) { return true; }
             for (Peer peer : peers) {
-                if (isLive(peer, now) && region.accounts[peer.number] != null && region.accounts[peer.number].borrowed() > 0) { return true; }
+                if (isLive(peer, now) && region.accounts[peer.number] != null && region.accounts[peer.number].borrowed() > 0) {
+                    return true;
+                }
             }
         }
         return false;
@@ -752,7 +796,8 @@
             for (Peer peer : peers) {
                 if (peer == null || isLive(peer, now)) { continue; }
                 PeerAccount account = region.accounts[peer.number];
-                unusable += Ledger.share(region.id, region.limit, peer.number, ledger.ingressCount) + (account == null ? 0 : account.lent() - account.borrowed());
+                unusable += Ledger.share(region.id, region.limit, peer.number, ledger.ingressCount)
+                        + (account == null ? 0 : account.lent() - account.borrowed());
             }
         }
         return unusable;
--- a/src/main/java/yardusher/connectionquota/PeerAccount.java
+++ b/src/main/java/yardusher/connectionquota/PeerAccount.java
@@ -55,7 +55,8 @@
         legacyBorrowed += received - returned;
         received = returned = ackedReturned = 0;
         granted = recovered = ackedGranted = 0;
-        peerAllowance = peerNeeded = peerWanted = requestedByPeer = requestedFromPeer = redirectedForPeer = beneficiary = previousReceived = previousRecovered = 0;
+        peerAllowance = peerNeeded = peerWanted = requestedByPeer = requestedFromPeer = redirectedForPeer = beneficiary =
+                previousReceived = previousRecovered = 0;
     }
 
     boolean isEmpty() { return lent() == 0 && borrowed() == 0 && !hasUnacknowledged(); }
--- a/src/main/java/yardusher/connectionquota/QuotaMessage.java
+++ b/src/main/java/yardusher/connectionquota/QuotaMessage.java
@@ -13,16 +13,16 @@
  * include each region where the sender still holds units of the recipient's earlier incarnations. {@code needsReply}: the
  * recipient is to answer with the same rows, because the sender does not know that its totals have arrived.
  */
-record QuotaMessage(int sender, int ingressCount, int weight, long incarnation, long recipientIncarnation, int sequence, boolean settled, boolean legacyComplete, boolean needsReply,
-        List<Row> rows) {
+record QuotaMessage(int sender, int ingressCount, int weight, long incarnation, long recipientIncarnation, int sequence, boolean settled,
+        boolean legacyComplete, boolean needsReply, List<Row> rows) {
     /**
      * One region: the totals of the sender's account with the recipient, and the sender's allowance, need and wish there in all.
      * {@code recovered} and {@code received} acknowledge the recipient's own totals {@code returned} and {@code granted}.
      * {@code requested}: units that the sender asks the recipient for now, with its request {@code requestNumber}.
      * {@code beneficiary}: the ingress for which the sender last returned units, as its number plus one; 0 for none.
      */
-    record Row(long region, int granted, int recovered, int received, int returned, int legacyBorrowed, int allowance, int needed, int wanted,
-            int requested, int requestNumber, int beneficiary) { }
+    record Row(long region, int granted, int recovered, int received, int returned, int legacyBorrowed, int allowance, int needed,
+            int wanted, int requested, int requestNumber, int beneficiary) { }
 
     static final int MAX_BYTES = 1200;
     private static final int MAX_HEADER_BYTES = 40;
@@ -45,7 +45,10 @@
         putVarint(out, rows.size());
         for (Row row : rows) {
             out.putInt((int) row.region);
-            for (int value : new int[] {row.granted, row.recovered, row.received, row.returned, row.legacyBorrowed, row.allowance << 1 ^ row.allowance >> 31, row.needed, row.wanted, row.requested, row.requestNumber, row.beneficiary}) { putVarint(out, value); }
+            for (int value : new int[] {row.granted, row.recovered, row.received, row.returned, row.legacyBorrowed,
+                    row.allowance << 1 ^ row.allowance >> 31, row.needed, row.wanted, row.requested, row.requestNumber, row.beneficiary}) {
+                putVarint(out, value);
+            }
         }
         byte[] bytes = new byte[out.flip().remaining()];
         out.get(bytes);
@@ -101,12 +104,15 @@
                 int needed = getVarintUpTo(in, MAX_UNITS);
                 int wanted = getVarintUpTo(in, MAX_UNITS);
                 int requested = getVarintUpTo(in, MAX_UNITS);
-                rows.add(new Row(region, granted, recovered, received, returned, legacyBorrowed, allowance, needed, wanted, requested, getVarintUpTo(in, MAX_UNITS), getVarintUpTo(in, MAX_UNITS)));
+                rows.add(new Row(region, granted, recovered, received, returned, legacyBorrowed, allowance, needed, wanted, requested,
+                        getVarintUpTo(in, MAX_UNITS), getVarintUpTo(in, MAX_UNITS)));
             }
-            if (in.hasRemaining() || flags > 7 || flags < 0 || sender >= ingressCount || weight < 1 || incarnation <= 0 || recipientIncarnation < 0) {
+            if (in.hasRemaining() || flags > 7 || flags < 0 || sender >= ingressCount || weight < 1 || incarnation <= 0
+                    || recipientIncarnation < 0) {
                 throw new PartError.Message(null, "-", "flags, sender, weight or incarnation out of range");
             }
-            return new QuotaMessage(sender, ingressCount, weight, incarnation, recipientIncarnation, sequence, (flags & 1) != 0, (flags & 2) != 0, (flags & 4) != 0, rows);
+            return new QuotaMessage(sender, ingressCount, weight, incarnation, recipientIncarnation, sequence, (flags & 1) != 0,
+                    (flags & 2) != 0, (flags & 4) != 0, rows);
         } catch (BufferUnderflowException e) {
             throw new PartError.Message(null, "-", "cut");
         }
--- a/src/test/java/yardusher/connectionquota/LedgerTest.java
+++ b/src/test/java/yardusher/connectionquota/LedgerTest.java
@@ -25,8 +25,10 @@
     /** The message that one ingress would send to another now. */
     static QuotaMessage messageOf(Ledger sender, int recipient) {
         PeerAccount account = sender.region(REGION).account(recipient);
-        return new QuotaMessage(sender.self, sender.ingressCount, 1, sender.incarnation, sender.peerIncarnations[recipient], 1, sender.settledPeers[recipient], true, false,
-                List.of(new QuotaMessage.Row(REGION, account.granted, account.recovered, account.received, account.returned, account.legacyBorrowed, 0, 0, 0, 0, 0, 0)));
+        return new QuotaMessage(sender.self, sender.ingressCount, 1, sender.incarnation, sender.peerIncarnations[recipient], 1,
+                sender.settledPeers[recipient], true, false,
+                List.of(new QuotaMessage.Row(REGION, account.granted, account.recovered, account.received, account.returned,
+                        account.legacyBorrowed, 0, 0, 0, 0, 0, 0)));
     }
 
     private static void exchange(Ledger a, Ledger b) {
@@ -37,7 +39,8 @@
     }
 
     @Property(tries = 300)
-    void sharesAddUpAndNoneShrinksWhenTheLimitGrows(@ForAll long region, @ForAll @IntRange(min = 1, max = 3000) int limit, @ForAll @IntRange(min = 1, max = 120) int count) {
+    void sharesAddUpAndNoneShrinksWhenTheLimitGrows(@ForAll long region, @ForAll @IntRange(min = 1, max = 3000) int limit,
+            @ForAll @IntRange(min = 1, max = 120) int count) {
         int sum = 0;
         for (int i = 0; i < count; i++) {
             int share = Ledger.share(region, limit, i, count);
@@ -170,8 +173,10 @@
     void implausibleRowsAreCountedAndIgnored() {
         Ledger a = ledger(0, 2, 1, 8);
         a.observeIncarnation(1, 1);
-        a.apply(new QuotaMessage(1, 2, 1, 1, 1, 1, true, true, false, List.of(new QuotaMessage.Row(REGION, 500, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0))));
-        a.apply(new QuotaMessage(1, 2, 1, 1, 1, 2, true, true, false, List.of(new QuotaMessage.Row(REGION, 0, 0, 3, 2, 0, 0, 0, 0, 0, 0, 0))));
+        a.apply(new QuotaMessage(1, 2, 1, 1, 1, 1, true, true, false,
+                List.of(new QuotaMessage.Row(REGION, 500, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0))));
+        a.apply(new QuotaMessage(1, 2, 1, 1, 1, 2, true, true, false,
+                List.of(new QuotaMessage.Row(REGION, 0, 0, 3, 2, 0, 0, 0, 0, 0, 0, 0))));
         assertThat(a.implausibleRows).isEqualTo(2);
         assertThat(a.allowance(a.region(REGION))).isEqualTo(4);
     }
@@ -196,8 +201,11 @@
             byte[] truncated = java.util.Arrays.copyOf(bytes, i);
             assertThatThrownBy(() -> QuotaMessage.decode(truncated)).isInstanceOf(PartError.Message.class);
         }
-        List<QuotaMessage.Row> rows = java.util.Collections.nCopies(QuotaMessage.MAX_ROWS, new QuotaMessage.Row(0xFFFFFFFFL, Integer.MAX_VALUE, Integer.MAX_VALUE, Integer.MAX_VALUE,
-                Integer.MAX_VALUE, QuotaMessage.MAX_UNITS, -QuotaMessage.MAX_UNITS, QuotaMessage.MAX_UNITS, QuotaMessage.MAX_UNITS, QuotaMessage.MAX_UNITS, QuotaMessage.MAX_UNITS, QuotaMessage.MAX_UNITS));
-        assertThat(new QuotaMessage(99, 100, 100, Long.MAX_VALUE, Long.MAX_VALUE, -1, true, true, true, rows).encode().length).isLessThanOrEqualTo(QuotaMessage.MAX_BYTES);
+        List<QuotaMessage.Row> rows = java.util.Collections.nCopies(QuotaMessage.MAX_ROWS,
+                new QuotaMessage.Row(0xFFFFFFFFL, Integer.MAX_VALUE, Integer.MAX_VALUE, Integer.MAX_VALUE,
+                        Integer.MAX_VALUE, QuotaMessage.MAX_UNITS, -QuotaMessage.MAX_UNITS, QuotaMessage.MAX_UNITS, QuotaMessage.MAX_UNITS,
+                        QuotaMessage.MAX_UNITS, QuotaMessage.MAX_UNITS, QuotaMessage.MAX_UNITS));
+        assertThat(new QuotaMessage(99, 100, 100, Long.MAX_VALUE, Long.MAX_VALUE, -1, true, true, true, rows).encode().length)
+                .isLessThanOrEqualTo(QuotaMessage.MAX_BYTES);
     }
 }
--- a/src/test/java/yardusher/connectionquota/MaxMinAllocatorTest.java
+++ b/src/test/java/yardusher/connectionquota/MaxMinAllocatorTest.java
@@ -16,7 +16,8 @@
     private final MaxMinAllocator allocator = new MaxMinAllocator();
 
     @Property(tries = 500)
-    void sharesAddUpAndNoIngressGetsMoreWhileAnotherNeedsMore(@ForAll @Size(min = 1, max = 20) List<@IntRange(min = 0, max = 30) Integer> allowances,
+    void sharesAddUpAndNoIngressGetsMoreWhileAnotherNeedsMore(
+            @ForAll @Size(min = 1, max = 20) List<@IntRange(min = 0, max = 30) Integer> allowances,
             @ForAll @Size(min = 20, max = 20) List<@IntRange(min = 0, max = 40) Integer> needs) {
         allocator.clear();
         int total = 0;
@@ -32,7 +33,9 @@
             sum += allocator.fairShare(i);
             assertThat(allocator.fairShare(i)).isBetween(0, needs.get(i));
             for (int j = 0; j < allowances.size(); j++) {
-                if (allocator.fairShare(i) < needs.get(i)) { assertThat(allocator.fairShare(j)).isLessThanOrEqualTo(allocator.fairShare(i) + 1); }
+                if (allocator.fairShare(i) < needs.get(i)) {
+                    assertThat(allocator.fairShare(j)).isLessThanOrEqualTo(allocator.fairShare(i) + 1);
+                }
             }
         }
         assertThat(sum).isEqualTo(Math.min(total, needed));
@@ -61,7 +64,8 @@
             allocator.allocate(7, rotation);
             for (int i = 0; i < 6; i++) { unitsByIngress.merge(i, allocator.fairShare(i), Integer::sum); }
         }
-        assertThat(unitsByIngress.values()).allMatch(units -> units >= 5).satisfies(all -> assertThat(all.stream().mapToInt(i -> i).sum()).isEqualTo(120));
+        assertThat(unitsByIngress.values()).allMatch(units -> units >= 5)
+                .satisfies(all -> assertThat(all.stream().mapToInt(i -> i).sum()).isEqualTo(120));
     }
 
     @Test
--- a/src/test/java/yardusher/lab/parts/PartsStoryTest.java
+++ b/src/test/java/yardusher/lab/parts/PartsStoryTest.java
@@ -40,13 +40,16 @@
     @Test
     void badSettingsAreReportedInOneLine() throws Exception {
         String[][] badSettings = {
-            {"connections = 0", "parts.connections must be a whole number from 1 to 30000"}, {"absent = \"no\"", "parts.absent must be one of ask, begin"},
+            {"connections = 0", "parts.connections must be a whole number from 1 to 30000"},
+            {"absent = \"no\"", "parts.absent must be one of ask, begin"},
             {"moves = 3", "unknown key parts.moves"}, {"[[parts.region]]\nconnections = 3", "needs either an id or a zone in parts.region"},
-            {"[[parts.region]]\nid = \"s-1\"", "needs a whole number in parts.region.connections"}, {"folder = '/dev/null/x'", "parts.folder must be a folder that can be written"},
+            {"[[parts.region]]\nid = \"s-1\"", "needs a whole number in parts.region.connections"},
+            {"folder = '/dev/null/x'", "parts.folder must be a folder that can be written"},
             {"least = -1", "parts.least must be a whole number from 0 to 100"}};
         List<String> outputs = new ArrayList<>();
         for (String[] setting : badSettings) {
-            Path file = Files.writeString(folder.resolve("own.toml"), "[view]\nlisten = \"127.0.0.1:0\"\ninstallation = \"lab\"\nseeds = []\n[parts]\n" + setting[0] + "\n");
+            Path file = Files.writeString(folder.resolve("own.toml"),
+                    "[view]\nlisten = \"127.0.0.1:0\"\ninstallation = \"lab\"\nseeds = []\n[parts]\n" + setting[0] + "\n");
             List<String> command = Programs.command(24);
             command.addAll(List.of("serve", "src/test/resources/ingress.json", "--limits", "none", "--settings", file.toString()));
             Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
