--- a/src/main/java/yardusher/connectionquota/ConnectionQuotaSubsystem.java
+++ b/src/main/java/yardusher/connectionquota/ConnectionQuotaSubsystem.java
@@ -347,7 +347,8 @@
                 + " parts_leak=" + current.unusableUnits(loop.now()) + " parts_unsettled=" + current.ledger().unsettledPeers()
                 + " parts_told=" + current.sentMessages + " parts_told_bytes=" + current.sentBytes
                 + " parts_heard=" + current.receivedMessages + " parts_bad=" + current.malformedMessages
-                + " parts_foreign=" + current.foreignMessages + " parts_stale=" + current.staleMessages + " parts_far=" + current.ledger().implausibleRows;
+                + " parts_foreign=" + current.foreignMessages + " parts_stale=" + current.staleMessages
+                + " parts_far=" + current.ledger().implausibleRows;
     }
 
     @Override
--- a/src/main/java/yardusher/connectionquota/Ledger.java
+++ b/src/main/java/yardusher/connectionquota/Ledger.java
@@ -28,7 +28,7 @@
         final long id;
         final PeerAccount[] accounts;
         int limit;                                   // connections in all, now
-        int highestLimit;                            // since the region was first heard of
+        int highestLimit;                            // since the region became known here
         int share;                                   // of the limit, this ingress's own
         int successorUnits;                          // of the share, given to the next version's process that runs beside this one
         int open;                                    // counted from before the dial until the region has closed too
@@ -60,7 +60,7 @@
     final int ingressCount;
     final long incarnation;
     private final LoanStore loanStore;
-    final long[] peerIncarnations;                   // 0 for a peer that was not heard yet
+    final long[] peerIncarnations;                   // 0 for a peer without any message yet
     final boolean[] settledPeers;                    // peers that have reported what earlier incarnations lent them
     private final boolean hasTrustedLoans;
     int unsettledPeers;
--- a/src/main/java/yardusher/connectionquota/Negotiator.java
+++ b/src/main/java/yardusher/connectionquota/Negotiator.java
@@ -167,7 +167,7 @@
         if (state != null) { state.wanted = 0; }
     }
 
-    /** Addresses of the current members; only used to greet ingresses that were not heard yet. */
+    /** Addresses of the current members; only used to greet ingresses that have not sent a message yet. */
     void setMembers(List<InetSocketAddress> addresses) { memberAddresses = addresses; }
 
     /** The process ends: units that are no longer used are returned if borrowed, or lent to peers that request them. */
@@ -553,7 +553,7 @@
             if (account.allotted > 0) {
                 giveUnits(state, peer.number, account.allotted, now);
                 account.allotted = 0;
-            } else if (account.isPeerRequestNew) {   // tells the peer, so that it asks another one
+            } else if (account.isPeerRequestNew) {   // an answer without units, so that the peer asks another one
                 account.isDirty = true;
                 peer.urgent = true;
             }
@@ -780,7 +780,7 @@
         return false;
     }
 
-    /** Number of peers that were heard recently. */
+    /** Number of peers that have sent a message recently. */
     int livePeers(double now) {
         int live = 0;
         for (Peer peer : peers) { live += isLive(peer, now) ? 1 : 0; }
--- a/src/main/java/yardusher/connectionquota/PeerAccount.java
+++ b/src/main/java/yardusher/connectionquota/PeerAccount.java
@@ -11,7 +11,7 @@
 final class PeerAccount {
     int granted;                                     // own units lent to the peer; only grows
     int recovered;                                   // of those, returned according to the peer; only grows
-    int received;                                    // the peer's units lent to this ingress, the highest total heard; only grows
+    int received;                                    // the peer's units lent to this ingress, the highest total reported; only grows
     int returned;                                    // of those, returned to the peer; only grows
     int legacyBorrowed;                              // the peer's units, lent by its earlier incarnations, held here; only falls
     int maxLegacyLent;                               // units of own earlier incarnations that the peer holds at most; only falls
