--- a/lab/src/yardusher/lab/parts/PartsRun.java
+++ b/lab/src/yardusher/lab/parts/PartsRun.java
@@ -22,7 +22,7 @@
 import yardusher.lab.Region;
 import yardusher.lab.Seeds;
 import yardusher.lab.Terminals;
-import yardusher.resp.Malformed;
+import yardusher.resp.MalformedRespException;
 import yardusher.resp.Value;
 
 /**
@@ -135,11 +135,11 @@
     static double counter(Group group, int i, String name) {
         try (Terminals.Connection connection = group.terminals().connect(i)) {
             Value reply = connection.ask(2000, "INFO");
-            String line = reply instanceof Value.Bulk bulk ? bulk.text() : String.valueOf(reply);
+            String line = reply instanceof Value.BulkString bulk ? bulk.text() : String.valueOf(reply);
             for (String pair : line.split("\\s")) {
                 if (pair.startsWith(name + "=")) { return Double.parseDouble(pair.substring(name.length() + 1)); }
             }
-        } catch (IOException | Malformed e) { /* counts as no value */ }
+        } catch (IOException | MalformedRespException e) { /* counts as no value */ }
         return 0;
     }
 
--- a/src/main/java/yardusher/connectionquota/ConnectionQuotaSubsystem.java
+++ b/src/main/java/yardusher/connectionquota/ConnectionQuotaSubsystem.java
@@ -83,9 +83,9 @@
             throw new ConfigError.Value(null, "parts.folder", "a folder that can be written, which " + folder + " is not");
         }
         joined.pool().allow(this);
-        joined.table().follow(() -> loop.afterwards(this::updateRegions)); // after the decision module has the new list
-        joined.mesh().hear(Mesh.Kind.PARTS, this::receive);
-        if (joined.view() != null) { joined.view().follow(change -> updateMembers(change.now())); }
+        joined.table().follow(() -> loop.defer(this::updateRegions)); // after the decision module has the new list
+        joined.mesh().setHandler(Mesh.Kind.PARTS, this::receive);
+        if (joined.view() != null) { joined.view().subscribe(change -> updateMembers(change.snapshot())); }
         updateRegions();
     }
 
@@ -98,18 +98,18 @@
         try {
             if (!claim.tryLock(loop.now(), settings.absentMeansFirstStart())) {
                 pollAsSuccessor();
-                loop.deadlines().at(loop.now() + (successorQuota == null ? CLAIM_RETRY_MS : SUCCESSOR_POLL_MS), this::tryClaim);
+                loop.deadlines().schedule(loop.now() + (successorQuota == null ? CLAIM_RETRY_MS : SUCCESSOR_POLL_MS), this::tryClaim);
                 return;
             }
         } catch (IOException e) {
             site.events().warn("connection quotas: the claim file cannot be locked or mapped", "why", String.valueOf(e.getMessage()));
-            loop.deadlines().at(loop.now() + CLAIM_RETRY_MS, this::tryClaim);
+            loop.deadlines().schedule(loop.now() + CLAIM_RETRY_MS, this::tryClaim);
             return;
         }
         claimState = "writing the claim file";
         Thread thread = new Thread(() -> {           // the event loop must not block on the disk
             claim.sync();
-            loop.turn(this::onClaimed);
+            loop.execute(this::onClaimed);
         }, "parts-claim");
         thread.setDaemon(true);
         thread.start();
@@ -119,7 +119,7 @@
     private void onClaimed() {
         double waitMs = claim.wasCleanShutdown() ? 0 : settings.crashDetectionMs();
         claimState = "waiting until regions have noticed the end of the previous process";
-        if (waitMs == 0) { startNegotiating(); } else { loop.deadlines().at(loop.now() + waitMs, this::startNegotiating); }
+        if (waitMs == 0) { startNegotiating(); } else { loop.deadlines().schedule(loop.now() + waitMs, this::startNegotiating); }
     }
 
     /** The previous process still owns the claim: this one opens only what that one gives it. */
@@ -141,7 +141,7 @@
         site.events().info("connection quotas: claim taken", "life", claim.incarnation(), "remembers", claim.hasTrustedLoans(),
                 "in_order", claim.wasCleanShutdown());
         isClaimTrusted = claim.hasTrustedLoans();
-        if (site.view() != null) { updateMembers(site.view().picture()); }
+        if (site.view() != null) { updateMembers(site.view().snapshot()); }
         SuccessorQuota successor = successorQuota;
         successorQuota = null;
         updateRegions();
@@ -157,10 +157,10 @@
         tickSoon();
     }
 
-    private void updateMembers(View.Picture picture) {
+    private void updateMembers(View.Snapshot picture) {
         if (negotiator == null) { return; }
         String ownName = site.view().self().name();
-        negotiator.setMembers(picture.members().stream().filter(member -> !member.name().equals(ownName)).map(View.Member::at).toList());
+        negotiator.setMembers(picture.members().stream().filter(member -> !member.name().equals(ownName)).map(View.Member::address).toList());
     }
 
     /** The backend list or the limits of its regions have changed. */
@@ -194,7 +194,7 @@
         if (isClosed || atMs >= nextTickAtMs) { return; }
         loop.deadlines().cancel(tickTimer);
         nextTickAtMs = atMs;
-        tickTimer = loop.deadlines().at(atMs, this::tick);
+        tickTimer = loop.deadlines().schedule(atMs, this::tick);
     }
 
     private void tick() {
@@ -300,14 +300,14 @@
     public int busy(long region) { return site.pool().busy(region); }
 
     @Override
-    public long refusedRequests() { return counters.reasons[Api.Reason.NO_SERVER.ordinal()]; }
+    public long refusedRequests() { return counters.refusalsByReason[Api.Reason.NO_SERVER.ordinal()]; }
 
     @Override
     public long startedAttempts() { return counters.attempts; }
 
     @Override
     public void setAttemptLimit(long region, int maxAttempts) {
-        if (!isClosed) { site.ingress().tell(new Api.Room(region, maxAttempts)); }
+        if (!isClosed) { site.ingress().deliver(new Api.AttemptLimit(region, maxAttempts)); }
     }
 
     @Override
