--- a/lab/src/yardusher/connectionquota/PartsModel.java
+++ b/lab/src/yardusher/connectionquota/PartsModel.java
@@ -9,25 +9,25 @@
 import java.util.Map;
 
 /**
- * Every state of three ingresses that share one region of a small number. Each may lend, give back, tell another what stands
- * between them, die with or without its memory and begin anew; what was told may arrive at any time, any number of times, in any
- * order or never. A process that is stopped is one that does nothing, and its allowance stands; a dead one's connections are
- * counted until its next life begins. The rule: all that may be open is never more than the number. The ingresses decide by
- * {@link Ledger}, the very code that runs.
+ * Model checker that visits every state of a few ingresses that share one region with a small limit. An ingress may lend, return
+ * units, send a message to a peer, crash with or without its stored loans, and restart; a message may arrive at any time, any number
+ * of times, in any order or never. A stopped process is one that takes no step and keeps its allowance; a crashed one's connections
+ * count until its next incarnation begins. Invariant: the allowances never add up to more than the limit. The ingresses run
+ * the production {@link Ledger}.
  */
 public final class PartsModel {
     private static final long REGION = 7;
 
-    /** What was found; {@code breach} is the shortest way to a state that breaks the rule, null for none. */
+    /** Result of a run; {@code breach} is the shortest sequence of steps to a state that violates the invariant, null for none. */
     public record Result(int states, List<String> breach) { }
 
-    /** One state, decoded. */
+    /** A decoded state. */
     private final class State {
         final Ledger[] ledgers = new Ledger[ingressCount];
         final boolean[] crashed = new boolean[ingressCount];
-        final int[] loans = new int[ingressCount];              // begun by this life
-        final int[][] storedLoans = new int[ingressCount][];           // what a dead one may have lent, by its memory; null for a living one
-        final List<byte[]> messages = new ArrayList<>(); // each still able to change something
+        final int[] loans = new int[ingressCount];   // given by this incarnation
+        final int[][] storedLoans = new int[ingressCount][]; // of a crashed ingress; null for a live one
+        final List<byte[]> messages = new ArrayList<>(); // those that can still change something
     }
 
     private final int ingressCount;
@@ -39,8 +39,8 @@
     private final long[] seenHashes = new long[1 << 25];
     private int stateCount;
     private final ArrayDeque<byte[]> pending = new ArrayDeque<>();
-    private final Map<String, String[]> predecessors = new HashMap<>(); // for traces: state, the one before, by what
-    private int crashes;                              // of the state at hand
+    private final Map<String, String[]> predecessors = new HashMap<>(); // for traces: state to its predecessor and the step
+    private int crashes;                             // in the state that is being expanded
     private String currentKey;
     private String breach;
 
@@ -53,8 +53,9 @@
         this.keepTraces = keepTraces;
     }
 
-    /** Visits all states in which each life begins at most so many loans, and so many deaths come in all; {@code traces} keeps the ways. */
-    public static Result explore(int ingresses, int limit, int maxLoans, int maxCrashes, Ledger.OmittedRule omittedRule, boolean keepTraces) {
+    /** Visits all states with at most so many loans by one incarnation and so many crashes; {@code keepTraces} records the steps. */
+    public static Result explore(int ingresses, int limit, int maxLoans, int maxCrashes, Ledger.OmittedRule omittedRule,
+            boolean keepTraces) {
         return new PartsModel(ingresses, limit, maxLoans, maxCrashes, omittedRule, keepTraces).run();
     }
 
@@ -66,12 +67,14 @@
             Arrays.fill(initial.ledgers[i].settledPeers, true);
             initial.ledgers[i].unsettledPeers = 0;
         }
-        visit(initial, null, "begins");
+        visit(initial, null, "start");
         for (byte[] encoded; breach == null && (encoded = pending.poll()) != null;) { expand(encoded); }
         List<String> trace = null;
         if (breach != null) {
             trace = new ArrayList<>(List.of(breach));
-            for (String key = currentKey; keepTraces && predecessors.containsKey(key); key = predecessors.get(key)[0]) { trace.add(0, predecessors.get(key)[1]); }
+            for (String key = currentKey; keepTraces && predecessors.containsKey(key); key = predecessors.get(key)[0]) {
+                trace.add(0, predecessors.get(key)[1]);
+            }
         }
         return new Result(stateCount, trace);
     }
@@ -92,23 +95,26 @@
                 if (!state.crashed[i]) {
                     if (state.loans[i] < maxLoans && state.ledgers[i].lend(state.ledgers[i].region(REGION), j, 1) > 0) {
                         state.loans[i]++;
-                        visit(state, currentKey, i + " lends to " + j);
+                        visit(state, currentKey, i + " lends a unit to " + j);
                         state = decode(bytes);
                     }
                     if (state.ledgers[i].giveBack(state.ledgers[i].region(REGION), j, 1) > 0) {
-                        visit(state, currentKey, i + " gives back to " + j);
+                        visit(state, currentKey, i + " returns a unit to " + j);
                         state = decode(bytes);
                     }
                     state.messages.add(encodeMessage(state.ledgers[i], j));
-                    visit(state, currentKey, i + " tells " + j);
-                    for (long incarnation = 1; state.ledgers[j].incarnation >= incarnation; incarnation++) { // any life of the other may have been heard of
+                    visit(state, currentKey, i + " sends to " + j);
+                    // The ingress may have heard of any incarnation of the peer.
+                    for (long incarnation = 1; state.ledgers[j].incarnation >= incarnation; incarnation++) {
                         state = decode(bytes);
-                        if (state.ledgers[i].observeIncarnation(j, incarnation)) { visit(state, currentKey, i + " hears of life " + incarnation + " of " + j); }
+                        if (state.ledgers[i].observeIncarnation(j, incarnation)) {
+                            visit(state, currentKey, i + " hears of incarnation " + incarnation + " of " + j);
+                        }
                     }
                     if (omittedRule == Ledger.OmittedRule.STOPPED_KEEPS) {
                         state = decode(bytes);
-                        state.ledgers[i].connectionClosed(j);
-                        visit(state, currentKey, i + " holds " + j + " to have ended");
+                        state.ledgers[i].peerEnded(j);
+                        visit(state, currentKey, i + " assumes that " + j + " has ended");
                     }
                 }
             }
@@ -117,10 +123,13 @@
                 if (crashes < maxCrashes) {
                     state.crashed[i] = true;
                     state.storedLoans[i] = new int[ingressCount];
-                    for (int j = 0; j < ingressCount; j++) { state.storedLoans[i][j] = j == i ? 0 : state.ledgers[i].region(REGION).account(j).lent(); }
-                    if (state.ledgers[i].unsettledPeers > 0 && !hasTrustedLoans(state.ledgers[i])) { state.storedLoans[i][i] = 1; } // the memory was not whole yet
+                    for (int j = 0; j < ingressCount; j++) {
+                        state.storedLoans[i][j] = j == i ? 0 : state.ledgers[i].region(REGION).account(j).lent();
+                    }
+                    // The stored loans are incomplete, so the ingress cannot restart with them.
+                    if (state.ledgers[i].unsettledPeers > 0 && !hasTrustedLoans(state.ledgers[i])) { state.storedLoans[i][i] = 1; }
                     crashes++;
-                    visit(state, currentKey, i + " dies");
+                    visit(state, currentKey, i + " crashes");
                     crashes--;
                 }
             } else {
@@ -135,7 +144,7 @@
             int recipient = message[1];
             if (state.crashed[recipient]) { continue; }
             state.ledgers[recipient].apply(decodeMessage(message));
-            visit(state, currentKey, recipient + " hears " + Arrays.toString(message));
+            visit(state, currentKey, recipient + " receives " + Arrays.toString(message));
         }
     }
 
@@ -149,34 +158,38 @@
             @Override
             public boolean store(long region, int ingress, int lent) { return true; }
         };
-        state.ledgers[ingress] = newLedger(ingress, state.ledgers[ingress].incarnation + 1, hasTrustedLoans ? loanStore : LoanStore.NONE, hasTrustedLoans);
+        state.ledgers[ingress] = newLedger(ingress, state.ledgers[ingress].incarnation + 1,
+                hasTrustedLoans ? loanStore : LoanStore.NONE, hasTrustedLoans);
         state.crashed[ingress] = false;
         state.storedLoans[ingress] = null;
         state.loans[ingress] = 0;
-        visit(state, currentKey, ingress + " begins anew " + (hasTrustedLoans ? "with its memory" : "with nothing"));
+        visit(state, currentKey, ingress + " restarts " + (hasTrustedLoans ? "with its stored loans" : "without stored loans"));
     }
 
     private static boolean hasTrustedLoans(Ledger ledger) { return ledger.hasTrustedLoans(); }
 
-    /** From, to, life, life spoken to, settled, granted, back, taken, returned, old. */
+    /** Sender, recipient, incarnation, addressed incarnation, settled, granted, recovered, received, returned, legacyBorrowed. */
     private static byte[] encodeMessage(Ledger ledger, int recipient) {
         PeerAccount account = ledger.region(REGION).account(recipient);
-        return new byte[] {(byte) ledger.self, (byte) recipient, (byte) ledger.incarnation, (byte) ledger.peerIncarnations[recipient], (byte) (ledger.settledPeers[recipient] ? 1 : 0), (byte) account.granted, (byte) account.recovered,
+        return new byte[] {(byte) ledger.self, (byte) recipient, (byte) ledger.incarnation, (byte) ledger.peerIncarnations[recipient],
+                (byte) (ledger.settledPeers[recipient] ? 1 : 0), (byte) account.granted, (byte) account.recovered,
                 (byte) account.received, (byte) account.returned, (byte) account.legacyBorrowed};
     }
 
     private QuotaMessage decodeMessage(byte[] message) {
-        return new QuotaMessage(message[0], ingressCount, 1, message[2], message[3], 0, message[4] == 1, true, false, List.of(new QuotaMessage.Row(REGION, message[5], message[6], message[7], message[8], message[9], 0, 0, 0, 0, 0, 0)));
+        return new QuotaMessage(message[0], ingressCount, 1, message[2], message[3], 0, message[4] == 1, true, false,
+                List.of(new QuotaMessage.Row(REGION, message[5], message[6], message[7], message[8], message[9], 0, 0, 0, 0, 0, 0)));
     }
 
-    /** Whether it can change nothing any more, now or later; that its sender lived is known without it. */
+    /** Whether the message can change nothing any more, now or later; its sender's incarnation is known without it. */
     private boolean isIneffective(State state, byte[] message) {
         if (omittedRule == Ledger.OmittedRule.REPEAT_CHECK) { return false; }
         Ledger recipient = state.ledgers[message[1]];
         if (message[2] < recipient.peerIncarnations[message[0]] || message[3] < recipient.incarnation) { return true; }
         if (message[2] != recipient.peerIncarnations[message[0]] || message[3] != recipient.incarnation) { return false; }
         PeerAccount account = recipient.region(REGION).account(message[0]);
-        return recipient.settledPeers[message[0]] && message[5] <= account.received && message[6] <= account.ackedReturned && message[7] <= account.ackedGranted && message[8] <= account.recovered && message[9] >= account.maxLegacyLent;
+        return recipient.settledPeers[message[0]] && message[5] <= account.received && message[6] <= account.ackedReturned
+                && message[7] <= account.ackedGranted && message[8] <= account.recovered && message[9] >= account.maxLegacyLent;
     }
 
     private void visit(State state, String predecessor, String step) {
@@ -192,7 +205,7 @@
         int open = 0;
         for (Ledger ledger : state.ledgers) { open += Math.max(0, ledger.allowance(ledger.region(REGION))); }
         if (open > limit && breach == null) {
-            breach = step + ": " + open + " may be open of " + limit;
+            breach = step + ": " + open + " may be open, limit " + limit;
             return;
         }
         if (breach == null) { pending.add(bytes); }
@@ -231,7 +244,10 @@
                 if (j == i) { continue; }
                 PeerAccount account = ledger.region(REGION).account(j);
                 out.write((int) ledger.peerIncarnations[j] | (ledger.settledPeers[j] ? 16 : 0));
-                for (int value : new int[] {account.granted, account.recovered, account.received, account.returned, account.legacyBorrowed, account.maxLegacyLent, account.ackedGranted, account.ackedReturned}) { out.write(value); }
+                for (int value : new int[] {account.granted, account.recovered, account.received, account.returned, account.legacyBorrowed,
+                        account.maxLegacyLent, account.ackedGranted, account.ackedReturned}) {
+                    out.write(value);
+                }
             }
             if (state.crashed[i]) {
                 for (int value : state.storedLoans[i]) { out.write(value); }
@@ -282,12 +298,14 @@
         return state;
     }
 
-    /** INGRESSES NUMBER LOANS DEATHS [WITHOUT]: a breach is told with its way. */
+    /** Arguments: INGRESSES LIMIT LOANS CRASHES [OMITTED_RULE]. A breach is printed with the steps that lead to it. */
     public static void main(String[] args) {
         Ledger.OmittedRule omittedRule = args.length > 4 ? Ledger.OmittedRule.valueOf(args[4]) : Ledger.OmittedRule.NOTHING;
         long startedAtNs = System.nanoTime();
-        Result result = explore(Integer.parseInt(args[0]), Integer.parseInt(args[1]), Integer.parseInt(args[2]), Integer.parseInt(args[3]), omittedRule, omittedRule != Ledger.OmittedRule.NOTHING);
-        System.out.println(result.states() + " states in " + (System.nanoTime() - startedAtNs) / 100_000_000 / 10.0 + " s" + (result.breach() == null ? ", no breach" : ", breach after " + result.breach().size() + " events"));
+        Result result = explore(Integer.parseInt(args[0]), Integer.parseInt(args[1]), Integer.parseInt(args[2]), Integer.parseInt(args[3]),
+                omittedRule, omittedRule != Ledger.OmittedRule.NOTHING);
+        System.out.println(result.states() + " states in " + (System.nanoTime() - startedAtNs) / 100_000_000 / 10.0 + " s"
+                + (result.breach() == null ? ", no breach" : ", breach after " + result.breach().size() + " events"));
         if (result.breach() != null) { result.breach().forEach(System.out::println); }
     }
 }
--- a/lab/src/yardusher/connectionquota/PartsScripted.java
+++ b/lab/src/yardusher/connectionquota/PartsScripted.java
@@ -12,37 +12,43 @@
 import java.util.Random;
 
 /**
- * Ingresses, regions and the mesh on scripted time, by seed. The ingresses decide by {@link Negotiator}, the very code that
- * runs; pools, regions and the network are small models. Each region counts its connections from accept to close at every
- * instant. By seed: messages lost, doubled, late; cuts; processes killed, stopped, started with and without a memory; regions
- * that are stopped or restart; numbers lowered. It stands in this package since it looks at decisions that are nobody else's.
+ * Discrete-event simulation of ingresses, regions and the mesh, reproducible by seed. The ingresses run the production
+ * {@link Negotiator}; pools, regions and the network are small models. Each region counts its connections from accept to close
+ * at every instant. Faults, by seed: messages lost, duplicated and late; partitions; processes killed, stopped, and started with and
+ * without stored loans; regions that are stopped or restart; lowered limits. It is in this package because it reads
+ * package-private state.
  */
 public final class PartsScripted {
-    /** Which way connections are divided. NEED: without a word, each keeps to as many regions as it needs, by a draw of its own. */
+    /**
+     * How connections are divided. TODAY: not at all. FIXED: in equal shares. SUBSETS: each ingress uses some of the regions.
+     * NEED: without messages, each ingress uses only as many regions as it needs, in an order of its own. PARTS: by negotiation.
+     */
     public enum Scheme { TODAY, FIXED, SUBSETS, NEED, PARTS }
 
-    /** What is done to them. */
+    /** Which faults are injected. */
     public enum Faults { NONE, ALL }
 
-    /** How demand lies. */
+    /** How the demand is distributed, relative to the limits of all regions. MOVES: it moves from one ingress to the next. */
     public enum Load { LIGHT, AMPLE, FULL, SCARCE, HALF_HOT, MOVES, RANDOM }
 
-    /** {@code regions} hold {@code number} connections each. */
-    public record Setup(int ingresses, int regions, int limit, Scheme scheme, Faults faults, Load load, double seconds, Ledger.OmittedRule omittedRule) { }
+    /** Each of {@code regions} regions holds at most {@code limit} connections. */
+    public record Setup(int ingresses, int regions, int limit, Scheme scheme, Faults faults, Load load, double seconds,
+            Ledger.OmittedRule omittedRule) { }
 
-    /** How it went; times in milliseconds, {@code breach} null where the rule held. */
-    public record Result(long seed, String breach, long requests, long served, long refused, long rejectedAtRegion, long handshakes, double utilization, double jainIndex,
-            double p50Ms, double p99Ms, List<Double> hotspotMs, long movedUnits, long sentMessages, double sentBytes, int faultCount, int maxUnusableUnits) { }
+    /** Result of a seed; times in milliseconds, {@code breach} null if no limit was exceeded. */
+    public record Result(long seed, String breach, long requests, long served, long refused, long rejectedAtRegion, long handshakes,
+            double utilization, double jainIndex, double p50Ms, double p99Ms, List<Double> hotspotMs, long movedUnits, long sentMessages,
+            double sentBytes, int faultCount, int maxUnusableUnits) { }
 
     private static final double LIGHT_PER_S = Double.parseDouble(System.getProperty("lab.light", "30"));
     private static final double IDLE_BONUS = Double.parseDouble(System.getProperty("lab.kept", "0"));
-    private static final double ONE_WAY_LATENCY_MS = 0.3;        // one way, on a network of one installation
-    private static final double HANDSHAKE_MS = 1.5;  // beyond that, as TLS would
+    private static final double ONE_WAY_LATENCY_MS = 0.3; // within one installation
+    private static final double HANDSHAKE_MS = 1.5;  // in addition, as for TLS
     private static final double SERVICE_MS = 30;
-    private static final double REUSE_DELAY_MS = 30;
+    private static final double REUSE_DELAY_MS = 30; // pause before reuse, in which a second answer would show
     private static final double CRASH_DETECTION_MS = 1000;
     private static final double IDLE_TIMEOUT_MS = 21_000;
-    private static final double LOWERED_LIMIT_MS = 10_000; // by then a lowered number holds, where nobody is away
+    private static final double LOWERED_LIMIT_MS = 10_000; // after which a lowered limit holds, if no ingress is stopped or cut off
     private static final double START_MS = 1e12;
 
     private record Event(double atMs, long sequence, Runnable action) implements Comparable<Event> {
@@ -56,7 +62,7 @@
     private static final class SimulatedRegion {
         int open;
         int limit;
-        int previousLimit;                                  // the number before it was lowered
+        int previousLimit;                           // highest earlier limit
         double loweredAtMs = Double.NEGATIVE_INFINITY;
         double stoppedUntilMs;
         int incarnation;
@@ -65,19 +71,19 @@
     private static final class Connection {
         final int region;
         boolean isAccepted;
-        boolean isProcessDead;                                // its process ended before it was accepted
+        boolean isProcessDead;                       // its process died before the accept
         double processDiedAtMs;
-        boolean isClosedByRegion;                              // at the region
+        boolean isClosedByRegion;
         boolean isIdle;
-        boolean isClosedByIngress;                                // from the ingress's side
+        boolean isClosedByIngress;
         double idleSinceMs;
-        int previousAttempts;                                   // of its request before it
-        int regionIncarnation;                                    // of the region
+        int previousAttempts;                        // of its request
+        int regionIncarnation;                       // when it was accepted
 
         Connection(int region) { this.region = region; }
     }
 
-    /** What outlives a process, if it does. */
+    /** The stored loans of an ingress, which outlive its process unless they are deleted. */
     private static final class StoredLoans implements LoanStore {
         final Map<Long, Map<Integer, Integer>> lent = new HashMap<>();
         boolean isTrusted;
@@ -100,7 +106,7 @@
         Negotiator negotiator;
         boolean isDead;
         boolean isStopped;
-        boolean isWaiting = true;                        // has not begun yet
+        boolean isWaiting = true;                    // has not started to negotiate yet
         final ArrayDeque<Runnable> queued = new ArrayDeque<>();
         final int[] attemptLimits = new int[setup.regions];
         final int[] open = new int[setup.regions];
@@ -180,14 +186,15 @@
             int recipient = to.getPort() - 10_000;
             int copies = random.nextDouble() < lossRate ? 0 : random.nextDouble() < duplicateRate ? 2 : 1;
             for (int i = 0; i < copies; i++) {
-                double delay = ONE_WAY_LATENCY_MS * (0.5 + random.nextDouble()) + (random.nextDouble() < lateRate ? random.nextDouble() * 2000 : 0);
+                double delay = ONE_WAY_LATENCY_MS * (0.5 + random.nextDouble())
+                        + (random.nextDouble() < lateRate ? random.nextDouble() * 2000 : 0);
                 schedule(now + delay, () -> {
-                    Ingress hearer = ingresses[recipient];
-                    if (hearer == null || partitions[number] != partitions[recipient]) { return; }
-                    run(hearer, () -> {
-                        if (hearer.negotiator == null) { return; }
-                        hearer.negotiator.receive(now, address, body);
-                        hearer.tickBy(now + 1);
+                    Ingress receiver = ingresses[recipient];
+                    if (receiver == null || partitions[number] != partitions[recipient]) { return; }
+                    run(receiver, () -> {
+                        if (receiver.negotiator == null) { return; }
+                        receiver.negotiator.receive(now, address, body);
+                        receiver.tickBy(now + 1);
                     });
                 });
             }
@@ -202,8 +209,8 @@
     private final Ingress[] ingresses;
     private final StoredLoans[] loanStores;
     private final int[] partitions;
-    private final double[] requestsPerMs;                     // requests a millisecond, by ingress
-    private final double[] wantedConnections;                   // connections that would be busy, by ingress
+    private final double[] requestsPerMs;            // by ingress
+    private final double[] wantedConnections;        // connections that its demand would keep busy, by ingress
     private double now = START_MS;
     private long eventSequence;
     private String breach;
@@ -259,11 +266,11 @@
         if (ingress.isStopped) { ingress.queued.add(action); } else { action.run(); }
     }
 
-    /** What an ingress may have open at a region where nobody negotiates. */
+    /** Number of connections that an ingress may have open at a region if nothing is negotiated. */
     private int fixedQuota(int ingress, int region) {
         if (setup.scheme == Scheme.TODAY || setup.scheme == Scheme.NEED) { return Integer.MAX_VALUE; }
         if (setup.scheme == Scheme.FIXED) { return Ledger.share(regionId(region), setup.limit, ingress, setup.ingresses); }
-        // Subsets: each region serves so many ingresses that each has four at least, each ingress as many regions.
+        // Subsets: each region serves as many ingresses as can have four connections each, and each ingress has as many regions.
         int sharers = Math.max(1, Math.min(setup.ingresses, setup.limit / 4));
         int rank = (int) Math.floorMod(ingress - region * (long) Math.max(1, setup.ingresses / setup.regions), (long) setup.ingresses);
         return rank < sharers ? setup.limit / sharers : 0;
@@ -294,11 +301,15 @@
             event.action.run();
         }
         double[] sorted = overheadsMs.stream().mapToDouble(Double::doubleValue).sorted().toArray();
-        return new Result(seed, breach, requests, served, refused, rejectedAtRegion, handshakes, utilizationSamples == 0 ? 0 : utilizationSum / utilizationSamples,
-                jainSamples == 0 ? 0 : jainSum / jainSamples, percentile(sorted, 0.5), percentile(sorted, 0.99), hotspotMs, movedUnits(), sentMessages, sentBytes, faultCount, maxUnusableUnits);
+        return new Result(seed, breach, requests, served, refused, rejectedAtRegion, handshakes,
+                utilizationSamples == 0 ? 0 : utilizationSum / utilizationSamples, jainSamples == 0 ? 0 : jainSum / jainSamples,
+                percentile(sorted, 0.5), percentile(sorted, 0.99), hotspotMs, movedUnits(), sentMessages,
+                sentBytes, faultCount, maxUnusableUnits);
     }
 
-    static double percentile(double[] sorted, double fraction) { return sorted.length == 0 ? 0 : sorted[(int) Math.min(sorted.length - 1, fraction * sorted.length)]; }
+    static double percentile(double[] sorted, double fraction) {
+        return sorted.length == 0 ? 0 : sorted[(int) Math.min(sorted.length - 1, fraction * sorted.length)];
+    }
 
     private long movedUnits() {
         long moved = 0;
@@ -311,10 +322,13 @@
         Ingress ingress = new Ingress(number, (long) now);
         ingresses[number] = ingress;
         if (setup.scheme == Scheme.NEED) { restrictRegions(ingress, 0); }
-        if (setup.scheme == Scheme.PARTS) { schedule(now + (loanStores[number].endedCleanly ? 0 : CRASH_DETECTION_MS), () -> run(ingress, () -> ingress.startNegotiating(loanStores[number]))); }
+        if (setup.scheme == Scheme.PARTS) {
+            schedule(now + (loanStores[number].endedCleanly ? 0 : CRASH_DETECTION_MS),
+                    () -> run(ingress, () -> ingress.startNegotiating(loanStores[number])));
+        }
     }
 
-    /** Keeps a process to as many regions as it needs, the first of a draw of its own. */
+    /** Restricts an ingress to as many regions as it needs, in an order given by a hash with its number. */
     private void restrictRegions(Ingress ingress, double peak) {
         int busy = Arrays.stream(ingress.busy).sum();
         double decayedPeak = Math.max(busy, peak * 0.97);
@@ -328,7 +342,7 @@
 
     // Demand.
 
-    /** How many connections are needed in all, at a region's pace. */
+    /** Connections of all regions together. */
     private double capacity() { return (double) setup.regions * setup.limit; }
 
     private void setDemand(int ingress, double connections) {
@@ -340,7 +354,7 @@
         int n = setup.ingresses;
         switch (setup.load) {
             case LIGHT -> {
-                for (int i = 0; i < n; i++) { setDemand(i, LIGHT_PER_S * SERVICE_MS / 1000); } // from the first moment of a new process
+                for (int i = 0; i < n; i++) { setDemand(i, LIGHT_PER_S * SERVICE_MS / 1000); } // measured from the start of the processes
             }
             case AMPLE -> {
                 for (int i = 0; i < n; i++) { setDemand(i, 0.4 * capacity() / n); }
@@ -362,8 +376,8 @@
         }
     }
 
-    /** All demand moves to the next ingress at one stroke, 85% of the number; it has its part when it may use 90% of what
-     * the others' few requests leave. */
+    /** Moves the demand, 85% of the limit, to the next ingress at once. That ingress has its part when it may use 90% of what the
+     * few requests of the others leave. */
     private void moveDemand(int round) {
         int hot = round % setup.ingresses;
         for (int i = 0; i < setup.ingresses; i++) { setDemand(i, i == hot ? 0.85 * capacity() : 0.002 * capacity()); }
@@ -376,7 +390,7 @@
     private void watchHotspot(int hot, double startedAtMs) {
         int allowance = 0;
         for (int r = 0; r < setup.regions; r++) { allowance += Math.min(ingresses[hot].attemptLimits[r], setup.limit); }
-        if (allowance >= 0.9 * Math.min(0.85 * capacity(), capacity() - setup.ingresses + 1)) { // the others need one each
+        if (allowance >= 0.9 * Math.min(0.85 * capacity(), capacity() - setup.ingresses + 1)) { // the others need one unit each
             hotspotMs.add(now - startedAtMs);
         } else if (now - startedAtMs > 2900) {
             hotspotMs.add(3000.0);
@@ -389,7 +403,8 @@
         double meanMs = requestsPerMs[ingress] <= 0 ? 1e9 : 1 / requestsPerMs[ingress];
         double rateBefore = requestsPerMs[ingress];
         schedule(now - Math.log(1 - random.nextDouble()) * Math.min(meanMs, 1000), () -> {
-            if (rateBefore != requestsPerMs[ingress] && setup.load == Load.MOVES && requestsPerMs[ingress] > rateBefore) { return; } // begun anew by the stroke
+            // The move of the demand has scheduled a request of its own.
+            if (rateBefore != requestsPerMs[ingress] && setup.load == Load.MOVES && requestsPerMs[ingress] > rateBefore) { return; }
             if (meanMs <= 1000) { request(ingress); }
             scheduleRequest(ingress);
         });
@@ -427,9 +442,11 @@
         for (int i = idle.size() - 1; i >= 0 && connection == null; i--) {
             if (now - idle.get(i).idleSinceMs >= REUSE_DELAY_MS) { connection = idle.remove(i); }
         }
-        boolean mayOpen = setup.scheme == Scheme.PARTS ? connection == null && ingress.negotiator.tryAcquire(regionId(region)) : ingress.open[region] < ingress.attemptLimits[region];
+        boolean mayOpen = setup.scheme == Scheme.PARTS
+                ? connection == null && ingress.negotiator.tryAcquire(regionId(region))
+                : ingress.open[region] < ingress.attemptLimits[region];
         if (connection == null && !mayOpen && !idle.isEmpty()) { connection = idle.remove(0); }
-        if (connection == null && !mayOpen) {                  // known too late: the module would not have chosen it
+        if (connection == null && !mayOpen) {        // the attempt limit was outdated; else the region would not have been chosen
             ingress.busy[region]--;
             refused += isMeasured ? 1 : 0;
             return;
@@ -447,10 +464,11 @@
         schedule(Math.max(now + ONE_WAY_LATENCY_MS, regions[region].stoppedUntilMs), () -> accept(ingress, dialled, requestedAtMs));
     }
 
-    /** What a choice goes by; {@code lab.kept}: a connection that stands ready there counts for so much less. */
+    /** Load by which regions are compared; {@code lab.kept} is subtracted for a region with a reusable idle connection. */
     private double regionLoad(Ingress ingress, int region) {
         List<Connection> idle = ingress.idle.get(region);
-        return ingress.busy[region] - (IDLE_BONUS > 0 && !idle.isEmpty() && now - idle.get(0).idleSinceMs >= REUSE_DELAY_MS ? IDLE_BONUS : 0);
+        return ingress.busy[region] - (IDLE_BONUS > 0 && !idle.isEmpty() && now - idle.get(0).idleSinceMs >= REUSE_DELAY_MS
+                ? IDLE_BONUS : 0);
     }
 
     private void accept(Ingress ingress, Connection connection, double requestedAtMs) {
@@ -465,7 +483,8 @@
             }));
             return;
         }
-        if (connection.isProcessDead && now > connection.processDiedAtMs + CRASH_DETECTION_MS) { // stated: a region takes note of a process's end within that time
+        // Assumption of the design: regions notice the death of a process within that time.
+        if (connection.isProcessDead && now > connection.processDiedAtMs + CRASH_DETECTION_MS) {
             connection.isClosedByRegion = true;
             return;
         }
@@ -483,8 +502,11 @@
 
     private void checkLimit(int index) {
         SimulatedRegion region = regions[index];
-        int allowed = now - region.loweredAtMs < LOWERED_LIMIT_MS || faultCount > 0 ? Math.max(region.limit, region.previousLimit) : region.limit;
-        if (region.open > allowed) { breach = (now - START_MS) + " ms: region " + index + " holds " + region.open + " connections of " + allowed; }
+        int allowed = now - region.loweredAtMs < LOWERED_LIMIT_MS || faultCount > 0
+                ? Math.max(region.limit, region.previousLimit) : region.limit;
+        if (region.open > allowed) {
+            breach = (now - START_MS) + " ms: region " + index + " has " + region.open + " open connections, limit " + allowed;
+        }
     }
 
     private void serveRequest(Ingress ingress, Connection connection, double requestedAtMs) {
@@ -512,12 +534,15 @@
             connection.isIdle = true;
             ingress.idle.get(connection.region).add(connection);
             schedule(now + IDLE_TIMEOUT_MS, () -> run(ingress, () -> {
-                if (connection.isIdle && now - connection.idleSinceMs >= IDLE_TIMEOUT_MS - 1 && ingress.idle.get(connection.region).remove(connection)) { close(ingress, connection); }
+                if (connection.isIdle && now - connection.idleSinceMs >= IDLE_TIMEOUT_MS - 1
+                        && ingress.idle.get(connection.region).remove(connection)) {
+                    close(ingress, connection);
+                }
             }));
         }));
     }
 
-    /** Closes from the ingress's side; with parts it waits for the region's close. */
+    /** Closes from the ingress's side; with negotiated quotas the unit stays in use until the region has closed too. */
     private void close(Ingress ingress, Connection connection) {
         if (connection.isClosedByIngress) { return; }
         connection.isClosedByIngress = true;
@@ -536,12 +561,14 @@
     private void closeAtRegion(Connection connection) {
         if (connection.isClosedByRegion) { return; }
         connection.isClosedByRegion = true;
-        if (connection.isAccepted && connection.regionIncarnation == regions[connection.region].incarnation) { regions[connection.region].open--; }
+        if (connection.isAccepted && connection.regionIncarnation == regions[connection.region].incarnation) {
+            regions[connection.region].open--;
+        }
     }
 
-    /** The region closed it, or refused it. */
+    /** The region closed or refused the connection. */
     private void regionClosed(Ingress ingress, Connection connection) {
-        if (connection.isClosedByIngress) { return; }                   // its end comes by the way of closing
+        if (connection.isClosedByIngress) { return; } // close() reports its end
         connection.isClosedByIngress = true;
         if (connection.isIdle) { ingress.idle.get(connection.region).remove(connection); } else { ingress.busy[connection.region]--; }
         removeConnection(ingress, connection, false);
@@ -592,9 +619,14 @@
             connection.isClosedByIngress = true;
             connection.processDiedAtMs = now;
             double noticedAtMs = now + ONE_WAY_LATENCY_MS + random.nextDouble() * 300;
-            if (regions[connection.region].stoppedUntilMs > noticedAtMs) { regions[connection.region].stoppedUntilMs = noticedAtMs; } // stated: regions take note within ENDED_MS
+            // Assumption of the design: regions notice the death of a process within CRASH_DETECTION_MS.
+            if (regions[connection.region].stoppedUntilMs > noticedAtMs) { regions[connection.region].stoppedUntilMs = noticedAtMs; }
             schedule(noticedAtMs, () -> {
-                if (!connection.isAccepted && !connection.isClosedByRegion) { connection.isProcessDead = true; } else { closeAtRegion(connection); }
+                if (!connection.isAccepted && !connection.isClosedByRegion) {
+                    connection.isProcessDead = true;
+                } else {
+                    closeAtRegion(connection);
+                }
             });
         }
         if (deletesLoans) { loanStores[number] = new StoredLoans(); }
@@ -608,7 +640,7 @@
         for (Runnable action; !ingress.isStopped && (action = ingress.queued.poll()) != null;) { action.run(); }
     }
 
-    /** A region's process dies and comes back: all its connections are reset. */
+    /** A region's process restarts, which resets all its connections. */
     private void restartRegion(int index) {
         SimulatedRegion region = regions[index];
         region.incarnation++;
@@ -623,7 +655,7 @@
         }
     }
 
-    /** The number is changed at all ingresses, one after another. */
+    /** Changes the limit of a region at all ingresses, one after another. */
     private void changeLimit(int index) {
         SimulatedRegion region = regions[index];
         int newLimit = Math.max(1, setup.limit / 2 + random.nextInt(setup.limit / 2 + 1));
@@ -633,13 +665,17 @@
         for (int i = 0; i < setup.ingresses; i++) {
             int number = i;
             schedule(now + random.nextInt(2000), () -> {
-                Ingress proc = ingresses[number];
-                if (proc != null) { run(proc, () -> { if (proc.negotiator != null) { proc.negotiator.setLimit(now, regionId(index), region.limit); } }); }
+                Ingress ingress = ingresses[number];
+                if (ingress != null) {
+                    run(ingress, () -> {
+                        if (ingress.negotiator != null) { ingress.negotiator.setLimit(now, regionId(index), region.limit); }
+                    });
+                }
             });
         }
     }
 
-    // What is measured each 50 ms.
+    // Measurements every 50 ms.
 
     private void sample() {
         schedule(now + 50, this::sample);
@@ -667,7 +703,7 @@
             utilizationSum += (double) busy / totalLimit;
             utilizationSamples++;
         }
-        if (setup.load == Load.SCARCE && now > START_MS + setup.seconds * 1000 - 200) { // what each was served, all wanting the same
+        if (setup.load == Load.SCARCE && now > START_MS + setup.seconds * 1000 - 200) { // all ingresses have the same demand
             for (int i = 0; i < setup.ingresses; i++) {
                 sum += servedBy[i];
                 squares += (double) servedBy[i] * servedBy[i];
@@ -678,10 +714,11 @@
         }
     }
 
-    /** Runs seeds: INGRESSES REGIONS NUMBER WAY FAULTS LOAD SECONDS FROM COUNT [WITHOUT]. */
+    /** Runs seeds. Arguments: INGRESSES REGIONS LIMIT SCHEME FAULTS LOAD SECONDS FIRST_SEED COUNT [OMITTED_RULE]. */
     public static void main(String[] args) {
-        Setup setup = new Setup(Integer.parseInt(args[0]), Integer.parseInt(args[1]), Integer.parseInt(args[2]), Scheme.valueOf(args[3]), Faults.valueOf(args[4]),
-                Load.valueOf(args[5]), Double.parseDouble(args[6]), args.length > 9 ? Ledger.OmittedRule.valueOf(args[9]) : Ledger.OmittedRule.NOTHING);
+        Setup setup = new Setup(Integer.parseInt(args[0]), Integer.parseInt(args[1]), Integer.parseInt(args[2]), Scheme.valueOf(args[3]),
+                Faults.valueOf(args[4]), Load.valueOf(args[5]), Double.parseDouble(args[6]),
+                args.length > 9 ? Ledger.OmittedRule.valueOf(args[9]) : Ledger.OmittedRule.NOTHING);
         long firstSeed = Long.parseLong(args[7]);
         int count = Integer.parseInt(args[8]);
         int breaches = 0;
@@ -694,14 +731,20 @@
                 breaches++;
                 if (breaches <= 5) { System.out.println("seed " + seed + " breach: " + result.breach); }
             }
-            double[] values = {result.requests, result.served, result.refused, result.rejectedAtRegion, result.handshakes, result.utilization, result.jainIndex, result.p50Ms, result.p99Ms, result.movedUnits, result.sentMessages, result.faultCount};
+            double[] values = {result.requests, result.served, result.refused, result.rejectedAtRegion, result.handshakes,
+                    result.utilization, result.jainIndex, result.p50Ms, result.p99Ms, result.movedUnits, result.sentMessages,
+                    result.faultCount};
             for (int i = 0; i < values.length; i++) { sums[i] += values[i]; }
             hotspotMs.addAll(result.hotspotMs);
         }
         double[] sortedHotspotMs = hotspotMs.stream().mapToDouble(Double::doubleValue).sorted().toArray();
-        System.out.printf(java.util.Locale.ROOT, "%s %s %s n=%d regions=%d number=%d seeds=%d breaches=%d asked=%.0f served=%.3f refused=%.3f too_many=%.4f handshakes=%.4f use=%.3f jain=%.3f"
-                + " p50+=%.2f p99+=%.2f hot=%d hot_p50=%.0f hot_p99=%.0f moved/s=%.1f told/s=%.1f faults=%.0f in %.1f s%n", setup.scheme, setup.load, setup.faults, setup.ingresses,
-                setup.regions, setup.limit, count, breaches, sums[0], sums[1] / sums[0], sums[2] / sums[0], sums[3] / sums[0], sums[4] / Math.max(1, sums[1]), sums[5] / count, sums[6] / count, sums[7] / count,
-                sums[8] / count, sortedHotspotMs.length, percentile(sortedHotspotMs, 0.5), percentile(sortedHotspotMs, 0.99), sums[9] / count / setup.seconds / setup.ingresses, sums[10] / count / setup.seconds / setup.ingresses, sums[11], (System.nanoTime() - startedAtNs) / 1e9);
+        System.out.printf(java.util.Locale.ROOT,
+                "%s %s %s n=%d regions=%d number=%d seeds=%d breaches=%d asked=%.0f served=%.3f refused=%.3f too_many=%.4f handshakes=%.4f use=%.3f jain=%.3f"
+                + " p50+=%.2f p99+=%.2f hot=%d hot_p50=%.0f hot_p99=%.0f moved/s=%.1f told/s=%.1f faults=%.0f in %.1f s%n", setup.scheme,
+                setup.load, setup.faults, setup.ingresses, setup.regions, setup.limit, count, breaches, sums[0], sums[1] / sums[0],
+                sums[2] / sums[0], sums[3] / sums[0], sums[4] / Math.max(1, sums[1]), sums[5] / count, sums[6] / count, sums[7] / count,
+                sums[8] / count, sortedHotspotMs.length, percentile(sortedHotspotMs, 0.5), percentile(sortedHotspotMs, 0.99),
+                sums[9] / count / setup.seconds / setup.ingresses, sums[10] / count / setup.seconds / setup.ingresses, sums[11],
+                (System.nanoTime() - startedAtNs) / 1e9);
     }
 }
--- a/lab/src/yardusher/lab/parts/PartsCases.java
+++ b/lab/src/yardusher/lab/parts/PartsCases.java
@@ -14,28 +14,31 @@
 import yardusher.lab.Seeds;
 import yardusher.lab.Terminals;
 
-/** The hard cases of divided connections, each by real processes and by itself; what is found is a line for each breach. */
+/** Difficult cases of connection quotas, each with real processes; the result is one line per breach. */
 public final class PartsCases {
-    /** Which. */
+    /** A case; the names are arguments of {@link #main}. */
     public enum Case { STOPPED, LOWERED, COLD, ROLL, UPGRADE, CUT, MANY, KILLED, FROZEN }
 
     private static final String REGION = "00000000";
-    private static final int LOWERED_LIMIT_MS = 5000;      // by then a lowered number holds, where all are told and nobody is away
+    private static final int LOWERED_LIMIT_MS = 5000; // after which a lowered limit holds, if all ingresses run and have reloaded
 
     private PartsCases() { }
 
-    /** {@code FOLDER CASE PROCESSES NUMBER MS}. */
+    /** Arguments: {@code FOLDER CASE PROCESSES LIMIT MS}. */
     public static void main(String[] args) throws Exception {
         StringBuilder note = new StringBuilder();
         Path folder = Path.of(args[0]).resolve(args[1].toLowerCase(java.util.Locale.ROOT));
         if (Files.exists(folder)) { Seeds.delete(folder); }
-        List<String> found = play(Files.createDirectories(folder), Case.valueOf(args[1]), Integer.parseInt(args[2]), Integer.parseInt(args[3]), Long.parseLong(args[4]), note);
-        System.out.println(args[1] + " n=" + args[2] + " number=" + args[3] + ": " + note + (found.isEmpty() ? ", no breach" : ", BREACH " + found));
+        List<String> found = play(Files.createDirectories(folder), Case.valueOf(args[1]), Integer.parseInt(args[2]),
+                Integer.parseInt(args[3]), Long.parseLong(args[4]), note);
+        System.out.println(args[1] + " n=" + args[2] + " number=" + args[3] + ": " + note
+                + (found.isEmpty() ? ", no breach" : ", BREACH " + found));
         System.exit(found.isEmpty() ? 0 : 1);
     }
 
-    /** Plays a case whose trouble lasts so long. */
-    public static List<String> play(Path folder, Case scenario, int processes, int limit, long durationMs, StringBuilder note) throws Exception {
+    /** Runs a case whose disturbance lasts so long; returns the breaches. */
+    public static List<String> play(Path folder, Case scenario, int processes, int limit, long durationMs,
+            StringBuilder note) throws Exception {
         List<String> found = new ArrayList<>();
         try (Group group = new Group(folder, processes, 11)) {
             Region region = group.region(REGION, "hall-a").takes(15, 25);
@@ -45,16 +48,20 @@
             awaitSettled(group);
             switch (scenario) {
                 case STOPPED -> {
-                    try (TerminalLoad hot = new TerminalLoad(group, 2 * limit, 30, 0)) { await(() -> allowance(group, 0) >= limit - processes, 8000); }
+                    try (TerminalLoad hot = new TerminalLoad(group, 2 * limit, 30, 0)) {
+                        await(() -> allowance(group, 0) >= limit - processes, 8000);
+                    }
                     int keptUnits = allowance(group, 0);
                     group.pause(0);
                     try (TerminalLoad others = new TerminalLoad(group, 2 * limit, 30, 1)) {
                         Thread.sleep(durationMs);
-                        note.append("stopped with ").append(keptUnits).append(" of ").append(limit).append(", the other had ").append(allowance(group, 1)).append(" after ").append(durationMs).append(" ms, ");
+                        note.append("stopped with ").append(keptUnits).append(" of ").append(limit).append(", the other had ")
+                                .append(allowance(group, 1)).append(" after ").append(durationMs).append(" ms, ");
                         group.resume(0);
                         double startedAtMs = Chronicle.now();
                         await(() -> allowance(group, 1) >= limit - processes, 8000);
-                        note.append(allowance(group, 1)).append(" ").append(Math.round(Chronicle.now() - startedAtMs)).append(" ms after it woke");
+                        note.append(allowance(group, 1)).append(" ").append(Math.round(Chronicle.now() - startedAtMs))
+                                .append(" ms after it woke");
                     }
                 }
                 case LOWERED -> {
@@ -67,11 +74,14 @@
                         }
                         Thread.sleep(LOWERED_LIMIT_MS);
                         double loweredByMs = Chronicle.now();
-                        double lastAboveAtMs = group.regionHistory().stream().filter(one -> one.open() > limit / 2).mapToDouble(Region.Event::atMs).max().orElse(startedAtMs);
-                        note.append("from ").append(limit).append(" to ").append(limit / 2).append(" in ").append(Math.round(lastAboveAtMs - startedAtMs)).append(" ms under load");
+                        double lastAboveAtMs = group.regionHistory().stream().filter(one -> one.open() > limit / 2)
+                                .mapToDouble(Region.Event::atMs).max().orElse(startedAtMs);
+                        note.append("from ").append(limit).append(" to ").append(limit / 2).append(" in ")
+                                .append(Math.round(lastAboveAtMs - startedAtMs)).append(" ms under load");
                         Thread.sleep(durationMs);
-                        group.regionHistory().stream().filter(one -> one.what().equals("open") && one.atMs() > loweredByMs && one.open() > limit / 2).limit(3)
-                                .forEach(one -> found.add("above the lowered number: " + one));
+                        group.regionHistory().stream()
+                                .filter(one -> one.what().equals("open") && one.atMs() > loweredByMs && one.open() > limit / 2).limit(3)
+                                .forEach(one -> found.add("above the lowered limit: " + one));
                     }
                 }
                 case COLD -> {
@@ -80,38 +90,42 @@
                         group.crash(region);
                         Thread.sleep(300);
                         group.restart(region);
-                        double startedAtMs = Chronicle.now() + 3000; // by then the list has been told
+                        double coldFromMs = Chronicle.now() + 3000; // by then the ingresses have the new backend list
                         Thread.sleep(3000 + durationMs);
-                        note.append("most open while cold ").append(group.regionHistory().stream().filter(one -> one.atMs() > startedAtMs).mapToInt(Region.Event::open).max().orElse(0));
-                        group.regionHistory().stream().filter(one -> one.what().equals("open") && one.atMs() > startedAtMs && one.open() > limit / 2).limit(3)
-                                .forEach(one -> found.add("above the cold number: " + one));
+                        note.append("most open while cold ").append(group.regionHistory().stream().filter(one -> one.atMs() > coldFromMs)
+                                .mapToInt(Region.Event::open).max().orElse(0));
+                        group.regionHistory().stream()
+                                .filter(one -> one.what().equals("open") && one.atMs() > coldFromMs && one.open() > limit / 2).limit(3)
+                                .forEach(one -> found.add("above the cold limit: " + one));
                     }
                 }
                 case ROLL -> {
                     double longestMs = 0;
                     try (TerminalLoad all = new TerminalLoad(group, limit, 30, -1)) {
                         for (int i = 0; i < processes; i++) {
-                            int one = i;
+                            int index = i;
                             group.terminate(i, 10_000);
                             double startedAtMs = Chronicle.now();
                             group.launch(i);
                             group.awaitReady(i, 30_000);
-                            await(() -> allowance(group, one) > 0, 10_000);
+                            await(() -> allowance(group, index) > 0, 10_000);
                             longestMs = Math.max(longestMs, Chronicle.now() - startedAtMs);
                         }
                     }
-                    note.append("longest from start to a part ").append(Math.round(longestMs)).append(" ms");
+                    note.append("longest time from the start to a quota ").append(Math.round(longestMs)).append(" ms");
                 }
                 case UPGRADE -> upgrade(group, limit, durationMs, note, found);
                 case CUT -> {
                     setPartitioned(group, true);
-                    try (TerminalLoad left = new TerminalLoad(group, limit, 30, 0); TerminalLoad right = new TerminalLoad(group, limit, 30, processes - 1)) {
+                    try (TerminalLoad left = new TerminalLoad(group, limit, 30, 0);
+                            TerminalLoad right = new TerminalLoad(group, limit, 30, processes - 1)) {
                         Thread.sleep(durationMs);
                         note.append("cut: ").append(allowance(group, 0)).append(" and ").append(allowance(group, processes - 1));
                         setPartitioned(group, false);
                         double startedAtMs = Chronicle.now();
                         await(() -> allowance(group, 0) + allowance(group, processes - 1) >= limit - processes, 8000);
-                        note.append(", healed: ").append(allowance(group, 0)).append(" and ").append(allowance(group, processes - 1)).append(" after ").append(Math.round(Chronicle.now() - startedAtMs)).append(" ms");
+                        note.append(", healed: ").append(allowance(group, 0)).append(" and ").append(allowance(group, processes - 1))
+                                .append(" after ").append(Math.round(Chronicle.now() - startedAtMs)).append(" ms");
                     }
                 }
                 case MANY -> {
@@ -119,7 +133,7 @@
                     long served = java.util.stream.IntStream.range(0, processes).filter(i -> group.terminalHistory().stream()
                             .anyMatch(one -> one.ingress() == i && one.end() == Terminals.End.SERVED)).count();
                     note.append(served).append(" of ").append(processes).append(" ingresses served something");
-                    if (served < processes) { found.add(processes - served + " ingresses starved"); }
+                    if (served < processes) { found.add(processes - served + " ingresses served nothing"); }
                 }
                 case KILLED -> {
                     int kills = 0;
@@ -127,9 +141,9 @@
                     try (TerminalLoad all = new TerminalLoad(group, 2 * limit, 40, -1)) {
                         for (Random random = new Random(3); Chronicle.now() < untilMs; kills++) {
                             int hot = kills % processes;
-                            try (TerminalLoad stroke = new TerminalLoad(group, 2 * limit, 20, (hot + 1) % processes)) {
+                            try (TerminalLoad hotspot = new TerminalLoad(group, 2 * limit, 20, (hot + 1) % processes)) {
                                 Thread.sleep(100 + random.nextInt(300));
-                                group.kill(hot);     // while it gives
+                                group.kill(hot);     // while it gives units away
                                 Thread.sleep(50);
                             }
                             if (random.nextBoolean()) { Files.deleteIfExists(PartsRun.claimFile(group, hot)); }
@@ -137,9 +151,9 @@
                             group.awaitReady(hot, 30_000);
                         }
                     }
-                    note.append(kills).append(" givers killed");
+                    note.append(kills).append(" lenders killed");
                 }
-                case FROZEN -> {                     // what is given up there is not free until it has closed
+                case FROZEN -> {                     // a unit is not free until the region has closed the connection
                     try (TerminalLoad all = new TerminalLoad(group, 2 * limit, 30, -1)) {
                         for (int i = 0; i < 3; i++) {
                             Thread.sleep(500);
@@ -159,13 +173,15 @@
         return found;
     }
 
-    /** The next version of one takes over from it under load. The environment of this program has to name a TMPDIR, by which they find each other. */
+    /** A successor process takes over under load. TMPDIR has to be set for this program, since the two find each other by it. */
     private static void upgrade(Group group, int limit, long durationMs, StringBuilder note, List<String> found) throws Exception {
         if (System.getenv("TMPDIR") == null) { throw new IllegalStateException("no TMPDIR in the environment"); }
         Path log = group.folder().resolve("next.log");
         List<String> command = Programs.command(24);
-        command.addAll(List.of("serve", group.config(0).toString(), "--limits", "none", "--settings", group.folder().resolve("n0.toml").toString()));
-        ProcessBuilder builder = new ProcessBuilder(command).redirectInput(new java.io.File("/dev/null")).redirectErrorStream(true).redirectOutput(log.toFile());
+        command.addAll(List.of("serve", group.config(0).toString(), "--limits", "none", "--settings",
+                group.folder().resolve("n0.toml").toString()));
+        ProcessBuilder builder = new ProcessBuilder(command).redirectInput(new java.io.File("/dev/null")).redirectErrorStream(true)
+                .redirectOutput(log.toFile());
         java.net.InetSocketAddress admin = Programs.free(Programs.place(Programs.nextGroup(), 1));
         builder.environment().put("RELAY_ADMIN_ADDR", Programs.text(admin));
         Process next = null;
@@ -180,7 +196,7 @@
             group.terminate(0, 12_000);
             Thread.sleep(1500 + durationMs);
             note.append("old one ended: ").append(describeServed(group, terminatedAtMs, Chronicle.now())).append(", ");
-            if (!Files.readString(log).contains(" serves at")) { found.add("the next version does not serve"); }
+            if (!Files.readString(log).contains(" serves at")) { found.add("the successor does not serve"); }
         } finally {
             if (next != null) {
                 next.destroyForcibly();
@@ -191,11 +207,14 @@
         }
     }
 
-    /** Of what was sent to the first ingress in a time: served of all. */
+    /** Counts the served and the lost requests among those sent to the first ingress in a period. */
     private static String describeServed(Group group, double fromMs, double untilMs) {
-        List<Terminals.Try> attempts = group.terminalHistory().stream().filter(one -> one.ingress() == 0 && one.sentMs() > fromMs && one.sentMs() < untilMs).toList();
-        return attempts.stream().filter(one -> one.end() == Terminals.End.SERVED).count() + " served and " + attempts.stream().filter(one -> one.end() == Terminals.End.LOST
-                || one.end() == Terminals.End.SILENT || one.end() == Terminals.End.UNSENT).count() + " lost of " + attempts.size() + " at n0";
+        List<Terminals.Try> attempts = group.terminalHistory().stream()
+                .filter(one -> one.ingress() == 0 && one.sentMs() > fromMs && one.sentMs() < untilMs).toList();
+        return attempts.stream().filter(one -> one.end() == Terminals.End.SERVED).count() + " served and "
+                + attempts.stream().filter(one -> one.end() == Terminals.End.LOST
+                        || one.end() == Terminals.End.SILENT || one.end() == Terminals.End.UNSENT).count()
+                + " lost of " + attempts.size() + " at n0";
     }
 
     private static void setPartitioned(Group group, boolean isCut) {
@@ -207,7 +226,7 @@
         }
     }
 
-    /** Waits until each knows what its earlier lives lent. */
+    /** Waits until each ingress knows what its earlier incarnations lent. */
     static void awaitSettled(Group group) throws InterruptedException {
         for (int i = 0; i < group.size(); i++) {
             int index = i;
@@ -219,7 +238,9 @@
     static int allowance(Group group, int i) {
         String report = PartsRun.call(group, i, "parts", 1000);
         int allowance = 0;
-        for (String cell : report == null ? new String[0] : report.split("[\t\n]")) { allowance += cell.startsWith("may=") ? Integer.parseInt(cell.substring(4)) : 0; }
+        for (String cell : report == null ? new String[0] : report.split("[\t\n]")) {
+            allowance += cell.startsWith("may=") ? Integer.parseInt(cell.substring(4)) : 0;
+        }
         return allowance;
     }
 
@@ -236,21 +257,23 @@
         }
     }
 
-    /** Terminals that each have one transaction out after another, at one ingress or, with -1, at any. */
+    /** Terminals that each send one request after another, to one ingress or, with -1, to a random one. */
     static final class TerminalLoad implements AutoCloseable {
         private final List<Thread> threads = new ArrayList<>();
         private volatile boolean isClosed;
 
         TerminalLoad(Group group, int terminals, int pauseMs, int target) {
             for (int i = 0; i < terminals; i++) {
-                int me = i;
+                int terminal = i;
                 Thread thread = new Thread(() -> {
-                    Random random = new Random(me);
+                    Random random = new Random(terminal);
                     for (long number = 0; !isClosed; number++) {
                         int to = target >= 0 ? target : random.nextInt(group.size());
-                        Terminals.Try got = group.terminals().send(to, group.terminals().get(1000 + me * 200L + number % 200, 1000, to, 1));
+                        Terminals.Try attempt = group.terminals().send(to,
+                                group.terminals().get(1000 + terminal * 200L + number % 200, 1000, to, 1));
                         try {
-                            Thread.sleep(got.end() == Terminals.End.SERVED ? random.nextInt(pauseMs) : pauseMs + random.nextInt(pauseMs));
+                            Thread.sleep(attempt.end() == Terminals.End.SERVED
+                                    ? random.nextInt(pauseMs) : pauseMs + random.nextInt(pauseMs));
                         } catch (InterruptedException e) {
                             return;
                         }
--- a/lab/src/yardusher/lab/parts/PartsRun.java
+++ b/lab/src/yardusher/lab/parts/PartsRun.java
@@ -26,16 +26,16 @@
 import yardusher.resp.Value;
 
 /**
- * Real processes that negotiate their connections at stand-in regions, under faults by seed. Each region counts from accept
- * to close; the rule is that it never counts more than its number.
+ * Runs real ingress processes that negotiate connection quotas at simulated regions, under faults by seed. Each region counts
+ * its connections from accept to close; the invariant is that it never counts more than its limit.
  */
 public final class PartsRun {
     static final int REGIONS = 3;
-    private static final int RECOVERY_TIMEOUT_MS = 20_000;       // on a machine with much else to do
+    private static final int RECOVERY_TIMEOUT_MS = 20_000; // generous, for a machine under other load
 
     private PartsRun() { }
 
-    /** {@code FOLDER FIRST COUNT [PROCESSES [MS [NUMBER]]]}: traffic with faults for so long, then calm. */
+    /** Arguments: {@code FOLDER FIRST COUNT [PROCESSES [MS [LIMIT]]]}. Traffic with faults for so long, then without faults. */
     public static void main(String[] args) throws Exception {
         int processes = args.length > 3 ? Integer.parseInt(args[3]) : 3;
         long ms = args.length > 4 ? Long.parseLong(args[4]) : 4000;
@@ -43,61 +43,70 @@
         System.exit(Seeds.run(PartsRun.class, args, (folder, seed, note) -> play(folder, seed, processes, ms, limit, note)) == 0 ? 0 : 1);
     }
 
-    /** The settings of one process: the view by the relay, claims in one folder of the group. */
+    /** Settings of one process: the view goes through the relay, and the claim files are in one folder of the group. */
     static String settings(Group group, int i, int limit, String extra) {
         StringBuilder seeds = new StringBuilder();
-        for (int j = 0; j < Math.min(3, group.size()); j++) { seeds.append(j == 0 ? "" : ", ").append('"').append(Programs.text(group.relayed(j, "mesh"))).append('"'); }
-        return "[view]\nlisten = \"" + Programs.text(group.port(i, "mesh")) + "\"\nadvertise = \"" + Programs.text(group.relayed(i, "mesh")) + "\"\ninstallation = \"lab\"\nseeds = ["
+        for (int j = 0; j < Math.min(3, group.size()); j++) {
+            seeds.append(j == 0 ? "" : ", ").append('"').append(Programs.text(group.relayed(j, "mesh"))).append('"');
+        }
+        return "[view]\nlisten = \"" + Programs.text(group.port(i, "mesh")) + "\"\nadvertise = \""
+                + Programs.text(group.relayed(i, "mesh")) + "\"\ninstallation = \"lab\"\nseeds = ["
                 + seeds + "]\n[parts]\nconnections = " + limit + "\nfolder = '" + group.folder().resolve("claims") + "'\n" + extra;
     }
 
     static Path claimFile(Group group, int i) { return group.folder().resolve("claims").resolve("yardusher-n" + i + ".parts"); }
 
-    /** Plays a seed; the breaches. */
+    /** Runs a seed; returns the breaches. */
     public static List<String> play(Path folder, long seed, int processes, long ms, int limit, StringBuilder note) throws Exception {
         Random random = new Random(seed);
         try (Group group = new Group(folder, processes, seed)) {
             for (int i = 0; i < REGIONS; i++) { group.region("0000000" + i, "hall-" + "abc".charAt(i)).takes(2, 25); }
             group.settings(i -> {
                 try {
-                    if (random.nextInt(3) == 0) { Files.deleteIfExists(claimFile(group, i)); } // a life with an empty memory: the one before has ended
+                    // The previous incarnation has ended; the next one starts without stored loans.
+                    if (random.nextInt(3) == 0) { Files.deleteIfExists(claimFile(group, i)); }
                 } catch (IOException e) {
                     throw new java.io.UncheckedIOException(e);
                 }
                 return settings(group, i, limit, "");
             });
             group.start();
-            Faults faults = new Faults(group, seed, EnumSet.of(Faults.Kind.KILL, Faults.Kind.TERM, Faults.Kind.PAUSE, Faults.Kind.STARVE, Faults.Kind.REGION,
-                    Faults.Kind.CUT_ONE_WAY, Faults.Kind.CUT_ONE, Faults.Kind.SPLIT, Faults.Kind.LOSS, Faults.Kind.MESS), 4 + processes / 2, ms, ms / 20, ms / 3);
+            Faults faults = new Faults(group, seed, EnumSet.of(Faults.Kind.KILL, Faults.Kind.TERM, Faults.Kind.PAUSE, Faults.Kind.STARVE,
+                    Faults.Kind.REGION, Faults.Kind.CUT_ONE_WAY, Faults.Kind.CUT_ONE, Faults.Kind.SPLIT, Faults.Kind.LOSS,
+                    Faults.Kind.MESS), 4 + processes / 2, ms, ms / 20, ms / 3);
             int hot = (int) (seed % processes);
-            try (Terminals.Load load = group.terminals().load(24, 600, 1, (terminal, at) -> group.terminals().get(1000 + terminal * 50L + at % 50, 800,
-                    at % 3 != 0 ? hot : (int) (at % processes), 1))) {
+            try (Terminals.Load load = group.terminals().load(24, 600, 1, (terminal, number) -> group.terminals().get(
+                    1000 + terminal * 50L + number % 50, 800, number % 3 != 0 ? hot : (int) (number % processes), 1))) {
                 faults.play();
             }
             return check(group, limit, note.append(faults.schedule().size()).append(" faults, "));
         }
     }
 
-    /** The rule at each region, and that something was served. */
+    /** Checks the limit at each region, and that every ingress serves again. */
     static List<String> check(Group group, int limit, StringBuilder note) {
         List<String> found = new ArrayList<>(Checks.connections(group.regionHistory()));
         Map<String, Integer> maxOpen = new TreeMap<>();
         for (Region.Event event : group.regionHistory()) { maxOpen.merge(event.region(), event.open(), Math::max); }
-        for (Region region : group.regions()) { found.addAll(Checks.atMost(group.regionHistory(), region.name(), limit).stream().limit(3).toList()); }
-        Map<Terminals.End, Long> ends = group.terminalHistory().stream().collect(Collectors.groupingBy(Terminals.Try::end, TreeMap::new, Collectors.counting()));
+        for (Region region : group.regions()) {
+            found.addAll(Checks.atMost(group.regionHistory(), region.name(), limit).stream().limit(3).toList());
+        }
+        Map<Terminals.End, Long> ends = group.terminalHistory().stream()
+                .collect(Collectors.groupingBy(Terminals.Try::end, TreeMap::new, Collectors.counting()));
         note.append(ends).append(", most open ").append(maxOpen.values()).append(" of ").append(limit);
         note.append(", all served again after ").append(Math.round(awaitRecovery(group, found))).append(" ms");
         return found;
     }
 
-    /** After the calm each serves again, in a stated time. */
+    /** Waits until each ingress serves again after the faults; a breach if that takes longer than {@link #RECOVERY_TIMEOUT_MS}. */
     private static double awaitRecovery(Group group, List<String> found) {
         double startedAtMs = Chronicle.now();
         for (int i = 0; i < group.size(); i++) {
             for (boolean isServed = false; !isServed;) {
-                isServed = group.terminals().send(i, group.terminals().get(77_000 + (long) Chronicle.now() % 1000, 500, i, 1)).end() == Terminals.End.SERVED;
+                isServed = group.terminals().send(i, group.terminals().get(77_000 + (long) Chronicle.now() % 1000, 500, i, 1))
+                        .end() == Terminals.End.SERVED;
                 if (Chronicle.now() - startedAtMs > RECOVERY_TIMEOUT_MS) {
-                    found.add("n" + i + " serves nothing " + RECOVERY_TIMEOUT_MS + " ms after the calm");
+                    found.add("n" + i + " serves nothing " + RECOVERY_TIMEOUT_MS + " ms after the faults");
                     return Chronicle.now() - startedAtMs;
                 }
             }
@@ -105,7 +114,7 @@
         return Chronicle.now() - startedAtMs;
     }
 
-    /** One call at a process's second address; null where it does not answer in time. */
+    /** Sends one call to a process's admin address; null if it does not answer in time. */
     static String call(Group group, int i, String call, int withinMs) {
         try (Socket socket = new Socket()) {
             socket.connect(group.admin(i), withinMs);
@@ -118,11 +127,11 @@
                 String text = reply.toString(StandardCharsets.US_ASCII);
                 if (text.endsWith("EOF\n") || text.startsWith("ERR") && text.endsWith("\n")) { return text; }
             }
-        } catch (IOException e) { /* as good as no answer */ }
+        } catch (IOException e) { /* counts as no answer */ }
         return null;
     }
 
-    /** A figure of a process's counters line; 0 where there is none. */
+    /** A value of a process's counters line; 0 if there is none. */
     static double counter(Group group, int i, String name) {
         try (Terminals.Connection connection = group.terminals().connect(i)) {
             Value reply = connection.ask(2000, "INFO");
@@ -130,11 +139,11 @@
             for (String pair : line.split("\\s")) {
                 if (pair.startsWith(name + "=")) { return Double.parseDouble(pair.substring(name.length() + 1)); }
             }
-        } catch (IOException | MalformedRespException e) { /* as good as no figure */ }
+        } catch (IOException | MalformedRespException e) { /* counts as no value */ }
         return 0;
     }
 
-    /** Figures of all processes, added up. */
+    /** Counter values, summed over all processes. */
     static Map<String, Double> counters(Group group, List<String> names) {
         Map<String, Double> sums = new HashMap<>();
         for (int i = 0; i < group.size(); i++) {
--- a/src/main/java/yardusher/connectionquota/ClaimFile.java
+++ b/src/main/java/yardusher/connectionquota/ClaimFile.java
@@ -13,24 +13,26 @@
 import java.util.Map;
 
 /**
- * An ingress's claim to its share, and what outlives its process: a small file that is locked for as long as the process
- * lives. The system gives the lock up when a process dies, however it dies, and not while it is stopped: who gets it knows
- * that the life before has ended. The file is mapped, so that a loan is written down without a call to the system, and
- * what was written is there after a death of the process; after a loss of power it is believed only where the last
- * life ended in order.
+ * The file by which a process claims its ingress's share and in which loans outlive the process. It is locked for as long as
+ * the process lives. The system releases the lock when the process dies, however it dies, but not while it is stopped: whoever
+ * gets the lock knows that the previous incarnation has ended. The file is mapped, so that a loan is recorded without a
+ * system call, and what was written is there after a crash of the process. After a power loss it is trusted only if the
+ * last incarnation ended cleanly.
  */
 final class ClaimFile implements LoanStore {
     private static final long MAGIC = 0x7961726470617274L; // yardpart
     private static final int VERSION = 1;
     private static final int MAX_REGIONS = 1024;
     private static final int HEADER_BYTES = 64;
-    private static final int VERSION_OFFSET = 8, INGRESS_COUNT_OFFSET = 12, INCARNATION_OFFSET = 16, BOOT_ID_OFFSET = 24, TRUSTED_OFFSET = 32, CLEAN_OFFSET = 36;
+    /** Offsets of the fields in the header; the magic number is at 0. */
+    private static final int VERSION_OFFSET = 8, INGRESS_COUNT_OFFSET = 12, INCARNATION_OFFSET = 16, BOOT_ID_OFFSET = 24,
+            TRUSTED_OFFSET = 32, CLEAN_OFFSET = 36;
 
     private final Path file;
     private final int ingressCount;
     private FileChannel channel;
     private FileLock ownerLock;
-    private FileLock successorLock;                      // of the one process that may stand beside the claim's holder
+    private FileLock successorLock;                  // of the one process that may run beside the claim's owner
     private MappedByteBuffer buffer;
     private final Map<Long, Integer> rowByRegion = new HashMap<>();
     private long incarnation;
@@ -42,32 +44,35 @@
         this.ingressCount = ingressCount;
     }
 
-    /** The claim of an ingress of this name; an {@link IOException} where the folder cannot be written. */
+    /** Opens the claim file of the ingress of this name; throws {@link IOException} if the folder cannot be written. */
     static ClaimFile open(Path folder, String name, int ingressCount) throws IOException {
         Files.createDirectories(folder);
         ClaimFile claim = new ClaimFile(folder.resolve("yardusher-" + name.replaceAll("[^A-Za-z0-9._-]", "_") + ".parts"), ingressCount);
-        claim.channel = FileChannel.open(claim.file, java.util.Set.of(StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE),
+        claim.channel = FileChannel.open(claim.file,
+                java.util.Set.of(StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE),
                 PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------")));
         return claim;
     }
 
     /**
-     * Takes the claim, or false while another process has it. {@code now} is Unix time in milliseconds: a life's number,
-     * but always above the last one's. {@code begins}: where there is nothing in the file, this ingress never ran.
+     * Takes the claim, or returns false while another process has it. {@code nowMs}, Unix time, becomes the incarnation unless the
+     * last one's is higher. {@code emptyMeansFirstStart}: an empty file means that this ingress has never run.
      */
     boolean tryLock(double nowMs, boolean emptyMeansFirstStart) throws IOException {
         try {
             ownerLock = channel.tryLock(0, 1, false);
         } catch (OverlappingFileLockException e) {
-            ownerLock = null;                             // another of this very process, in a test
+            ownerLock = null;                        // locked by this very process, which only happens in tests
         }
         if (ownerLock == null) { return false; }
         boolean isEmpty = channel.size() == 0;
         buffer = channel.map(FileChannel.MapMode.READ_WRITE, 0, HEADER_BYTES + (long) MAX_REGIONS * rowBytes());
         long bootId = bootId();
-        boolean isKnownFormat = buffer.getLong(0) == MAGIC && buffer.getInt(VERSION_OFFSET) == VERSION && buffer.getInt(INGRESS_COUNT_OFFSET) == ingressCount;
+        boolean isKnownFormat = buffer.getLong(0) == MAGIC && buffer.getInt(VERSION_OFFSET) == VERSION
+                && buffer.getInt(INGRESS_COUNT_OFFSET) == ingressCount;
         wasCleanShutdown = isKnownFormat && buffer.getInt(CLEAN_OFFSET) == 1;
-        hasTrustedLoans = isEmpty && emptyMeansFirstStart || isKnownFormat && buffer.getInt(TRUSTED_OFFSET) == 1 && (wasCleanShutdown || buffer.getLong(BOOT_ID_OFFSET) == bootId && bootId != 0);
+        hasTrustedLoans = isEmpty && emptyMeansFirstStart || isKnownFormat && buffer.getInt(TRUSTED_OFFSET) == 1
+                && (wasCleanShutdown || buffer.getLong(BOOT_ID_OFFSET) == bootId && bootId != 0);
         incarnation = Math.max((long) nowMs, isKnownFormat ? buffer.getLong(INCARNATION_OFFSET) + 1 : 1);
         if (isEmpty && emptyMeansFirstStart) { wasCleanShutdown = true; }
         buffer.putInt(CLEAN_OFFSET, 0);
@@ -76,7 +81,7 @@
             for (int i = 0; i < MAX_REGIONS; i++) {
                 long regionKey = buffer.getLong(rowOffset(i));
                 if (regionKey != 0) { rowByRegion.put(regionKey - 1, i); }
-                buffer.putInt(rowOffset(i) + 8 + 2 * ingressCount, 0); // nobody stands beside this one yet
+                buffer.putInt(rowOffset(i) + 8 + 2 * ingressCount, 0); // no successor process runs yet
             }
         } else {
             for (int i = HEADER_BYTES; i < buffer.capacity(); i++) { buffer.put(i, (byte) 0); }
@@ -91,12 +96,12 @@
     }
 
     /**
-     * Brings what {@link #take} wrote to the disk; nothing is lent before. Guards against a loss of power after which the file still
-     * says that an earlier life ended in order. May wait for a disk.
+     * Forces what {@link #tryLock} wrote to the disk, before anything is lent. Guards against a power loss after which the file
+     * still says that an earlier incarnation ended cleanly. Blocks on the disk.
      */
     void sync() { buffer.force(); }
 
-    /** Which start of the machine this is, 0 where that cannot be told. */
+    /** Identifies the boot of the machine; 0 if it cannot be read. */
     private static long bootId() {
         try {
             return Ledger.mix(Files.readString(Path.of("/proc/sys/kernel/random/boot_id")).strip().hashCode()) | 1;
@@ -106,19 +111,20 @@
     }
 
     /**
-     * Stands beside the process that has the claim, as its next version; false where another does. What that one gives is
-     * read with {@link #given}.
+     * Registers this process as the successor that runs beside the claim's owner; false if another process already does. What
+     * the owner gives is then read by {@link #exchangeAsSuccessor}.
      */
     boolean tryLockAsSuccessor() throws IOException {
         if (successorLock != null) { return true; }
         try {
             successorLock = channel.tryLock(1, 1, false);
         } catch (OverlappingFileLockException e) {
-            return false;                            // another of this very process, in a test
+            return false;                            // locked by this very process, which only happens in tests
         }
         if (successorLock == null) { return false; }
         buffer = channel.map(FileChannel.MapMode.READ_WRITE, 0, HEADER_BYTES + (long) MAX_REGIONS * rowBytes());
-        boolean isKnownFormat = buffer.getLong(0) == MAGIC && buffer.getInt(VERSION_OFFSET) == VERSION && buffer.getInt(INGRESS_COUNT_OFFSET) == ingressCount;
+        boolean isKnownFormat = buffer.getLong(0) == MAGIC && buffer.getInt(VERSION_OFFSET) == VERSION
+                && buffer.getInt(INGRESS_COUNT_OFFSET) == ingressCount;
         if (!isKnownFormat) {
             successorLock.release();
             successorLock = null;
@@ -126,9 +132,9 @@
         return isKnownFormat;
     }
 
-    /** Whether a process stands beside this one, which has the claim. */
+    /** Whether a successor process runs beside this one, which owns the claim. */
     boolean hasSuccessor() {
-        if (successorLock != null) { return false; }     // this one stood beside another until a moment ago
+        if (successorLock != null) { return false; } // this process itself was the successor until a moment ago
         try {
             FileLock probe = channel.tryLock(1, 1, false);
             if (probe == null) { return true; }
@@ -137,33 +143,33 @@
         } catch (OverlappingFileLockException e) {
             return true;
         } catch (IOException e) {
-            return true;                             // not known: what was given stays given
+            return true;                             // unknown: what was given stays given
         }
     }
 
-    /** The next version may stand beside this one from now on. */
+    /** Allows another process to become the successor of this one. */
     void releaseSuccessorLock() throws IOException {
         if (successorLock != null) { successorLock.release(); }
         successorLock = null;
     }
 
-    /** What is given to the process beside, by the one that has the claim. */
+    /** Writes, as the claim's owner, how many units the successor has been given. */
     void writeGivenUnits(long region, int units) {
         Integer row = rowByRegion.get(region);
         if (row == null && units > 0) { row = addRow(region); }
         if (row != null) { buffer.putShort(rowOffset(row) + 8 + 2 * ingressCount, (short) units); }
     }
 
-    /** Whether so many can be written down at all. */
+    /** Whether there is a row for the region, or room for a new one. */
     boolean canRecord(long region) { return rowByRegion.containsKey(region) || addRow(region) != null; }
 
-    /** What the process beside wants, as that one writes it. */
+    /** How many units the successor wants, as it has written. */
     int readWantedUnits(long region) {
         Integer row = rowByRegion.get(region);
         return row == null ? 0 : buffer.getShort(rowOffset(row) + 10 + 2 * ingressCount) & 0xFFFF;
     }
 
-    /** Of the process beside: what it has been given, by region; and what it wants is written. Walks the file. */
+    /** As the successor: reads what has been given at each region and writes what is wanted there. Scans the whole file. */
     void exchangeAsSuccessor(GivenUnitsHandler handler) {
         for (int i = 0; i < MAX_REGIONS; i++) {
             long regionKey = buffer.getLong(rowOffset(i));
@@ -173,7 +179,7 @@
         }
     }
 
-    /** What the process beside makes of a region's units; the result is what it wants there. */
+    /** Takes over, in the successor, the units given at a region; returns how many it wants there. */
     interface GivenUnitsHandler {
         int onUnitsGiven(long region, int units);
     }
@@ -187,19 +193,20 @@
         return row;
     }
 
+    /** Size of a row: the region's id plus one, the units lent to each ingress, those given to the successor and those it wants. */
     private int rowBytes() { return 8 + 2 * ingressCount + 4; }
 
     private int rowOffset(int row) { return HEADER_BYTES + row * rowBytes(); }
 
     long incarnation() { return incarnation; }
 
-    /** Whether the file holds all that earlier lives lent. */
+    /** Whether the file holds all that earlier incarnations lent. */
     boolean hasTrustedLoans() { return hasTrustedLoans; }
 
-    /** Whether the life before ended in order, with all its connections closed. */
+    /** Whether the previous incarnation ended cleanly, with all its connections closed. */
     boolean wasCleanShutdown() { return wasCleanShutdown; }
 
-    /** What earlier lives lent is known by the others' word now: from here on the file holds all of it. */
+    /** All peers have reported what earlier incarnations lent them: from here on the file holds all of it. */
     void markTrusted() { buffer.putInt(TRUSTED_OFFSET, 1); }
 
     @Override
@@ -229,7 +236,9 @@
         }
         for (Map.Entry<Long, Integer> entry : rowByRegion.entrySet()) {
             boolean isEmpty = true;
-            for (int i = 0; i < ingressCount + 1 && isEmpty; i++) { isEmpty = buffer.getShort(rowOffset(entry.getValue()) + 8 + 2 * i) == 0; }
+            for (int i = 0; i < ingressCount + 1 && isEmpty; i++) {
+                isEmpty = buffer.getShort(rowOffset(entry.getValue()) + 8 + 2 * i) == 0;
+            }
             if (isEmpty) {
                 rowByRegion.remove(entry.getKey());
                 return entry.getValue();
@@ -238,13 +247,13 @@
         return -1;
     }
 
-    /** The process ends with no connection open: the next life need not wait. */
+    /** Writes at the end of the process whether no connection was open, in which case the next incarnation need not wait. */
     void recordEnd(boolean isClean) {
         if (ownerLock == null) { return; }
         if (isClean) { buffer.putInt(CLEAN_OFFSET, 1); }
         buffer.force();
     }
 
-    /** Gives the claim up; in tests alone, else the process's end does it. */
+    /** Releases the claim. Only tests call it; otherwise the end of the process releases the lock. */
     void close() throws IOException { channel.close(); }
 }
--- a/src/main/java/yardusher/connectionquota/ConnectionQuotaSubsystem.java
+++ b/src/main/java/yardusher/connectionquota/ConnectionQuotaSubsystem.java
@@ -20,13 +20,18 @@
 import yardusher.view.View;
 
 /**
- * Connection quotas that the ingresses of an installation negotiate at the regions that they share: docs/parts.md. Until this
- * process has its ingress's claim it opens no connection at all.
+ * Connection quotas that the ingresses of an installation negotiate at the regions that they share: docs/parts.md. This class
+ * connects the {@link Negotiator} and the {@link ClaimFile} with the event loop, the connection pool, the mesh and the settings.
+ * A process opens no connection before it owns its ingress's claim or is given units as the successor of the owner.
+ *
+ * <p>Terms of this package: a <em>unit</em> is the right to have one connection open at a region; a <em>share</em> is the
+ * fixed part of a region's limit that an ingress owns; an <em>incarnation</em> is one run of an ingress's process; the
+ * <em>claim</em> is the file lock that proves that no earlier incarnation is left.
  */
 public final class ConnectionQuotaSubsystem implements Subsystem, Allowance, Negotiator.Environment {
-    private static final double CLAIM_RETRY_MS = 200;      // between two looks whether the process before has ended
-    private static final double SUCCESSOR_POLL_MS = 50;      // between two looks at what a process beside is given
-    private static final double TICK_DELAY_MS = 1;         // news of one moment are looked at together
+    private static final double CLAIM_RETRY_MS = 200; // between two attempts to lock the claim file
+    private static final double SUCCESSOR_POLL_MS = 50; // between two exchanges of a process and its successor
+    private static final double TICK_DELAY_MS = 1;   // changes of one moment are handled by one tick
 
     private ConnectionQuotaSettings settings;
     private final Path folder;
@@ -34,8 +39,8 @@
     private EventLoop loop;
     private Counters counters;
     private ClaimFile claim;
-    private Negotiator negotiator;                   // null until the claim is there
-    private SuccessorQuota successorQuota;                             // while this is the next version of a process that has it
+    private Negotiator negotiator;                   // null until the claim is taken
+    private SuccessorQuota successorQuota;           // set while this process is the successor of the claim's owner
     private boolean hadSuccessor;
     private double nextSuccessorCheckAtMs;
     private double successorReclaimAtMs = Double.POSITIVE_INFINITY;
@@ -44,16 +49,17 @@
     private boolean isClaimTrusted;
     private boolean isClosed;
     private boolean endedCleanly;
-    private String claimState = "waits for the process before to end";
+    private String claimState = "waiting for the previous process to end";
 
-    /** A {@link ConfigError} where there is no folder. */
+    /** Throws a {@link ConfigError} if neither the settings nor TMPDIR name a folder. */
     public ConnectionQuotaSubsystem(ConnectionQuotaSettings settings) { this(settings, System.getenv("TMPDIR")); }
 
     ConnectionQuotaSubsystem(ConnectionQuotaSettings settings, String tmpdir) {
         this.settings = settings;
         String folderName = settings.folder() != null ? settings.folder() : tmpdir;
         if (folderName == null || folderName.isEmpty()) {
-            throw new ConfigError.Missing(null, "parts.folder", "a folder that outlives the process in parts.folder, since the environment names no TMPDIR");
+            throw new ConfigError.Missing(null, "parts.folder",
+                    "a folder that outlives the process in parts.folder, since TMPDIR is not set");
         }
         folder = Path.of(folderName);
     }
@@ -77,7 +83,7 @@
             throw new ConfigError.Value(null, "parts.folder", "a folder that can be written, which " + folder + " is not");
         }
         joined.pool().allow(this);
-        joined.table().follow(() -> loop.defer(this::updateRegions)); // once the module has the list
+        joined.table().follow(() -> loop.defer(this::updateRegions)); // after the decision module has the new list
         joined.mesh().setHandler(Mesh.Kind.PARTS, this::receive);
         if (joined.view() != null) { joined.view().subscribe(change -> updateMembers(change.snapshot())); }
         updateRegions();
@@ -86,7 +92,7 @@
     @Override
     public void start() throws IOException { tryClaim(); }
 
-    /** Takes the claim, now or as soon as the process before has ended. */
+    /** Takes the claim, now or as soon as the previous process has ended. */
     private void tryClaim() {
         if (isClosed) { return; }
         try {
@@ -96,12 +102,12 @@
                 return;
             }
         } catch (IOException e) {
-            site.events().warn("parts cannot be claimed", "why", String.valueOf(e.getMessage()));
+            site.events().warn("connection quotas: the claim file cannot be locked or mapped", "why", String.valueOf(e.getMessage()));
             loop.deadlines().schedule(loop.now() + CLAIM_RETRY_MS, this::tryClaim);
             return;
         }
-        claimState = "waits for its file";
-        Thread thread = new Thread(() -> {           // no turn waits for a disk
+        claimState = "writing the claim file";
+        Thread thread = new Thread(() -> {           // the event loop must not block on the disk
             claim.sync();
             loop.execute(this::onClaimed);
         }, "parts-claim");
@@ -109,18 +115,18 @@
         thread.start();
     }
 
-    /** The life before may have died a moment ago: regions take a while to see its connections close. */
+    /** The previous incarnation may have crashed a moment ago, and regions take a while to see its connections close. */
     private void onClaimed() {
         double waitMs = claim.wasCleanShutdown() ? 0 : settings.crashDetectionMs();
-        claimState = "waits until regions have seen the life before end";
+        claimState = "waiting until regions have noticed the end of the previous process";
         if (waitMs == 0) { startNegotiating(); } else { loop.deadlines().schedule(loop.now() + waitMs, this::startNegotiating); }
     }
 
-    /** The process before still has the claim: this one has open what that one gives it. */
+    /** The previous process still owns the claim: this one opens only what that one gives it. */
     private void pollAsSuccessor() throws IOException {
         if (successorQuota == null && claim.tryLockAsSuccessor()) {
             successorQuota = new SuccessorQuota(this);
-            claimState = "stands beside the process before";
+            claimState = "running beside the previous process as its successor";
         }
         if (successorQuota != null) { claim.exchangeAsSuccessor(successorQuota::updateGivenUnits); }
     }
@@ -129,9 +135,11 @@
         if (isClosed) { return; }
         int ingressCount = settings.ingressCount() > 0 ? settings.ingressCount() : site.settings().gateways();
         Ledger ledger = new Ledger(site.settings().self(), ingressCount, claim.incarnation(), claim, claim.hasTrustedLoans());
-        negotiator = new Negotiator(ledger, new Negotiator.Options(settings.minUnits(), settings.weight(), settings.maxMovesPerS()), this, loop.now());
+        negotiator = new Negotiator(ledger, new Negotiator.Options(settings.minUnits(), settings.weight(), settings.maxMovesPerS()), this,
+                loop.now());
         claimState = "claimed";
-        site.events().info("parts: claimed", "life", claim.incarnation(), "remembers", claim.hasTrustedLoans(), "in_order", claim.wasCleanShutdown());
+        site.events().info("connection quotas: claim taken", "life", claim.incarnation(), "remembers", claim.hasTrustedLoans(),
+                "in_order", claim.wasCleanShutdown());
         isClaimTrusted = claim.hasTrustedLoans();
         if (site.view() != null) { updateMembers(site.view().snapshot()); }
         SuccessorQuota successor = successorQuota;
@@ -144,7 +152,7 @@
             }
             try {
                 claim.releaseSuccessorLock();
-            } catch (IOException e) { /* no next version finds room beside this one, until it ends */ }
+            } catch (IOException e) { /* no successor can register beside this process until it ends */ }
         }
         tickSoon();
     }
@@ -152,10 +160,10 @@
     private void updateMembers(View.Snapshot picture) {
         if (negotiator == null) { return; }
         String ownName = site.view().self().name();
-        negotiator.setMembers(picture.members().stream().filter(one -> !one.name().equals(ownName)).map(View.Member::address).toList());
+        negotiator.setMembers(picture.members().stream().filter(member -> !member.name().equals(ownName)).map(View.Member::address).toList());
     }
 
-    /** The service table changed, or its numbers did. */
+    /** The backend list or the limits of its regions have changed. */
     private void updateRegions() {
         Set<Long> listedIds = new HashSet<>();
         double now = loop.now();
@@ -202,7 +210,7 @@
         tickBy(next);
     }
 
-    /** Gives a next version of this process what it wants of the share, and takes it back once that one has ended. */
+    /** Gives a successor process what it wants of the share, and takes it back once that process has ended. */
     private void serveSuccessor() {
         double now = loop.now();
         if (now < nextSuccessorCheckAtMs) { return; }
@@ -212,7 +220,10 @@
             hadSuccessor = true;
             successorReclaimAtMs = Double.POSITIVE_INFINITY;
             for (Negotiator.RegionState state : negotiator.regionStates()) {
-                if (claim.canRecord(state.region.id)) { claim.writeGivenUnits(state.region.id, negotiator.giveSuccessor(state.region.id, claim.readWantedUnits(state.region.id))); }
+                if (claim.canRecord(state.region.id)) {
+                    claim.writeGivenUnits(state.region.id,
+                            negotiator.giveSuccessor(state.region.id, claim.readWantedUnits(state.region.id)));
+                }
             }
         } else if (hadSuccessor) {
             successorReclaimAtMs = Math.min(successorReclaimAtMs, now + settings.crashDetectionMs());
@@ -223,7 +234,7 @@
         }
     }
 
-    /** Numbers of regions that have become warm. */
+    /** Raises the limits of regions that have become warm. */
     private void updateWarmedRegions() {
         double now = loop.now();
         for (Api.Server region : site.table().listed().values()) {
@@ -237,8 +248,10 @@
     public String reload(Settings next) {
         ConnectionQuotaSettings updated = next == null ? null : next.parts();
         if (updated == null || updated.equals(settings)) { return null; }
-        boolean limitsChanged = updated.connections() != settings.connections() || !updated.overrides().equals(settings.overrides()) || updated.coldPercent() != settings.coldPercent();
-        ConnectionQuotaSettings kept = new ConnectionQuotaSettings(updated.connections(), updated.overrides(), settings.minUnits(), settings.weight(), settings.maxMovesPerS(), settings.crashDetectionMs(),
+        boolean limitsChanged = updated.connections() != settings.connections() || !updated.overrides().equals(settings.overrides())
+                || updated.coldPercent() != settings.coldPercent();
+        ConnectionQuotaSettings kept = new ConnectionQuotaSettings(updated.connections(), updated.overrides(), settings.minUnits(),
+                settings.weight(), settings.maxMovesPerS(), settings.crashDetectionMs(),
                 updated.coldPercent(), settings.ingressCount(), settings.folder(), settings.absentMeansFirstStart());
         boolean needsRestart = !kept.equals(updated);
         settings = kept;
@@ -250,7 +263,7 @@
                 + (needsRestart ? (limitsChanged ? ", the rest" : "") + " waits for a restart" : "");
     }
 
-    // What the pool asks and tells.
+    // Called by the connection pool.
 
     @Override
     public boolean take(long region) {
@@ -260,7 +273,11 @@
 
     @Override
     public void leaving(long region) {
-        if (negotiator != null) { negotiator.connectionClosing(region); } else if (successorQuota != null) { successorQuota.connectionClosing(region); }
+        if (negotiator != null) {
+            negotiator.connectionClosing(region);
+        } else if (successorQuota != null) {
+            successorQuota.connectionClosing(region);
+        }
     }
 
     @Override
@@ -277,7 +294,7 @@
     @Override
     public boolean isSurplus(long region) { return negotiator != null && negotiator.isSurplus(region); }
 
-    // What the negotiator sees and does.
+    // Called by the negotiator.
 
     @Override
     public int busy(long region) { return site.pool().busy(region); }
@@ -301,10 +318,11 @@
 
     @Override
     public void peerSilent(int ingress, int units) {
-        site.events().warn("parts: an ingress has fallen silent", new PartError.Unproven(units + " connections", "ingress " + ingress));
+        site.events().warn("connection quotas: a silent peer still holds units of this ingress",
+                new PartError.Unproven(units + " connections", "ingress " + ingress));
     }
 
-    // What operators see.
+    // Counters and reports for operators.
 
     @Override
     public String line() {
@@ -324,10 +342,13 @@
             closing += state.closing;
             wanted += state.wanted;
         }
-        return "parts_claimed=1 parts_may=" + allowance + " parts_borrowed=" + borrowed + " parts_lent=" + lent + " parts_open=" + open + " parts_closing=" + closing
-                + " parts_wanted=" + wanted + " parts_moved=" + current.movedUnits + " parts_leak=" + current.unusableUnits(loop.now()) + " parts_unsettled=" + current.ledger().unsettledPeers()
-                + " parts_told=" + current.sentMessages + " parts_told_bytes=" + current.sentBytes + " parts_heard=" + current.receivedMessages + " parts_bad=" + current.malformedMessages + " parts_foreign=" + current.foreignMessages
-                + " parts_stale=" + current.staleMessages + " parts_far=" + current.ledger().implausibleRows;
+        return "parts_claimed=1 parts_may=" + allowance + " parts_borrowed=" + borrowed + " parts_lent=" + lent + " parts_open=" + open
+                + " parts_closing=" + closing + " parts_wanted=" + wanted + " parts_moved=" + current.movedUnits
+                + " parts_leak=" + current.unusableUnits(loop.now()) + " parts_unsettled=" + current.ledger().unsettledPeers()
+                + " parts_told=" + current.sentMessages + " parts_told_bytes=" + current.sentBytes
+                + " parts_heard=" + current.receivedMessages + " parts_bad=" + current.malformedMessages
+                + " parts_foreign=" + current.foreignMessages + " parts_stale=" + current.staleMessages
+                + " parts_far=" + current.ledger().implausibleRows;
     }
 
     @Override
@@ -338,18 +359,21 @@
         if (negotiator == null) { return out.toString(); }
         Ledger ledger = negotiator.ledger();
         out.append("self\t").append(ledger.self).append(" of ").append(ledger.ingressCount).append("\tlife=").append(ledger.incarnation)
-                .append("\tunsettled=").append(ledger.unsettledPeers()).append("\tfresh=").append(negotiator.livePeers(loop.now())).append('\n');
+                .append("\tunsettled=").append(ledger.unsettledPeers()).append("\tfresh=").append(negotiator.livePeers(loop.now()))
+                .append('\n');
         for (Negotiator.RegionState state : negotiator.regionStates()) {
             yardusher.connectionquota.Ledger.Region region = state.region;
-            out.append("region\t").append(String.format(java.util.Locale.ROOT, "s-%08x", region.id)).append("\tnumber=").append(region.limit).append("\tshare=").append(region.share)
-                    .append("\tlent=").append(region.lent()).append("\tborrowed=").append(region.borrowed()).append("\tmay=").append(ledger.allowance(region)).append("\topen=").append(region.open)
+            out.append("region\t").append(String.format(java.util.Locale.ROOT, "s-%08x", region.id))
+                    .append("\tnumber=").append(region.limit).append("\tshare=").append(region.share)
+                    .append("\tlent=").append(region.lent()).append("\tborrowed=").append(region.borrowed())
+                    .append("\tmay=").append(ledger.allowance(region)).append("\topen=").append(region.open)
                     .append("\tclosing=").append(state.closing).append("\twants=").append(state.wanted).append("\towed=").append(state.owed)
                     .append(region.isDelisted ? "\tgone" : "").append('\n');
         }
         return out.toString();
     }
 
-    // The end.
+    // Shutdown.
 
     @Override
     public void drain() {
--- a/src/main/java/yardusher/connectionquota/DemandEstimator.java
+++ b/src/main/java/yardusher/connectionquota/DemandEstimator.java
@@ -1,20 +1,20 @@
 package yardusher.connectionquota;
 
 /**
- * How many connections an ingress needs over all regions: what is in use, what it would like to keep, since it was in use
- * lately, and its part of what was turned away since no region had room. The sum is looked at and not each region, since a
- * request goes where there is room. Free of I/O and clock.
+ * Estimates how many connections an ingress needs over all regions: those in use, those in use recently, which it would
+ * like to keep, and its part of the requests that were refused because no region had room. The sum is estimated and not each
+ * region, because a request goes to any region that has room. No I/O and no clock.
  */
 final class DemandEstimator {
-    private static final double NEED_SMOOTHING_MS = 60;        // over which it is seen what is in use: where there is too little, that counts
-    private static final double WANT_DECAY_MS = 6000; // by 63%: what is kept where there is enough, so that no unit is sent to and fro
-    private static final double HEADROOM = 1.15;         // a region is chosen among those with room
+    private static final double NEED_SMOOTHING_MS = 60; // scarce units are divided by use, so the estimate has to be recent
+    private static final double WANT_DECAY_MS = 6000; // decay by 63%; long, so that units don't move back and forth
+    private static final double HEADROOM = 1.15;     // spare units: a request can only go to a region with room
     private double smoothedBusy;
     private double busyPeak;
-    private double recentUnmet;                        // attempts that would have been out
+    private double recentUnmet;                      // refused attempts that would be in progress
     private double unmetPeak;
 
-    /** {@code busy} connections carry an attempt; {@code wanted} more would, of those that were refused for want of room. */
+    /** Adds a sample: {@code busy} connections carry an attempt, {@code unmetAttempts} more would if none had been refused. */
     void addSample(double elapsedMs, int busy, double unmetAttempts) {
         double recentDecay = Math.exp(-elapsedMs / NEED_SMOOTHING_MS);
         double peakDecay = Math.exp(-elapsedMs / WANT_DECAY_MS);
@@ -24,9 +24,9 @@
         unmetPeak = Math.max(unmetAttempts, unmetPeak * peakDecay);
     }
 
-    /** Connections that would be used now. */
+    /** Connections that would be in use now if none were refused. */
     double needed() { return smoothedBusy + recentUnmet; }
 
-    /** Connections that were of use lately. */
+    /** Connections that were needed recently, which the ingress would like to keep. */
     double wanted() { return Math.max(needed(), busyPeak * HEADROOM + (recentUnmet > 0.5 ? unmetPeak : 0)); }
 }
--- a/src/main/java/yardusher/connectionquota/Ledger.java
+++ b/src/main/java/yardusher/connectionquota/Ledger.java
@@ -6,28 +6,33 @@
 import java.util.Map;
 
 /**
- * Who may have how many connections open, as one life of one ingress knows it. Each region's number is divided into fixed
- * shares, one for each configured ingress, without a word between them. An ingress lends of its share and borrows of others';
- * it may have open what is left of its share and what it holds of others'. Over all ingresses that is never more than the
- * number, whatever is lost, doubled, late or out of order, since every loan is less here before it is told there.
+ * Tracks how many connections one incarnation of an ingress may have open, and guarantees the limit of each region. The limit
+ * is divided into fixed shares, one for each configured ingress, which each ingress computes without a message. An ingress lends from its
+ * share and borrows from others; it may have open what is left of its share and what it has borrowed. Over all ingresses
+ * that is never more than the limit, whatever messages are lost, duplicated, late or out of order, because a lender
+ * reduces its own allowance before it tells the borrower of the loan.
  *
- * <p>A life that begins with an empty memory owns its whole share, but does not know what of it its earlier lives lent: each
- * other ingress is held to have all of it until it has said what it holds, to this very life. Free of I/O and clock.
+ * <p>An incarnation that starts without stored loans owns its whole share but does not know what its earlier ones lent: it
+ * assumes that each peer holds all of the share until that peer has told this incarnation what it holds. No I/O and no clock.
  */
 final class Ledger {
-    /** What is left out, to see that the rules notice. */
+    /**
+     * A rule that the models leave out, to check that they detect the violation. The names are arguments of the models.
+     * LESS_BEFORE_MORE: a lender's allowance falls before the borrower's grows. REPEAT_CHECK: a repeated message does not count
+     * again. STOPPED_KEEPS: a silent peer keeps its units. OLD_LIVES: a new incarnation asks what earlier ones lent.
+     */
     enum OmittedRule { NOTHING, LESS_BEFORE_MORE, REPEAT_CHECK, STOPPED_KEEPS, OLD_LIVES }
 
-    /** A region's accounts, by the number of the other ingress. */
+    /** One region: its limit, this ingress's share, and the accounts by the number of the peer. */
     static final class Region {
         final long id;
         final PeerAccount[] accounts;
-        int limit;                                  // of connections, now
-        int highestLimit;                                    // the highest number that it had here
-        int share;                                   // of it, this ingress's
-        int successorUnits;                                   // of the share, given to the next version's process beside this one
-        int open;                                    // connections from before they are dialled to after their close
-        boolean isDelisted;                                // no longer listed
+        int limit;                                   // connections in all, now
+        int highestLimit;                            // since the region became known here
+        int share;                                   // of the limit, this ingress's own
+        int successorUnits;                          // of the share, given to the next version's process that runs beside this one
+        int open;                                    // counted from before the dial until the region has closed too
+        boolean isDelisted;
 
         Region(long id, int ingressCount) {
             this.id = id;
@@ -49,21 +54,21 @@
         }
     }
 
-    private static final int MAX_REGIONS = 4096;    // listed ones beside those that only others tell of
+    private static final int MAX_REGIONS = 4096;     // listed ones and those that only peers report
 
     final int self;
     final int ingressCount;
     final long incarnation;
     private final LoanStore loanStore;
-    final long[] peerIncarnations;                      // of the others, 0 for one not heard yet
-    final boolean[] settledPeers;                 // what earlier lives lent to it is known
+    final long[] peerIncarnations;                   // 0 for a peer without any message yet
+    final boolean[] settledPeers;                    // peers that have reported what earlier incarnations lent them
     private final boolean hasTrustedLoans;
     int unsettledPeers;
     private final Map<Long, Region> regions = new HashMap<>();
-    long implausibleRows;                                        // figures that cannot be true
+    long implausibleRows;
     OmittedRule omittedRule = OmittedRule.NOTHING;
 
-    /** {@code remembers}: the memory holds all that earlier lives lent, and is believed. */
+    /** {@code hasTrustedLoans}: the store holds all that earlier incarnations lent. */
     Ledger(int self, int ingressCount, long incarnation, LoanStore loanStore, boolean hasTrustedLoans) {
         this.self = self;
         this.ingressCount = ingressCount;
@@ -77,8 +82,8 @@
     }
 
     /**
-     * The part of a region's number that an ingress owns: as even as can be, and what is left over falls to other ingresses
-     * at other regions. They add up to the number, and none falls where the number grows.
+     * The share of a region's limit that an ingress owns. Shares are as even as possible, and the remainder goes to different
+     * ingresses at different regions. They add up to the limit, and none shrinks when the limit grows.
      */
     static int share(long region, int limit, int ingress, int ingressCount) {
         int rank = (int) Long.remainderUnsigned(mix(region) + ingress, ingressCount);
@@ -91,7 +96,7 @@
         return (x ^ x >>> 32) >>> 1;
     }
 
-    /** A region has this number from now on. */
+    /** Lists a region, or changes its limit. */
     Region setLimit(long id, int limit) {
         Region region = regions.computeIfAbsent(id, this::newRegion);
         region.limit = limit;
@@ -110,17 +115,20 @@
         return region;
     }
 
-    /** A region is no longer listed: its connections close, and it is forgotten once nothing is lent or held there. */
+    /** A region is no longer listed: its connections close, and it is removed once nothing is lent or borrowed there. */
     void delist(long id) {
         Region region = regions.get(id);
         if (region != null) { region.isDelisted = true; }
     }
 
-    /** Forgets regions that are gone and where nothing stands any more. */
+    /** Removes the delisted regions where nothing is open, lent or borrowed. */
     void sweep() {
         for (Iterator<Region> iterator = regions.values().iterator(); iterator.hasNext();) {
             Region region = iterator.next();
-            if (region.isDelisted && region.open == 0 && Arrays.stream(region.accounts).allMatch(one -> one == null || one.isEmpty())) { iterator.remove(); }
+            if (region.isDelisted && region.open == 0
+                    && Arrays.stream(region.accounts).allMatch(account -> account == null || account.isEmpty())) {
+                iterator.remove();
+            }
         }
     }
 
@@ -134,36 +142,41 @@
 
     boolean isSettled(int ingress) { return settledPeers[ingress]; }
 
-    /** How many others have not said yet what they hold of this one's earlier lives. */
+    /** Number of peers that have not reported yet what they hold of this ingress's earlier incarnations. */
     int unsettledPeers() { return unsettledPeers; }
 
-    /** Of its own share, what is not lent; negative where the number was lowered below what is lent. */
+    /** The part of the own share that is not lent; negative if the limit was lowered below what is lent. */
     int unlentShare(Region region) {
-        // Guards against units that an earlier life lent and this one does not know of: without a memory, all may be there.
-        if (unsettledPeers > 0 && !hasTrustedLoans && omittedRule != OmittedRule.OLD_LIVES) { return Math.min(0, region.share - region.lent()); }
+        // Without stored loans, earlier incarnations may have lent the whole share unknown to this one.
+        if (unsettledPeers > 0 && !hasTrustedLoans && omittedRule != OmittedRule.OLD_LIVES) {
+            return Math.min(0, region.share - region.lent());
+        }
         int unlent = region.share - region.lent();
-        if (omittedRule == OmittedRule.LESS_BEFORE_MORE) { // less here only once it is more there
-            for (PeerAccount account : region.accounts) { unlent += account == null ? 0 : account.granted - Math.min(account.granted, Math.max(account.ackedGranted, account.recovered)); }
+        if (omittedRule == OmittedRule.LESS_BEFORE_MORE) { // planted: reduced only after the borrower has received it
+            for (PeerAccount account : region.accounts) {
+                unlent += account == null ? 0
+                        : account.granted - Math.min(account.granted, Math.max(account.ackedGranted, account.recovered));
+            }
         }
         return unlent;
     }
 
-    /** How many connections may be open; negative where the number was lowered and it is owed to others. */
+    /** How many connections may be open; negative if the limit was lowered and peers hold more than the new share. */
     int allowance(Region region) { return unlentShare(region) + region.borrowed(); }
 
     int spare(Region region) { return allowance(region) - region.open; }
 
-    /** A connection is to be opened: counts from here on, where there is room. */
+    /** Counts a connection that is about to be dialled; false if there is no unit for it. */
     boolean tryAcquire(Region region) {
         if (spare(region) <= 0) { return false; }
         region.open++;
         return true;
     }
 
-    /** A connection has ended at the region too. */
+    /** A connection has been closed by the region too. */
     void connectionClosed(Region region) { region.open--; }
 
-    /** Lends up to so many that are not in use; the result says how many. */
+    /** Lends up to so many units that are not in use; returns how many. */
     int lend(Region region, int borrower, int wanted) {
         int units = Math.min(wanted, Math.min(unlentShare(region), spare(region)));
         if (units <= 0 || peerIncarnations[borrower] == 0 || borrower == self) { return 0; }
@@ -173,14 +186,14 @@
         return units;
     }
 
-    /** Gives the next version's process beside this one up to so many that are not in use; the result says how many. */
+    /** Gives the next version's process up to so many units that are not in use; returns how many. */
     int giveSuccessor(Region region, int wanted) {
         int units = Math.max(0, Math.min(wanted, Math.min(unlentShare(region), spare(region))));
         region.successorUnits += units;
         return units;
     }
 
-    /** Gives back up to so many of another's that are not in use; the result says how many. */
+    /** Gives up to so many borrowed units that are not in use back to their lender; returns how many. */
     int giveBack(Region region, int lender, int wanted) {
         PeerAccount account = region.account(lender);
         int units = Math.min(wanted, Math.min(account.borrowed(), spare(region)));
@@ -192,8 +205,8 @@
     }
 
     /**
-     * Another ingress speaks as this life, whose earlier ones have all ended; false for one of an earlier life, which is
-     * passed over.
+     * A message of a peer names this incarnation, which means that all its earlier ones have ended; false for an incarnation that
+     * has ended itself, whose message is ignored.
      */
     boolean observeIncarnation(int ingress, long reported) {
         if (reported < peerIncarnations[ingress] || ingress == self) { return false; }
@@ -202,7 +215,7 @@
                 PeerAccount account = region.accounts[ingress];
                 if (account == null) { continue; }
                 account.peerRestarted();
-                if (settledPeers[ingress]) { account.maxLegacyLent = 0; } // nobody is left who could hold any of them
+                if (settledPeers[ingress]) { account.maxLegacyLent = 0; } // no process is left that could hold any of them
                 storeLent(region, ingress, account);
             }
             peerIncarnations[ingress] = reported;
@@ -210,13 +223,13 @@
         return true;
     }
 
-    /** Takes in what another says of an account, to this very life. A row that cannot be true is passed over and counted. */
+    /** Applies a peer's row that was addressed to this incarnation. An impossible row is counted and ignored. */
     boolean applyRow(int sender, QuotaMessage.Row row) {
         Region region = regions.get(row.region());
         if (region == null) {
             if (row.granted() == 0 && row.returned() == 0 && row.legacyBorrowed() == 0 || regions.size() >= MAX_REGIONS) { return true; }
             region = regions.computeIfAbsent(row.region(), this::newRegion);
-            region.isDelisted = true;                      // until it is listed here too
+            region.isDelisted = true;                // until it is listed here too
         }
         PeerAccount account = region.account(sender);
         int maxPlausible = Math.max(region.highestLimit, region.isDelisted ? QuotaMessage.MAX_UNITS : 0);
@@ -239,7 +252,7 @@
         return true;
     }
 
-    /** Another has said, to this very life, at which regions it holds what earlier lives lent; at all others it holds nothing of them. */
+    /** A peer has told this incarnation at which regions it holds units that earlier ones lent; it holds none elsewhere. */
     void settle(int sender, Map<Long, Integer> legacyByRegion) {
         if (settledPeers[sender]) { return; }
         settledPeers[sender] = true;
@@ -262,10 +275,10 @@
         });
     }
 
-    /** What became of something heard. */
+    /** What became of a received message. */
     enum MessageResult { STALE, OTHER_INCARNATION, APPLIED }
 
-    /** Takes in what another ingress tells: who it is, what it holds of earlier lives where that is asked, and its counters. */
+    /** Applies a peer's message: its incarnation, what it holds of earlier incarnations of this ingress, and its totals. */
     MessageResult apply(QuotaMessage message) {
         int sender = message.sender();
         if (!observeIncarnation(sender, message.incarnation())) { return MessageResult.STALE; }
@@ -279,8 +292,8 @@
         return MessageResult.APPLIED;
     }
 
-    /** Holds an ingress to have ended, and its connections with it: what it held comes back. Only for who can prove that. */
-    void connectionClosed(int ingress) {
+    /** Treats a peer as ended, with all its connections: what it borrowed comes back. Only for callers that can prove it. */
+    void peerEnded(int ingress) {
         for (Region region : regions.values()) {
             PeerAccount account = region.accounts[ingress];
             if (account == null) { continue; }
@@ -288,7 +301,8 @@
             account.maxLegacyLent = 0;
             storeLent(region, ingress, account);
         }
-        peerIncarnations[ingress] = peerIncarnations[ingress] == 0 ? 1 : peerIncarnations[ingress] + 1; // whoever speaks as that life is not believed
+        // Messages of the ended incarnation are ignored from now on.
+        peerIncarnations[ingress] = peerIncarnations[ingress] == 0 ? 1 : peerIncarnations[ingress] + 1;
         if (!settledPeers[ingress]) {
             settledPeers[ingress] = true;
             unsettledPeers--;
--- a/src/main/java/yardusher/connectionquota/MaxMinAllocator.java
+++ b/src/main/java/yardusher/connectionquota/MaxMinAllocator.java
@@ -1,9 +1,10 @@
 package yardusher.connectionquota;
 
 /**
- * How a region's connections are divided by need, as one ingress works it out from what it was told: the least served come
- * first (max-min), by weight, and nobody gets more than it needs while another needs more. All who know the same come to the
- * same result; who knows less gives too little or too much, and later back. Free of I/O and clock; arrays are used again.
+ * Weighted max-min fair allocation of a region's connections by need, as one ingress computes it from what its peers reported:
+ * no ingress gets more than it needs while another one needs more. Ingresses with the same information compute the same result;
+ * one with outdated information lends too little or too much, which is corrected later. No I/O and no clock; the arrays
+ * are reused.
  */
 final class MaxMinAllocator {
     private int size;
@@ -16,7 +17,7 @@
     private int[] fairShares = new int[8];
     private int[] lenders = new int[8];
     private boolean isScarce;
-    private boolean someGetNone;                         // somebody who needs one gets none
+    private boolean someGetNone;                     // an ingress that needs units gets none
 
     void clear() { size = 0; }
 
@@ -38,7 +39,7 @@
         weights[size++] = Math.max(1, weight);
     }
 
-    /** Whether anyone wants more than it has. */
+    /** Whether any ingress wants more than it has. */
     boolean anyWantsMore() {
         for (int i = 0; i < size; i++) {
             if (wants[i] > allowances[i]) { return true; }
@@ -46,12 +47,12 @@
         return false;
     }
 
-    /** Whether all together need more than there is, by the last {@link #divide}. */
+    /** Whether, at the last {@link #allocate}, all ingresses together wanted more than there is. */
     boolean isScarce() { return isScarce; }
 
     /**
-     * Works the fair parts out: where there is enough each gets what it wants, else what it uses, and where there is too
-     * little even for that the level rises evenly. {@code region} and {@code turn} decide who gets what cannot be split.
+     * Computes the fair shares: what each ingress wants if there is enough for all, else what it needs, and if there is too little even
+     * for that, max-min shares of the needs. {@code region} and {@code rotation} decide who gets the units that cannot be split.
      */
     void allocate(long region, long rotation) {
         int total = 0;
@@ -75,7 +76,7 @@
         }
     }
 
-    /** Divides so many units by {@link #need}, which is more. */
+    /** Allocates fewer units than the sum of {@link #demands}. */
     private void allocateScarce(long region, long rotation, int units) {
         java.util.Arrays.fill(fairShares, 0, size, -1);
         int remaining = units;
@@ -85,7 +86,7 @@
             remaining -= fairShares[i];
         }
         someGetNone = level < 1;
-        for (; remaining > 0; remaining--) {                   // one each to those whom the draw names first
+        for (; remaining > 0; remaining--) {         // one each, in the order of the shortfall and the hash
             int best = -1;
             for (int i = 0; i < size; i++) {
                 if (fairShares[i] < demands[i] && (best < 0 || precedes(region, rotation, i, best, level))) { best = i; }
@@ -102,10 +103,12 @@
         return tieBreak(region, rotation, ingresses[a]) < tieBreak(region, rotation, ingresses[b]);
     }
 
-    /** Where some get none, who they are changes with the turn. */
-    private long tieBreak(long region, long rotation, int ingress) { return Ledger.mix(region * 1_000_003 + ingress + (someGetNone ? rotation * 7919 : 0)); }
+    /** Breaks ties by a hash. Where some ingresses get nothing, the hash changes with the rotation, so that none starves. */
+    private long tieBreak(long region, long rotation, int ingress) {
+        return Ledger.mix(region * 1_000_003 + ingress + (someGetNone ? rotation * 7919 : 0));
+    }
 
-    /** The level of the water; those whose need lies below it are filled. */
+    /** Water filling: satisfies the demands that lie below the level, and returns the level. */
     private double fillToLevel(int units) {
         double remaining = units;
         for (;;) {
@@ -133,7 +136,7 @@
         return 0;
     }
 
-    /** Units that one has beyond its fair part, and could give. */
+    /** Units that an ingress has beyond its fair share and could give. */
     int excess(int ingress) {
         for (int i = 0; i < size; i++) {
             if (ingresses[i] == ingress) { return Math.max(0, allowances[i] - fairShares[i]); }
@@ -141,19 +144,19 @@
         return 0;
     }
 
-    /** What all but one have beyond their fair parts. */
+    /** Units that all other ingresses have beyond their fair shares. */
     int excessOfOthers(int ingress) {
         int excess = 0;
         for (int i = 0; i < size; i++) { excess += ingresses[i] == ingress ? 0 : Math.max(0, allowances[i] - fairShares[i]); }
         return excess;
     }
 
-    /** What is done for each that is asked. */
+    /** Receives how many units to request from which ingress. */
     interface RequestHandler {
         void request(int lender, int units);
     }
 
-    /** Chooses whom to ask for so many units: who has most beyond its fair part comes first. */
+    /** Chooses the ingresses to request units from: the one with the most units beyond its fair share comes first. */
     void chooseLenders(int requester, int units, RequestHandler handler) {
         int lenderCount = 0;
         for (int i = 0; i < size; i++) {
@@ -162,7 +165,9 @@
         for (int i = 1; i < lenderCount; i++) {
             int candidate = lenders[i];
             int position = i;
-            for (; position > 0 && precedesAsLender(candidate, lenders[position - 1], requester); position--) { lenders[position] = lenders[position - 1]; }
+            for (; position > 0 && precedesAsLender(candidate, lenders[position - 1], requester); position--) {
+                lenders[position] = lenders[position - 1];
+            }
             lenders[position] = candidate;
         }
         int remaining = units;
@@ -173,10 +178,11 @@
         }
     }
 
-    /** Askers go to different ones where several have as much. */
+    /** Orders by excess; a hash with the requester spreads the requesters over lenders with the same excess. */
     private boolean precedesAsLender(int a, int b, int requester) {
         int excessA = allowances[a] - fairShares[a];
         int excessB = allowances[b] - fairShares[b];
-        return excessA != excessB ? excessA > excessB : Ledger.mix(ingresses[a] * 1009L + requester) < Ledger.mix(ingresses[b] * 1009L + requester);
+        return excessA != excessB ? excessA > excessB
+                : Ledger.mix(ingresses[a] * 1009L + requester) < Ledger.mix(ingresses[b] * 1009L + requester);
     }
 }
--- a/src/main/java/yardusher/connectionquota/Negotiator.java
+++ b/src/main/java/yardusher/connectionquota/Negotiator.java
@@ -10,69 +10,69 @@
 import yardusher.connectionquota.Ledger.Region;
 
 /**
- * The decisions of one life of one ingress on its connections: what it needs, to whom it lends and gives back, what it tells
- * whom and when. Free of I/O and clock: times are milliseconds of Unix time that never go back, everything else comes and
- * goes by {@link Transport}. Nothing here can break the number, which {@link Ledger} keeps; what is decided on old news, on a
- * wrong list of members or on made-up needs costs use only.
+ * Decides for one incarnation of an ingress how many connections it needs, to which peers it lends and returns units, and what it
+ * sends to whom and when. No I/O and no clock: times are milliseconds of Unix time that never go back, everything else goes
+ * through {@link Environment}. Nothing here can exceed a region's limit, which {@link Ledger} guarantees; decisions on
+ * outdated reports, on a wrong list of members or on invented needs only cost utilization.
  */
 final class Negotiator {
-    /** What it sees and does. */
+    /** What the negotiator observes and acts on. */
     interface Environment {
         /** Connections to a region that carry an attempt. */
         int busy(long region);
 
-        /** Requests that were turned away for want of room, since the start. */
+        /** Requests that were refused for lack of room, since the start. */
         long refusedRequests();
 
-        /** Attempts begun, since the start. */
+        /** Attempts started, since the start. */
         long startedAttempts();
 
-        /** No more attempts than this are to be out at a region. */
+        /** Sets how many attempts may be in progress at a region at most. */
         void setAttemptLimit(long region, int maxAttempts);
 
-        /** Closes so many connections that stand idle; the result says how many it began to close. */
+        /** Begins to close up to so many idle connections; returns how many. */
         int closeIdle(long region, int count);
 
         void send(InetSocketAddress to, byte[] body);
 
-        /** An ingress that has so many units of this one has fallen silent: they are kept back. */
+        /** A peer that holds so many units of this ingress has stopped sending: the units stay reserved for it. */
         default void peerSilent(int ingress, int units) { }
     }
 
-    /** {@code least}: units wanted in all while there is traffic; {@code movesPerS} by region, at the most. */
+    /** {@code minUnits}: wanted in all while there is traffic; {@code maxMovesPerS}: units given away at one region. */
     record Options(int minUnits, int weight, double maxMovesPerS) { }
 
-    static final double PEER_TIMEOUT_MS = 3000;             // who was silent for longer is asked for nothing
-    private static final double HEARTBEAT_MS = 1000;      // to each other, where nothing is to be told
+    static final double PEER_TIMEOUT_MS = 3000;      // a peer that was silent for longer is not asked for units
+    private static final double HEARTBEAT_MS = 1000; // between messages to a peer without changes
     private static final double SILENT_PEER_HEARTBEAT_MS = 4000;
-    private static final int HEARTBEATS_PER_FULL_UPDATE = 4;        // each so many beats tell all that stands
-    private static final double RETRANSMIT_MS = 100;     // what was not heard is told again
+    private static final int HEARTBEATS_PER_FULL_UPDATE = 4; // one heartbeat in so many sends all rows
+    private static final double RETRANSMIT_MS = 100; // rows that were not acknowledged are sent again
     private static final double ACTIVITY_WINDOW_MS = 2000;
     private static final double BUSY_TICK_MS = 20;
     private static final double IDLE_TICK_MS = 200;
-    private static final double REQUEST_TIMEOUT_MS = 60;         // an ask counts so long
-    private static final double SMALL_SHORTAGE_MS = 100;       // a small lack is asked for once it has lasted so long
+    private static final double REQUEST_TIMEOUT_MS = 60; // after which a request is void on both sides
+    private static final double SMALL_SHORTAGE_MS = 100; // how long a small shortage has to last before units are requested
     private static final double LARGE_SHORTAGE_RATIO = 0.1;
-    private static final double RATE_SMOOTHING_MS = 100;       // over which refusals and attempts are counted
-    private static final double REGION_USE_SMOOTHING_MS = 3000;      // over which it is seen where attempts go
-    private static final double ROTATION_MS = 2000;     // where some get none, others do after this
-    private static final double IDLE_RETURN_MS = 10_000;    // what is borrowed and not used so long goes back, one by one
-    private static final double SHUTDOWN_RETURN_MS = 2000;     // at the end of a process, to give back
-    private static final double MAX_INCARNATION_LEAD_MS = 86_400_000; // a life that begins a day from now is made up
-
-    /** A region as this ingress stands there. */
+    private static final double RATE_SMOOTHING_MS = 100; // time constant of the rates of refusals and attempts
+    private static final double REGION_USE_SMOOTHING_MS = 3000; // time constant of the use of single regions
+    private static final double ROTATION_MS = 2000;  // where some ingresses get nothing, others do after this time
+    private static final double IDLE_RETURN_MS = 10_000; // borrowed units that were not needed for so long are returned, one by one
+    private static final double SHUTDOWN_RETURN_MS = 2000; // time for returning units at shutdown
+    private static final double MAX_INCARNATION_LEAD_MS = 86_400_000; // an incarnation that lies a day ahead is rejected as invalid
+
+    /** Demand, targets and pending work of this ingress at one region. */
     static final class RegionState {
         final Region region;
-        private double smoothedBusy;                         // connections in use lately
-        int needed;                                    // of what this ingress uses in all, what it would like here
-        int wanted;                                   // and of what it would like to keep
-        private double demandWeight;
-        private double fullFraction;                         // part of the time in which there was no room, lately
-        private double remainder;
-        int closing;                                 // connections on their way to be closed at both ends
-        int owed;                                    // units to be given as soon as connections close
+        private double smoothedBusy;
+        int needed;                                  // part of the needed connections that is planned for this region
+        int wanted;                                  // part of the wanted connections
+        private double demandWeight;                 // weight for further units, half by limit and half by use
+        private double fullFraction;                 // of the time, smoothed
+        private double remainder;                    // fraction of a unit that rounding down left over
+        int closing;                                 // connections that are being closed, until both ends are
+        int owed;                                    // units to be given to peers as soon as connections close
         private int reportedLimit = -1;
-        private double moveTokens;
+        private double moveTokens;                   // of the token bucket for units given away
         private double tokensFilledAtMs;
         private double shortageSinceMs;
         private double surplusSinceMs;
@@ -80,7 +80,7 @@
         private int announcedAllowance;
         private int announcedWanted;
         private int announcedNeeded;
-        private int othersExcess;                           // what others have beyond their fair parts
+        private int othersExcess;                    // units that peers have beyond their fair shares
 
         RegionState(Region region, double now) {
             this.region = region;
@@ -89,7 +89,7 @@
         }
     }
 
-    /** Another ingress, by its number. */
+    /** Another ingress of the installation. */
     private static final class Peer {
         final int number;
         InetSocketAddress address;
@@ -99,9 +99,9 @@
         int heartbeats;
         int weight = 1;
         int lastSequence;
-        boolean hasSettledWithUs;                           // it knows what its earlier lives lent to this one
-        boolean urgent;
-        boolean isReportedSilent;                            // and was said to be
+        boolean hasSettledWithUs;                    // the peer knows what its earlier incarnations lent to this ingress
+        boolean urgent;                              // a message is to be sent at the next tick
+        boolean isReportedSilent;
 
         Peer(int number) { this.number = number; }
     }
@@ -116,20 +116,20 @@
     private List<InetSocketAddress> memberAddresses = List.of();
     private double lastTickMs;
     private double lastActiveAtMs = Double.NEGATIVE_INFINITY;
-    private double refusalsPerMs;                         // a millisecond, lately
-    private double attemptsPerMs;
+    private double refusalsPerMs;                    // smoothed
+    private double attemptsPerMs;                    // smoothed
     private long previousRefused;
     private long previousStarted;
     private double nextHelloAtMs;
     private double lastAnnouncedAtMs = Double.NEGATIVE_INFINITY;
     private int sequence;
-    private boolean isShuttingDown;                          // the process ends: it keeps what it uses and no more
+    private boolean isShuttingDown;                  // keeps only the units that are still in use
     private double shutdownAtMs;
-    long malformedMessages;                                        // bodies that are no telling
-    long foreignMessages;                                    // of another count of ingresses, or of this ingress's own number
-    long staleMessages;                                      // of a life that has ended
-    long requestedUnits;                                      // units asked for
-    long movedUnits;                                      // units lent or given back
+    long malformedMessages;                          // bodies that cannot be decoded or have an impossible incarnation
+    long foreignMessages;                            // with another ingress count or with this ingress's own number
+    long staleMessages;                              // from an incarnation that has ended
+    long requestedUnits;
+    long movedUnits;                                 // units lent or returned
     long receivedMessages;
     long sentMessages;
     long sentBytes;
@@ -153,7 +153,7 @@
 
     RegionState regionState(long region) { return regionStates.get(region); }
 
-    /** A listed region holds so many connections in all, now. */
+    /** Lists a region or changes its limit. */
     void setLimit(double now, long region, int limit) {
         Region ledgerRegion = ledger.setLimit(region, limit);
         if (!regionStates.containsKey(region)) { regionStates.put(region, new RegionState(ledgerRegion, now)); }
@@ -167,28 +167,28 @@
         if (state != null) { state.wanted = 0; }
     }
 
-    /** Who is there, by the view: only whom to ask first. */
+    /** Addresses of the current members; only used to greet ingresses that have not sent a message yet. */
     void setMembers(List<InetSocketAddress> addresses) { memberAddresses = addresses; }
 
-    /** The process ends: what is borrowed goes back, and its share goes to who asks, as soon as it is not used any more. */
+    /** The process ends: units that are no longer used are returned if borrowed, or lent to peers that request them. */
     void shutDown(double now) {
         isShuttingDown = true;
         shutdownAtMs = now;
     }
 
-    /** A connection is to be dialled; false where there is no unit for it. */
+    /** Counts a connection that is about to be dialled; false if there is no unit for it. */
     boolean tryAcquire(long region) {
         RegionState state = regionStates.get(region);
         return state != null && !state.region.isDelisted && spare(state) > 0 && ledger.tryAcquire(state.region);
     }
 
-    /** Whether a connection that comes to rest is to be closed, since its unit is owed. */
+    /** Whether a connection that becomes idle is to be closed, because its unit is owed to a peer. */
     boolean isSurplus(long region) {
         RegionState state = regionStates.get(region);
         return state == null || state.region.isDelisted || ledger.spare(state.region) + state.closing < state.owed;
     }
 
-    /** A connection begins to close; its unit stays in use until the region has closed too. */
+    /** A connection begins to close; its unit stays in use until the region has closed its side too. */
     void connectionClosing(long region) {
         RegionState state = regionStates.get(region);
         if (state == null) { return; }
@@ -196,7 +196,7 @@
         updateAttemptLimit(state);
     }
 
-    /** A connection is over at both ends. */
+    /** A connection is closed at both ends. */
     void connectionClosed(long region, boolean wasClosing) {
         RegionState state = regionStates.get(region);
         if (state == null) { return; }
@@ -215,7 +215,7 @@
         }
     }
 
-    /** Connections that this process had there before it had the claim: of its own share. */
+    /** Takes over the connections that this process opened as a successor; they now use its own share. */
     void adoptConnections(long region, int open, int closing) {
         RegionState state = regionStates.get(region);
         if (state == null) { return; }
@@ -224,7 +224,7 @@
         updateAttemptLimit(state);
     }
 
-    /** The next version stands beside this process and wants so many connections in all there; the result is how many it has now. */
+    /** The successor process wants so many connections in all at a region; returns how many it has been given so far. */
     int giveSuccessor(long region, int wanted) {
         RegionState state = regionStates.get(region);
         if (state == null || state.region.isDelisted) { return 0; }
@@ -232,13 +232,15 @@
         if (missing > 0) {
             int kept = Math.max(state.needed, isShuttingDown ? 0 : ledger.allowance(state.region) / 2);
             int given = ledger.giveSuccessor(state.region, Math.min(missing, ledger.allowance(state.region) - kept));
-            if (given < missing && ledger.unlentShare(state.region) > kept) { environment.closeIdle(region, Math.min(missing - given, ledger.unlentShare(state.region) - kept)); }
+            if (given < missing && ledger.unlentShare(state.region) > kept) {
+                environment.closeIdle(region, Math.min(missing - given, ledger.unlentShare(state.region) - kept));
+            }
             updateAttemptLimit(state);
         }
         return state.region.successorUnits;
     }
 
-    /** The process beside has ended, and regions have seen it. */
+    /** The successor has ended, and regions have noticed: its units are free again. */
     void reclaimFromSuccessor() {
         for (RegionState state : regionStates.values()) {
             state.region.successorUnits = 0;
@@ -246,7 +248,7 @@
         }
     }
 
-    /** A region came into the module's list anew: its room is to be told again. */
+    /** A region was listed anew in the decision module, which therefore needs its attempt limit again. */
     void relisted(long region) {
         RegionState state = regionStates.get(region);
         if (state == null) { return; }
@@ -254,7 +256,7 @@
         updateAttemptLimit(state);
     }
 
-    /** Takes a body in. */
+    /** Handles a datagram of another ingress. */
     void receive(double now, InetSocketAddress from, byte[] body) {
         QuotaMessage message;
         try {
@@ -290,7 +292,7 @@
         peer.address = from;
         peer.lastReceivedAtMs = now;
         peer.weight = message.weight();
-        if (result == Ledger.MessageResult.OTHER_INCARNATION) {   // it does not know this life yet
+        if (result == Ledger.MessageResult.OTHER_INCARNATION) { // the peer does not know this incarnation yet
             peer.urgent = true;
             return;
         }
@@ -309,7 +311,8 @@
             account.previousReceived = account.received;
             int recovered = account.recovered - account.previousRecovered;
             account.previousRecovered = account.recovered;
-            if (recovered > 0 && row.beneficiary() > 0 && row.beneficiary() <= peers.length && row.beneficiary() - 1 != ledger.self && peers[row.beneficiary() - 1] != null) {
+            if (recovered > 0 && row.beneficiary() > 0 && row.beneficiary() <= peers.length && row.beneficiary() - 1 != ledger.self
+                    && peers[row.beneficiary() - 1] != null) {
                 passOn(region, peers[row.beneficiary() - 1], recovered, now);
             }
             if (isNewer) {
@@ -332,7 +335,7 @@
         }
     }
 
-    /** Units came home for somebody's sake: they go on at once, where they are not needed more here. */
+    /** Lends units that were returned for the benefit of {@code borrower} on to it, unless they are needed here. */
     private void passOn(Region region, Peer borrower, int units, double now) {
         RegionState state = regionStates.get(region.id);
         if (state == null || region.isDelisted || !isLive(borrower, now)) { return; }
@@ -340,7 +343,7 @@
         if (lent > 0) { recordMove(state, borrower, lent); }
     }
 
-    /** Looks, decides and tells; the result is when it is to be called again at the latest. */
+    /** Measures the demand, moves units and sends messages; returns when it is to be called again at the latest. */
     double tick(double now) {
         measureDemand(now);
         for (RegionState state : regionStates.values()) {
@@ -357,20 +360,23 @@
             if (peer == null || peer.address == null || isLive(peer, lastTickMs) != peer.isReportedSilent) { continue; }
             peer.isReportedSilent = !peer.isReportedSilent;
             int units = 0;
-            for (Region region : ledger.regions()) { units += peer.isReportedSilent && region.accounts[peer.number] != null ? region.accounts[peer.number].lent() : 0; }
+            for (Region region : ledger.regions()) {
+                units += peer.isReportedSilent && region.accounts[peer.number] != null ? region.accounts[peer.number].lent() : 0;
+            }
             if (units > 0) { environment.peerSilent(peer.number, units); }
         }
-        for (Peer peer : peers) {                 // planted, to see that the rules notice
-            if (ledger.omittedRule == Ledger.OmittedRule.STOPPED_KEEPS && peer != null && peer.address != null && lastTickMs - peer.lastReceivedAtMs > PEER_TIMEOUT_MS) {
-                ledger.connectionClosed(peer.number);
+        for (Peer peer : peers) {                    // planted, to check that the models detect it
+            if (ledger.omittedRule == Ledger.OmittedRule.STOPPED_KEEPS && peer != null && peer.address != null
+                    && lastTickMs - peer.lastReceivedAtMs > PEER_TIMEOUT_MS) {
+                ledger.peerEnded(peer.number);
                 peer.address = null;
             }
         }
         ledger.sweep();
-        regionStates.values().removeIf(stand -> stand.region.isDelisted && ledger.region(stand.region.id) == null);
+        regionStates.values().removeIf(state -> state.region.isDelisted && ledger.region(state.region.id) == null);
     }
 
-    /** What is needed, by what is out and what was turned away. */
+    /** Estimates the demand from the attempts in progress and the refused requests, and sets the targets of the regions. */
     private void measureDemand(double now) {
         double elapsedMs = Math.max(0, now - lastTickMs);
         lastTickMs = now;
@@ -387,7 +393,7 @@
         int busy = 0;
         for (RegionState state : regionStates.values()) { busy += environment.busy(state.region.id); }
         if (busy > 0) { lastActiveAtMs = now; }
-        // By Little's law: what was turned away would have been out as long as what was let in.
+        // Little's law: refused requests would have been in progress as long as accepted ones.
         double attemptMs = attemptsPerMs > 1e-6 ? busy / attemptsPerMs : 100;
         double unmet = refusalsPerMs * Math.min(5000, Math.max(1, attemptMs));
         boolean isActive = now - lastActiveAtMs < ACTIVITY_WINDOW_MS;
@@ -396,14 +402,17 @@
         double totalUsed = 0;
         double totalLimit = 0;
         for (RegionState state : regionStates.values()) {
-            state.fullFraction += regionSmoothing * ((environment.busy(state.region.id) >= state.reportedLimit ? 1 : 0) - state.fullFraction);
+            state.fullFraction += regionSmoothing
+                    * ((environment.busy(state.region.id) >= state.reportedLimit ? 1 : 0) - state.fullFraction);
             state.smoothedBusy += regionSmoothing * (environment.busy(state.region.id) - state.smoothedBusy);
             totalUsed += state.smoothedBusy;
             totalLimit += state.region.isDelisted ? 0 : state.region.limit;
         }
         for (RegionState state : regionStates.values()) {
             state.demandWeight = state.region.isDelisted || totalLimit == 0 ? 0 : state.region.limit / totalLimit;
-            if (totalUsed > 0.01 && !state.region.isDelisted) { state.demandWeight = 0.5 * state.demandWeight + 0.5 * state.smoothedBusy / totalUsed; }
+            if (totalUsed > 0.01 && !state.region.isDelisted) {
+                state.demandWeight = 0.5 * state.demandWeight + 0.5 * state.smoothedBusy / totalUsed;
+            }
         }
         double minUnits = isActive ? options.minUnits : 0;
         distribute(isActive ? Math.max(minUnits, demand.needed()) : 0, false);
@@ -411,20 +420,27 @@
     }
 
     /**
-     * Spreads what is needed in all over the regions, in whole units: first over what is there already, so that nothing is
-     * moved without need, and what is more by where attempts go. Who needs little does not need some of every region.
+     * Distributes the needed or wanted connections over the regions, in whole units: first over the units that are already here, so that
+     * none is moved without need, and further ones by where attempts go. An ingress with little demand needs no unit at
+     * most regions.
      */
     private void distribute(double units, boolean setsWanted) {
         int total = (int) Math.ceil(units - 0.02);
         int presentTotal = 0;
-        for (RegionState state : regionStates.values()) { presentTotal += state.region.isDelisted ? 0 : Math.max(0, ledger.allowance(state.region)); }
+        for (RegionState state : regionStates.values()) {
+            presentTotal += state.region.isDelisted ? 0 : Math.max(0, ledger.allowance(state.region));
+        }
         int additional = Math.max(0, total - presentTotal);
-        double totalWeight = 0;                            // of regions where there is something to be had
+        double totalWeight = 0;                      // of regions where peers have units to spare
         for (RegionState state : regionStates.values()) { totalWeight += state.othersExcess > 0 ? state.demandWeight : 0; }
         int remaining = total;
         for (RegionState state : regionStates.values()) {
             int presentHere = state.region.isDelisted ? 0 : Math.max(0, ledger.allowance(state.region));
-            double target = additional > 0 ? presentHere + (totalWeight > 0 ? additional * (state.othersExcess > 0 ? state.demandWeight : 0) / totalWeight : additional * state.demandWeight) : presentTotal == 0 ? 0 : (double) total * presentHere / presentTotal;
+            double target = additional > 0
+                    ? presentHere + (totalWeight > 0
+                            ? additional * (state.othersExcess > 0 ? state.demandWeight : 0) / totalWeight
+                            : additional * state.demandWeight)
+                    : presentTotal == 0 ? 0 : (double) total * presentHere / presentTotal;
             state.remainder = state.region.isDelisted ? -1 : target - Math.floor(target);
             setTarget(state, (int) Math.floor(target), setsWanted);
             remaining -= setsWanted ? state.wanted : state.needed;
@@ -438,16 +454,19 @@
             best.remainder = -1;
             setTarget(best, (setsWanted ? best.wanted : best.needed) + 1, setsWanted);
         }
-        for (RegionState state : regionStates.values()) {        // those that are full all the time although there is room elsewhere
-            if (setsWanted && additional == 0 && state.fullFraction > 0.6 && !state.region.isDelisted) { setTarget(state, ledger.allowance(state.region) + 1, true); }
+        for (RegionState state : regionStates.values()) { // regions that are always full although others have room
+            if (setsWanted && additional == 0 && state.fullFraction > 0.6 && !state.region.isDelisted) {
+                setTarget(state, ledger.allowance(state.region) + 1, true);
+            }
         }
     }
 
-    /** Coarse, so that the same regions are ahead for as long as the use is about the same. */
+    /** Compares remainders coarsely, so that the same regions come first while the use hardly changes. */
     private boolean hasLargerRemainder(RegionState first, RegionState second) {
         long firstRemainder = Math.round(first.remainder * 4);
         long secondRemainder = Math.round(second.remainder * 4);
-        return firstRemainder != secondRemainder ? firstRemainder > secondRemainder : Ledger.mix(first.region.id * 31 + ledger.self) < Ledger.mix(second.region.id * 31 + ledger.self);
+        return firstRemainder != secondRemainder ? firstRemainder > secondRemainder
+                : Ledger.mix(first.region.id * 31 + ledger.self) < Ledger.mix(second.region.id * 31 + ledger.self);
     }
 
     private static void setTarget(RegionState state, int units, boolean setsWanted) {
@@ -457,14 +476,16 @@
 
     private boolean isLive(Peer peer, double now) { return peer != null && now - peer.lastReceivedAtMs < PEER_TIMEOUT_MS; }
 
-    /** Lends and gives back what others need more, and makes room for it. */
+    /** Lends and returns units that peers need more, and closes connections for it. */
     private void rebalance(RegionState state, double now) {
         Region region = state.region;
         state.owed = 0;
         if (region.isDelisted) {
             state.owed = ledger.allowance(region);
             for (Peer peer : peers) {
-                if (peer != null && region.accounts[peer.number] != null) { giveBack(state, peer, region.accounts[peer.number].borrowed()); }
+                if (peer != null && region.accounts[peer.number] != null) {
+                    giveBack(state, peer, region.accounts[peer.number].borrowed());
+                }
             }
             environment.closeIdle(region.id, region.open);
             return;
@@ -499,7 +520,7 @@
         } else if (now - state.surplusSinceMs > IDLE_RETURN_MS && now >= state.nextReturnAtMs) {
             returnIdleUnit(state, now);
         }
-        // Where the number fell below what is open, or units are owed: connections close between requests.
+        // If the limit fell below what is open, or units are owed, connections close between requests.
         int toClose = state.owed - Math.max(0, spare(state)) + Math.max(0, -spare(state)) - state.closing;
         if (toClose > 0) { environment.closeIdle(region.id, toClose); }
     }
@@ -509,7 +530,7 @@
         return account != null && account.requestedByPeer > 0 && now - account.peerRequestAtMs < REQUEST_TIMEOUT_MS;
     }
 
-    /** Gives to those who ask what is beyond the fair part here, a unit each in turn. */
+    /** Gives the units beyond the own fair share to the peers that requested some, one unit each in turn. */
     private void answerRequests(RegionState state, double now) {
         int excess = Math.min(allocator.excess(ledger.self), (int) state.moveTokens);
         for (boolean anyGiven = true; anyGiven && excess > 0;) {
@@ -518,7 +539,8 @@
                 int borrower = (i + ledger.self) % peers.length;
                 if (!hasPendingRequest(state, peers[borrower], now)) { continue; }
                 PeerAccount account = state.region.account(borrower);
-                int due = account.requestedByPeer - Math.max(0, account.granted - account.peerReceivedAtRequest) - account.redirectedForPeer - account.allotted;
+                int due = account.requestedByPeer - Math.max(0, account.granted - account.peerReceivedAtRequest)
+                        - account.redirectedForPeer - account.allotted;
                 if (due <= 0) { continue; }
                 account.allotted++;
                 excess--;
@@ -531,7 +553,7 @@
             if (account.allotted > 0) {
                 giveUnits(state, peer.number, account.allotted, now);
                 account.allotted = 0;
-            } else if (account.isPeerRequestNew) {           // so that it asks another
+            } else if (account.isPeerRequestNew) {   // an answer without units, so that the peer asks another one
                 account.isDirty = true;
                 peer.urgent = true;
             }
@@ -539,28 +561,35 @@
         }
     }
 
-    /** Asks those who have most beyond their fair parts for what is missing here. */
+    /** Requests the missing units from the peers that have most beyond their fair shares. */
     private void requestMissing(RegionState state, double now) {
         int missing = allocator.fairShare(ledger.self) - ledger.allowance(state.region);
         for (Peer peer : peers) {
             PeerAccount account = peer == null ? null : state.region.accounts[peer.number];
             if (account == null || account.requestedFromPeer == 0) { continue; }
-            if (now - account.requestSentAtMs >= REQUEST_TIMEOUT_MS) { account.requestedFromPeer = 0; } else { missing -= account.requestedFromPeer; }
+            if (now - account.requestSentAtMs >= REQUEST_TIMEOUT_MS) {
+                account.requestedFromPeer = 0;
+            } else {
+                missing -= account.requestedFromPeer;
+            }
         }
         if (missing <= 0) {
             state.shortageSinceMs = now;
             return;
         }
-        // Guards against units that go to and fro with the noise of a full fleet: a small lack has to last.
-        if (missing < Math.max(2, LARGE_SHORTAGE_RATIO * ledger.allowance(state.region)) && now - state.shortageSinceMs < SMALL_SHORTAGE_MS && ledger.allowance(state.region) > 0) { return; }
-        allocator.chooseLenders(ledger.self, missing, (giver, units) -> {
-            PeerAccount account = state.region.account(giver);
+        // Guards against units that move back and forth with the noise of a fully used fleet: a small shortage has to last.
+        if (missing < Math.max(2, LARGE_SHORTAGE_RATIO * ledger.allowance(state.region)) && now - state.shortageSinceMs < SMALL_SHORTAGE_MS
+                && ledger.allowance(state.region) > 0) {
+            return;
+        }
+        allocator.chooseLenders(ledger.self, missing, (lender, units) -> {
+            PeerAccount account = state.region.account(lender);
             if (account.requestedFromPeer > 0) { return; }
             account.requestedFromPeer = units;
             account.requestNumber = (account.requestNumber + 1) % QuotaMessage.MAX_UNITS;
             account.requestSentAtMs = now;
             account.isDirty = true;
-            peers[giver].urgent = true;
+            peers[lender].urgent = true;
             requestedUnits += units;
         });
     }
@@ -574,11 +603,14 @@
             if (lent > 0) { recordMove(state, peer, lent); }
             remaining -= lent;
         }
-        // What is held of a third goes home to it, with a word for whose sake.
+        // Units borrowed from a third ingress are returned to it, together with the number of the ingress that is to get them.
         while (remaining > 0 && spare(state) > 0) {
             Peer lender = null;
             for (Peer candidate : peers) {
-                if (isLive(candidate, now) && borrowedFrom(state, candidate) > 0 && (lender == null || borrowedFrom(state, candidate) > borrowedFrom(state, lender))) { lender = candidate; }
+                if (isLive(candidate, now) && borrowedFrom(state, candidate) > 0
+                        && (lender == null || borrowedFrom(state, candidate) > borrowedFrom(state, lender))) {
+                    lender = candidate;
+                }
             }
             int returned = lender == null ? 0 : giveBack(state, lender, remaining);
             if (returned == 0) { break; }
@@ -608,7 +640,7 @@
         movedUnits += units;
     }
 
-    /** Nobody needs it and neither does this one: borrowed units go home, so that a death here costs less. */
+    /** No ingress needs the units: returns a borrowed one, so that a crash of this process makes fewer units unusable. */
     private void returnIdleUnit(RegionState state, double now) {
         for (Peer peer : peers) {
             if (isLive(peer, now) && borrowedFrom(state, peer) > 0) {
@@ -621,12 +653,14 @@
     }
 
     private void sendUpdates(double now) {
-        double minIntervalMs = Math.max(BUSY_TICK_MS, 2.0 * ledger.ingressCount); // so that news cost no more at more ingresses
+        double minIntervalMs = Math.max(BUSY_TICK_MS, 2.0 * ledger.ingressCount); // keeps the cost of updates bounded with many ingresses
         List<RegionState> changedRegions = new ArrayList<>();
         for (RegionState state : regionStates.values()) {
             int allowance = ledger.allowance(state.region);
-            boolean isChanged = allowance != state.announcedAllowance || state.wanted != state.announcedWanted || differsMuch(state.needed, state.announcedNeeded);
-            boolean isContended = state.wanted > allowance || state.announcedWanted > state.announcedAllowance || now - state.surplusSinceMs < ACTIVITY_WINDOW_MS;
+            boolean isChanged = allowance != state.announcedAllowance || state.wanted != state.announcedWanted
+                    || differsMuch(state.needed, state.announcedNeeded);
+            boolean isContended = state.wanted > allowance || state.announcedWanted > state.announcedAllowance
+                    || now - state.surplusSinceMs < ACTIVITY_WINDOW_MS;
             if (isChanged && isContended && now - lastAnnouncedAtMs >= minIntervalMs) {
                 state.announcedAllowance = allowance;
                 state.announcedWanted = state.wanted;
@@ -641,13 +675,18 @@
         if (now >= nextHelloAtMs) {
             nextHelloAtMs = now + HEARTBEAT_MS;
             for (InetSocketAddress member : memberAddresses) {
-                if (!isLiveAddress(member, now)) { send(member, new QuotaMessage(ledger.self, ledger.ingressCount, options.weight, ledger.incarnation, 0, ++sequence, false, false, false, List.of()), now, null); }
+                if (!isLiveAddress(member, now)) {
+                    send(member, new QuotaMessage(ledger.self, ledger.ingressCount, options.weight, ledger.incarnation, 0, ++sequence,
+                            false, false, false, List.of()), now, null);
+                }
             }
         }
     }
 
-    /** What is used changes all the time; only a change that matters is news. */
-    private static boolean differsMuch(int needed, int sent) { return Math.abs(needed - sent) >= Math.max(2, sent / 8) || (needed == 0) != (sent == 0); }
+    /** The need changes all the time; only a considerable change is sent. */
+    private static boolean differsMuch(int needed, int sent) {
+        return Math.abs(needed - sent) >= Math.max(2, sent / 8) || (needed == 0) != (sent == 0);
+    }
 
     private boolean isLiveAddress(InetSocketAddress address, double now) {
         for (Peer peer : peers) {
@@ -670,7 +709,7 @@
         List<QuotaMessage.Row> rows = new ArrayList<>();
         boolean needsReply = false;
         int legacyRows = 0;
-        for (Region region : ledger.regions()) {     // what is held of earlier lives first: it is to be told whole
+        for (Region region : ledger.regions()) {     // legacy units first: they have to be complete in one message
             PeerAccount account = region.accounts[peer.number];
             if (account != null && account.legacyBorrowed > 0 && !peer.hasSettledWithUs) { rows.add(buildRow(region, account)); }
         }
@@ -679,10 +718,12 @@
             PeerAccount account = region.account(peer.number);
             RegionState state = regionStates.get(region.id);
             if (account.legacyBorrowed > 0 && !peer.hasSettledWithUs) { continue; }
-            boolean changed = account.sentAllowance != ledger.allowance(region) || state != null && (account.sentWanted != state.wanted || differsMuch(state.needed, account.sentNeeded));
+            boolean changed = account.sentAllowance != ledger.allowance(region)
+                    || state != null && (account.sentWanted != state.wanted || differsMuch(state.needed, account.sentNeeded));
             boolean unacknowledged = account.hasUnacknowledged();
             needsReply |= unacknowledged;
-            if (sendAll || account.isDirty || unacknowledged && (isRetransmission || isHeartbeat) || isHeartbeat && changed || state != null && changedRegions.contains(state)) {
+            if (sendAll || account.isDirty || unacknowledged && (isRetransmission || isHeartbeat) || isHeartbeat && changed
+                    || state != null && changedRegions.contains(state)) {
                 rows.add(buildRow(region, account));
             }
         }
@@ -691,9 +732,10 @@
         do {
             List<QuotaMessage.Row> batch = rows.subList(nextRow, Math.min(rows.size(), nextRow + QuotaMessage.MAX_ROWS));
             nextRow += batch.size();
-            send(peer.address, new QuotaMessage(ledger.self, ledger.ingressCount, options.weight, ledger.incarnation, ledger.peerIncarnation(peer.number), ++sequence,
-                    ledger.isSettled(peer.number), legacyComplete, needsReply, batch), now, peer);
-            legacyComplete = false;                           // what is held of earlier lives stood in the first
+            send(peer.address, new QuotaMessage(ledger.self, ledger.ingressCount, options.weight, ledger.incarnation,
+                    ledger.peerIncarnation(peer.number), ++sequence, ledger.isSettled(peer.number), legacyComplete, needsReply, batch),
+                    now, peer);
+            legacyComplete = false;                  // the first message held the legacy units
         } while (nextRow < rows.size());
     }
 
@@ -711,8 +753,9 @@
         account.sentAllowance = ledger.allowance(region);
         account.sentWanted = state == null ? 0 : state.wanted;
         account.sentNeeded = state == null ? 0 : state.needed;
-        return new QuotaMessage.Row(region.id, account.granted, account.recovered, account.received, account.returned, account.legacyBorrowed, account.sentAllowance,
-                state == null ? 0 : state.needed, account.sentWanted, account.requestedFromPeer, account.requestNumber, account.beneficiary);
+        return new QuotaMessage.Row(region.id, account.granted, account.recovered, account.received, account.returned,
+                account.legacyBorrowed, account.sentAllowance, state == null ? 0 : state.needed, account.sentWanted,
+                account.requestedFromPeer, account.requestNumber, account.beneficiary);
     }
 
     private void send(InetSocketAddress to, QuotaMessage message, double now, Peer peer) {
@@ -723,26 +766,28 @@
         environment.send(to, body);
     }
 
-    /** Whether something is still open, or held of somebody who is there; at the end, for a bounded time. */
+    /** Whether connections are open, or units of a live peer are held; during shutdown false after a bounded time. */
     boolean hasOpenOrBorrowed(double now) {
         if (isShuttingDown && now - shutdownAtMs > SHUTDOWN_RETURN_MS) { return false; }
         for (Region region : ledger.regions()) {
             if (region.open > 0) { return true; }
             for (Peer peer : peers) {
-                if (isLive(peer, now) && region.accounts[peer.number] != null && region.accounts[peer.number].borrowed() > 0) { return true; }
+                if (isLive(peer, now) && region.accounts[peer.number] != null && region.accounts[peer.number].borrowed() > 0) {
+                    return true;
+                }
             }
         }
         return false;
     }
 
-    /** Others heard lately. */
+    /** Number of peers that have sent a message recently. */
     int livePeers(double now) {
         int live = 0;
         for (Peer peer : peers) { live += isLive(peer, now) ? 1 : 0; }
         return live;
     }
 
-    /** Units that cannot be used as this one knows: lent to who is silent, and the silent ones' own shares. */
+    /** Units that, as far as this ingress knows, nobody can use: those lent to silent peers, and the silent peers' own shares. */
     int unusableUnits(double now) {
         int unusable = 0;
         for (RegionState state : regionStates.values()) {
@@ -751,7 +796,8 @@
             for (Peer peer : peers) {
                 if (peer == null || isLive(peer, now)) { continue; }
                 PeerAccount account = region.accounts[peer.number];
-                unusable += Ledger.share(region.id, region.limit, peer.number, ledger.ingressCount) + (account == null ? 0 : account.lent() - account.borrowed());
+                unusable += Ledger.share(region.id, region.limit, peer.number, ledger.ingressCount)
+                        + (account == null ? 0 : account.lent() - account.borrowed());
             }
         }
         return unusable;
--- a/src/main/java/yardusher/connectionquota/PeerAccount.java
+++ b/src/main/java/yardusher/connectionquota/PeerAccount.java
@@ -1,61 +1,62 @@
 package yardusher.connectionquota;
 
 /**
- * What one ingress and one other have between them at one region, as this one knows it: four counters that only grow in a
- * pair of lives, and two remainders of earlier lives that only fall. A unit is one connection that may be open. Units lent go
- * back to whom they came from and nowhere else, so all that is ever said of them is said between two.
+ * Escrow account of this ingress with one peer at one region: four totals that only grow while both keep their incarnations,
+ * and two remainders of earlier incarnations that only fall. A unit is the right to have one connection open. Units that were lent go
+ * back to their lender and to nobody else, so their state is only ever exchanged between two ingresses.
  *
- * <p>What is lent is never more than what stands here, and what is held never more than was lent: {@link #granted} grows
- * before it is told, and {@link #returned} grows once the unit is no longer used, before that is told.
+ * <p>The peer never borrows more than is recorded as lent here: {@link #granted} grows before the peer is told, and
+ * {@link #returned} grows once a unit is no longer in use and before the peer is told.
  */
 final class PeerAccount {
-    int granted;                                     // mine, to it; only grows
-    int recovered;                                        // of those, which it says it has given back; only grows
-    int received;                                       // its, to me: the most that it said; only grows
-    int returned;                                    // of those, which are given back; only grows
-    int legacyBorrowed;                                         // its, lent by earlier lives of it and still held here; only falls
-    int maxLegacyLent;                                       // mine, lent by earlier lives of mine: it holds no more; only falls
-    int ackedGranted;                                   // of my grants, which it has heard of
-    int ackedReturned;                                // of what I gave back, which it has heard of
-    int peerAllowance;                                         // what it says it may have open in all
-    int peerNeeded;                                        // what it would use now
-    int peerWanted;                                       // and would like to keep
-    int requestedByPeer;                                        // units that it asks for
-    int peerReceivedAtRequest;                                   // of my grants, what it had when it asked
+    int granted;                                     // own units lent to the peer; only grows
+    int recovered;                                   // of those, returned according to the peer; only grows
+    int received;                                    // the peer's units lent to this ingress, the highest total reported; only grows
+    int returned;                                    // of those, returned to the peer; only grows
+    int legacyBorrowed;                              // the peer's units, lent by its earlier incarnations, held here; only falls
+    int maxLegacyLent;                               // units of own earlier incarnations that the peer holds at most; only falls
+    int ackedGranted;                                // of granted, what the peer has acknowledged
+    int ackedReturned;                               // of returned, what the peer has acknowledged
+    int peerAllowance;                               // connections that the peer may have open in all, as it reports
+    int peerNeeded;                                  // connections that the peer would use now
+    int peerWanted;                                  // and that it would like to keep
+    int requestedByPeer;                             // units that the peer asks for
+    int peerReceivedAtRequest;                       // of granted, what the peer had received when it asked
     double peerRequestAtMs = Double.NEGATIVE_INFINITY;
-    int redirectedForPeer;                                    // units that went to a third for its sake since it asked
-    int requestedFromPeer;                                      // units asked of it
+    int redirectedForPeer;                           // units returned to their lenders for the peer since it asked
+    int requestedFromPeer;                           // units that the peer was asked for
     double requestSentAtMs = Double.NEGATIVE_INFINITY;
-    int beneficiary;                                        // for whose sake units were given back to it last; one above the number
+    int beneficiary;                                 // ingress for which units were last returned to the peer, as its number plus one
     boolean isPeerRequestNew;
-    int requestNumber;                                         // number of the ask to it
-    int peerRequestNumber;                                      // and of its ask
-    int allotted;
+    int requestNumber;                               // number of the last request to the peer
+    int peerRequestNumber;                           // and of its last request
+    int allotted;                                    // units to be given to the peer in this round
     int previousReceived;
     int previousRecovered;
-    int sentAllowance;                                     // what it was last told of this one
+    int sentAllowance;                               // own allowance as last sent to the peer
     int sentWanted;
     int sentNeeded;
-    boolean isDirty;                                 // something of it is to be told soon
+    boolean isDirty;                                 // the account is to be sent with the next message
 
-    /** How many of mine the other may hold, at the most. */
+    /** How many units of this ingress the peer may hold at most. */
     int lent() { return granted - recovered + maxLegacyLent; }
 
-    /** How many of the other's are held here. */
+    /** How many units of the peer are held here. */
     int borrowed() { return received - returned + legacyBorrowed; }
 
-    /** Something has been done of which the other may not have heard. */
+    /** Whether the peer has not acknowledged a grant or a return yet. */
     boolean hasUnacknowledged() { return granted > ackedGranted || returned > ackedReturned; }
 
     /**
-     * The other begins a new life, and its earlier ones have ended: what they held is back, what they lent is still held
-     * here and no more of it is taken.
+     * The peer has begun a new incarnation, and its earlier ones have ended: what they borrowed is back, what they lent is
+     * still held here, and no further loan of theirs is accepted.
      */
     void peerRestarted() {
         legacyBorrowed += received - returned;
         received = returned = ackedReturned = 0;
         granted = recovered = ackedGranted = 0;
-        peerAllowance = peerNeeded = peerWanted = requestedByPeer = requestedFromPeer = redirectedForPeer = beneficiary = previousReceived = previousRecovered = 0;
+        peerAllowance = peerNeeded = peerWanted = requestedByPeer = requestedFromPeer = redirectedForPeer = beneficiary =
+                previousReceived = previousRecovered = 0;
     }
 
     boolean isEmpty() { return lent() == 0 && borrowed() == 0 && !hasUnacknowledged(); }
--- a/src/main/java/yardusher/connectionquota/QuotaMessage.java
+++ b/src/main/java/yardusher/connectionquota/QuotaMessage.java
@@ -7,29 +7,31 @@
 import yardusher.error.PartError;
 
 /**
- * One datagram from one ingress to another. {@code number} of {@code count} ingresses and {@code life} say who speaks, {@code to} which life of
- * the hearer is spoken to, 0 for any. {@code settled}: the speaker knows all that its earlier lives lent to the hearer.
- * {@code whole}: each region where the speaker holds units of the hearer's earlier lives is among the rows. {@code asks}: the rows are to be
- * answered, since the speaker does not know that they were heard.
+ * One datagram from one ingress to another. {@code sender}, the number of an ingress among {@code ingressCount}, and
+ * {@code incarnation} identify the sender; {@code recipientIncarnation} is the incarnation that is addressed, 0 for any.
+ * {@code settled}: the sender knows all that its earlier incarnations lent to the recipient. {@code legacyComplete}: the rows
+ * include each region where the sender still holds units of the recipient's earlier incarnations. {@code needsReply}: the
+ * recipient is to answer with the same rows, because the sender does not know that its totals have arrived.
  */
-record QuotaMessage(int sender, int ingressCount, int weight, long incarnation, long recipientIncarnation, int sequence, boolean settled, boolean legacyComplete, boolean needsReply,
-        List<Row> rows) {
+record QuotaMessage(int sender, int ingressCount, int weight, long incarnation, long recipientIncarnation, int sequence, boolean settled,
+        boolean legacyComplete, boolean needsReply, List<Row> rows) {
     /**
-     * A region: the speaker's counters of its account with the hearer, what it has, uses and wants in all. {@code back} and {@code taken}
-     * are the hearer's own counters as the speaker has heard them. {@code asks}: units that it would like of the hearer now, in its {@code ask}th ask;
-     * {@code sake}: for whose sake it gave back lately, one above that number, 0 for nobody's.
+     * One region: the totals of the sender's account with the recipient, and the sender's allowance, need and wish there in all.
+     * {@code recovered} and {@code received} acknowledge the recipient's own totals {@code returned} and {@code granted}.
+     * {@code requested}: units that the sender asks the recipient for now, with its request {@code requestNumber}.
+     * {@code beneficiary}: the ingress for which the sender last returned units, as its number plus one; 0 for none.
      */
-    record Row(long region, int granted, int recovered, int received, int returned, int legacyBorrowed, int allowance, int needed, int wanted,
-            int requested, int requestNumber, int beneficiary) { }
+    record Row(long region, int granted, int recovered, int received, int returned, int legacyBorrowed, int allowance, int needed,
+            int wanted, int requested, int requestNumber, int beneficiary) { }
 
     static final int MAX_BYTES = 1200;
-    private static final int MAX_HEADER_BYTES = 40;              // at the most
+    private static final int MAX_HEADER_BYTES = 40;
     private static final int MAX_ROW_BYTES = 4 + 5 * 5 + 6 * 3;
     private static final int VERSION = 1;
-    /** Figures of one region at the most; what is above is made up. */
+    /** Most units at one region; a message with a larger figure is rejected. */
     static final int MAX_UNITS = 1 << 20;
 
-    /** How many rows are sure to fit one datagram. */
+    /** Number of rows that always fit into one datagram. */
     static final int MAX_ROWS = (MAX_BYTES - MAX_HEADER_BYTES) / MAX_ROW_BYTES;
 
     byte[] encode() {
@@ -43,7 +45,10 @@
         putVarint(out, rows.size());
         for (Row row : rows) {
             out.putInt((int) row.region);
-            for (int value : new int[] {row.granted, row.recovered, row.received, row.returned, row.legacyBorrowed, row.allowance << 1 ^ row.allowance >> 31, row.needed, row.wanted, row.requested, row.requestNumber, row.beneficiary}) { putVarint(out, value); }
+            for (int value : new int[] {row.granted, row.recovered, row.received, row.returned, row.legacyBorrowed,
+                    row.allowance << 1 ^ row.allowance >> 31, row.needed, row.wanted, row.requested, row.requestNumber, row.beneficiary}) {
+                putVarint(out, value);
+            }
         }
         byte[] bytes = new byte[out.flip().remaining()];
         out.get(bytes);
@@ -63,16 +68,16 @@
             value |= (next & 0x7F) << shift;
             if (next >= 0) { return value; }
         }
-        throw new PartError.Message(null, "-", "a figure too long");
+        throw new PartError.Message(null, "-", "a variable-length integer of more than 5 bytes");
     }
 
     private static int getVarintUpTo(ByteBuffer in, int max) {
         int value = getVarint(in);
-        if (value < 0 || value > max) { throw new PartError.Message(null, "-", "a figure of " + value); }
+        if (value < 0 || value > max) { throw new PartError.Message(null, "-", "a value out of range: " + value); }
         return value;
     }
 
-    /** Reads a body; a {@link PartError.Message} for one that is none. */
+    /** Decodes a message; throws {@link PartError.Message} for bytes that are none. */
     static QuotaMessage decode(byte[] body) {
         try {
             ByteBuffer in = ByteBuffer.wrap(body);
@@ -99,12 +104,15 @@
                 int needed = getVarintUpTo(in, MAX_UNITS);
                 int wanted = getVarintUpTo(in, MAX_UNITS);
                 int requested = getVarintUpTo(in, MAX_UNITS);
-                rows.add(new Row(region, granted, recovered, received, returned, legacyBorrowed, allowance, needed, wanted, requested, getVarintUpTo(in, MAX_UNITS), getVarintUpTo(in, MAX_UNITS)));
+                rows.add(new Row(region, granted, recovered, received, returned, legacyBorrowed, allowance, needed, wanted, requested,
+                        getVarintUpTo(in, MAX_UNITS), getVarintUpTo(in, MAX_UNITS)));
             }
-            if (in.hasRemaining() || flags > 7 || flags < 0 || sender >= ingressCount || weight < 1 || incarnation <= 0 || recipientIncarnation < 0) {
-                throw new PartError.Message(null, "-", "not a telling");
+            if (in.hasRemaining() || flags > 7 || flags < 0 || sender >= ingressCount || weight < 1 || incarnation <= 0
+                    || recipientIncarnation < 0) {
+                throw new PartError.Message(null, "-", "flags, sender, weight or incarnation out of range");
             }
-            return new QuotaMessage(sender, ingressCount, weight, incarnation, recipientIncarnation, sequence, (flags & 1) != 0, (flags & 2) != 0, (flags & 4) != 0, rows);
+            return new QuotaMessage(sender, ingressCount, weight, incarnation, recipientIncarnation, sequence, (flags & 1) != 0,
+                    (flags & 2) != 0, (flags & 4) != 0, rows);
         } catch (BufferUnderflowException e) {
             throw new PartError.Message(null, "-", "cut");
         }
--- a/src/test/java/yardusher/connectionquota/ClaimFileTest.java
+++ b/src/test/java/yardusher/connectionquota/ClaimFileTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** One process at a time has the claim, and what it lent outlives it. */
+/** One process at a time owns the claim, and its loans outlive it. */
 class ClaimFileTest {
     @TempDir
     Path folder;
@@ -32,7 +32,7 @@
         ClaimFile first = openClaim();
         first.tryLock(1000, false);
         first.store(7, 2, 5);
-        first.close();                               // died before all others had answered: not believed
+        first.close();                               // crashed before all peers had answered: not trusted
         ClaimFile second = openClaim();
         second.tryLock(2000, false);
         assertThat(second.hasTrustedLoans()).isFalse();
@@ -60,7 +60,7 @@
     void rowsWithoutALoanAreReusedAndAFullFileRejectsLoans() throws Exception {
         ClaimFile claim = openClaim();
         claim.tryLock(1, true);
-        assertThat(claim.hasTrustedLoans()).isTrue();      // told that it never ran
+        assertThat(claim.hasTrustedLoans()).isTrue(); // an absent file means that the ingress never ran
         for (int i = 0; i < 1024; i++) { assertThat(claim.store(100 + i, 1, 1)).isTrue(); }
         assertThat(claim.store(5000, 1, 1)).isFalse();
         claim.store(300, 1, 0);
@@ -88,7 +88,7 @@
         assertThat(owner.hasSuccessor()).isFalse();
         assertThat(successor.tryLockAsSuccessor()).isTrue();
         assertThat(owner.hasSuccessor()).isTrue();
-        assertThat(openClaim().tryLockAsSuccessor()).isFalse();  // one at most
+        assertThat(openClaim().tryLockAsSuccessor()).isFalse(); // there is at most one successor
         assertThat(owner.canRecord(7)).isTrue();
         owner.writeGivenUnits(7, 3);
         owner.store(7, 1, 2);
--- a/src/test/java/yardusher/connectionquota/LedgerTest.java
+++ b/src/test/java/yardusher/connectionquota/LedgerTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import yardusher.error.PartError;
 
-/** Shares, loans and returns between two ingresses, what a repeat and a new life change, and what is not believed. */
+/** Shares, loans and returns between ingresses, repeated messages, new incarnations, and implausible messages. */
 class LedgerTest {
     private static final long REGION = 5;
 
@@ -22,11 +22,13 @@
         return ledger;
     }
 
-    /** What one tells another now. */
+    /** The message that one ingress would send to another now. */
     static QuotaMessage messageOf(Ledger sender, int recipient) {
         PeerAccount account = sender.region(REGION).account(recipient);
-        return new QuotaMessage(sender.self, sender.ingressCount, 1, sender.incarnation, sender.peerIncarnations[recipient], 1, sender.settledPeers[recipient], true, false,
-                List.of(new QuotaMessage.Row(REGION, account.granted, account.recovered, account.received, account.returned, account.legacyBorrowed, 0, 0, 0, 0, 0, 0)));
+        return new QuotaMessage(sender.self, sender.ingressCount, 1, sender.incarnation, sender.peerIncarnations[recipient], 1,
+                sender.settledPeers[recipient], true, false,
+                List.of(new QuotaMessage.Row(REGION, account.granted, account.recovered, account.received, account.returned,
+                        account.legacyBorrowed, 0, 0, 0, 0, 0, 0)));
     }
 
     private static void exchange(Ledger a, Ledger b) {
@@ -37,7 +39,8 @@
     }
 
     @Property(tries = 300)
-    void sharesAddUpAndNoneShrinksWhenTheLimitGrows(@ForAll long region, @ForAll @IntRange(min = 1, max = 3000) int limit, @ForAll @IntRange(min = 1, max = 120) int count) {
+    void sharesAddUpAndNoneShrinksWhenTheLimitGrows(@ForAll long region, @ForAll @IntRange(min = 1, max = 3000) int limit,
+            @ForAll @IntRange(min = 1, max = 120) int count) {
         int sum = 0;
         for (int i = 0; i < count; i++) {
             int share = Ledger.share(region, limit, i, count);
@@ -59,7 +62,7 @@
         for (int i = 0; i < 3; i++) { b.apply(loan); }
         assertThat(b.allowance(b.region(REGION))).isEqualTo(8);
         assertThat(b.giveBack(b.region(REGION), 0, 3)).isEqualTo(3);
-        b.apply(loan);                               // late, after some went back
+        b.apply(loan);                               // late: some units were returned since
         assertThat(b.allowance(b.region(REGION))).isEqualTo(5);
         assertThat(a.allowance(a.region(REGION))).isZero();
         QuotaMessage returned = messageOf(b, 0);
@@ -97,7 +100,7 @@
         restarted.setLimit(REGION, 12);
         assertThat(restarted.allowance(restarted.region(REGION))).isZero();
         b.observeIncarnation(0, 2);
-        b.apply(delayed);                               // of the life before: no more of it is taken
+        b.apply(delayed);                            // of the previous incarnation: no further loan is accepted
         assertThat(b.allowance(b.region(REGION))).isEqualTo(7);
         restarted.observeIncarnation(1, 1);
         restarted.apply(messageOf(b, 0));
@@ -108,7 +111,7 @@
         restarted.apply(messageOf(c, 0));
         assertThat(restarted.unsettledPeers()).isZero();
         assertThat(restarted.allowance(restarted.region(REGION))).isEqualTo(1);
-        b.giveBack(b.region(REGION), 0, 2);               // of the loan of the life before
+        b.giveBack(b.region(REGION), 0, 2);          // of the previous incarnation's loan
         restarted.apply(messageOf(b, 0));
         assertThat(restarted.allowance(restarted.region(REGION))).isEqualTo(3);
         assertThat(b.allowance(b.region(REGION))).isEqualTo(5);
@@ -144,9 +147,9 @@
         a.observeIncarnation(1, 2);
         assertThat(a.allowance(a.region(REGION))).isEqualTo(4);
         a.lend(a.region(REGION), 1, 2);
-        a.connectionClosed(1);
+        a.peerEnded(1);
         assertThat(a.allowance(a.region(REGION))).isEqualTo(4);
-        assertThat(a.observeIncarnation(1, 2)).isFalse();         // whoever speaks as that life is not believed any more
+        assertThat(a.observeIncarnation(1, 2)).isFalse(); // messages of that incarnation are ignored from now on
         assertThat(a.observeIncarnation(1, 4)).isTrue();
     }
 
@@ -170,8 +173,10 @@
     void implausibleRowsAreCountedAndIgnored() {
         Ledger a = ledger(0, 2, 1, 8);
         a.observeIncarnation(1, 1);
-        a.apply(new QuotaMessage(1, 2, 1, 1, 1, 1, true, true, false, List.of(new QuotaMessage.Row(REGION, 500, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0))));
-        a.apply(new QuotaMessage(1, 2, 1, 1, 1, 2, true, true, false, List.of(new QuotaMessage.Row(REGION, 0, 0, 3, 2, 0, 0, 0, 0, 0, 0, 0))));
+        a.apply(new QuotaMessage(1, 2, 1, 1, 1, 1, true, true, false,
+                List.of(new QuotaMessage.Row(REGION, 500, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0))));
+        a.apply(new QuotaMessage(1, 2, 1, 1, 1, 2, true, true, false,
+                List.of(new QuotaMessage.Row(REGION, 0, 0, 3, 2, 0, 0, 0, 0, 0, 0, 0))));
         assertThat(a.implausibleRows).isEqualTo(2);
         assertThat(a.allowance(a.region(REGION))).isEqualTo(4);
     }
@@ -181,11 +186,11 @@
         try {
             QuotaMessage message = QuotaMessage.decode(bytes);
             assertThat(message.sender()).isLessThan(message.ingressCount());
-        } catch (PartError e) { /* as it should */ }
+        } catch (PartError e) { /* expected for malformed bytes */ }
     }
 
     @Test
-    void aTruncatedMessageIsRejected() {
+    void messagesKeepTheirContentAndTruncatedOnesAreRejected() {
         Ledger a = ledger(0, 2, 1, 8);
         a.observeIncarnation(1, 1);
         a.lend(a.region(REGION), 1, 3);
@@ -196,8 +201,11 @@
             byte[] truncated = java.util.Arrays.copyOf(bytes, i);
             assertThatThrownBy(() -> QuotaMessage.decode(truncated)).isInstanceOf(PartError.Message.class);
         }
-        List<QuotaMessage.Row> rows = java.util.Collections.nCopies(QuotaMessage.MAX_ROWS, new QuotaMessage.Row(0xFFFFFFFFL, Integer.MAX_VALUE, Integer.MAX_VALUE, Integer.MAX_VALUE,
-                Integer.MAX_VALUE, QuotaMessage.MAX_UNITS, -QuotaMessage.MAX_UNITS, QuotaMessage.MAX_UNITS, QuotaMessage.MAX_UNITS, QuotaMessage.MAX_UNITS, QuotaMessage.MAX_UNITS, QuotaMessage.MAX_UNITS));
-        assertThat(new QuotaMessage(99, 100, 100, Long.MAX_VALUE, Long.MAX_VALUE, -1, true, true, true, rows).encode().length).isLessThanOrEqualTo(QuotaMessage.MAX_BYTES);
+        List<QuotaMessage.Row> rows = java.util.Collections.nCopies(QuotaMessage.MAX_ROWS,
+                new QuotaMessage.Row(0xFFFFFFFFL, Integer.MAX_VALUE, Integer.MAX_VALUE, Integer.MAX_VALUE,
+                        Integer.MAX_VALUE, QuotaMessage.MAX_UNITS, -QuotaMessage.MAX_UNITS, QuotaMessage.MAX_UNITS, QuotaMessage.MAX_UNITS,
+                        QuotaMessage.MAX_UNITS, QuotaMessage.MAX_UNITS, QuotaMessage.MAX_UNITS));
+        assertThat(new QuotaMessage(99, 100, 100, Long.MAX_VALUE, Long.MAX_VALUE, -1, true, true, true, rows).encode().length)
+                .isLessThanOrEqualTo(QuotaMessage.MAX_BYTES);
     }
 }
