--- a/lab/src/yardusher/lab/Group.java
+++ b/lab/src/yardusher/lab/Group.java
@@ -20,7 +20,7 @@
 /**
  * 3 to 100 real {@code serve} processes in one folder, with discovery, regions, terminals and relays between them. Use:
  * {@code try (Group group = new Group(folder, 5, seed)) { group.region("r0", "hall-a"); group.settings(i -> "[view]\n..."); group.start();}
- * {@code Terminals.TerminalRequest got = group.terminals().send(0, group.terminals().get(17, 500, 0, 5)); group.kill(1); group.restart(1);}
+ * {@code Terminals.Try got = group.terminals().send(0, group.terminals().get(17, 500, 0, 5)); group.kill(1); group.restart(1);}
  * {@code group.datagrams().way(0, 2).cut(true); ... group.regionHistory(); group.terminalHistory(); group.log(i);} are what a checker
  * reads. A second port for each process: {@code group.port(i, "view")}, and what others know it by: {@code group.relayed(i, "view")}.
  * Faults by seed: {@link Faults}; many seeds with a replay command: {@link Seeds}. Ends all it started, also when it is cut off.
--- a/lab/src/yardusher/lab/fleet/Installation.java
+++ b/lab/src/yardusher/lab/fleet/Installation.java
@@ -26,7 +26,7 @@
 
 /**
  * An installation of real processes of this program: agents with instances, each agent on a loopback address of its own
- * and every way from one agent to another through a {@link ResponseStage}. Each process's output goes to a file that its next
+ * and every way from one agent to another through a {@link Relay}. Each process's output goes to a file that its next
  * lives write on in. Ends every process it has started.
  */
 public final class Installation implements AutoCloseable {
--- a/src/main/java/yardusher/wire/Codec.java
+++ b/src/main/java/yardusher/wire/Codec.java
@@ -20,7 +20,7 @@
 
     /**
      * A JSON object with typed access; a needed value that is absent, and any value of another type, is a
-     * {@link WireError.MalformedRespException} that names the key with all that it stands in. A null counts as absent.
+     * {@link WireError.Malformed} that names the key with all that it stands in. A null counts as absent.
      */
     public static final class JsonObject {
         private final Map<String, Object> values = new HashMap<>();
