--- a/src/main/java/yardusher/units/Asked.java
+++ b/src/main/java/yardusher/units/Asked.java
@@ -11,9 +11,9 @@
 import yardusher.core.EventLoop;
 
 /**
- * One request that belongs to a unit, at the ingress that took it: it waits for its home's word, and as a part it then runs
- * under a grant. To the front it is what is under way, to the core it is the terminal. A part is over when its terminal has
- * its answer or has left, and no attempt of it is out.
+ * One request that belongs to a unit, at the ingress that received it. It waits for the answer of the unit's home; a part then
+ * runs under the grant it was given. The front sees it as an admitted request, the core as the terminal to answer. A part is
+ * finished when its terminal was answered or has left, and none of its attempts is open.
  */
 final class Asked implements Stay, Terminal {
     enum Stage { WAITS, RUNS, OVER }
@@ -25,29 +25,29 @@
     final Ticket.Kind kind;
     final double deadline;
     private final EventLoop loop;
-    private final Consumer<Asked> settles;           // told whenever it may be over
-    private final Consumer<Asked> leaves;            // told when its terminal has left
+    private final Consumer<Asked> settles;           // called whenever the request may have finished
+    private final Consumer<Asked> leaves;            // called when the terminal has left
     Stage stage = Stage.WAITS;
-    String home;                                     // whom it was asked of; null for this ingress
+    String home;                                     // the ingress it was sent to; null for this one
     long homeLife;
-    int hops;                                        // homes asked so far
-    int due;                                         // where it has its place and waits: the part that is awaited, else 0
+    int hops;                                        // homes it was sent to so far
+    int due;                                         // while queued at the home: the part that is due there, else 0
     Deadlines.Entry timer;
-    // Of its run:
+    // While it runs:
     Stay stay;
     int grant;
     boolean toRegion;
-    long server = -1;                                // where its attempts may go: told by the home, or where one may have run
+    long server = -1;                                // the binding: given by the home, or set by the first attempt that may have run
     int zone = -1;
     boolean taken;
-    boolean recorded;                                // by the order log behind this one
-    int out;                                         // attempts that are not over
-    int outZone = -1;                                // the zone of the region of the one that is out
-    boolean letOut;                                  // and it was let go
+    boolean recorded;                                // by the request log behind UnitRequestLog
+    int out;                                         // attempts that have not ended
+    int outZone = -1;                                // the zone of the open attempt's region
+    boolean letOut;                                  // whether the open attempt was allowed to be sent
     boolean answered;
     boolean served;
     boolean mayHaveRun;
-    double looseUntil = Double.NEGATIVE_INFINITY;
+    double looseUntil = Double.NEGATIVE_INFINITY;    // a region may still run an abandoned attempt until then
 
     Asked(Order order, UnitName unit, long ask, int part, Ticket.Kind kind, EventLoop loop, Consumer<Asked> settles, Consumer<Asked> leaves) {
         this.order = order;
@@ -77,7 +77,7 @@
     @Override
     public Session session() { return order.terminal().session(); }
 
-    /** Whether this is its one final answer. */
+    /** Marks the request as answered; false if it already was, since each request has exactly one final answer. */
     private boolean last() {
         boolean first = !answered;
         answered = true;
--- a/src/main/java/yardusher/units/Message.java
+++ b/src/main/java/yardusher/units/Message.java
@@ -7,50 +7,54 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** What ingresses say to one another about units, and its bytes. Durations in milliseconds; -1 for no region or hall. */
+/** The messages that ingresses exchange about units, and their encoding. Durations are in milliseconds; -1 stands for no region or zone. */
 sealed interface Message {
-    /** To a home: a part or an end is asked for, and waited for so long. */
+    /** To a home: requests a part or an end; the sender waits for {@code waitMs}. */
     record Ask(UnitName unit, long ask, long customer, int part, Ticket.Kind kind, double waitMs, double repeatMs) implements Message { }
 
-    /** From a home: run it, bound to this region or hall; {@code toRegion}: what the first attempt binds it to. */
+    /**
+     * From a home: the part may run, bound to this region or zone. {@code bindsToRegion}: whether the first attempt of an unbound
+     * unit binds it to its region or to its zone.
+     */
     record Grant(UnitName unit, long ask, int grant, boolean toRegion, long server, int zone) implements Message { }
 
-    /** {@code to}: where it is to be asked for, empty but for MOVED. */
+    /** From a home: the request is refused. {@code newHome}: the ingress to send it to, empty unless the reason is MOVED. */
     record Refuse(UnitName unit, long ask, Refusal why, long figure, String to) implements Message { }
 
-    /** From a home: it has its place and waits for its turn; part {@code due} is the one that is awaited. */
+    /** From a home: the request is queued until its turn; {@code awaitedPart} is the part that is due. */
     record Waits(UnitName unit, long ask, int due) implements Message { }
 
-    /** From a home: the unit is over. */
+    /** From a home: the answer to an end, with how the unit ended and how many parts were served. */
     record Told(UnitName unit, long ask, Unit.State state, int served) implements Message { }
 
-    /** To a home: the part that was granted is over. {@code holder} and its life are there where a former home passes it on. */
+    /** To a home: a granted part has finished. {@code holder} and its incarnation are set only where a former home forwards the message. */
     record Done(UnitName unit, int grant, Unit.Result result, double looseMs, long server, int zone, String holder, long life) implements Message { }
 
-    /** To a home: who asked asks no more, and runs nothing. */
+    /** To a home: the sender cancels its request and runs nothing. Forwarded like {@link PartDone}. */
     record Withdraw(UnitName unit, long ask, String holder, long life) implements Message { }
 
-    /** From a home: is this part still in your hands? If not, its end is to be told again. */
+    /** From a home: asks whether this part still runs. If not, the holder repeats its {@link PartDone}. */
     record Still(UnitName unit, int grant) implements Message { }
 
-    /** To whoever was granted a part: the unit is over, once. */
+    /** From a home, once, to each ingress that was granted a part: the unit has ended. */
     record Ended(UnitName unit, Unit.State state) implements Message { }
 
-    /** To all: the units of a home's life are asked for at another ingress from now on. */
+    /** To all ingresses: units opened in this incarnation of a home now live at another ingress. */
     record Moved(String home, long life, String to, int epoch) implements Message { }
 
-    /** To all: who knows where the units of that life went? Answered by Moved. */
+    /** To all ingresses: asks where the units of that incarnation are now. Answered by {@link Moved}. */
     record Where(String home, long life) implements Message { }
 
-    /** To the next home: a unit. */
+    /** To the next home: takes over a unit. */
     record Take(UnitRecord unit) implements Message { }
 
+    /** Encodes the message: a type number, then its fields; enums as their ordinals. */
     default byte[] bytes() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(96);
         try {
             write(this, new DataOutputStream(bytes));
         } catch (IOException e) {
-            throw new UncheckedIOException(e);       // never: it goes to memory
+            throw new UncheckedIOException(e);       // cannot happen: writes to memory
         }
         return bytes.toByteArray();
     }
@@ -131,7 +135,7 @@
         }
     }
 
-    /** Reads one; an {@link IOException} for bytes that are none. */
+    /** Decodes a message; throws an {@link IOException} for bytes that are not exactly one message. */
     static Message of(byte[] bytes) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
         Message message = switch (in.readByte()) {
@@ -147,7 +151,7 @@
             case 10 -> new Where(in.readUTF(), in.readLong());
             case 11 -> new Take(record(in));
             case 12 -> new Still(name(in), positive(in.readInt()));
-            default -> throw new IOException("of no kind that is known");
+            default -> throw new IOException("unknown message type");
         };
         if (in.read() >= 0) { throw new IOException("too long"); }
         return message;
@@ -155,7 +159,7 @@
 
     private static <T> T one(T[] of, DataInputStream in) throws IOException {
         int index = in.readUnsignedByte();
-        if (index >= of.length) { throw new IOException("no such value"); }
+        if (index >= of.length) { throw new IOException("enum ordinal out of range"); }
         return of[index];
     }
 
@@ -166,7 +170,7 @@
 
     private static double time(DataInputStream in) throws IOException {
         double value = in.readDouble();
-        if (Double.isNaN(value) || value < 0) { throw new IOException("no duration"); }
+        if (Double.isNaN(value) || value < 0) { throw new IOException("not a duration"); }
         return value;
     }
 
@@ -178,7 +182,7 @@
 
     private static UnitName name(DataInputStream in) throws IOException {
         UnitName name = new UnitName(in.readUTF(), in.readLong(), in.readLong());
-        if (name.home().isEmpty() || name.home().length() > 64 || name.life() <= 0 || name.number() <= 0) { throw new IOException("no name"); }
+        if (name.home().isEmpty() || name.home().length() > 64 || name.life() <= 0 || name.number() <= 0) { throw new IOException("not a unit name"); }
         return name;
     }
 
--- a/src/main/java/yardusher/units/Mode.java
+++ b/src/main/java/yardusher/units/Mode.java
@@ -1,11 +1,11 @@
 package yardusher.units;
 
-/** How an ingress groups a plan's transactions. */
+/** How an ingress groups a plan's requests into units of work. Ordinals are sent between ingresses. */
 public enum Mode {
-    /** What comes on one terminal's connection belongs together until it closes. */
+    /** Requests of one customer on one terminal's connection form a unit until the connection closes. */
     SESSION,
-    /** From an opening to an end that are said. */
+    /** A unit reaches from an explicit opening to an explicit end. */
     UNIT,
-    /** Each stands alone. */
+    /** Each request stands alone. */
     SINGLE
 }
--- a/src/main/java/yardusher/units/Post.java
+++ b/src/main/java/yardusher/units/Post.java
@@ -17,25 +17,27 @@
 import java.util.function.LongSupplier;
 
 /**
- * Messages between lives of ingresses, over datagrams that may be lost, doubled, late or out of order: each is numbered,
- * repeated until it is acknowledged or its time is over, and handed on at most once. No order among them is promised.
+ * Reliable messages between incarnations of ingresses, over datagrams that may be lost, duplicated, delayed or reordered. Each
+ * message has a sequence number, is resent until it is acknowledged or expires, and is delivered at most once. The order of
+ * messages is not preserved.
  *
- * <p>A message is for one life of a process and from one. A life is believed once it has given back a number made for it
- * just now, so nothing late of a life that is over can be taken for a living one's. Free of I/O and clock.
+ * <p>A message goes from one incarnation of a process to one incarnation of another. A peer's incarnation is accepted once it has
+ * echoed a nonce made for it, so a late datagram of a past incarnation is never taken for one of a running process. Does no I/O
+ * and reads no clock: times are passed in, in milliseconds.
  */
 final class Post {
-    /** What it needs of its ingress and tells it. */
+    /** What the transport needs from its ingress and reports to it. */
     interface Ends {
-        /** Whether this is another ingress of the installation. */
+        /** Whether the name is that of another ingress of the installation. */
         boolean isKnown(String name);
 
-        /** Sends a datagram of {@link #MOST_DATAGRAM} bytes at the most. */
+        /** Sends a datagram of at most {@link #MAX_DATAGRAM_BYTES} bytes. */
         void transmit(String to, byte[] datagram);
 
-        /** A message came, for the first time. */
+        /** Delivers a message that was not delivered before. */
         void message(String from, long life, byte[] body);
 
-        /** A name is heard in a life that was not known; what the one before was sent or said and is not here is void. */
+        /** A peer has a new incarnation; messages to and from the one before that were not delivered yet are discarded. */
         void newLife(String name, long life);
     }
 
@@ -43,14 +45,14 @@
     static final int MOST_MESSAGE = 600;
     private static final int VERSION = 1;
     private static final int MOST_NAME = 64;
-    private static final int MOST_QUEUED = 20_000;   // to one peer
-    private static final int MOST_AHEAD = 40_000;    // numbers seen out of order
-    private static final int MOST_ACKS = 64;         // in one datagram
-    private static final int MOST_DEAD = 16;         // lives of a name that are over
-    private static final int BURST = 16;             // messages sent again to one peer in one go
+    private static final int MOST_QUEUED = 20_000;   // messages not acknowledged by one peer
+    private static final int MOST_AHEAD = 40_000;    // sequence numbers received out of order from one peer
+    private static final int MOST_ACKS = 64;
+    private static final int MOST_DEAD = 16;         // of one peer; datagrams of these are dropped
+    private static final int BURST = 16;             // to one peer
     private static final double AGAIN_MS = 40;
     private static final double MOST_AGAIN_MS = 1000;
-    private static final double ACK_MS = 10;         // an acknowledgement waits so long for something to ride on
+    private static final double ACK_MS = 10;         // an acknowledgement waits this long for a datagram that carries messages
 
     private static final class Out {
         final long number;
@@ -69,13 +71,13 @@
 
     private final class Peer {
         final String name;
-        long life;                                   // 0 for not known yet
+        long life;                                   // 0 while not known
         long nonce = nonces.getAsLong();
-        long theirs;                                 // the number that it asks to have back
+        long theirs;                                 // to be echoed to the peer
         final ArrayDeque<Long> dead = new ArrayDeque<>(0);
         final TreeMap<Long, Out> out = new TreeMap<>();
         long lastOut;
-        long low = 1;                                // all below were seen, or will not come any more
+        long low = 1;                                // all below were received, or were given up by the sender
         final Set<Long> seen = new HashSet<>();
         List<Long> acks = new ArrayList<>();
         double ackAt = Double.POSITIVE_INFINITY;
@@ -88,15 +90,15 @@
     private final long life;
     private final LongSupplier nonces;
     private final Ends ends;
-    private final Map<String, Peer> peers = new HashMap<>(); // as many as the view has members
+    private final Map<String, Peer> peers = new HashMap<>(); // at most one for each member of the view
     long sent;
     long again;
     long heard;
     long doubled;
-    long voided;                                     // of or for a life that is over, or not believed yet
+    long voided;                                     // from or to a past incarnation, or one not accepted yet
     long spoilt;
     long unknown;
-    long dropped;                                    // time over, queue full, life over
+    long dropped;                                    // messages that expired, met a full queue, or were for a past incarnation
 
     Post(String self, long life, LongSupplier nonces, Ends ends) {
         this.self = self;
@@ -105,19 +107,19 @@
         this.ends = ends;
     }
 
-    /** The life that a name is known in; 0 for not known. */
+    /** The accepted incarnation of a peer; 0 for none. */
     long lifeOf(String name) {
         Peer peer = peers.get(name);
         return peer == null ? 0 : peer.life;
     }
 
-    /** How many messages are not acknowledged yet. */
+    /** The number of messages that no peer has acknowledged yet. */
     int outstanding() { return peers.values().stream().mapToInt(peer -> peer.out.size()).sum(); }
 
-    /** Says hello, so that the first message needs no more than its own way. */
+    /** Exchanges incarnations with a peer in advance, so that the first message needs no extra round trip. */
     void greet(double now, String name) { hello(now, peer(name)); }
 
-    /** Forgets a name that will not come back, and all that waits for it. */
+    /** Forgets a peer that will not come back, and discards the messages queued for it. */
     void forget(String name) {
         Peer peer = peers.remove(name);
         if (peer != null) { dropped += peer.out.size(); }
@@ -125,7 +127,7 @@
 
     private Peer peer(String name) { return peers.computeIfAbsent(name, Peer::new); }
 
-    /** Sends a message till it is acknowledged or {@code untilMs} is over; false where too many wait. */
+    /** Sends a message, repeatedly until it is acknowledged or {@code expiresAtMs} has passed; false if the peer's queue is full. */
     boolean send(double now, String to, byte[] body, double untilMs) {
         if (body.length > MOST_MESSAGE) { throw new IllegalArgumentException("a message of " + body.length + " bytes"); }
         Peer peer = peer(to);
@@ -169,7 +171,7 @@
             peer.acks = acks == peer.acks.size() ? new ArrayList<>() : new ArrayList<>(peer.acks.subList(acks, peer.acks.size()));
             if (peer.acks.isEmpty()) { peer.ackAt = Double.POSITIVE_INFINITY; }
         } catch (IOException e) {
-            throw new UncheckedIOException(e);       // never: it goes to memory
+            throw new UncheckedIOException(e);       // cannot happen: writes to memory
         }
         ends.transmit(peer.name, bytes.toByteArray());
     }
@@ -196,13 +198,13 @@
                 in.readFully(bodies[i]);
             }
             if (in.read() >= 0 || from.isEmpty() || from.length() > MOST_NAME || life <= 0 || lowest < 1 || acks.length > MOST_ACKS) {
-                throw new IOException("not a datagram of this kind");
+                throw new IOException("malformed datagram");
             }
             return new Read(from, life, to, nonce, echo, lowest, acks, numbers, bodies);
         }
     }
 
-    /** A datagram came. What is cut, made up, of no ingress known or for another life is counted and dropped. */
+    /** Handles a datagram. One that is malformed, from an unknown sender, or from or to another incarnation is counted and dropped. */
     void heard(double now, byte[] datagram) {
         Read read;
         try {
@@ -222,7 +224,7 @@
         }
         peer.theirs = read.nonce;
         if (read.life != peer.life) {
-            // It has to show that it lives. Whoever has not accepted this life yet says 0: one of the two is the first.
+            // It has to echo the nonce. A peer that has not accepted this incarnation yet sends 0, since one side has to accept first.
             if (read.to != 0 && read.to != life || read.echo != peer.nonce) {
                 voided++;
                 hello(now, peer);
@@ -230,7 +232,7 @@
             }
             accept(now, peer, read.life);
         }
-        if (read.to != life) {                       // it takes us for an earlier life, or does not know ours
+        if (read.to != life) {                       // the peer knows an earlier incarnation of this process, or none
             voided++;
             hello(now, peer);
             return;
@@ -243,7 +245,7 @@
             peer.dead.add(peer.life);
             if (peer.dead.size() > MOST_DEAD) { peer.dead.poll(); }
             dropped += peer.out.size();
-            peer.out.clear();                        // it was said to the life that is over
+            peer.out.clear();                        // these were for the past incarnation
         }
         peer.life = newLife;
         peer.nonce = nonces.getAsLong();
@@ -265,7 +267,7 @@
         }
         for (int i = 0; i < read.numbers.length; i++) {
             long number = read.numbers[i];
-            if (number >= peer.low + MOST_AHEAD) {   // far ahead of anything that was sent: it is not taken, and comes again
+            if (number >= peer.low + MOST_AHEAD) {   // beyond the reorder window: not acknowledged, so the peer resends it
                 spoilt++;
                 continue;
             }
@@ -278,11 +280,11 @@
             while (peer.seen.remove(peer.low)) { peer.low++; }
             heard++;
             ends.message(peer.name, peer.life, read.bodies[i]);
-            if (peers.get(peer.name) != peer) { return; } // forgotten by what was done with it
+            if (peers.get(peer.name) != peer) { return; } // the callback made this transport forget the peer
         }
     }
 
-    /** Repeats and acknowledges what is due; the result is when there is more to do, infinity for never. */
+    /** Resends and acknowledges what is due; returns when the next call is due, infinity for never. */
     double tick(double now) {
         double next = Double.POSITIVE_INFINITY;
         for (Peer peer : List.copyOf(peers.values())) {
@@ -310,7 +312,7 @@
         return next;
     }
 
-    /** As many a datagram as fit. */
+    /** Sends messages, as many in each datagram as fit. */
     private void batch(Peer peer, List<Out> due) {
         List<Out> together = new ArrayList<>();
         int bytes = 0;
--- a/src/main/java/yardusher/units/Refusal.java
+++ b/src/main/java/yardusher/units/Refusal.java
@@ -2,28 +2,28 @@
 
 import yardusher.error.UnitError;
 
-/** Why a part or a boundary is not carried, as ingresses tell one another. What the terminal reads is the error's. */
+/** Why a home refuses a part or an end. Ordinals are sent between ingresses; the terminal is answered with the text of {@link #error}. */
 enum Refusal {
-    /** Another part is due; the figure says which. */
+    /** Another part is due; the detail is its number. */
     ORDER,
-    /** It has ended, or is ending; the figure is the state's number. */
+    /** The unit has ended or is ending; the detail is the ordinal of its state. */
     ENDED,
-    /** No such unit here, or not this customer's. */
+    /** The unit is not known here, or belongs to another customer. */
     UNKNOWN,
-    /** Its region or hall is listed no more. */
+    /** The region or zone that the unit is bound to is no longer listed. */
     BINDING,
-    /** It ran, or may have run and must not run again; the figure is the part. */
+    /** The part ran, or may have run and must not run again; the detail is its number. */
     RAN,
-    /** Something given up may still run; the figure is how long, in milliseconds. */
+    /** An abandoned attempt may still run; the detail is for how long, in milliseconds. */
     LATER,
-    /** No room; the figure is how many. */
+    /** Too many units are open; the detail is the limit. */
     FULL,
-    /** Whoever has a part of it in hand does not answer. */
+    /** The ingress that holds the granted part does not answer. */
     HOLDER,
-    /** It lives at another ingress now: to be asked for there. */
+    /** The unit lives at another ingress now; the request is to be sent there. */
     MOVED;
 
-    /** What the terminal is told; for {@link #LATER} a short-on-capacity reply goes instead. */
+    /** The error that answers the terminal; {@link #RETRY_LATER} is answered by a busy reply instead. */
     UnitError error(Object unit, long figure, int part, String where) {
         return switch (this) {
             case ORDER -> new UnitError.Order(unit, part, figure);
--- a/src/main/java/yardusher/units/Ticket.java
+++ b/src/main/java/yardusher/units/Ticket.java
@@ -1,18 +1,24 @@
 package yardusher.units;
 
 /**
- * Somebody's wish for a part or an end, as a unit's home holds it: who asks, under which number of its own; the part, 0 for
- * the next one that a session brings; until when, on the home's clock in milliseconds; and for how long after a first try
- * that may have run the class bears another (0 for never, infinity for always).
+ * A request for a part or an end, as it waits in the queue of the unit's home.
+ *
+ * @param requestId the number that the requesting ingress gave it
+ * @param holder the requesting ingress, which holds the part once it is granted
+ * @param part the part's number; 0 for the next one of a session, whose parts have no numbers
+ * @param deadlineMs until when it waits, on the home's clock
+ * @param repeatWindowMs for how long after a first attempt that may have run the request class allows another: 0 for never,
+ *        infinity for always
  */
 record Ticket(long ask, String holder, long life, long customer, int part, Kind kind, double dueMs, double repeatMs) {
+    /** What is requested. Ordinals are sent between ingresses. */
     enum Kind {
         PART,
-        /** A part with which the unit ends once it is served. */
+        /** A part that ends the unit once it is served. */
         LAST,
-        /** No part: the end itself. */
+        /** The end alone, without a part. */
         END,
-        /** No part: given up. */
+        /** Abandons the unit, without a part. */
         ABANDON;
 
         boolean isPart() { return this == PART || this == LAST; }
--- a/src/main/java/yardusher/units/Translation.java
+++ b/src/main/java/yardusher/units/Translation.java
@@ -3,8 +3,8 @@
 import java.util.Locale;
 
 /**
- * What becomes of each boundary at an ingress of each mode: the one table of rules, by which the intake goes and which
- * {@code docs/units.md} shows. Every cell has a stated outcome; what has no counterpart is refused.
+ * What an ingress of each mode does at each boundary of a unit. {@link UnitsIntake} decides by this table, and
+ * {@code docs/units.md} shows it. Every cell has a stated outcome; what has no counterpart in a mode is refused.
  */
 enum Translation {
     PLAIN("a transaction that names no unit", Then.JOINS, Then.ALONE, Then.ALONE),
@@ -23,27 +23,29 @@
     DIES("the home dies", Then.TELLS_UNKNOWN, Then.TELLS_UNKNOWN, Then.NOTHING),
     REGION_GONE("the region or hall that a unit is bound to is listed no more", Then.REFUSES, Then.REFUSES, Then.REFUSES);
 
-    /** What is done. */
+    /** What the ingress does. The names are written out in {@code docs/units.md}. */
     enum Then {
-        /** It runs as if there were no units. */
+        /** The request runs as if there were no units. */
         ALONE,
-        /** It is the next part of the unit that its connection holds, which begins with it. */
+        /** The request is the next part of its connection's unit, which it opens if there is none. */
         JOINS,
         /** A unit is opened here; the answer is its name. */
         OPENS,
-        /** The connection's unit gets a name that other ingresses know; the answer is that name. */
+        /** The connection's unit gets a name that can be used at other ingresses; the answer is that name. */
         NAMES,
-        /** It runs under the grant of the unit's home, with its binding and in its order. */
+        /** The part runs under a grant of the unit's home, bound to the unit's region or zone and in the order of its parts. */
         CARRIES,
-        /** The home ends the unit, once; whoever said it hears how. */
+        /** The home ends the unit, once; the answer says how it ended. */
         ENDS,
+        /** The home ends the unit as abandoned. */
         ABANDONS,
+        /** The home transfers the unit to another ingress. */
         HANDS_OVER,
-        /** Later parts and ends hear that nobody knows the unit any more. */
+        /** Later parts and ends are answered that the unit is unknown. */
         TELLS_UNKNOWN,
-        /** The answer that the end had. */
+        /** The answer of the first end is repeated. */
         SAME_AGAIN,
-        /** An error that says why and what can be done. */
+        /** The answer is an error that names the cause and a remedy. */
         REFUSES,
         NOTHING
     }
@@ -68,7 +70,7 @@
         };
     }
 
-    /** The table as the operators' page has it. */
+    /** The table in Markdown, as {@code docs/units.md} has it. */
     static String table() {
         StringBuilder text = new StringBuilder("| what happens | at `session` | at `unit` | at `single` |\n| --- | --- | --- | --- |\n");
         for (Translation one : values()) {
--- a/src/main/java/yardusher/units/Unit.java
+++ b/src/main/java/yardusher/units/Unit.java
@@ -4,37 +4,41 @@
 import java.util.List;
 
 /**
- * One unit of work, as its home holds it: parts are let out one at a time and in their order, each to one holder under a
- * grant with a number; the unit ends once. Free of I/O and clock: times come in as milliseconds that never go back. What
- * follows from a call is told to the {@link Sink} within it. Its size does not grow with its parts.
+ * The state of one unit of work at its home, the ingress that opened it or took it over. Parts are granted one at a time and in
+ * order, each to one holder under a grant number; the unit ends once. Does no I/O and reads no clock: times are passed in as
+ * milliseconds that never go back. Results are reported to the {@link Listener} within the call. The size of a unit does not grow
+ * with the number of its parts.
  */
 final class Unit {
+    /** Where a unit stands. Ordinals are sent between ingresses. */
     enum State {
         OPEN,
-        /** Nothing more is let in; it waits until nothing of it may run. */
+        /** No more parts are granted; the unit waits until none of its attempts may still run. */
         ENDING,
-        /** All that was begun was served. */
+        /** Every part that was started was served. */
         DONE,
-        /** Given up by rule, by a terminal that left, or by word. */
+        /** Ended by a rule, by the close of the terminal's connection, or by request. */
         ABANDONED,
-        /** Ended, and of some part nobody knows whether it ran. */
+        /** Ended, with a part of which it is not known whether it ran. */
         UNKNOWN;
 
         boolean isOver() { return ordinal() >= DONE.ordinal(); }
 
+        /** The name as terminals and operators see it. */
         String told() { return name().toLowerCase(java.util.Locale.ROOT); }
     }
 
-    /** By which boundary it ends; the first that comes counts. */
+    /** The boundary that ends a unit; the first one counts. */
     enum Boundary {
+        /** A terminal requested the end, or that the unit be abandoned. */
         SAID, ABANDON_SAID,
         /** The terminal's connection closed. */
         CLOSED,
-        /** Nothing was heard of it for too long, or it was the longest silent where room was needed. */
+        /** The unit was idle for too long, or was the longest idle one when room was needed. */
         SILENT,
-        /** Its home ends and could not hand it over. */
+        /** Its home drains and could not transfer it. */
         DRAINED,
-        /** Its first part went out with a holder that died: nobody knows where it may have run. */
+        /** The holder of its first part failed, so the region where that part may have run is not known. */
         LOST;
 
         private State end(boolean doubtful, boolean whole) {
@@ -47,27 +51,28 @@
         }
     }
 
-    /** How a holder says that a part in its hands is over. */
+    /** How a holder reports that a granted part finished. Ordinals are sent between ingresses. */
     enum Result { SERVED, NEVER_RAN, MAY_HAVE_RUN }
 
-    /** What a unit has to tell. */
+    /** Receives the results of a unit's transitions. */
     interface Sink {
-        /** The holder may run the part, under this grant and the unit's binding as it stands. */
+        /** The holder may run the part, under this grant number and the unit's current binding. */
         void grant(Unit unit, Ticket ticket, int grant);
 
+        /** The ticket is refused; {@link Refusal} says what the detail is. */
         void refuse(Unit unit, Ticket ticket, Refusal why, long figure);
 
-        /** It has to wait for its turn. */
+        /** The ticket waits for its turn. */
         void waits(Unit unit, Ticket ticket);
 
-        /** The answer to an end that was said. */
+        /** Answers a requested end: the unit is over. */
         void told(Unit unit, Ticket ticket);
 
-        /** It is over and nothing of it may run: once for each unit. */
+        /** The unit is over and none of its attempts may still run. Called once for each unit. */
         void ended(Unit unit);
     }
 
-    /** What a unit goes by: waiting tickets at the most, and how long what was given up may run on, in milliseconds. */
+    /** Limits of a unit: the number of waiting tickets, and how long a region may still run an abandoned attempt after its deadline. */
     record Rules(int mostWaiting, double settleMs) { }
 
     final UnitName name;
@@ -75,23 +80,23 @@
     final Mode mode;
     private State state = State.OPEN;
     private Boundary boundary;
-    private boolean whole = true;                    // nothing was cut off by the boundary
-    private int epoch;                               // counts homes
-    private int next = 1;                            // the part that is due
-    private Ticket out;                              // the part in a holder's hands
+    private boolean whole = true;                    // no part was granted or waiting when the unit began to end
+    private int epoch;                               // how often the unit was transferred
+    private int next = 1;                            // the number of the part that is due
+    private Ticket out;                              // the part that a holder runs, null for none
     private int grants;
-    private boolean repeats;                         // the part that is out was served before
+    private boolean repeats;                         // the granted part was served before
     private boolean doubt;                           // the part that is due may have run
-    private boolean doubtSaid;                       // and its terminal gave it its number, so that it can say it again
-    private boolean lastSaid;                        // the part before was served under a number its terminal gave
-    private int doubts;                              // parts passed over that may have run
-    private double triedAt;                          // when the latest part was first let out
-    private double looseUntil = Double.NEGATIVE_INFINITY; // something that was given up may run until then
+    private boolean doubtSaid;                       // and it has a number, so that its terminal can repeat it
+    private boolean lastSaid;                        // the part before was served, and has a number
+    private int doubts;                              // parts without a number that may have run and were skipped
+    private double triedAt;                          // when the latest part was first granted
+    private double looseUntil = Double.NEGATIVE_INFINITY; // an abandoned attempt may run until then
     private double wordAt;
     private int served;
     private long server = -1;
     private int zone = -1;
-    boolean wakes;                                   // for the table: a wake of it is pending
+    boolean wakes;                                   // used by UnitTable: a wake-up is scheduled
     private List<Ticket> waiting = new ArrayList<>(0);
 
     Unit(UnitName name, long customer, Mode mode, double now) {
@@ -129,12 +134,12 @@
 
     int waitingCount() { return waiting.size(); }
 
-    /** Whether any part was ever let out. */
+    /** Whether any part was ever granted. */
     boolean isBegun() { return grants > 0; }
 
     boolean isBound() { return server >= 0 || zone >= 0; }
 
-    /** Somebody asks for a part or an end. */
+    /** Handles a request for a part or an end. */
     void ask(double now, Ticket t, Rules rules, Sink sink) {
         if (t.customer() != customer) {
             sink.refuse(this, t, Refusal.UNKNOWN, 0);
@@ -161,18 +166,18 @@
 
     private boolean isPast(Ticket t) { return t.part() > 0 && t.part() < next; }
 
-    /** Whether a past part may go once more: it was the last one served, nothing after it has begun, and its class bears it. */
+    /** Whether a part may run again: it was the last one served, no later part has started, and its class allows it. */
     private boolean maySendAgain(double now, Ticket t) {
         return t.part() == next - 1 && lastSaid && !doubt && (out == null || out.part() == t.part()) && now - triedAt < t.repeatMs();
     }
 
-    /** Lets the next part out where one may go, and ends what is to end. */
+    /** Grants the next part if one may run, and finishes the end if it is due. */
     void advance(double now, Sink sink) {
         expire(now);
         while (out == null && state == State.OPEN) {
             Ticket t = due();
             if (t == null) { return; }
-            if (doubt && !doubtSaid && now >= looseUntil) { // nobody can say again which one it was: it is passed over
+            if (doubt && !doubtSaid && now >= looseUntil) { // without a number it cannot be repeated: skip it
                 doubts++;
                 doubt = false;
                 lastSaid = false;
@@ -184,9 +189,9 @@
                 sink.refuse(this, t, Refusal.RAN, isPast(t) ? next - 1 : next);
             } else if (t.part() == 0 && doubt && doubtSaid) {
                 waiting.remove(t);
-                sink.refuse(this, t, Refusal.ORDER, next); // the part with that number comes first
+                sink.refuse(this, t, Refusal.ORDER, next); // the numbered part has to be repeated first
             } else if (!again && now < looseUntil) {
-                if (t.dueMs() > looseUntil) { return; } // its turn comes
+                if (t.dueMs() > looseUntil) { return; } // it can wait until then
                 waiting.remove(t);
                 sink.refuse(this, t, Refusal.LATER, (long) Math.ceil(looseUntil - now));
             } else {
@@ -196,7 +201,7 @@
         if (state == State.ENDING && out == null && now >= looseUntil) { finish(sink); }
     }
 
-    /** Drops who waited longer than its terminal does; its holder has told it. */
+    /** Drops parts whose deadline has passed; the requesting ingress has answered the terminal itself. */
     void expire(double now) { waiting.removeIf(t -> t.kind().isPart() && t.dueMs() <= now); }
 
     private void letOut(double now, Ticket t, boolean again, Sink sink) {
@@ -208,7 +213,7 @@
         sink.grant(this, t, grants);
     }
 
-    /** The ticket whose turn it is: a repeat of the part before, the part that is due, or a session's next. */
+    /** The ticket whose turn it is: a repeat of an earlier part, the part that is due, or the next one of a session. */
     private Ticket due() {
         for (Ticket t : waiting) {
             if (t.part() <= next) { return t; }
@@ -217,8 +222,9 @@
     }
 
     /**
-     * A holder's word on the part in its hands. What it gave up may run for {@code looseMs} more; server and zone are where
-     * it may have run, -1 for nowhere. False where the word is of an older grant or another's, and changes nothing.
+     * Handles a holder's report that the granted part has finished. An abandoned attempt may run for {@code mayRunForMs} more;
+     * region and zone are where the part may have run, -1 for nowhere. False, with no effect, for a report of an older grant or of
+     * another holder.
      */
     boolean done(double now, String holder, long life, int grant, Result result, double looseMs, long atServer, int atZone, Sink sink) {
         if (out == null || grant != grants || out.life() != life || !out.holder().equals(holder)) { return false; }
@@ -241,19 +247,19 @@
                 doubtSaid = was.part() > 0;
             }
         }
-        if (result == Result.MAY_HAVE_RUN && !isBound() && state == State.OPEN) { begin(Boundary.LOST, sink); } // nobody knows where
+        if (result == Result.MAY_HAVE_RUN && !isBound() && state == State.OPEN) { begin(Boundary.LOST, sink); } // region unknown
         if (result == Result.SERVED && was.kind() == Ticket.Kind.LAST && state == State.OPEN) { begin(Boundary.SAID, sink); }
         advance(now, sink);
         return true;
     }
 
-    /** Who asked asks no more: its ticket goes, and a part that was let out for it never ran. */
+    /** Cancels a request: drops its ticket; a part that was granted for it never ran. */
     void withdraw(double now, String holder, long life, long ask, Sink sink) {
         waiting.removeIf(t -> t.is(holder, life, ask));
         if (out != null && out.is(holder, life, ask)) { done(now, holder, life, grants, Result.NEVER_RAN, 0, -1, -1, sink); }
     }
 
-    /** A boundary. {@code asker} is told once it is over, null for nobody; of two that cross the first counts. */
+    /** Ends the unit. {@code asker} is answered once the unit is over, null for nobody. Only the first cause counts. */
     void end(double now, Boundary by, Ticket asker, Sink sink) {
         if (asker != null && state.isOver()) {
             sink.told(this, asker);
@@ -288,7 +294,10 @@
         for (Ticket t : told) { sink.told(this, t); }
     }
 
-    /** A holder is not in the life any more in which it got the part: what it held may have run, and may run till it settles. */
+    /**
+     * Handles the loss of a holder's incarnation: a part it held may have run, and may still run until {@code settleMs} after its
+     * deadline.
+     */
     void died(double now, String holder, long lifeNow, Rules rules, Sink sink) {
         waiting.removeIf(t -> t.holder().equals(holder) && t.life() != lifeNow);
         if (out == null || !out.holder().equals(holder) || out.life() == lifeNow) { return; }
@@ -304,13 +313,13 @@
         }
     }
 
-    /** When something is to be looked at again by {@link #advance}; infinity for never. */
+    /** When {@link #advance} is to be called again; infinity for never. */
     double wakeAt(double now) {
         if (out != null || now >= looseUntil) { return Double.POSITIVE_INFINITY; }
         return state == State.ENDING || !waiting.isEmpty() ? looseUntil : Double.POSITIVE_INFINITY;
     }
 
-    /** Seals it for another home: who waits is to ask there, and here nothing is let out any more. */
+    /** Seals the unit for transfer: waiting requests are redirected to the new home, and nothing is granted here any more. */
     UnitRecord handOver(double now, Sink sink) {
         UnitRecord record = new UnitRecord(name, customer, mode, epoch + 1, next, grants, repeats, doubt, doubtSaid, lastSaid, doubts, now - triedAt,
                 Math.max(0, looseUntil - now), served, server, zone, out == null ? null : out.holder(), out == null ? 0 : out.life(),
@@ -323,7 +332,7 @@
         return record;
     }
 
-    /** A unit as another home handed it over. */
+    /** Restores a unit that another home transferred. */
     static Unit of(UnitRecord r, double now) {
         Unit unit = new Unit(r.name(), r.customer(), r.mode(), now);
         unit.epoch = r.epoch();
@@ -346,7 +355,7 @@
         return unit;
     }
 
-    /** The same unit once more, for those who look at what might follow. */
+    /** A copy, used to explore possible successor states. */
     Unit copy() {
         Unit copy = new Unit(name, customer, mode, wordAt);
         copy.state = state;
@@ -370,7 +379,7 @@
         return copy;
     }
 
-    /** All that decides what it does next but for the number of grants, in a text that is the same for equal units. */
+    /** A text of all that decides the next transitions, except the grant count; equal for units that behave alike. */
     String shape(double now) {
         StringBuilder text = new StringBuilder(64).append(state.ordinal()).append(boundary == null ? "" : boundary.ordinal()).append(whole ? 'w' : 'c').append(next)
                 .append(repeats ? 'r' : '-').append(doubt ? 'd' : '-').append(doubtSaid ? 's' : '-').append(lastSaid ? 'l' : '-').append(doubts > 0 ? 'p' : '-')
@@ -380,7 +389,7 @@
         return text.toString();
     }
 
-    /** One line for operators, and for telling states apart. */
+    /** One line of key=value pairs for the operators' report. */
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder(128).append(name).append(" mode=").append(mode.name().toLowerCase(java.util.Locale.ROOT))
--- a/src/main/java/yardusher/units/UnitLog.java
+++ b/src/main/java/yardusher/units/UnitLog.java
@@ -11,9 +11,9 @@
 import yardusher.core.Request;
 
 /**
- * Sees the attempts of parts go out and end, and is the last look before one goes: it has to be granted, its unit not over,
- * and the region must fit the unit's binding and the attempts before. What is not a part goes on to the log behind this one
- * as it came.
+ * A request log that follows the attempts of parts and makes the last check before one is sent: the part must be granted and not
+ * answered yet, and the region must match the unit's binding and the earlier attempts. Requests that are no parts pass unchanged to
+ * the log behind this one.
  */
 final class UnitLog implements OrderLog {
     private final OrderLog inner;
@@ -21,7 +21,7 @@
     private ToIntFunction<Long> zones = region -> -1; // a region's zone, -1 where it is not listed
     private Consumer<Asked> settles = asked -> { };
     private double settleMs;
-    long held;                                       // attempts that were not let out
+    long held;                                       // attempts that were not sent
 
     UnitLog(OrderLog inner) { this.inner = inner; }
 
@@ -61,7 +61,7 @@
         Consumer<Boolean> look = may -> {
             int zone = zones.applyAsInt(attempt.backend);
             boolean goes = may && fits(asked, attempt.backend, zone);
-            asked.outZone = zone;                    // by its end it may be listed no more
+            asked.outZone = zone;                    // noted now: the region may be unlisted when the attempt ends
             if (may && !goes) { held++; }
             asked.letOut = goes && !attempt.isOver();
             then.accept(goes);
--- a/src/main/java/yardusher/units/UnitName.java
+++ b/src/main/java/yardusher/units/UnitName.java
@@ -1,13 +1,13 @@
 package yardusher.units;
 
 /**
- * A unit's name: the ingress that opened it, that ingress's life, and a number counted up in that life. Who knows the name
- * knows where the unit lives, with nobody asked: {@code n2.3f19c0a84d21.1f}.
+ * A unit's name: the ingress that opened it, that ingress's incarnation, and a number that grows within the incarnation, as in
+ * {@code n2.3f19c0a84d21.1f}. The name alone tells at which ingress the unit was opened.
  */
 record UnitName(String home, long life, long number) {
     static final int MOST = 100;                     // characters
 
-    /** Reads a name; null for a text that is none. */
+    /** Parses a name; null for a text that is none. */
     static UnitName of(String text) {
         int last = text.lastIndexOf('.');
         int middle = last < 0 ? -1 : text.lastIndexOf('.', last - 1);
--- a/src/main/java/yardusher/units/UnitSettings.java
+++ b/src/main/java/yardusher/units/UnitSettings.java
@@ -8,15 +8,22 @@
 import yardusher.file.Toml;
 
 /**
- * What deploy/yardusher.toml says in its table {@code units}; times in milliseconds. {@code modes} by the plan's name, the
- * others are single. {@code settleMs}: how long a region may still run what was given up. {@code sendsUnsure}: a part whose
- * holder is silent counts as over once its time and that are past, instead of blocking its unit till the holder is heard.
+ * The settings of the table {@code units} in the settings file.
+ *
+ * @param modes by the plan's name; plans that are not named are {@link Mode#SINGLE}
+ * @param homeTimeoutMs how long a home may take to answer
+ * @param settleMs how long after its deadline a region may still run an abandoned attempt
+ * @param handOverMs how long a draining ingress may take to transfer its units
+ * @param proceedsWhenUnsure whether a part whose holder is silent counts as finished once its deadline and {@code settleMs} have
+ *        passed, instead of blocking its unit until the holder is heard of again
+ * @param forwardsUnitFields whether a command's unit fields are sent on to the region
+ * @param trace whether openings, grants, parts and ends are logged
  */
 public record UnitSettings(Map<String, Mode> modes, int mostOpen, int mostOfCustomer, int mostWaiting, double idleMs, double askMs,
         double settleMs, double handOverMs, int handOverBytes, boolean sendsUnsure, boolean passOn, boolean trace) {
     private static final int LEAST_IDLE_MS = 1000;
 
-    /** Reads the table; the error names the key and what is allowed. Null where it is left out. */
+    /** Reads the table; null if the file has none. Errors name the key and the allowed values. */
     public static UnitSettings of(Toml file) {
         Toml table = file.table("units");
         if (table == null) { return null; }
@@ -37,7 +44,7 @@
                 table.flag("pass_on", false), table.flag("trace", false));
     }
 
-    /** Complains of a mode for a plan that the site does not have. */
+    /** Throws an error if a mode is set for a plan that is not configured. */
     public void check(List<String> plans) {
         for (String name : modes.keySet()) {
             if (!plans.contains(name)) { throw new ConfigError.UnknownName(null, "units.mode", "units.mode names the unknown plan " + name + ", there are " + String.join(", ", plans)); }
--- a/src/main/java/yardusher/units/UnitTable.java
+++ b/src/main/java/yardusher/units/UnitTable.java
@@ -10,11 +10,12 @@
 import java.util.function.Predicate;
 
 /**
- * All units whose home is this ingress, the longest silent first. Numbers of a life are given once and only grow, so a
- * number that was given and is not held is one that is over, and no rule needs it remembered; the last ones are, for who asks twice. Free of I/O and clock.
+ * The units whose home is this ingress, the longest idle first. Numbers grow within an incarnation and are given once, so a number
+ * that was given and is not in the table is that of a unit that has ended; ended units need not be remembered. The latest ones are,
+ * so that a repeated end gets the same answer. Does no I/O and reads no clock: times are passed in, in milliseconds.
  */
 class UnitTable {
-    /** Bounds: open at once, of one customer; silent for so long is given up, and before that where room is needed. */
+    /** Limits on open units. A unit that is idle for {@code idleMs} is abandoned; after {@code minIdleMs}, if room is needed. */
     record Bounds(int mostOpen, int mostOfCustomer, double idleMs, double leastIdleMs) { }
 
     /** Counts since the start. */
@@ -25,23 +26,23 @@
         long refused;
         long takenOver;
         long handedOver;
-        long stale;                                  // words of older grants, void
+        long stale;                                  // reports of older grants, without effect
     }
 
     private record Wake(double at, UnitName name) { }
 
-    private static final int MOST_OVER = 4096;       // a quarter of a megabyte
+    private static final int MOST_OVER = 4096;       // about 256 KiB
 
     private final String self;
     private final long life;
     private final Unit.Sink sink;
     private Bounds bounds;
     private Unit.Rules rules;
-    private final LinkedHashMap<UnitName, Unit> units = new LinkedHashMap<>(); // the longest without a word first
+    private final LinkedHashMap<UnitName, Unit> units = new LinkedHashMap<>(); // the longest idle first
     private final Map<Long, Integer> ofCustomer = new HashMap<>();
-    private final PriorityQueue<Wake> wakes = new PriorityQueue<>((a, b) -> Double.compare(a.at(), b.at())); // at most one a unit
-    private final LinkedHashMap<UnitName, Unit> outs = new LinkedHashMap<>(); // with a part in a holder's hands, the longest first
-    private final LinkedHashMap<UnitName, Unit> over = new LinkedHashMap<>(); // the last that ended: who asks again hears the same
+    private final PriorityQueue<Wake> wakes = new PriorityQueue<>((a, b) -> Double.compare(a.at(), b.at())); // at most one for each unit
+    private final LinkedHashMap<UnitName, Unit> outs = new LinkedHashMap<>(); // the longest without activity first
+    private final LinkedHashMap<UnitName, Unit> over = new LinkedHashMap<>(); // so that a repeated end gets the same answer
     private long last;
     final Counts counts = new Counts();
 
@@ -94,7 +95,7 @@
 
     boolean isOurs(UnitName name) { return name.life() == life && name.home().equals(self); }
 
-    /** Opens a unit; null where there is no room, also after the longest silent ones were given up. */
+    /** Opens a unit; null if there is no room even after idle units were abandoned. */
     Unit open(double now, long customer, Mode mode) {
         if (ofCustomer.getOrDefault(customer, 0) >= bounds.mostOfCustomer()) { return null; }
         while (units.size() >= bounds.mostOpen()) {
@@ -116,11 +117,11 @@
         if (units.remove(unit.name) != null) { ofCustomer.computeIfPresent(unit.customer, (customer, open) -> open == 1 ? null : open - 1); }
     }
 
-    /** Ends the longest silent unit that has nothing out or waiting; false where none has been silent that long. */
+    /** Abandons the longest idle unit without a granted or waiting part; false if none has been idle that long. */
     private boolean giveUp(double now, double silentMs) {
         for (Unit unit : units.values()) {
             if (now - unit.wordAt() < silentMs) { return false; }
-            unit.expire(now);                        // a question that came after its withdrawal would wait for ever
+            unit.expire(now);                        // a request that arrived after its withdrawal would wait forever
             if (unit.state() != Unit.State.OPEN || unit.out() != null || unit.waitingCount() > 0) { continue; }
             unit.end(now, Unit.Boundary.SILENT, null, sink);
             wake(now, unit);
@@ -129,7 +130,7 @@
         return false;
     }
 
-    /** Somebody asks for a part or an end of a unit. {@code silent}: whom nothing is heard of. */
+    /** Handles a request for a part or an end. {@code isSilent}: whether an ingress is no longer heard of. */
     void ask(double now, UnitName name, Ticket ticket, Predicate<String> silent) {
         Unit unit = units.get(name);
         if (unit == null) {
@@ -139,7 +140,7 @@
                 return;
             }
             counts.refused++;
-            boolean given = isOurs(name) && name.number() <= last; // then it is over
+            boolean given = isOurs(name) && name.number() <= last; // then it has ended
             sink.refuse(null, ticket, given ? Refusal.ENDED : Refusal.UNKNOWN, given ? Unit.State.DONE.ordinal() : 0);
             return;
         }
@@ -158,7 +159,7 @@
         units.put(unit.name, unit);
     }
 
-    /** A holder's word; see {@link Unit#done}. */
+    /** Handles a holder's report; see {@link Unit#partDone}. */
     boolean done(double now, UnitName name, String holder, long lifeOf, int grant, Unit.Result result, double looseMs, long server, int zone) {
         Unit unit = units.get(name);
         if (unit == null || !unit.done(now, holder, lifeOf, grant, result, looseMs, server, zone, sink)) {
@@ -187,7 +188,7 @@
         wake(now, unit);
     }
 
-    /** A name is in a new life, or will not be heard of again: see {@link Unit#died}. */
+    /** Handles the loss of a holder's incarnation; see {@link Unit#holderLost}. */
     void died(double now, String holder, long lifeNow) {
         for (Unit unit : List.copyOf(units.values())) {
             double before = unit.wordAt();
@@ -203,8 +204,8 @@
     }
 
     /**
-     * Units whose part has been out for so long without a word, some at the most; each counts as looked at. Who has
-     * them is asked, or held for gone.
+     * Returns units whose granted part has had no activity for {@code forMs}, up to a limit, and marks them as active, so that the
+     * next call returns others. The caller asks their holders, or presumes them lost.
      */
     List<Unit> longOut(double now, double forMs, int most) {
         List<Unit> found = new ArrayList<>(0);
@@ -216,12 +217,12 @@
             unit.looked(now);
             outs.remove(unit.name);
             outs.put(unit.name, unit);
-            touch(unit);                             // else it would hide the silent ones behind it
+            touch(unit);                             // else it would hide the idle ones behind it
         }
         return found;
     }
 
-    /** The holder of a part is held for gone, by rule: see {@link Unit#died}. */
+    /** Presumes that the holder of a granted part is lost; see {@link Unit#holderLost}. */
     void presume(double now, Unit unit) {
         unit.died(now, unit.out().holder(), -1, rules, sink);
         if (units.containsKey(unit.name)) { touch(unit); }
@@ -232,11 +233,11 @@
     private void wake(double now, Unit unit) {
         double at = unit.wakeAt(now);
         if (at == Double.POSITIVE_INFINITY || unit.wakes) { return; }
-        unit.wakes = true;                           // one for each unit: what comes later is seen when this one is due
+        unit.wakes = true;                           // one for each unit: it is rescheduled when this one is due
         wakes.add(new Wake(at, unit.name));
     }
 
-    /** Does what time alone brings: turns that come, ends that may be told, units silent for too long. At most so many a call. */
+    /** Does what is due by time: grants, ends, and units idle for too long. Handles at most {@code limit} of each. */
     void tick(double now, int most) {
         for (int i = 0; i < most && !wakes.isEmpty() && wakes.peek().at() <= now; i++) {
             Unit unit = units.get(wakes.poll().name());
@@ -249,10 +250,10 @@
         for (int i = 0; i < most && giveUp(now, bounds.idleMs()); i++) { }
     }
 
-    /** When {@link #tick} has something to do, as far as is known; infinity for never. */
+    /** When {@link #tick} next has scheduled work; infinity for never. Idle units are not considered. */
     double nextAt() { return wakes.isEmpty() ? Double.POSITIVE_INFINITY : wakes.peek().at(); }
 
-    /** Units that can go to another home: open ones that no connection here holds. */
+    /** The units that can be transferred: open ones that do not belong to a connection here. */
     List<Unit> movable() {
         List<Unit> found = new ArrayList<>();
         for (Unit unit : units.values()) {
@@ -261,14 +262,14 @@
         return found;
     }
 
-    /** Seals a unit and forgets it. */
+    /** Seals a unit for transfer and removes it. */
     UnitRecord handOver(double now, Unit unit) {
         forget(unit);
         counts.handedOver++;
         return unit.handOver(now, sink);
     }
 
-    /** Takes a unit over; false where it is held already, or there is no room for it. */
+    /** Takes over a unit; false if it is held already, was opened here, or there is no room for it. */
     boolean takeOver(double now, UnitRecord record) {
         if (units.containsKey(record.name()) || isOurs(record.name()) || units.size() >= 2 * bounds.mostOpen()) { return false; }
         Unit unit = Unit.of(record, now);
--- a/src/main/java/yardusher/units/UnitsIntake.java
+++ b/src/main/java/yardusher/units/UnitsIntake.java
@@ -27,30 +27,30 @@
 import yardusher.view.View;
 
 /**
- * Stands between the fronts and what runs transactions: groups them into units of work by the plan's mode, asks a unit's
- * home for each part, and is itself the home of the units that were opened here. What names no unit, where the mode has
- * none, goes straight on. Used in turns only.
+ * The intake between the fronts and the core: groups requests into units of work by the plan's mode, requests each part from the
+ * unit's home, and is itself the home of the units that were opened here. Requests that belong to no unit pass straight on. Used in
+ * turns of the event loop only.
  */
 final class UnitsIntake implements Intake, Unit.Sink, Post.Ends {
-    /** What is known of regions: the zone of one, -1 where it is not listed; and whether a zone has any left. */
+    /** The listed regions: the zone of one, -1 if it is not listed; and whether a zone has any. */
     interface Regions {
         int zoneOf(long region);
 
         boolean hasZone(int zone);
     }
 
-    /** What it stands in. */
+    /** The parts of the ingress that the intake works with. */
     record Place(String self, long life, EventLoop loop, Intake inner, UnitLog log, Regions regions, Mesh mesh, View view, Events events,
             List<Api.RequestClass> classes, List<String> plans, LongSupplier nonces) { }
 
     private static final int MOST_HOPS = 4;
-    private static final int MOST_REMEMBERED = 4096; // of each: ended units, words sent, units that went elsewhere
-    private static final int MOST_MOVES = 4096;      // homes' lives whose units went elsewhere
-    private static final int MOST_SEARCHES = 64;     // lives that are asked about at once
-    private static final int PUMP = 256;             // units on their way to the next home at once
-    private static final int TICK = 256;             // units looked at in one go
-    private static final double LATE_MS = 100;       // a terminal whose part waits is answered so long before it gives up, or an eighth of its wait
-    private static final double SLOW_MS = 100;       // between looks while something is held
+    private static final int MOST_REMEMBERED = 4096; // of each: ended units, sent reports, units that moved one by one
+    private static final int MOST_MOVES = 4096;      // incarnations of homes whose units moved
+    private static final int MOST_SEARCHES = 64;     // incarnations that are located at once
+    private static final int PUMP = 256;             // unacknowledged messages while units are transferred
+    private static final int TICK = 256;             // units handled in one tick
+    private static final double LATE_MS = 100;       // before the deadline of a waiting part; an eighth of its wait if that is less
+    private static final double SLOW_MS = 100;       // between ticks at most
     private static final double TICK_MS = 5;
     private static final double SILENT_OUT_MS = 1000;
     private static final double AGAIN_MS = 40;
@@ -63,17 +63,17 @@
     private final Post post;
     private UnitSettings settings;
     private Mode[] modes;
-    private final Map<Long, Asked> asks = new HashMap<>(); // as many as requests are open
+    private final Map<Long, Asked> asks = new HashMap<>(); // as many as there are open requests
     private final Map<Session, Map<Long, UnitName>> sessions = new IdentityHashMap<>(); // by connection and customer
     private final Map<UnitName, Session> sessionOf = new HashMap<>();
-    private final Map<UnitName, Set<String>> holders = new HashMap<>(); // other ingresses that were granted a part; open units only
-    private final LinkedHashMap<UnitName, Unit.State> over = new LinkedHashMap<>(); // told by other homes
-    private final LinkedHashMap<UnitName, Message.Done> words = new LinkedHashMap<>(); // the last ones sent, to be said again
-    private final LinkedHashMap<UnitName, String> gone = new LinkedHashMap<>(); // single units at another home now
-    private final LinkedHashMap<Long, Message.Moved> moves = new LinkedHashMap<>(); // by the life of the home that opened them
+    private final Map<UnitName, Set<String>> holders = new HashMap<>(); // other ingresses that were granted a part of an open unit
+    private final LinkedHashMap<UnitName, Unit.State> over = new LinkedHashMap<>(); // units of other homes
+    private final LinkedHashMap<UnitName, Message.Done> words = new LinkedHashMap<>(); // the latest ones, to be repeated on request
+    private final LinkedHashMap<UnitName, String> gone = new LinkedHashMap<>(); // units transferred one by one, by their new home
+    private final LinkedHashMap<Long, Message.Moved> moves = new LinkedHashMap<>(); // by the incarnation of the home that opened them
     private final Map<Long, List<Asked>> searches = new HashMap<>();
     private final ArrayDeque<Unit> toHand = new ArrayDeque<>();
-    private final Map<String, Integer> refusals = new HashMap<>(); // by error code, of which there are a dozen
+    private final Map<String, Integer> refusals = new HashMap<>(); // about a dozen codes
     private String heir;
     private double handBy;
     private int handBytes;
@@ -86,7 +86,7 @@
     private long spoilt;
     private long notHandedOver;
 
-    /** Makes the table of a home. */
+    /** Creates the unit table. */
     interface Tables {
         UnitTable make(String self, long life, UnitTable.Bounds bounds, Unit.Rules rules, Unit.Sink sink);
     }
@@ -120,7 +120,7 @@
         at.log.settleMs(next.settleMs());
     }
 
-    /** Other settings hold from now on; units that are open keep the mode in which they were opened. */
+    /** Applies other settings; open units keep the mode in which they were opened. Returns what the reload has to report. */
     String reload(UnitSettings next) {
         next.check(at.plans);
         if (next.equals(settings)) { return null; }
@@ -129,7 +129,7 @@
         return passes ? "units as told, but pass_on waits for a restart" : "units as told";
     }
 
-    // Requests of fronts.
+    // Requests from the fronts.
 
     @Override
     public Stay take(Order order) {
@@ -139,7 +139,7 @@
         return word.said() == UnitWord.Said.OPEN ? opening(order, word, mode) : named(order, word, mode);
     }
 
-    /** The unit that this connection holds for a customer, null for none. */
+    /** The unit that this connection has open for a customer, null for none. */
     private Unit held(Session session, long customer) {
         Map<Long, UnitName> units = session == null ? null : sessions.get(session);
         UnitName name = units == null ? null : units.get(customer);
@@ -154,7 +154,7 @@
             if (session == null || Translation.PLAIN.at(mode) != Translation.Then.JOINS) { return at.inner.take(order); }
             unit = begin(session, order);
             if (unit == null) { return refused(order); }
-        } else if (unit.state() != Unit.State.OPEN) { // order across a session's units has no counterpart elsewhere: one after another
+        } else if (unit.state() != Unit.State.OPEN) { // order between units of a session is not defined elsewhere: the next one waits
             return later(order, (long) Math.max(BUSY_MS, Math.ceil(unit.looseUntil() - loop.now())));
         }
         return asks(order, unit.name, 0, Ticket.Kind.PART);
@@ -213,7 +213,7 @@
         return asks(order, name, word.part(), kind);
     }
 
-    /** Something that was answered at once. */
+    /** A request that was answered at once. */
     private record Over(Order order) implements Stay {
         @Override
         public boolean mayHaveRun() { return false; }
@@ -232,7 +232,7 @@
         return new Over(order);
     }
 
-    /** No unit can be opened now. */
+    /** Answers an opening for which there is no room, or while this ingress drains. */
     private Stay refused(Order order) {
         return draining ? later(order, NOT_NOW_MS) : fails(order, new UnitError.Full("new", settings.mostOpen()));
     }
@@ -247,7 +247,7 @@
         return error.code() + " " + error.getMessage() + ". " + error.advice();
     }
 
-    // Asking a home.
+    // Requests to a home.
 
     private Stay asks(Order order, UnitName name, int part, Ticket.Kind kind) {
         Asked asked = new Asked(order, name, ++lastAsk, part, kind, loop, this::settle, this::left);
@@ -302,7 +302,7 @@
         pulseBy(now + TICK_MS);
     }
 
-    /** Who is asked for a unit that is not here. */
+    /** The ingress that is asked for a unit that is not here. */
     private String homeOf(UnitName name) {
         String single = gone.get(name);
         if (single != null) { return single; }
@@ -312,14 +312,14 @@
 
     private static boolean isOut(View.Member member) { return member.state() == View.State.GONE || member.state() == View.State.LEFT; }
 
-    /** Whether nothing is heard of a holder, so that its part is waited for in vain. */
+    /** Whether a holder has left the view, so that the end of its part may never be reported. */
     private boolean isSilent(String holder) {
         if (holder.equals(at.self)) { return false; }
         View.Member member = at.view.member(holder);
         return member == null || isOut(member);
     }
 
-    /** The home is not there, or in another life: somebody may know where its units went. */
+    /** The home has left, or has another incarnation: asks all ingresses where its units are now. */
     private void search(Asked asked) {
         List<Asked> found = searches.get(asked.unit.life());
         if (found == null) {
@@ -342,7 +342,7 @@
         wait(asked, lastCall(asked));
     }
 
-    /** The time of a search is over, or somebody knew. */
+    /** Ends a search, because its time is over or the new home is known. */
     private void found(long life) {
         List<Asked> waited = searches.remove(life);
         if (waited == null) { return; }
@@ -365,7 +365,7 @@
             end(asked, new UnitError.Holder(asked.unit, asked.home == null ? at.self : asked.home), false);
         } else if (asked.part > asked.due) {
             end(asked, new UnitError.Order(asked.unit, asked.part, asked.due), false);
-        } else {                                     // what it waited for took all of its time
+        } else {                                     // the parts before it took all of its time
             asked.stage = Asked.Stage.OVER;
             asks.remove(asked.ask);
             asked.failed("deadline passed", false);
@@ -382,14 +382,14 @@
         pulseBy(now + TICK_MS);
     }
 
-    /** Gives up what waits, with its one answer. */
+    /** Answers a waiting request with an error. */
     private void end(Asked asked, UnitError error, boolean mayHaveRun) {
         asked.stage = Asked.Stage.OVER;
         asks.remove(asked.ask);
         asked.failed(text(error), mayHaveRun);
     }
 
-    /** Its terminal left. */
+    /** The terminal of a request has left. */
     private void left(Asked asked) {
         loop.deadlines().cancel(asked.timer);
         if (asked.stage == Asked.Stage.WAITS) {
@@ -403,17 +403,17 @@
         }
     }
 
-    // Answers of homes.
+    // Answers from homes.
 
     private Asked waiting(UnitName unit, long ask) {
         Asked asked = asks.get(ask);
         return asked != null && asked.stage == Asked.Stage.WAITS && asked.unit.equals(unit) ? asked : null;
     }
 
-    /** A part may run here. */
+    /** Runs a granted part, or reports that it did not run if its request is no longer waiting. */
     private void granted(Message.Grant g, String from) {
         Asked asked = waiting(g.unit(), g.ask());
-        if (asked == null || !asked.kind.isPart()) { // given up meanwhile: it never ran
+        if (asked == null || !asked.kind.isPart()) { // cancelled meanwhile: the part never ran
             word(new Message.Done(g.unit(), g.grant(), Unit.Result.NEVER_RAN, 0, -1, -1, "", 0), from);
             return;
         }
@@ -444,7 +444,7 @@
         settle(asked);
     }
 
-    /** Tells a part's home how it went, once it is over. */
+    /** Reports the result of a part to its home, once it was answered and has no open attempt. */
     private void settle(Asked asked) {
         if (asked.stage != Asked.Stage.RUNS || !asked.taken || !asked.answered || asked.out > 0) { return; }
         asked.stage = Asked.Stage.OVER;
@@ -454,11 +454,12 @@
         Unit.Result result = asked.served ? Unit.Result.SERVED : asked.mayHaveRun ? Unit.Result.MAY_HAVE_RUN : Unit.Result.NEVER_RAN;
         double loose = Math.max(0, asked.looseUntil - now);
         if (result == Unit.Result.MAY_HAVE_RUN && asked.looseUntil == Double.NEGATIVE_INFINITY && asked.zone < 0 && asked.server < 0) {
-            loose = Math.max(0, asked.deadline - now) + settings.settleMs(); // somebody else's word: nothing is known of where
+            // Reported by the core without an attempt that was seen here: where it may have run is not known.
+            loose = Math.max(0, asked.deadline - now) + settings.settleMs();
         }
         trace("part over", null, "unit", asked.unit, "part", asked.part, "grant", asked.grant, "result", result);
         Message.Done done = new Message.Done(asked.unit, asked.grant, result, loose, asked.server, asked.zone, "", 0);
-        // After what runs now: the home may let the next part out within it.
+        // Deferred: the home may grant the next part within the call.
         if (asked.home == null) { loop.afterwards(() -> word(done, null)); } else { word(done, asked.home); }
     }
 
@@ -487,7 +488,7 @@
             if (!r.to().isEmpty()) { remember(gone, r.unit(), r.to()); }
             ask(asked);
         } else if (r.why() == Refusal.UNKNOWN && gone.containsKey(r.unit()) && asked.hops < MOST_HOPS) {
-            loop.deadlines().at(loop.now() + AGAIN_MS, () -> { // it may still be on its way there
+            loop.deadlines().at(loop.now() + AGAIN_MS, () -> { // the transfer may still be on its way
                 if (asked.stage == Asked.Stage.WAITS && !asked.answered) { ask(asked); }
             });
         } else if (r.why() == Refusal.LATER) {
@@ -507,12 +508,12 @@
         asked.served((state.told() + " " + served).getBytes(StandardCharsets.UTF_8));
     }
 
-    // What the table says of units whose home this is.
+    // Results of the table, for units whose home this is.
 
     private boolean isHere(Ticket t) { return t.holder().equals(at.self) && t.life() == at.life; }
 
     private void say(Ticket to, Message message) {
-        if (post.lifeOf(to.holder()) == to.life()) { // else nobody is left who asked
+        if (post.lifeOf(to.holder()) == to.life()) { // else the requesting incarnation is gone
             post.send(loop.now(), to.holder(), message.bytes(), to.dueMs() + settings.askMs());
             pulseBy(loop.now() + TICK_MS);
         }
@@ -544,7 +545,7 @@
         }
     }
 
-    private UnitName asking;                         // the unit that is asked for right now, which may not be held
+    private UnitName asking;                         // the unit of the request in progress, which may not be in the table
 
     @Override
     public void waits(Unit unit, Ticket ticket) {
@@ -581,7 +582,7 @@
         trace("unit ended", unit, "state", unit.state().told(), "by", unit.boundary(), "served", unit.served());
     }
 
-    /** For whoever follows units through many ingresses: each line says when, in Unix time. */
+    /** Logs an event of a unit, with the time in Unix milliseconds so that lines of several ingresses can be merged. */
     private void trace(String text, Unit unit, Object... pairs) {
         if (!settings.trace()) { return; }
         int own = unit == null ? 2 : 6;
@@ -598,7 +599,7 @@
         at.events.info(text, all);
     }
 
-    // Other ingresses.
+    // Messages from other ingresses.
 
     @Override
     public boolean isKnown(String name) { return at.view.member(name) != null; }
@@ -687,11 +688,11 @@
         table.ask(now, m.unit(), ticket, this::isSilent);
     }
 
-    /** A home asks for a part that it has not heard of for a while. */
+    /** Answers a home that has had no report of a granted part for a while. */
     private void still(String from, Message.Still m) {
         for (Asked asked : asks.values()) {
             if (asked.unit.equals(m.unit()) && asked.grant == m.grant() && asked.stage == Asked.Stage.RUNS) {
-                asked.home = from;                   // it may have gone there meanwhile
+                asked.home = from;                   // the unit may have been transferred to it
                 return;
             }
         }
@@ -713,9 +714,9 @@
         found(m.life());
     }
 
-    // Handing over.
+    // Transfer of units while draining.
 
-    /** From now on no unit is opened here, and those that are open go to another home in bounded time. */
+    /** Stops opening units here, and transfers the open ones to another home in bounded time. */
     void drain() {
         if (draining) { return; }
         draining = true;
@@ -728,7 +729,7 @@
         pulseBy(now + TICK_MS);
     }
 
-    /** The next ingress by name that is well; null where there is none. */
+    /** The next live ingress by name, cyclically; null if there is none. */
     private String heir() {
         List<String> names = new ArrayList<>();
         for (View.Member member : at.view.picture().members()) {
@@ -753,7 +754,7 @@
                 continue;
             }
             toHand.poll();
-            remember(gone, unit.name, heir);         // before it is sealed: who waits is told
+            remember(gone, unit.name, heir);         // before it is sealed: sealing redirects the waiting requests
             byte[] message = new Message.Take(table.handOver(now, unit)).bytes();
             holders.remove(unit.name);
             handBytes -= message.length;
@@ -788,7 +789,7 @@
 
     boolean isBusy() { return !toHand.isEmpty() || !asks.isEmpty() || draining && post.outstanding() > 0 && loop.now() < handBy; }
 
-    // Time, and who is there.
+    // Time and membership.
 
     private void greet(View.Member member) {
         if (!member.name().equals(at.self)) { post.greet(loop.now(), member.name()); }
@@ -825,7 +826,7 @@
         pulseBy(Math.max(now + TICK_MS, Math.min(next, now + SLOW_MS)));
     }
 
-    /** A part has been out for long: its holder is asked, or by rule held for gone. */
+    /** A part was granted long ago: asks its holder, or presumes it lost if the settings say so. */
     private void askAfter(double now, Unit unit) {
         Ticket out = unit.out();
         if (isHere(out)) { return; }
@@ -836,7 +837,7 @@
         }
     }
 
-    // For operators.
+    // Status for operators.
 
     String line() {
         return table.line() + " units_parts=" + parts + " units_parts_elsewhere=" + partsElsewhere + " units_waiting=" + asks.size()
@@ -844,7 +845,7 @@
                 + " units_bad_messages=" + spoilt + " " + post.line();
     }
 
-    /** Figures, refusals by code, and the units that have been silent for longest. */
+    /** Counters, refusals by error code, and the units that have been idle for longest. */
     String report() {
         StringBuilder text = new StringBuilder(1024);
         text.append("self name=").append(at.self).append(" life=").append(Long.toHexString(at.life)).append(draining ? " drains to=" + heir : "").append('\n');
@@ -857,7 +858,7 @@
         return text.toString();
     }
 
-    /** The table, for tests and the lab. */
+    /** For tests and the lab. */
     UnitTable table() { return table; }
 
     int asksCount() { return asks.size(); }
--- a/src/main/java/yardusher/units/UnitsSubsystem.java
+++ b/src/main/java/yardusher/units/UnitsSubsystem.java
@@ -10,9 +10,9 @@
 import yardusher.subsystem.Site;
 import yardusher.subsystem.Subsystem;
 
-/** Units of work in an ingress: turned on by the table {@code units}, and needs the mesh and the view. */
+/** Units of work in an ingress. Enabled by the table {@code units} of the settings file; needs the mesh and the view. */
 public final class UnitsSubsystem implements Subsystem {
-    private static final int LIFE_BITS = 47;         // of a name's twelve digits
+    private static final int LIFE_BITS = 47;         // at most twelve hex digits of a unit's name
 
     private final UnitSettings settings;
     private final Ids ids = new Ids();
