--- a/lab/src/yardusher/lab/units/UnitsChecker.java
+++ b/lab/src/yardusher/lab/units/UnitsChecker.java
@@ -9,32 +9,33 @@
 import java.util.TreeMap;
 
 /**
- * Holds what regions, terminals and ingresses of a run wrote down against the rules of units of work. The breaches, a line
- * each; empty for none. Times are milliseconds on one clock.
+ * Checks the recorded history of regions, terminals and ingresses of a run against the rules of units of work, and returns a line for
+ * each breach. Times are milliseconds on one clock.
  */
 public final class UnitsChecker {
-    /** A home's word on a unit: "opened" with its mode, "ended" with its state, "granted" a part under a number, "moved" on. */
+    /** An event at a unit's home: "opened" with its mode, "ended" with its state, "granted" a part under a number, or "moved". */
     public record Said(double atMs, String home, String what, String unit, String detail, int part, int grant) { }
 
-    /** A holder's word: the request with this id runs as a part, under a grant. */
+    /** A holder started the request with this id as a part, under a grant. */
     public record Begun(double atMs, String holder, String unit, int part, int grant, String id) { }
 
-    /** A region's: it ran from one moment to the other; it was out until its answer was written or its connection ended. */
+    /** A region ran a request from one time to another; {@code detachedMs}: when its answer was written or its connection ended. */
     public record Ran(String region, String hall, String id, double fromMs, double toMs, double outMs) { }
 
-    /** A terminal's: {@code excused} where its ingress was killed or stopped meanwhile. */
+    /** A request of a terminal; {@code excused} if its ingress was killed or stopped meanwhile. */
     public record Tried(String id, String line, String customer, double sentMs, double waitMs, double answeredMs, int answers, boolean served,
             boolean excused) { }
 
     /**
-     * All of a run. {@code lost}: homes' lives that were cut off, as their units' names begin with, "home.life."; {@code calm}:
-     * nothing failed at its end, for long enough; {@code slackMs}: how far the clocks of processes may be apart.
+     * The history of a run. {@code lostIncarnations}: incarnations of homes that were killed, as prefixes of their units' names,
+     * "home.incarnation."; {@code endedCalmly}: whether the run ended with a period without faults that is long enough for all units
+     * to end; {@code clockSkewMs}: how far the clocks of the processes may be apart.
      */
     public record Run(List<Said> said, List<Begun> begun, List<Ran> ran, List<Tried> tried, List<String> lost, boolean calm, double slackMs) { }
 
-    private static final int SLACK_MS = 50;          // an answer may come so long after its time
-    private static final int LOST_MS = 500;          // and so long, earning nothing, where the machine gave a process no time: one in MOST_LATE
-    private static final int MOST_LATE = 50;
+    private static final int SLACK_MS = 50;          // after the deadline; later answers count as late
+    private static final int LOST_MS = 500;          // a process that got no processor time may answer this late
+    private static final int MOST_LATE = 50;         // one request in this many may be answered late
 
     private final Run run;
     private final List<String> found = new ArrayList<>();
@@ -45,7 +46,7 @@
 
     private UnitsChecker(Run run) { this.run = run; }
 
-    /** Holds a run against all rules. */
+    /** Checks a run against all rules. */
     public static List<String> check(Run run) {
         UnitsChecker checker = new UnitsChecker(run);
         checker.read();
@@ -69,7 +70,7 @@
         }
     }
 
-    /** Each unit ends exactly once, and where nothing failed after it, it does end. */
+    /** Each unit ends at most once, and exactly once if its home was not lost. */
     private void ends() {
         Map<String, Integer> count = new HashMap<>();
         for (Said one : run.said) {
@@ -97,13 +98,13 @@
         }
     }
 
-    /** The parts run in one hall, those of a session at one region. */
+    /** The parts of a unit run in one zone, those of a session at one region. */
     private void binding(String unit, List<Ran> runs) {
         boolean session = "session".equals(modes.get(unit));
         Ran first = runs.get(0);
         for (Ran one : runs) {
             if (session ? !one.region.equals(first.region) : !one.hall.equals(first.hall)) {
-                found.add("a unit ran at two " + (session ? "regions" : "halls") + ": " + first + " and " + one);
+                found.add("a unit ran at two " + (session ? "regions" : "zones") + ": " + first + " and " + one);
             }
         }
     }
@@ -123,14 +124,14 @@
         }
     }
 
-    /** Every transaction has one answer before its client gives up, and what was served ran. Each counts once. */
+    /** Every request has one answer before its client gives up, each served request ran, and each is admitted once. */
     private void answers() {
         Map<String, List<Ran>> ran = new TreeMap<>();
         for (Ran one : run.ran) { ran.computeIfAbsent(one.id, none -> new ArrayList<>()).add(one); }
         Map<String, Integer> begun = new HashMap<>();
         for (Begun one : run.begun) { begun.merge(one.id, 1, Integer::sum); }
         begun.forEach((id, times) -> {
-            if (times > 1) { found.add("a request was let in " + times + " times, and counted so often: " + id); }
+            if (times > 1) { found.add("a request was admitted " + times + " times: " + id); }
         });
         int late = 0;
         int counted = 0;
@@ -140,7 +141,7 @@
             if (one.answers == 0) {
                 found.add("never answered: " + one);
             } else if (one.answeredMs > one.sentMs + one.waitMs + LOST_MS) {
-                found.add("answered when it was lost: " + one);
+                found.add("answered long after its deadline: " + one);
             }
             counted++;
             late += one.answers > 0 && one.answeredMs > one.sentMs + one.waitMs + SLACK_MS ? 1 : 0;
--- a/lab/src/yardusher/lab/units/UnitsCosts.java
+++ b/lab/src/yardusher/lab/units/UnitsCosts.java
@@ -11,8 +11,9 @@
 import yardusher.lab.Terminals;
 
 /**
- * What a part costs against a transaction alone, at its home and elsewhere: blocks in turn, so that what else the machine
- * does falls on all alike; and how soon the units of a dead home are told.
+ * Measures the cost of a part, at its home and at another ingress, against that of a request outside any unit; the three kinds run in
+ * alternating blocks, so that other load on the machine affects them alike. Also measures how soon terminals learn that a killed home's
+ * units are unknown.
  */
 public final class UnitsCosts {
     private UnitsCosts() { }
@@ -27,7 +28,7 @@
             group.settings(i -> UnitsRun.settings(group, i, "unit", "most_open_of_customer = 100000\n"));
             group.configuration((i, json) -> json.replaceAll("\"units_per_s\": [0-9.]+", "\"units_per_s\": 100000.0")
                     .replaceAll("\"peak_units\": [0-9.]+", "\"peak_units\": 100000.0")
-                    .replaceAll("\"(ceiling_rate|ceiling_slack|hard_burst)\": [0-9.]+", "\"$1\": 0.0")); // quotas are not what is measured
+                    .replaceAll("\"(ceiling_rate|ceiling_slack|hard_burst)\": [0-9.]+", "\"$1\": 0.0")); // quotas must not limit the load
             group.heap(48);
             group.start();
             Thread.sleep(1500);
@@ -79,7 +80,7 @@
         return all;
     }
 
-    /** From the kill of a home until a part of its unit hears that nobody knows it, and until anything is refused. */
+    /** Measures the time from the kill of a home until a part of its unit is refused, and until it is refused as unknown. */
     private static void told(Group group, int kills) throws Exception {
         List<Double> unknown = new ArrayList<>();
         List<Double> refused = new ArrayList<>();
@@ -106,7 +107,7 @@
         }
         Collections.sort(unknown);
         Collections.sort(refused);
-        System.out.printf(Locale.ROOT, "told unknown after the home's death, %d kills: p50 %.0f ms, most %.0f ms; first refusal p50 %.0f ms, most %.0f ms%n", kills,
+        System.out.printf(Locale.ROOT, "unit reported unknown after its home was killed, %d kills: p50 %.0f ms, max %.0f ms; first refusal p50 %.0f ms, max %.0f ms%n", kills,
                 unknown.get(kills / 2), unknown.get(kills - 1), refused.get(kills / 2), refused.get(kills - 1));
     }
 }
--- a/lab/src/yardusher/lab/units/UnitsRun.java
+++ b/lab/src/yardusher/lab/units/UnitsRun.java
@@ -23,12 +23,11 @@
 import yardusher.lab.Terminals;
 
 /**
- * Units of work at real processes of mixed modes, with relays between them, stand-in regions in three halls and terminals of
- * all kinds, under faults by seed: every line of the ingresses' traces, the regions' and the terminals' histories is held
- * against {@link UnitsChecker}.
+ * Runs units of work on real processes of mixed modes, with relays between them, simulated regions in three zones and terminals of
+ * all kinds, under seeded faults. {@link UnitsChecker} checks the traces of the ingresses and the histories of regions and terminals.
  */
 public final class UnitsRun {
-    private static final double SLACK_MS = 8;        // clocks of processes of one machine, and a log line's way
+    private static final double SLACK_MS = 8;        // clocks of processes on one machine, and the delay of a log line
     private static final double STALL_MS = 45;
     private static final String[] MODES = {"session", "unit", "single"};
     private static final Pattern PAIR = Pattern.compile("([a-z]+)=(\\S+)");
@@ -37,7 +36,7 @@
     private final long seed;
     private final AtomicInteger whole = new AtomicInteger();
     private final AtomicInteger begun = new AtomicInteger();
-    private final List<double[]> stalls = java.util.Collections.synchronizedList(new ArrayList<>()); // when the machine had no time for this program
+    private final List<double[]> stalls = java.util.Collections.synchronizedList(new ArrayList<>()); // from, to: no processor time
     private volatile boolean over;
 
     private UnitsRun(Group group, long seed) {
@@ -45,7 +44,10 @@
         this.seed = seed;
     }
 
-    /** {@code FOLDER FIRST COUNT [PROCESSES [MS [kills]]]}: traffic with faults for so long, then calm. With kills: one each 10 s, nothing else. */
+    /**
+     * {@code FOLDER FIRST COUNT [PROCESSES [MS [kills]]]}: traffic with faults for MS, then a calm period. With kills: one kill every
+     * 10 s and no other fault.
+     */
     public static void main(String[] args) throws Exception {
         int processes = args.length > 3 ? Integer.parseInt(args[3]) : 3;
         long ms = args.length > 4 ? Long.parseLong(args[4]) : 4000;
@@ -53,7 +55,7 @@
         System.exit(Seeds.run(UnitsRun.class, args, (folder, seed, note) -> play(folder, seed, processes, ms, kills, note)) == 0 ? 0 : 1);
     }
 
-    /** The settings of one ingress. */
+    /** The settings file of one ingress. */
     static String settings(Group group, int i, String mode, String more) {
         StringBuilder seeds = new StringBuilder();
         for (int j = 0; j < Math.min(3, group.size()); j++) { seeds.append(j == 0 ? "" : ", ").append('"').append(Programs.text(group.relayed(j, "view"))).append('"'); }
@@ -61,6 +63,7 @@
                 + "\"\ninstallation = \"lab\"\nseeds = [" + seeds + "]\n[units]\n" + more + "[[units.mode]]\nplan = \"groot\"\nmode = \"" + mode + "\"\n";
     }
 
+    /** Plays one seed and returns the breaches; {@code note} gets a summary. */
     public static List<String> play(Path folder, long seed, int processes, long ms, boolean kills, StringBuilder note) throws Exception {
         try (Group group = new Group(folder, processes, seed)) {
             for (int i = 0; i < 6; i++) { group.region("b" + i, "hall-" + "abc".charAt(i / 2)).takes(1, i == 1 ? 60 : 8); }
@@ -72,7 +75,7 @@
             List<Thread> threads = new ArrayList<>();
             threads.add(new Thread(run::watch, "watch"));
             threads.get(0).start();
-            Thread.sleep(600);                       // the view settles
+            Thread.sleep(600);                       // until the view has settled
             for (int i = 0; i < 8; i++) {
                 int me = i;
                 Thread thread = new Thread(() -> run.terminal(me), "terminal " + i);
@@ -99,7 +102,7 @@
                 }
                 try {
                     faults.play();
-                } catch (IllegalStateException e) {  // one that does not answer says where it stands
+                } catch (IllegalStateException e) {  // a process does not answer: keep the stacks of all
                     for (int i = 0; i < processes; i++) {
                         if (group.isAlive(i)) {
                             new ProcessBuilder("jstack", Long.toString(group.process(i).pid())).redirectErrorStream(true)
@@ -116,7 +119,7 @@
         }
     }
 
-    /** Sees when a thread that asks for little gets nothing: what is late then says nothing of an ingress. */
+    /** Records when a thread that sleeps 5 ms wakes much later: an answer that is late then is not the ingress's fault. */
     private void watch() {
         try {
             for (double before = Chronicle.now(); !over;) {
@@ -125,7 +128,7 @@
                 if (now - before > STALL_MS) { stalls.add(new double[] {before, now}); }
                 before = now;
             }
-        } catch (InterruptedException e) { /* told to stop */ }
+        } catch (InterruptedException e) { /* ends the thread */ }
     }
 
     private boolean stalled(Terminals.Try one) {
@@ -136,7 +139,7 @@
 
     private int any(Random random) { return random.nextInt(group.size()); }
 
-    /** Units of one terminal, one after another, each for a customer of its own. */
+    /** Runs the units of one terminal one after another, each for a customer of its own. */
     private void terminal(int me) {
         Random random = new Random(seed * 31 + me);
         for (long number = 0; !over; number++) {
@@ -145,7 +148,7 @@
                 int at = any(random);
                 if (MODES[(int) ((at + seed) % 3)].equals("session")) { session(random, at, customer); } else { unit(random, at, customer, number); }
                 Thread.sleep(random.nextInt(30));
-            } catch (IOException e) { /* it is not there now */
+            } catch (IOException e) { /* the ingress is down at the moment */
             } catch (InterruptedException e) {
                 return;
             }
@@ -186,7 +189,7 @@
         for (int part = 1; part <= count; part++) {
             Terminals.Command command = command(random, customer, 700).with("u", unit).with("p", "" + part);
             if (part == count && number % 3 == 0) { command = command.with("b", "end"); }
-            if (random.nextInt(10) == 0) {           // another try through another ingress while the first runs
+            if (random.nextInt(10) == 0) {           // a retry through another ingress while the first attempt runs
                 Terminals.Command same = command.again(group.terminals().newId());
                 Thread other = new Thread(() -> group.terminals().send((at + 1) % group.size(), same));
                 other.setDaemon(true);
@@ -195,7 +198,7 @@
             Terminals.Try got = null;
             for (int i = 0; i < 8; i++) {
                 got = group.terminals().send(any(random), i == 0 ? command : command.again(group.terminals().newId()));
-                // "part N came where N+1 is due": it ran at an earlier try, whose answer was lost.
+                // "part N came where N+1 is due": an earlier attempt ran, and its answer was lost.
                 if (got.end() == Terminals.End.SERVED || got.answer().contains("UNIT_ENDED") || got.answer().contains("UNIT_UNKNOWN")
                         || got.answer().contains("where " + (part + 1) + " is due")) { break; }
                 Thread.sleep(150 + random.nextInt(150));
@@ -203,7 +206,7 @@
             if (got.end() != Terminals.End.SERVED && !got.answer().contains("where " + (part + 1) + " is due")) { return; }
         }
         if (number % 3 != 0) {
-            if (random.nextInt(10) == 0) {           // never said: not one that could be whole
+            if (random.nextInt(10) == 0) {           // without an end the unit cannot complete
                 begun.decrementAndGet();
                 return;
             }
@@ -237,7 +240,7 @@
         List<UnitsChecker.Tried> tried = new ArrayList<>();
         for (Terminals.Try one : group.terminalHistory()) {
             boolean lost = Set.of(Terminals.End.LOST, Terminals.End.SILENT, Terminals.End.UNSENT).contains(one.end());
-            // A connection may end between two requests: what crossed that was never read.
+            // A connection may end between two requests; a request sent at that moment is never read.
             boolean excused = troubled.contains(one.ingress()) || one.end() == Terminals.End.LOST || one.end() == Terminals.End.UNSENT
                     || stalled(one);
             tried.add(new UnitsChecker.Tried(one.id(), "," + one.words().split(" ")[3], one.words().split(" ")[1], one.sentMs(),
@@ -249,7 +252,7 @@
         long done = said.stream().filter(one -> one.what().equals("ended") && one.detail().equals("done")).count();
         note.append(tried.size()).append(" tries, ").append(tried.stream().filter(UnitsChecker.Tried::served).count()).append(" served, ")
                 .append(said.stream().filter(one -> one.what().equals("opened")).count()).append(" units, ").append(ended).append(" ended, ").append(done)
-                .append(" done, ").append(parts.size()).append(" parts; ").append(whole).append(" of ").append(begun).append(" said ones whole, ")
+                .append(" done, ").append(parts.size()).append(" parts; ").append(whole).append(" of ").append(begun).append(" opened units completed, ")
                 .append(stalls.size()).append(" stalls of the machine");
         if (parts.isEmpty()) { found.add("no part ran"); }
         return found;
--- a/lab/src/yardusher/units/UnitsModel.java
+++ b/lab/src/yardusher/units/UnitsModel.java
@@ -9,34 +9,34 @@
 import java.util.TreeSet;
 
 /**
- * One unit of three parts at two ingresses as a small state machine, every state of which is visited: the home decides by
- * {@link Unit}, the very code that runs. A message that was sent may arrive at any time, more than once or never, which is
- * loss, doubling, delay and any cut in one; the other ingress may die and come back in a new life; the home may die, or hand the
- * unit over to the other; a holder may give a part up at any moment, and the region runs on. The one thing that is assumed of
- * time: what was given up has ended when the settling time is over.
+ * A model checker for units of work: one unit of three parts at two ingresses as a state machine, every state of which is visited. The
+ * home is the program's own {@link Unit}. A sent message may arrive at any time, more than once or never, which covers loss,
+ * duplication, delay and partitions. The other ingress may crash and restart in a new incarnation; the home may crash, or transfer the
+ * unit to the other ingress; a holder may abandon a part at any time while the region runs on. The only assumption about time is that an
+ * abandoned attempt has ended when the settling time is over.
  */
 final class UnitsModel {
-    /** What is left out, to see that the rules notice. */
+    /** A rule that is left out, to show that the model detects it. The names are arguments of {@link #main}. */
     enum Without {
         NOTHING,
-        /** A word counts whoever's and of whatever grant it is. */
+        /** A report counts whatever its holder, incarnation and grant. */
         NAMES_AND_TOKENS,
-        /** What was given up is taken to have ended at once. */
+        /** An abandoned attempt is taken to have ended at once. */
         SETTLING,
-        /** The old home goes on after it has handed the unit over. */
+        /** The former home continues after the transfer. */
         SEALING,
-        /** A boundary of a connection is told again when the next is told. */
+        /** A second boundary ends the unit again. */
         ONE_END,
-        /** A grant is taken whenever it comes, also by who has given up. */
+        /** A grant is accepted whenever it arrives, also for a cancelled request. */
         LATE_GRANT,
-        /** A part is let in whatever the unit's state. */
+        /** A part is granted whatever the unit's state. */
         LATE_PART
     }
 
-    /** The one large fault that may come at any moment, or not. */
+    /** The one larger fault that may occur at any time. */
     enum Fault { NONE, OTHER_DIES, HOME_DIES, HANDS_OVER }
 
-    /** What was found: how many states there are, and the way to the first that breaks a rule, or null. */
+    /** The number of states, and the actions that lead to the first breach of a rule, null for none. */
     record Found(int states, List<String> breach) { }
 
     private static final int PARTS = 3;
@@ -44,18 +44,18 @@
     private static final Unit.Rules RULES = new Unit.Rules(8, 1);
     private static final int NONE = 0, WAITS = 1, RUNS = 2, OUT = 3, OVER = 4;
 
-    /** A terminal's request for a part at one ingress, and what became of it in that ingress's hands. */
+    /** A terminal's request for a part at one ingress, and its progress there. */
     private static final class Slot implements Cloneable {
-        int at;                                      // the ingress
+        int at;
         int part;
-        int life;                                    // of the ingress when it asked
+        int life;                                    // of the ingress when it sent the request
         int stage;
-        int asks;                                    // how often its question has arrived
+        int asks;                                    // how often the request has arrived at the home
         int grant;
-        int bound = -1;                              // where it may run
-        int hall = -1;                               // where it ran
-        boolean open;                                // its connection to the region
-        boolean going;                               // at the region
+        int bound = -1;                              // the zone it may run in
+        int hall = -1;
+        boolean open;                                // the ingress has its connection to the region open
+        boolean going;                               // the region runs it
         boolean gaveUp;
         boolean withdrawn;
 
@@ -70,24 +70,25 @@
 
     }
 
+    /** One state of the model. */
     private final class World {
-        Unit home;                                   // null where it died
-        Unit old;                                    // an old home that was not sealed
+        Unit home;                                   // null after a crash
+        Unit old;                                    // the former home, if it was not sealed
         int homeAt;
         int now;
         Slot[] slots;
-        TreeSet<String> grants = new TreeSet<>();    // "slot grant bound"
-        TreeSet<String> words = new TreeSet<>();     // "at life grant result loose hall"
-        int life1;                                   // of the other ingress
-        boolean told1;                               // and the home knows
+        TreeSet<String> grants = new TreeSet<>();    // "request grantNumber zone"
+        TreeSet<String> words = new TreeSet<>();     // "ingress incarnation grantNumber result mayRunOn zone"
+        int life1;                                   // restarts of the other ingress
+        boolean told1;                               // whether the home knows of the restart
         boolean crashed;
         boolean handed;
-        int ends;                                    // boundaries used, a bit each
-        int ended;                                   // how often its end was told
-        int hall = -1;                               // where its parts ran
-        boolean repeated;                            // a part was asked for at both ingresses
-        boolean doubled;                             // a question has arrived twice
-        int most;                                    // the latest part that was begun
+        int ends;                                    // a bit for each boundary
+        int ended;                                   // how often the unit was reported as ended
+        int hall = -1;                               // where the parts ran
+        boolean repeated;                            // a part was requested at both ingresses
+        boolean doubled;                             // a request has arrived twice
+        int most;                                    // the highest part that was started
 
         World copy() {
             World w = new World();
@@ -112,7 +113,7 @@
             return w;
         }
 
-        /** Drops what can have no effect any more, so that states that differ in nothing else are one. */
+        /** Drops what has no effect any more, so that equivalent states are one. */
         void tidy() {
             if (without != Without.NOTHING) { return; }
             words.removeIf(word -> {
@@ -163,7 +164,7 @@
             return text.append(life1).append(told1).append(crashed).append(handed).append(ends).append(Math.min(ended, 2)).append(hall).append(most).append(repeated).append(doubled).toString();
         }
 
-        /** What the home tells, into the world's messages. */
+        /** Turns the home's results into messages of the model. */
         Unit.Sink sink() {
             return new Unit.Sink() {
                 @Override
@@ -188,7 +189,7 @@
                 public void ended(Unit unit) {
                     ended++;
                     for (Slot one : slots) {
-                        if (one.going) { breach("the unit ended and its binding is free, while part " + one.part + " runs"); }
+                        if (one.going) { breach("the unit ended and its binding is free while part " + one.part + " runs"); }
                     }
                 }
             };
@@ -258,7 +259,7 @@
         this.mostStates = mostStates;
     }
 
-    /** Visits all states of a pair of modes; the first is the opener's. A pair with more states than that is a breach of its own. */
+    /** Visits all states for the modes of the opening and the other ingress. More than {@code maxStates} states count as a breach. */
     static Found explore(Mode opener, Mode other, Fault fault, int mostEnds, Without without, int mostStates) {
         return new UnitsModel(opener, other, fault, mostEnds, without, mostStates).run();
     }
@@ -274,10 +275,10 @@
         for (int i = 0; i < first.slots.length; i++) {
             first.slots[i] = new Slot();
             first.slots[i].at = i / PARTS;
-            // What a session brings has no number: its home gives it one.
+            // Requests of a session have no part number; the home assigns it.
             first.slots[i].part = i / PARTS == 0 && opener == Mode.SESSION ? 0 : 1 + i % PARTS;
         }
-        reach(first, "begins", -1);
+        reach(first, "initial state", -1);
         while (!next.isEmpty()) {
             now = next.poll();
             nowNumber = nextNumbers.poll();
@@ -309,7 +310,7 @@
         return h * 0x9E3779B97F4A7C15L;
     }
 
-    /** A state that was reached; what it breaks is told with the way there. */
+    /** Adds a state that was reached; a breach is reported with the path to it. */
     private void reach(World w, String by, int from) {
         w.tidy();
         if (broken == null && w.ended > 1) { breach("the unit ended twice"); }
@@ -336,7 +337,7 @@
 
     private boolean isOver() { return now.home != null && now.home.state().isOver(); }
 
-    /** Parts are asked for in any order, each once at each ingress; boundaries once each. */
+    /** Terminals request parts in any order, each once at each ingress, and each boundary once. */
     private void terminals() {
         for (int i = 0; i < now.slots.length; i++) {
             Slot slot = now.slots[i];
@@ -348,7 +349,7 @@
             for (Slot one : now.slots) { open += one.stage != NONE && one.stage != OVER && one.life == now.life(one.at) ? 1 : 0; }
             if (!before || open > 1 || twin.stage != NONE && now.repeated) { continue; }
             if (slot.at != now.homeAt || now.home != null) {
-                act("n" + slot.at + " is asked for part " + slot.part, w -> {
+                act("n" + slot.at + " is asked to run part " + slot.part, w -> {
                     w.repeated |= twin.stage != NONE;
                     w.slots[index].stage = WAITS;
                     w.slots[index].life = w.life(w.slots[index].at);
@@ -357,14 +358,14 @@
                 if (slot.at == 1 && Translation.CROSSING.at(other) == Translation.Then.REFUSES) {
                     act("part " + slot.part + " crosses a unit of its connection at n1", w -> {
                         w.slots[index].stage = OVER;
-                        w.slots[index].asks = 3;     // and its home hears nothing of it
+                        w.slots[index].asks = 3;     // the home gets no request
                     });
                 }
             }
         }
         if (now.home == null || isOver()) { return; }
-        String[] boundaries = {"an end is said at n0", "an end is said at n1", "the terminal closes", "nothing is heard for long"};
-        if (Integer.bitCount(now.ends) == mostEnds) { return; } // two that cross, or one that is doubled
+        String[] boundaries = {"an end is requested at n0", "an end is requested at n1", "the terminal's connection closes", "the unit is idle for too long"};
+        if (Integer.bitCount(now.ends) == mostEnds) { return; } // two different boundaries, or one at both ingresses
         for (int e = 0; e < boundaries.length; e++) {
             if ((now.ends & 1 << e) != 0 || e == 2 && (opener != Mode.SESSION || now.homeAt == 1)
                     || e == 3 && (now.home.out() != null || now.home.waitingCount() > 0)) { continue; }
@@ -390,15 +391,15 @@
         if (w.old != null) { w.old.ask(w.now, ticket, RULES, w.sink()); }
     }
 
-    /** What was sent arrives, unless the way is cut. */
+    /** Messages that were sent arrive, or not. */
     private void messages() {
         for (int i = 0; i < now.slots.length; i++) {
             Slot slot = now.slots[i];
             int index = i;
             if (now.home == null || slot.at == now.homeAt) { continue; }
-            boolean void0 = now.told1 && slot.at == 1 && slot.life != now.life(1); // of a life that the home knows to be over
+            boolean void0 = now.told1 && slot.at == 1 && slot.life != now.life(1); // of an incarnation that the home knows to be gone
             if (slot.stage >= WAITS && slot.asks < (now.doubled ? 1 : 2) && !void0) {
-                act("n" + slot.at + "'s question for part " + slot.part + " arrives", w -> {
+                act("n" + slot.at + "'s request for part " + slot.part + " arrives", w -> {
                     w.doubled |= ++w.slots[index].asks > 1;
                     ask(w, index);
                 });
@@ -413,17 +414,17 @@
         }
         for (String grant : now.grants) { act("grant " + grant + " arrives", w -> w.granted(grant)); }
         if (now.home == null) { return; }
-        for (String word : now.words) { act("word " + word + " arrives", w -> w.heard(word)); }
+        for (String word : now.words) { act("report " + word + " arrives", w -> w.heard(word)); }
     }
 
-    /** What holders and regions do with a part that is granted. */
+    /** Holders and regions act on granted parts. */
     private void holders() {
         for (int i = 0; i < now.slots.length; i++) {
             Slot slot = now.slots[i];
             int index = i;
             boolean alive = slot.life == now.life(slot.at) && !(slot.at == 0 && now.home == null && now.crashed);
             if (slot.stage == WAITS && alive) {
-                act("n" + slot.at + " gives up waiting for part " + slot.part, w -> {
+                act("n" + slot.at + " cancels its request for part " + slot.part, w -> {
                     w.slots[index].stage = OVER;
                     w.slots[index].gaveUp = true;
                     w.slots[index].withdrawn = true;
@@ -436,10 +437,10 @@
                     w.word(w.slots[index], w.slots[index].grant, Unit.Result.NEVER_RAN, false, -1);
                 });
                 for (int hall = 0; hall < 2; hall++) {
-                    // Before the first part the halls are the same.
+                    // Until a part has run, the zones are equivalent.
                     if (slot.bound >= 0 && slot.bound != hall || now.hall < 0 && slot.bound < 0 && hall > 0) { continue; }
                     int in = hall;
-                    act("part " + slot.part + " begins in hall " + hall + " for n" + slot.at, w -> begins(w, index, in));
+                    act("part " + slot.part + " starts in zone " + hall + " for n" + slot.at, w -> begins(w, index, in));
                 }
             }
             if (slot.stage == OUT && alive && slot.going) {
@@ -449,7 +450,7 @@
                     s.going = s.open = false;
                     w.word(s, s.grant, Unit.Result.SERVED, false, s.hall);
                 });
-                act("n" + slot.at + " gives part " + slot.part + " up, and it runs on", w -> {
+                act("n" + slot.at + " abandons part " + slot.part + ", which runs on", w -> {
                     Slot s = w.slots[index];
                     s.stage = OVER;
                     s.open = false;
@@ -457,7 +458,7 @@
                 });
             }
             if (slot.going && !slot.open) {
-                act("the region ends part " + slot.part + ", which nobody waits for", w -> w.slots[index].going = false);
+                act("the region ends part " + slot.part + ", which was abandoned", w -> w.slots[index].going = false);
             }
         }
     }
@@ -465,15 +466,15 @@
     private void begins(World w, int index, int hall) {
         Slot s = w.slots[index];
         boolean over = w.home != null && w.home.state().isOver() || w.ended > 0;
-        if (over) { breach("part " + s.part + " is begun after the end"); }
+        if (over) { breach("part " + s.part + " is started after the end"); }
         for (Slot one : w.slots) {
             if (one == s) { continue; }
             boolean same = one.part == s.part && s.part > 0;
-            if (same && one.open) { breach("part " + s.part + " is out twice at once"); }
-            if (!same && one.going) { breach("part " + s.part + " is out while part " + one.part + ", which it follows, runs"); }
+            if (same && one.open) { breach("part " + s.part + " has two open attempts at once"); }
+            if (!same && one.going) { breach("part " + s.part + " starts while part " + one.part + ", which it follows, runs"); }
         }
-        if (w.hall >= 0 && w.hall != hall) { breach("its parts run in two halls"); }
-        if (s.part > 0 && w.most > s.part) { breach("part " + s.part + " is begun after part " + w.most); }
+        if (w.hall >= 0 && w.hall != hall) { breach("its parts run in two zones"); }
+        if (s.part > 0 && w.most > s.part) { breach("part " + s.part + " is started after part " + w.most); }
         w.hall = hall;
         w.most = Math.max(w.most, s.part);
         s.stage = OUT;
@@ -492,7 +493,7 @@
             });
         }
         if (fault == Fault.OTHER_DIES && now.life1 == 0 && now.homeAt == 0 && !now.crashed && !now.handed) {
-            act("n1 dies and comes back", w -> {
+            act("n1 crashes and restarts", w -> {
                 w.life1 = 1;
                 for (Slot one : w.slots) {
                     if (one.at == 1) { one.open = false; }
@@ -500,13 +501,13 @@
             });
         }
         if (now.life1 == 1 && !now.told1 && now.home != null && now.homeAt == 0) {
-            act("n0 hears of n1's new life", w -> {
+            act("n0 learns of n1's new incarnation", w -> {
                 w.told1 = true;
                 w.home.died(w.now, NAMES[1], 2, RULES, w.sink());
             });
         }
         if (fault == Fault.HOME_DIES && !now.crashed && now.home != null) {
-            act("the home dies", w -> {
+            act("the home crashes", w -> {
                 w.crashed = true;
                 w.home = null;
                 for (Slot one : w.slots) {
@@ -518,7 +519,7 @@
             });
         }
         if (fault == Fault.HANDS_OVER && !now.handed && opener == Mode.UNIT && now.home != null && now.home.state() == Unit.State.OPEN) {
-            act("n0 hands the unit over to n1", w -> {
+            act("n0 transfers the unit to n1", w -> {
                 w.handed = true;
                 if (without == Without.SEALING) { w.old = w.home.copy(); }
                 UnitRecord record = w.home.handOver(w.now, w.sink());
@@ -527,11 +528,11 @@
                 w.home.advance(w.now, w.sink());
             });
         }
-        if (now.home != null && now.homeAt == 1) {   // who waits there is asked anew
+        if (now.home != null && now.homeAt == 1) {   // requests waiting there are submitted again
             for (int i = 0; i < now.slots.length; i++) {
                 int index = i;
                 if (now.slots[i].at == 1 && now.slots[i].stage == WAITS && now.slots[i].asks < 3) {
-                    act("n1 asks itself for part " + now.slots[i].part, w -> {
+                    act("n1 submits its request to itself for part " + now.slots[i].part, w -> {
                         w.slots[index].asks = 3;
                         ask(w, index);
                     });
@@ -540,14 +541,14 @@
         }
     }
 
-    /** All pairs of modes; {@code [WITHOUT]}. */
+    /** {@code [OMISSION]}: visits all pairs of modes with all faults. */
     public static void main(String[] args) {
         Without without = args.length > 0 ? Without.valueOf(args[0]) : Without.NOTHING;
         long all = 0;
         for (Mode opener : List.of(Mode.SESSION, Mode.UNIT)) {
             for (Mode other : Mode.values()) {
                 for (Fault fault : Fault.values()) {
-                    if (fault == Fault.HANDS_OVER && opener == Mode.SESSION) { continue; } // a connection is not handed over
+                    if (fault == Fault.HANDS_OVER && opener == Mode.SESSION) { continue; } // a session is not transferred
                     long from = System.nanoTime();
                     Found found = explore(opener, other, fault, fault == Fault.NONE ? 2 : 1, without, 12_000_000);
                     all += found.states();
--- a/lab/src/yardusher/units/UnitsScript.java
+++ b/lab/src/yardusher/units/UnitsScript.java
@@ -8,9 +8,9 @@
 import yardusher.units.UnitsWorld.Wire;
 import yardusher.units.UnitsWorld.Without;
 
-/** Units under faults by seed, on scripted time: terminals of all kinds through ingresses of all modes. */
+/** Runs units in a {@link UnitsSimulation} under seeded faults: terminals of all kinds through ingresses of all modes. */
 final class UnitsScript {
-    /** What came of a seed. */
+    /** The result of one seed: breaches of rules, counts and the trace. */
     record Outcome(List<String> breaches, int tries, int served, long opened, long done, long abandoned, long unknown, java.util.Map<String, Integer> answers,
             List<String> trace) { }
 
@@ -24,7 +24,7 @@
         this.random = new Random(world.seed ^ 0x5DEECE66DL);
     }
 
-    /** Plays a seed for so long with faults, then heals all and waits until everything is over. */
+    /** Runs a seed with faults for {@code ms}, then heals all faults and waits until all units have ended. */
     static Outcome play(long seed, Without without, double ms, int terminals, Mode... modes) {
         UnitsWorld world = new UnitsWorld(seed, without, modes);
         UnitsScript script = new UnitsScript(world);
@@ -49,13 +49,13 @@
 
     private int node() { return random.nextInt(world.size); }
 
-    /** One terminal after another for a customer. */
+    /** Runs one terminal for a customer, and then the next. */
     private void terminal(long customer, double until) {
         if (world.now > until) { return; }
         scripts++;
         boolean[] gone = {false};
         Runnable again = () -> {
-            if (gone[0]) { return; }                 // one terminal goes on once
+            if (gone[0]) { return; }                 // each terminal has one successor
             gone[0] = true;
             world.later(5 + random.nextInt(40), () -> terminal(customer, until));
         };
@@ -78,7 +78,7 @@
         if (opening == null) { again.run(); } else { giveUp(opening, again); }
     }
 
-    /** Who has no answer when it gives up goes on all the same. */
+    /** Continues after the wait even if there is no answer. */
     private void giveUp(Try one, Runnable then) {
         world.later(one.waitMs + 60, () -> {
             if (one.answers == 0 && !one.left) {
@@ -89,7 +89,7 @@
         });
     }
 
-    /** Transactions without a name on one connection, some of them behind one another; then it closes, at times too early. */
+    /** Requests without a unit's name on one connection, some of them pipelined; then it closes, sometimes too early. */
     private void session(Wire wire, long customer, int left, Runnable again) {
         if (left == 0 || wire.closed) {
             if (random.nextInt(10) > 0) { wire.close(); }
@@ -117,13 +117,13 @@
 
     private int clazz() { return new int[] {UnitsWorld.LOOKUP, UnitsWorld.ORDER, UnitsWorld.ORDER, UnitsWorld.ONCE}[random.nextInt(4)]; }
 
-    /** The parts of a unit, each through any ingress, tried again through another; at times the next one at once behind it. */
+    /** Sends the parts of a unit, each through a random ingress, and retries through others. */
     private void parts(Wire home, long customer, String unit, int part, int count, Runnable again) {
         if (part > count) {
             ends(home, customer, unit, again);
             return;
         }
-        if (random.nextInt(30) == 0) {               // an end that crosses what follows, a part too early, one too late, or one of nobody's
+        if (random.nextInt(30) == 0) {               // an end that crosses the next part, or a part too early, too late or of no unit
             Wire other = world.connect(node());
             UnitWord word = switch (random.nextInt(4)) {
                 case 0 -> UnitsWorld.end(unit);
@@ -174,13 +174,13 @@
             return;
         }
         giveUp(one, next);
-        if (random.nextInt(8) == 0) { world.later(1 + random.nextInt(30), next); } // impatient: another try while this one runs
+        if (random.nextInt(8) == 0) { world.later(1 + random.nextInt(30), next); } // another attempt while this one runs
     }
 
     private void ends(Wire home, long customer, String unit, Runnable again) {
         again.run();
         int how = random.nextInt(6);
-        if (how == 0) { return; }                    // never said
+        if (how == 0) { return; }                    // no end is sent
         if (home != null && how < 4) {
             home.close();
             if (how > 1) { return; }
@@ -230,7 +230,7 @@
             }
             case 9 -> {
                 UnitsWorld.RegionAt region = region();
-                region.mostMs = 1 + random.nextInt(900); // at times past what is waited for
+                region.mostMs = 1 + random.nextInt(900); // sometimes longer than the request's wait
                 world.later(forMs, () -> region.mostMs = 8);
             }
             default -> {
@@ -241,7 +241,7 @@
                         world.later(50, () -> world.start(a));
                     });
                 } else {
-                    world.nodes[a].mode = Mode.values()[random.nextInt(3)]; // by reload
+                    world.nodes[a].mode = Mode.values()[random.nextInt(3)]; // changed by reload
                     world.nodes[a].turn(() -> world.nodes[a].intake.reload(world.nodes[a].settings()));
                 }
             }
@@ -266,7 +266,7 @@
         world.listAnew();
     }
 
-    /** {@code FIRST COUNT [WITHOUT]}: plays seeds and tells what was found. */
+    /** {@code FIRST COUNT [OMISSION]}: runs seeds and prints what was found. */
     public static void main(String[] args) {
         Without without = args.length > 2 ? Without.valueOf(args[2]) : Without.NOTHING;
         long first = Long.parseLong(args[0]);
@@ -285,7 +285,7 @@
                 if (count == 1) { one.breaches().forEach(System.out::println); one.trace().forEach(System.out::println); }
             }
         }
-        System.out.printf("%d seeds, %d with a breach; tries %d, served %d, units opened %d, done %d, abandoned %d, unknown %d%n", count, broken, sums[0], sums[1],
+        System.out.printf("%d seeds, %d with a breach; requests %d, served %d, units opened %d, done %d, abandoned %d, unknown %d%n", count, broken, sums[0], sums[1],
                 sums[2], sums[3], sums[4], sums[5]);
         System.out.println(answers);
     }
--- a/lab/src/yardusher/units/UnitsWorld.java
+++ b/lab/src/yardusher/units/UnitsWorld.java
@@ -34,9 +34,9 @@
 import yardusher.view.View;
 
 /**
- * Several ingresses on scripted time: the program's own core, decision module, log and intake in each, with a mesh that
- * loses, doubles, delays and cuts, a view that notices late, regions that run on after they are given up, and terminals. All
- * follows from the seed. Public to none but the lab; in this package since it plays what is private to it.
+ * A deterministic simulation of several ingresses on scripted time. Each has the program's own core, decision module, log and intake. The
+ * mesh loses, duplicates and delays datagrams and can be partitioned; the view detects failures late; regions run on after an attempt was
+ * abandoned. Everything follows from the seed. It is in this package because it drives package-private classes.
  */
 final class UnitsWorld {
     static final double SETTLE_MS = 300;
@@ -47,12 +47,12 @@
     static final int ORDER = 1;
     static final int ONCE = 2;
 
-    /** What is left out, to see that the rules notice. */
+    /** A rule that is left out, to show that the checker detects it. The names are arguments of {@link UnitsScript}. */
     enum Without { NOTHING, LIVES, SETTLING, ONE_END, STATE_AT_THE_DOOR }
 
     private record Event(double atMs, long order, Runnable what) { }
 
-    /** One stand-in region. */
+    /** A simulated region. */
     static final class RegionAt {
         final long id;
         final int zone;
@@ -69,7 +69,7 @@
         String name() { return String.format("s-%08x", id); }
     }
 
-    /** One command at a region, from its beginning to its end. */
+    /** One command at a region, from its start to its end. */
     private static final class RunAt {
         final RegionAt region;
         final String id;
@@ -101,7 +101,7 @@
         @Override
         public void atEnd(Runnable then) { if (closed) { then.run(); } else { atEnd.add(then); } }
 
-        /** The terminal closes it. */
+        /** Closes the connection from the terminal's side. */
         void close() {
             if (closed) { return; }
             closed = true;
@@ -196,7 +196,7 @@
         }
     }
 
-    /** An ingress, over all its lives. */
+    /** An ingress, over all its incarnations. */
     final class Node implements Backends, Mesh, View, Events {
         final int index;
         final String name;
@@ -205,7 +205,7 @@
         boolean paused;
         boolean draining;
         int lives;
-        final List<Runnable> held = new ArrayList<>();       // while it is stopped
+        final List<Runnable> held = new ArrayList<>();       // deferred while the process is paused
         EventLoop loop;
         Ingress core;
         UnitsIntake intake;
@@ -262,7 +262,7 @@
             return switch (without) {
                 case ONE_END -> new UnitTable(self, life, bounds, rules, sink) {
                     @Override
-                    void end(double at, UnitName unit, Unit.Boundary by) { // its first state is told of as well
+                    void end(double at, UnitName unit, Unit.Boundary by) { // also reports the state before the end
                         Unit held = find(unit);
                         if (held != null && by == Unit.Boundary.CLOSED) { sink.ended(held); }
                         super.end(at, unit, by);
@@ -297,7 +297,7 @@
             }
         }
 
-        /** Does work in a turn, or once it goes on. */
+        /** Runs work in a turn of the event loop, or after the pause. */
         void turn(Runnable work) {
             if (!up) { return; }
             if (paused) { held.add(work); } else { loop.turn(work); }
@@ -341,7 +341,7 @@
                 run[0] = new RunAt(region, id, now);
                 allRuns.add(run[0]);
                 runs.put(attempt, run[0]);
-                // The one thing that is assumed of a region: it ends what is given up within the settling time.
+                // The only assumption about a region: it ends an abandoned attempt within the settling time.
                 double takes = Math.min(region.leastMs + random.nextDouble() * (region.mostMs - region.leastMs), attempt.sentAt + attempt.waitMs + SETTLE_MS - 5 - now);
                 later(takes, () -> {
                     if (run[0].over) { return; }
@@ -502,7 +502,7 @@
     private long ids = 0x1000;
     private long lookedAt;
 
-    /** Ingresses of these modes, and two regions in each of two halls. */
+    /** Starts ingresses of these modes, and two regions in each of two zones. */
     UnitsWorld(long seed, Without without, Mode... modes) {
         this.seed = seed;
         this.without = without;
@@ -529,7 +529,7 @@
                 .map(one -> new Api.Server(one.id, one.zone, 0, 1, 0, Api.Readiness.READY)).toList());
     }
 
-    /** Everybody hears of the list as it is. */
+    /** Sends the current server list to all ingresses. */
     void listAnew() {
         for (Node node : nodes) { node.turn(() -> node.core.tell(list())); }
     }
@@ -540,7 +540,7 @@
         if (nodes[node].lives == life) { nodes[node].turn(what); }
     }
 
-    /** Time goes on. */
+    /** Advances the time and runs all events that are due. */
     void run(double ms) {
         double until = now + ms;
         while (now < until) {
@@ -567,7 +567,7 @@
         return wire;
     }
 
-    /** Sends on a connection; null where it has ended. */
+    /** Sends a request on a connection; null if the connection has ended. */
     Try send(Wire wire, long customer, int classIndex, long key, UnitWord word, double waitMs, Consumer<Try> then) {
         if (wire.closed || !nodes[wire.node].up || nodes[wire.node].lives != wire.life) { return null; }
         Try one = new Try(wire, customer, classIndex, key, word, waitMs);
@@ -582,15 +582,15 @@
         return one;
     }
 
-    // What a test says in one line.
+    // Shorthands for tests.
 
     Try ask(int node, long customer, int classIndex, UnitWord word) {
         Try one = send(connect(node), customer, classIndex, ids + 77, word, 600, any -> { });
-        if (one == null) { throw new IllegalStateException("n" + node + " is not there"); }
+        if (one == null) { throw new IllegalStateException("n" + node + " is down"); }
         return one;
     }
 
-    /** Opens a unit and gives its name. */
+    /** Opens a unit and returns its name. */
     String open(int node, long customer) {
         Try opening = ask(node, customer, LOOKUP, new UnitWord(null, 0, UnitWord.Said.OPEN));
         run(5);
@@ -645,7 +645,7 @@
         nodes[node].turn(() -> nodes[node].intake.drain());
     }
 
-    /** All that was written down. */
+    /** The recorded history, for {@link UnitsChecker}. */
     UnitsChecker.Run history(boolean calm) {
         List<UnitsChecker.Tried> told = new ArrayList<>();
         for (Try one : tries) {
