--- a/src/test/java/yardusher/units/HardCasesTest.java
+++ b/src/test/java/yardusher/units/HardCasesTest.java
@@ -17,13 +17,13 @@
 import yardusher.units.UnitsWorld.Wire;
 import yardusher.units.UnitsWorld.Without;
 
-/** The hard cases of units of work, each at the program's own core and intake on scripted time; all rules hold at the end of each. */
+/** Failure cases of units of work, run on the program's own core and intake in simulated time. All rules are checked after each case. */
 class HardCasesTest {
     private UnitsWorld world;
 
     private void open(Mode... modes) { world = new UnitsWorld(7, Without.NOTHING, modes); }
 
-    /** Whatever happened: no rule is broken, then and once everything has come to its end. */
+    /** No rule is broken, neither right after the case nor after all faults were healed and all units have ended. */
     @AfterEach
     void keepsTheRules() {
         assertThat(world.breaches(false)).isEmpty();
@@ -49,7 +49,7 @@
         open(Mode.UNIT, Mode.SINGLE, Mode.SESSION);
         String unit = world.open(0, 5);
         Try first = sends(1, 5, unit, 1);
-        Try third = sends(0, 5, unit, 3);            // it waits for the one before
+        Try third = sends(0, 5, unit, 3);            // it waits for the second
         world.run(2);
         Try second = sends(2, 5, unit, 2);
         world.run(80);
@@ -90,13 +90,13 @@
             world.run(1);
         }
         world.kill(0);
-        world.run(1000);                             // it is held for gone
+        world.run(1000);                             // until the view takes it for gone
         Try next = sends(2, 5, unit, 2);
         world.run(300);
         assertThat(next.answer).startsWith("UNIT_UNKNOWN");
         world.start(0);
         world.run(200);
-        Try again = sends(1, 5, unit, 2);            // nor does its new life guess
+        Try again = sends(1, 5, unit, 2);            // the new incarnation does not know the unit either
         world.run(300);
         assertThat(again.answer).startsWith("UNIT_UNKNOWN");
         assertThat(said("ended", unit)).isZero();
@@ -108,7 +108,7 @@
         String unit = world.open(0, 5);
         Try part = sends(1, 5, unit, 1);
         world.run(30);
-        world.cut[0][1] = true;                      // its answer is lost with it
+        world.cut[0][1] = true;                      // the home's answer is lost
         Try ended = world.ask(1, 5, LOOKUP, end(unit));
         while (said("ended", unit) == 0) { world.run(0.1); }
         world.kill(0);
@@ -141,7 +141,7 @@
         world.run(100);
         assertThat(List.of(second.served, third.served)).containsExactly(true, true);
         assertThat(ended.answer).isEqualTo("done 3");
-        world.resume(0);                             // it wakes with its own copy of nothing
+        world.resume(0);                             // it has sealed the unit before the transfer
         world.run(50);
         Try late = sends(0, 5, unit, 4);
         world.run(300);
@@ -164,7 +164,7 @@
         assertThat(unknown.answer).startsWith("UNIT_UNKNOWN");
         world.resume(0);
         world.run(100);
-        Try again = sends(1, 5, unit, 2);            // nobody else could end it
+        Try again = sends(1, 5, unit, 2);            // no other ingress could have taken the unit over
         world.run(100);
         assertThat(again.served).isTrue();
     }
@@ -205,7 +205,7 @@
         world.nodes[0].mode = Mode.SINGLE;
         world.nodes[1].mode = Mode.SESSION;
         for (int i = 0; i < 2; i++) { assertThat(world.nodes[i].intake.reload(world.nodes[i].settings())).isEqualTo("units as told"); }
-        Try after = plain(wire, 5);                  // the session goes on until it closes
+        Try after = plain(wire, 5);                  // the session keeps its unit until it closes
         Try part = sends(1, 6, unit, 2);
         world.run(60);
         assertThat(List.of(before.served, after.served, part.served)).containsOnly(true);
@@ -213,7 +213,7 @@
         Try refused = world.ask(0, 7, LOOKUP, new UnitWord(null, 0, UnitWord.Said.OPEN));
         wire.close();
         Wire next = world.connect(0);
-        plain(next, 5);                              // and what begins now stands alone
+        plain(next, 5);                              // new requests stand alone
         world.run(60);
         assertThat(refused.answer).startsWith("UNIT_MODE");
         assertThat(world.said.stream().filter(one -> one.what().equals("opened"))).hasSize(2);
@@ -229,14 +229,14 @@
         String unit = world.open(0, 5);
         Try first = sends(1, 5, unit, 1);
         world.run(20);
-        world.cut(0, 1, true);                       // the part runs there, and its end cannot be told
+        world.cut(0, 1, true);                       // the part runs at node 1, and its end cannot be reported
         world.run(100);
         assertThat(first.served).isTrue();
         Try waits = sends(2, 5, unit, 2);
         world.run(650);
         assertThat(waits.served).isFalse();
         world.run(500);
-        Try refused = sends(2, 5, unit, 2);          // its holder is held for gone: refused at once, sent nowhere
+        Try refused = sends(2, 5, unit, 2);          // the view takes its holder for gone: refused at once, and not sent
         world.run(30);
         assertThat(refused.answer).startsWith("UNIT_HOLDER");
         world.cut(0, 1, false);
@@ -258,7 +258,7 @@
         sends(1, 5, unit, 2);
         world.run(20);
         world.kill(1);
-        world.run(600 + UnitsWorld.SETTLE_MS + 2000); // its time, what settles, and the next looks
+        world.run(600 + UnitsWorld.SETTLE_MS + 2000); // the part's deadline, the settling time, and the next checks of the holder
         Try again = sends(2, 5, unit, 2);
         world.run(150);
         assertThat(again.served).isTrue();
@@ -277,7 +277,7 @@
         world.run(100);
         world.start(1);
         world.run(100);
-        Try again = sends(2, 5, unit, 2);            // it may have run, and its class bears a repeat in its hall
+        Try again = sends(2, 5, unit, 2);            // it may have run, and its class allows a repeat in the same zone
         world.run(150);
         assertThat(again.served).isTrue();
     }
@@ -336,7 +336,7 @@
             refused += opening.answer.startsWith("UNIT_FULL") ? 1 : 0;
             assertThat(world.nodes[0].intake.table().size()).isLessThanOrEqualTo(1000);
         }
-        assertThat(refused).isPositive();            // none is given up within its first second
+        assertThat(refused).isPositive();            // no unit is abandoned in its first second
         world.run(UnitsWorld.IDLE_MS + 500);
         assertThat(world.nodes[0].intake.table().size()).isZero();
         assertThat(world.nodes[0].intake.table().counts.ended[Unit.State.ABANDONED.ordinal()]).isEqualTo(world.nodes[0].intake.table().counts.opened);
--- a/src/test/java/yardusher/units/UnitsCheckerTest.java
+++ b/src/test/java/yardusher/units/UnitsCheckerTest.java
@@ -12,7 +12,7 @@
 import yardusher.lab.units.UnitsChecker.Said;
 import yardusher.lab.units.UnitsChecker.Tried;
 
-/** Each rule of the checker can fail, and a good run breaks none. */
+/** Each rule of the checker can fail, and a correct run breaks none. */
 class UnitsCheckerTest {
     private final List<Said> said = new ArrayList<>();
     private final List<Begun> begun = new ArrayList<>();
@@ -43,7 +43,7 @@
     @Test
     void twoHalls() {
         ran(3, "hall-b", "r1", 30, 35);
-        assertThat(found()).contains("ran at two halls");
+        assertThat(found()).contains("ran at two zones");
     }
 
     @Test
@@ -97,7 +97,7 @@
     @Test
     void oneRequestCountedTwice() {
         begun.add(new Begun(30, "n2", "n0.1.1", 2, 3, "id2"));
-        assertThat(found()).contains("let in 2 times");
+        assertThat(found()).contains("admitted 2 times");
     }
 
     @Test
@@ -114,7 +114,7 @@
         tried.add(new Tried("x4", ",u=n0.1.1,p=3", "5", 1, 500, 20, 1, true, false));
         tried.add(new Tried("x5", "", "5", 1, 500, 1100, 1, false, false));
         tried.add(new Tried("id2", ",u=n0.1.1,b=end", "5", 1, 500, 20, 1, true, false));
-        assertThat(found()).contains("answered 2 times").contains("never answered").contains("answered late").contains("answered when it was lost").contains("no region ran it")
+        assertThat(found()).contains("answered 2 times").contains("never answered").contains("answered late").contains("answered long after its deadline").contains("no region ran it")
                 .contains("a boundary alone reached a region");
     }
 }
--- a/src/test/java/yardusher/units/UnitsTest.java
+++ b/src/test/java/yardusher/units/UnitsTest.java
@@ -23,7 +23,7 @@
 import yardusher.file.Toml;
 import yardusher.resp.Call;
 
-/** What units of work consist of: names, words in lists, messages, the post between ingresses, the table's bounds, the model. */
+/** The building blocks of units of work: names, request fields, settings, messages, the transport, the table's limits and the model. */
 class UnitsTest {
     private static byte[][] words(String list) {
         return new byte[][] {"CALL.GET".getBytes(), "0000000000000005".getBytes(), "0000000000000007".getBytes(),
@@ -40,7 +40,7 @@
         assertThat(told(call)).contains("\r\nc=lookup,t=basis,d=9,units=1,spread=1,first=0\r\n");
         assertThat(told(Call.withUnit(words(list), true))).contains("u=n2.3f.1,c=lookup,t=basis,d=9,p=2,units=1,spread=1,first=0,b=end");
         assertThat(Call.withUnit(words("c=lookup,t=basis,d=480,units=1,spread=1,first=0"), false).unit()).isNull();
-        assertThatThrownBy(() -> Call.of(words(list))).hasMessageContaining("unknown name in list"); // off
+        assertThatThrownBy(() -> Call.of(words(list))).hasMessageContaining("unknown name in list"); // units are disabled
     }
 
     @ParameterizedTest
@@ -97,7 +97,7 @@
         assertThat(post.spoilt + post.unknown + post.voided).isEqualTo(1);
         try {
             Message.of(bytes);
-        } catch (IOException e) { /* it is none */ }
+        } catch (IOException e) { /* not a message */ }
     }
 
     private static Post.Ends ends(ArrayDeque<byte[]> out, List<String> came) {
@@ -116,7 +116,7 @@
         };
     }
 
-    /** Between two lives that last, each message comes exactly once, whatever the way does; one of a life that is over never comes. */
+    /** Between two running incarnations each message is delivered exactly once; messages of a past incarnation are never delivered. */
     @Property(tries = 300)
     void messagesComeOnceThroughLossDoublesDelayAndRestarts(@ForAll long seed) {
         Random random = new Random(seed);
@@ -136,7 +136,7 @@
                 posts[0].send(now, "b", ("m" + ++sent).getBytes(), Double.POSITIVE_INFINITY);
                 if (restarted) { toLast.add("m" + sent); } else { sentToDead = sent; }
             }
-            if (!restarted && now > 4000) {          // b begins anew; what was said to it before is void for its new life
+            if (!restarted && now > 4000) {          // b restarts; messages to its past incarnation are void for the new one
                 restarted = true;
                 posts[1] = new Post("b", 13, random::nextLong, ends(ways.get(1), came.get(1)));
                 came.get(1).clear();
@@ -150,14 +150,14 @@
                     if (random.nextInt(5) == 0) { posts[1 - i].heard(now, datagram); }
                 }
             }
-            if (!late.isEmpty() && random.nextInt(30) == 0) { // some of it to whom it was not sent to, which is as good as made up
+            if (!late.isEmpty() && random.nextInt(30) == 0) { // some go to the wrong receiver, like forged datagrams
                 posts[random.nextInt(2)].heard(now, late.get(random.nextInt(late.size())));
             }
         }
         List<String> got = came.get(1).stream().map(one -> one.substring(3)).toList();
         assertThat(came.get(1)).allMatch(one -> one.startsWith("11:")).doesNotHaveDuplicates();
         int before = sentToDead;
-        // What was queued when it began anew goes to one life or the other; what was sent after it was known goes to the new one.
+        // What was queued at the restart goes to either incarnation; what was sent after the restart was noticed goes to the new one.
         assertThat(got).allMatch(one -> Integer.parseInt(one.substring(1)) > 0);
         assertThat(toLast.stream().filter(one -> Integer.parseInt(one.substring(1)) > before + 40).toList()).allMatch(got::contains);
         assertThat(posts[0].outstanding()).isZero();
@@ -183,8 +183,8 @@
             public void ended(Unit unit) { ended[0]++; }
         });
         for (int i = 0; i < 100_000; i++) { assertThat(table.open(i * 0.01, i, Mode.UNIT)).isNotNull(); }
-        assertThat(table.open(1000.5, 1, Mode.UNIT)).isNotNull(); // the longest silent one gave way
-        assertThat(table.open(900, 1, Mode.UNIT)).isNull(); // none has been silent for a second
+        assertThat(table.open(1000.5, 1, Mode.UNIT)).isNotNull(); // the longest idle one was abandoned
+        assertThat(table.open(900, 1, Mode.UNIT)).isNull(); // none has been idle for a second
         for (int i = 0; i < 300_000; i++) { table.open(2000 + i * 0.02, i, Mode.UNIT); }
         assertThat(table.size()).isLessThanOrEqualTo(100_000);
         assertThat(ended[0]).isEqualTo(table.counts.opened - table.size());
@@ -201,7 +201,7 @@
 
     @ParameterizedTest
     @EnumSource(value = UnitsModel.Fault.class, names = "NONE", mode = EnumSource.Mode.EXCLUDE)
-    void theNearestStatesOfAFaultKeepTheRules(UnitsModel.Fault fault) { // all of them are more than a test has time for
+    void theNearestStatesOfAFaultKeepTheRules(UnitsModel.Fault fault) { // visiting all states takes longer than a test may
         List<String> breach = UnitsModel.explore(Mode.UNIT, Mode.SINGLE, fault, 1, UnitsModel.Without.NOTHING, 60_000).breach();
         assertThat(breach == null || breach.get(breach.size() - 1).contains("more than")).as(String.valueOf(breach)).isTrue();
     }
