--- a/lab/src/yardusher/units/UnitsModel.java
+++ b/lab/src/yardusher/units/UnitsModel.java
@@ -91,75 +91,75 @@
         int most;                                    // the highest part that was started
 
         World copy() {
-            World w = new World();
-            w.home = home == null ? null : home.copy();
-            w.old = old == null ? null : old.copy();
-            w.homeAt = homeAt;
-            w.now = now;
-            w.slots = new Slot[slots.length];
-            for (int i = 0; i < slots.length; i++) { w.slots[i] = slots[i].clone(); }
-            w.grants = new TreeSet<>(grants);
-            w.words = new TreeSet<>(words);
-            w.life1 = life1;
-            w.told1 = told1;
-            w.crashed = crashed;
-            w.handed = handed;
-            w.ends = ends;
-            w.ended = ended;
-            w.hall = hall;
-            w.most = most;
-            w.repeated = repeated;
-            w.doubled = doubled;
-            return w;
+            World copy = new World();
+            copy.home = home == null ? null : home.copy();
+            copy.old = old == null ? null : old.copy();
+            copy.homeAt = homeAt;
+            copy.now = now;
+            copy.slots = new Slot[slots.length];
+            for (int i = 0; i < slots.length; i++) { copy.slots[i] = slots[i].clone(); }
+            copy.grants = new TreeSet<>(grants);
+            copy.words = new TreeSet<>(words);
+            copy.life1 = life1;
+            copy.told1 = told1;
+            copy.crashed = crashed;
+            copy.handed = handed;
+            copy.ends = ends;
+            copy.ended = ended;
+            copy.hall = hall;
+            copy.most = most;
+            copy.repeated = repeated;
+            copy.doubled = doubled;
+            return copy;
         }
 
         /** Drops what has no effect any more, so that equivalent states are one. */
         void tidy() {
             if (without != Without.NOTHING) { return; }
-            words.removeIf(word -> {
-                String[] m = word.split(" ");
-                return home == null || home.out() == null || home.grants() != Integer.parseInt(m[2]) || !home.out().holder().equals(NAMES[Integer.parseInt(m[0])])
-                        || home.out().life() != Integer.parseInt(m[1]);
+            words.removeIf(report -> {
+                String[] fields = report.split(" ");
+                return home == null || home.out() == null || home.grants() != Integer.parseInt(fields[2]) || !home.out().holder().equals(NAMES[Integer.parseInt(fields[0])])
+                        || home.out().life() != Integer.parseInt(fields[1]);
             });
             grants.removeIf(message -> {
-                String[] m = message.split(" ");
-                Slot slot = slots[Integer.parseInt(m[0])];
-                int grant = Integer.parseInt(m[1]);
-                boolean waits = slot.stage == WAITS && slot.life == life(slot.at);
-                boolean owes = slot.life == life(slot.at) && slot.grant != grant && home != null && home.out() != null && home.grants() == grant;
+                String[] fields = message.split(" ");
+                Slot request = slots[Integer.parseInt(fields[0])];
+                int grant = Integer.parseInt(fields[1]);
+                boolean waits = request.stage == WAITS && request.life == life(request.at);
+                boolean owes = request.life == life(request.at) && request.grant != grant && home != null && home.out() != null && home.grants() == grant;
                 return !waits && !owes;
             });
             boolean over = home == null || home.state().isOver();
             for (int i = 0; i < slots.length; i++) {
-                Slot slot = slots[i];
-                if (slot.stage == OVER) {
-                    slot.bound = slot.hall = -1;
-                    slot.gaveUp = false;
-                    boolean named = home != null && home.out() != null && home.out().ask() == i && home.grants() == slot.grant;
-                    if (!named) { slot.grant = 0; }
+                Slot request = slots[i];
+                if (request.stage == OVER) {
+                    request.bound = request.hall = -1;
+                    request.gaveUp = false;
+                    boolean named = home != null && home.out() != null && home.out().ask() == i && home.grants() == request.grant;
+                    if (!named) { request.grant = 0; }
                 }
                 if (over) {
-                    slot.asks = 2;
-                    slot.withdrawn = false;
+                    request.asks = 2;
+                    request.withdrawn = false;
                 }
-                if (slot.at == homeAt) { slot.withdrawn = false; }
+                if (request.at == homeAt) { request.withdrawn = false; }
             }
         }
 
         String key() {
             int base = home == null ? 0 : home.grants();
             StringBuilder text = new StringBuilder(200).append(home == null ? "-" : home.shape(now)).append(old == null ? "" : old.shape(now)).append(homeAt);
-            for (Slot slot : slots) {
-                text.append(' ').append(slot.stage).append(slot.life).append(slot.asks).append(slot.grant == 0 ? 99 : base - slot.grant).append(slot.bound).append(slot.hall)
-                        .append(slot.open ? 'o' : '-').append(slot.going ? 'r' : '-').append(slot.gaveUp ? 'u' : '-').append(slot.withdrawn ? 'w' : '-');
+            for (Slot request : slots) {
+                text.append(' ').append(request.stage).append(request.life).append(request.asks).append(request.grant == 0 ? 99 : base - request.grant).append(request.bound).append(request.hall)
+                        .append(request.open ? 'o' : '-').append(request.going ? 'r' : '-').append(request.gaveUp ? 'u' : '-').append(request.withdrawn ? 'w' : '-');
             }
             for (String grant : grants) {
-                String[] m = grant.split(" ");
-                text.append(" g").append(m[0]).append(',').append(base - Integer.parseInt(m[1])).append(',').append(m[2]);
+                String[] fields = grant.split(" ");
+                text.append(" g").append(fields[0]).append(',').append(base - Integer.parseInt(fields[1])).append(',').append(fields[2]);
             }
-            for (String word : words) {
-                String[] m = word.split(" ");
-                text.append(" d").append(m[0]).append(m[1]).append(',').append(base - Integer.parseInt(m[2])).append(',').append(m[3]).append(m[4]).append(m[5]);
+            for (String report : words) {
+                String[] fields = report.split(" ");
+                text.append(" d").append(fields[0]).append(fields[1]).append(',').append(base - Integer.parseInt(fields[2])).append(',').append(fields[3]).append(fields[4]).append(fields[5]);
             }
             return text.append(life1).append(told1).append(crashed).append(handed).append(ends).append(Math.min(ended, 2)).append(hall).append(most).append(repeated).append(doubled).toString();
         }
@@ -168,22 +168,22 @@
         Unit.Sink sink() {
             return new Unit.Sink() {
                 @Override
-                public void grant(Unit unit, Ticket t, int grant) {
-                    String message = t.ask() + " " + grant + " " + (unit.mode == Mode.SESSION ? unit.server() : unit.zone());
-                    if (t.holder().equals(NAMES[homeAt])) { afterwards.add(() -> granted(message)); } else { grants.add(message); }
+                public void grant(Unit unit, Ticket ticket, int grantNumber) {
+                    String message = ticket.ask() + " " + grantNumber + " " + (unit.mode == Mode.SESSION ? unit.server() : unit.zone());
+                    if (ticket.holder().equals(NAMES[homeAt])) { afterwards.add(() -> granted(message)); } else { grants.add(message); }
                 }
 
                 @Override
-                public void refuse(Unit unit, Ticket t, Refusal why, long figure) {
-                    Slot slot = slots[(int) t.ask()];
-                    if (why != Refusal.MOVED && slot.stage == WAITS && slot.life == t.life()) { slot.stage = OVER; }
+                public void refuse(Unit unit, Ticket ticket, Refusal reason, long detail) {
+                    Slot request = slots[(int) ticket.ask()];
+                    if (reason != Refusal.MOVED && request.stage == WAITS && request.life == ticket.life()) { request.stage = OVER; }
                 }
 
                 @Override
-                public void waits(Unit unit, Ticket t) { }
+                public void waits(Unit unit, Ticket ticket) { }
 
                 @Override
-                public void told(Unit unit, Ticket t) { }
+                public void told(Unit unit, Ticket ticket) { }
 
                 @Override
                 public void ended(Unit unit) {
@@ -203,33 +203,33 @@
 
         void granted(String message) {
             String[] words = message.split(" ");
-            Slot slot = slots[Integer.parseInt(words[0])];
+            Slot request = slots[Integer.parseInt(words[0])];
             int grant = Integer.parseInt(words[1]);
-            boolean here = slot.stage == WAITS && slot.life == life(slot.at) || without == Without.LATE_GRANT && slot.stage == OVER && slot.gaveUp;
+            boolean here = request.stage == WAITS && request.life == life(request.at) || without == Without.LATE_GRANT && request.stage == OVER && request.gaveUp;
             if (here) {
-                slot.stage = RUNS;
-                slot.grant = grant;
-                slot.bound = Integer.parseInt(words[2]);
-                slot.gaveUp = false;
-            } else if (slot.grant != grant && slot.life == life(slot.at)) {
-                word(slot, grant, Unit.Result.NEVER_RAN, false, -1);
+                request.stage = RUNS;
+                request.grant = grant;
+                request.bound = Integer.parseInt(words[2]);
+                request.gaveUp = false;
+            } else if (request.grant != grant && request.life == life(request.at)) {
+                word(request, grant, Unit.Result.NEVER_RAN, false, -1);
             }
         }
 
         int life(int ingress) { return ingress == 0 ? 1 : 1 + life1; }
 
-        void word(Slot slot, int grant, Unit.Result result, boolean loose, int hall) {
-            String message = slot.at + " " + slot.life + " " + grant + " " + result.ordinal() + " " + (loose ? 1 : 0) + " " + hall;
-            if (slot.at == homeAt && home != null) { heard(message); } else { words.add(message); }
+        void word(Slot request, int grant, Unit.Result result, boolean loose, int hall) {
+            String message = request.at + " " + request.life + " " + grant + " " + result.ordinal() + " " + (loose ? 1 : 0) + " " + hall;
+            if (request.at == homeAt && home != null) { heard(message); } else { words.add(message); }
         }
 
         void heard(String message) {
-            String[] m = message.split(" ");
+            String[] fields = message.split(" ");
             for (Unit unit : old == null ? List.of(home) : List.of(home, old)) {
                 boolean any = without == Without.NAMES_AND_TOKENS && unit.out() != null;
-                unit.done(now, any ? unit.out().holder() : NAMES[Integer.parseInt(m[0])], any ? unit.out().life() : Integer.parseInt(m[1]),
-                        any ? unit.grants() : Integer.parseInt(m[2]), Unit.Result.values()[Integer.parseInt(m[3])],
-                        without == Without.SETTLING ? 0 : Integer.parseInt(m[4]), Integer.parseInt(m[5]), Integer.parseInt(m[5]), sink());
+                unit.done(now, any ? unit.out().holder() : NAMES[Integer.parseInt(fields[0])], any ? unit.out().life() : Integer.parseInt(fields[1]),
+                        any ? unit.grants() : Integer.parseInt(fields[2]), Unit.Result.values()[Integer.parseInt(fields[3])],
+                        without == Without.SETTLING ? 0 : Integer.parseInt(fields[4]), Integer.parseInt(fields[5]), Integer.parseInt(fields[5]), sink());
             }
             settleDown();
         }
@@ -311,28 +311,28 @@
     }
 
     /** Adds a state that was reached; a breach is reported with the path to it. */
-    private void reach(World w, String by, int from) {
-        w.tidy();
-        if (broken == null && w.ended > 1) { breach("the unit ended twice"); }
-        if (!seen.add(hash(w.key()))) {
+    private void reach(World state, String by, int from) {
+        state.tidy();
+        if (broken == null && state.ended > 1) { breach("the unit ended twice"); }
+        if (!seen.add(hash(state.key()))) {
             if (broken == null) { return; }
         }
         parents.add(new int[] {from});
         acts.add(by);
-        next.add(w);
+        next.add(state);
         nextNumbers.add(parents.size() - 1);
     }
 
     private interface Act {
-        void on(World w);
+        void on(World state);
     }
 
     private void act(String by, Act act) {
         if (broken != null) { return; }
-        World w = now.copy();
-        act.on(w);
-        w.settleDown();
-        reach(w, by, nowNumber);
+        World state = now.copy();
+        act.on(state);
+        state.settleDown();
+        reach(state, by, nowNumber);
     }
 
     private boolean isOver() { return now.home != null && now.home.state().isOver(); }
@@ -340,25 +340,25 @@
     /** Terminals request parts in any order, each once at each ingress, and each boundary once. */
     private void terminals() {
         for (int i = 0; i < now.slots.length; i++) {
-            Slot slot = now.slots[i];
-            if (slot.stage != NONE) { continue; }
+            Slot request = now.slots[i];
+            if (request.stage != NONE) { continue; }
                 int index = i;
             Slot twin = now.slots[(i + PARTS) % now.slots.length];
             boolean before = i % PARTS == 0 || now.slots[i - 1].stage != NONE || now.slots[(i + PARTS - 1) % now.slots.length].stage != NONE;
             int open = 0;
             for (Slot one : now.slots) { open += one.stage != NONE && one.stage != OVER && one.life == now.life(one.at) ? 1 : 0; }
             if (!before || open > 1 || twin.stage != NONE && now.repeated) { continue; }
-            if (slot.at != now.homeAt || now.home != null) {
-                act("n" + slot.at + " is asked to run part " + slot.part, w -> {
-                    w.repeated |= twin.stage != NONE;
-                    w.slots[index].stage = WAITS;
-                    w.slots[index].life = w.life(w.slots[index].at);
-                    if (w.slots[index].at == w.homeAt) { ask(w, index); }
+            if (request.at != now.homeAt || now.home != null) {
+                act("n" + request.at + " is asked to run part " + request.part, state -> {
+                    state.repeated |= twin.stage != NONE;
+                    state.slots[index].stage = WAITS;
+                    state.slots[index].life = state.life(state.slots[index].at);
+                    if (state.slots[index].at == state.homeAt) { ask(state, index); }
                 });
-                if (slot.at == 1 && Translation.CROSSING.at(other) == Translation.Then.REFUSES) {
-                    act("part " + slot.part + " crosses a unit of its connection at n1", w -> {
-                        w.slots[index].stage = OVER;
-                        w.slots[index].asks = 3;     // the home gets no request
+                if (request.at == 1 && Translation.CROSSING.at(other) == Translation.Then.REFUSES) {
+                    act("part " + request.part + " crosses a unit of its connection at n1", state -> {
+                        state.slots[index].stage = OVER;
+                        state.slots[index].asks = 3;     // the home gets no request
                     });
                 }
             }
@@ -370,147 +370,147 @@
             if ((now.ends & 1 << e) != 0 || e == 2 && (opener != Mode.SESSION || now.homeAt == 1)
                     || e == 3 && (now.home.out() != null || now.home.waitingCount() > 0)) { continue; }
             int bit = e;
-            act(boundaries[e], w -> {
-                w.ends |= 1 << bit;
+            act(boundaries[e], state -> {
+                state.ends |= 1 << bit;
                 Unit.Boundary by = bit < 2 ? Unit.Boundary.SAID : bit == 2 ? Unit.Boundary.CLOSED : Unit.Boundary.SILENT;
-                if (without == Without.ONE_END && w.home.state() != Unit.State.OPEN) { w.ended++; }
-                w.home.end(w.now, by, null, w.sink());
-                if (w.old != null) { w.old.end(w.now, by, null, w.sink()); }
+                if (without == Without.ONE_END && state.home.state() != Unit.State.OPEN) { state.ended++; }
+                state.home.end(state.now, by, null, state.sink());
+                if (state.old != null) { state.old.end(state.now, by, null, state.sink()); }
             });
         }
     }
 
-    private void ask(World w, int index) {
-        Slot slot = w.slots[index];
-        Ticket ticket = new Ticket(index, NAMES[slot.at], slot.life, 5, slot.part, Ticket.Kind.PART, 1e9, slot.part == 2 ? 0 : Double.POSITIVE_INFINITY);
-        if (without == Without.LATE_PART && w.home.state() != Unit.State.OPEN) {
-            w.sink().grant(w.home, ticket, 50 + index);
+    private void ask(World state, int index) {
+        Slot request = state.slots[index];
+        Ticket ticket = new Ticket(index, NAMES[request.at], request.life, 5, request.part, Ticket.Kind.PART, 1e9, request.part == 2 ? 0 : Double.POSITIVE_INFINITY);
+        if (without == Without.LATE_PART && state.home.state() != Unit.State.OPEN) {
+            state.sink().grant(state.home, ticket, 50 + index);
         } else {
-            w.home.ask(w.now, ticket, RULES, w.sink());
+            state.home.ask(state.now, ticket, RULES, state.sink());
         }
-        if (w.old != null) { w.old.ask(w.now, ticket, RULES, w.sink()); }
+        if (state.old != null) { state.old.ask(state.now, ticket, RULES, state.sink()); }
     }
 
     /** Messages that were sent arrive, or not. */
     private void messages() {
         for (int i = 0; i < now.slots.length; i++) {
-            Slot slot = now.slots[i];
+            Slot request = now.slots[i];
             int index = i;
-            if (now.home == null || slot.at == now.homeAt) { continue; }
-            boolean void0 = now.told1 && slot.at == 1 && slot.life != now.life(1); // of an incarnation that the home knows to be gone
-            if (slot.stage >= WAITS && slot.asks < (now.doubled ? 1 : 2) && !void0) {
-                act("n" + slot.at + "'s request for part " + slot.part + " arrives", w -> {
-                    w.doubled |= ++w.slots[index].asks > 1;
-                    ask(w, index);
+            if (now.home == null || request.at == now.homeAt) { continue; }
+            boolean stale = now.told1 && request.at == 1 && request.life != now.life(1); // of an incarnation that the home knows to be gone
+            if (request.stage >= WAITS && request.asks < (now.doubled ? 1 : 2) && !stale) {
+                act("n" + request.at + "'s request for part " + request.part + " arrives", state -> {
+                    state.doubled |= ++state.slots[index].asks > 1;
+                    ask(state, index);
                 });
             }
-            if (slot.withdrawn && !void0) {
-                act("n" + slot.at + "'s withdrawal of part " + slot.part + " arrives", w -> {
-                    for (Unit unit : w.old == null ? List.of(w.home) : List.of(w.home, w.old)) {
-                        unit.withdraw(w.now, NAMES[w.slots[index].at], w.slots[index].life, index, w.sink());
+            if (request.withdrawn && !stale) {
+                act("n" + request.at + "'s withdrawal of part " + request.part + " arrives", state -> {
+                    for (Unit unit : state.old == null ? List.of(state.home) : List.of(state.home, state.old)) {
+                        unit.withdraw(state.now, NAMES[state.slots[index].at], state.slots[index].life, index, state.sink());
                     }
                 });
             }
         }
-        for (String grant : now.grants) { act("grant " + grant + " arrives", w -> w.granted(grant)); }
+        for (String grant : now.grants) { act("grant " + grant + " arrives", state -> state.granted(grant)); }
         if (now.home == null) { return; }
-        for (String word : now.words) { act("report " + word + " arrives", w -> w.heard(word)); }
+        for (String report : now.words) { act("report " + report + " arrives", state -> state.heard(report)); }
     }
 
     /** Holders and regions act on granted parts. */
     private void holders() {
         for (int i = 0; i < now.slots.length; i++) {
-            Slot slot = now.slots[i];
+            Slot request = now.slots[i];
             int index = i;
-            boolean alive = slot.life == now.life(slot.at) && !(slot.at == 0 && now.home == null && now.crashed);
-            if (slot.stage == WAITS && alive) {
-                act("n" + slot.at + " cancels its request for part " + slot.part, w -> {
-                    w.slots[index].stage = OVER;
-                    w.slots[index].gaveUp = true;
-                    w.slots[index].withdrawn = true;
-                    if (w.slots[index].at == w.homeAt && w.home != null) { w.home.withdraw(w.now, NAMES[w.slots[index].at], w.slots[index].life, index, w.sink()); }
+            boolean alive = request.life == now.life(request.at) && !(request.at == 0 && now.home == null && now.crashed);
+            if (request.stage == WAITS && alive) {
+                act("n" + request.at + " cancels its request for part " + request.part, state -> {
+                    state.slots[index].stage = OVER;
+                    state.slots[index].gaveUp = true;
+                    state.slots[index].withdrawn = true;
+                    if (state.slots[index].at == state.homeAt && state.home != null) { state.home.withdraw(state.now, NAMES[state.slots[index].at], state.slots[index].life, index, state.sink()); }
                 });
             }
-            if (slot.stage == RUNS && alive) {
-                act("part " + slot.part + " is refused at n" + slot.at, w -> {
-                    w.slots[index].stage = OVER;
-                    w.word(w.slots[index], w.slots[index].grant, Unit.Result.NEVER_RAN, false, -1);
+            if (request.stage == RUNS && alive) {
+                act("part " + request.part + " is refused at n" + request.at, state -> {
+                    state.slots[index].stage = OVER;
+                    state.word(state.slots[index], state.slots[index].grant, Unit.Result.NEVER_RAN, false, -1);
                 });
                 for (int hall = 0; hall < 2; hall++) {
                     // Until a part has run, the zones are equivalent.
-                    if (slot.bound >= 0 && slot.bound != hall || now.hall < 0 && slot.bound < 0 && hall > 0) { continue; }
+                    if (request.bound >= 0 && request.bound != hall || now.hall < 0 && request.bound < 0 && hall > 0) { continue; }
                     int in = hall;
-                    act("part " + slot.part + " starts in zone " + hall + " for n" + slot.at, w -> begins(w, index, in));
+                    act("part " + request.part + " starts in zone " + hall + " for n" + request.at, state -> begins(state, index, in));
                 }
             }
-            if (slot.stage == OUT && alive && slot.going) {
-                act("part " + slot.part + " is served for n" + slot.at, w -> {
-                    Slot s = w.slots[index];
-                    s.stage = OVER;
-                    s.going = s.open = false;
-                    w.word(s, s.grant, Unit.Result.SERVED, false, s.hall);
+            if (request.stage == OUT && alive && request.going) {
+                act("part " + request.part + " is served for n" + request.at, state -> {
+                    Slot target = state.slots[index];
+                    target.stage = OVER;
+                    target.going = target.open = false;
+                    state.word(target, target.grant, Unit.Result.SERVED, false, target.hall);
                 });
-                act("n" + slot.at + " abandons part " + slot.part + ", which runs on", w -> {
-                    Slot s = w.slots[index];
-                    s.stage = OVER;
-                    s.open = false;
-                    w.word(s, s.grant, Unit.Result.MAY_HAVE_RUN, true, s.hall);
+                act("n" + request.at + " abandons part " + request.part + ", which runs on", state -> {
+                    Slot target = state.slots[index];
+                    target.stage = OVER;
+                    target.open = false;
+                    state.word(target, target.grant, Unit.Result.MAY_HAVE_RUN, true, target.hall);
                 });
             }
-            if (slot.going && !slot.open) {
-                act("the region ends part " + slot.part + ", which was abandoned", w -> w.slots[index].going = false);
+            if (request.going && !request.open) {
+                act("the region ends part " + request.part + ", which was abandoned", state -> state.slots[index].going = false);
             }
         }
     }
 
-    private void begins(World w, int index, int hall) {
-        Slot s = w.slots[index];
-        boolean over = w.home != null && w.home.state().isOver() || w.ended > 0;
-        if (over) { breach("part " + s.part + " is started after the end"); }
-        for (Slot one : w.slots) {
-            if (one == s) { continue; }
-            boolean same = one.part == s.part && s.part > 0;
-            if (same && one.open) { breach("part " + s.part + " has two open attempts at once"); }
-            if (!same && one.going) { breach("part " + s.part + " starts while part " + one.part + ", which it follows, runs"); }
+    private void begins(World state, int index, int hall) {
+        Slot request = state.slots[index];
+        boolean over = state.home != null && state.home.state().isOver() || state.ended > 0;
+        if (over) { breach("part " + request.part + " is started after the end"); }
+        for (Slot other : state.slots) {
+            if (other == request) { continue; }
+            boolean same = other.part == request.part && request.part > 0;
+            if (same && other.open) { breach("part " + request.part + " has two open attempts at once"); }
+            if (!same && other.going) { breach("part " + request.part + " starts while part " + other.part + ", which it follows, runs"); }
         }
-        if (w.hall >= 0 && w.hall != hall) { breach("its parts run in two zones"); }
-        if (s.part > 0 && w.most > s.part) { breach("part " + s.part + " is started after part " + w.most); }
-        w.hall = hall;
-        w.most = Math.max(w.most, s.part);
-        s.stage = OUT;
-        s.hall = hall;
-        s.open = s.going = true;
+        if (state.hall >= 0 && state.hall != hall) { breach("its parts run in two zones"); }
+        if (request.part > 0 && state.most > request.part) { breach("part " + request.part + " is started after part " + state.most); }
+        state.hall = hall;
+        state.most = Math.max(state.most, request.part);
+        request.stage = OUT;
+        request.hall = hall;
+        request.open = request.going = true;
     }
 
     private void faults() {
         boolean loose = false;
-        for (Slot slot : now.slots) { loose |= slot.going && !slot.open; }
+        for (Slot request : now.slots) { loose |= request.going && !request.open; }
         if (!loose && now.home != null && now.now < now.home.looseUntil()) {
-            act("the settling time is over", w -> {
-                w.now++;
-                w.home.advance(w.now, w.sink());
-                if (w.old != null) { w.old.advance(w.now, w.sink()); }
+            act("the settling time is over", state -> {
+                state.now++;
+                state.home.advance(state.now, state.sink());
+                if (state.old != null) { state.old.advance(state.now, state.sink()); }
             });
         }
         if (fault == Fault.OTHER_DIES && now.life1 == 0 && now.homeAt == 0 && !now.crashed && !now.handed) {
-            act("n1 crashes and restarts", w -> {
-                w.life1 = 1;
-                for (Slot one : w.slots) {
+            act("n1 crashes and restarts", state -> {
+                state.life1 = 1;
+                for (Slot one : state.slots) {
                     if (one.at == 1) { one.open = false; }
                 }
             });
         }
         if (now.life1 == 1 && !now.told1 && now.home != null && now.homeAt == 0) {
-            act("n0 learns of n1's new incarnation", w -> {
-                w.told1 = true;
-                w.home.died(w.now, NAMES[1], 2, RULES, w.sink());
+            act("n0 learns of n1's new incarnation", state -> {
+                state.told1 = true;
+                state.home.died(state.now, NAMES[1], 2, RULES, state.sink());
             });
         }
         if (fault == Fault.HOME_DIES && !now.crashed && now.home != null) {
-            act("the home crashes", w -> {
-                w.crashed = true;
-                w.home = null;
-                for (Slot one : w.slots) {
+            act("the home crashes", state -> {
+                state.crashed = true;
+                state.home = null;
+                for (Slot one : state.slots) {
                     if (one.at == 0) {
                         one.open = false;
                         if (one.stage < OVER) { one.stage = OVER; }
@@ -519,22 +519,22 @@
             });
         }
         if (fault == Fault.HANDS_OVER && !now.handed && opener == Mode.UNIT && now.home != null && now.home.state() == Unit.State.OPEN) {
-            act("n0 transfers the unit to n1", w -> {
-                w.handed = true;
-                if (without == Without.SEALING) { w.old = w.home.copy(); }
-                UnitRecord record = w.home.handOver(w.now, w.sink());
-                w.home = Unit.of(record, w.now);
-                w.homeAt = 1;
-                w.home.advance(w.now, w.sink());
+            act("n0 transfers the unit to n1", state -> {
+                state.handed = true;
+                if (without == Without.SEALING) { state.old = state.home.copy(); }
+                UnitRecord record = state.home.handOver(state.now, state.sink());
+                state.home = Unit.of(record, state.now);
+                state.homeAt = 1;
+                state.home.advance(state.now, state.sink());
             });
         }
         if (now.home != null && now.homeAt == 1) {   // requests waiting there are submitted again
             for (int i = 0; i < now.slots.length; i++) {
                 int index = i;
                 if (now.slots[i].at == 1 && now.slots[i].stage == WAITS && now.slots[i].asks < 3) {
-                    act("n1 submits its request to itself for part " + now.slots[i].part, w -> {
-                        w.slots[index].asks = 3;
-                        ask(w, index);
+                    act("n1 submits its request to itself for part " + now.slots[i].part, state -> {
+                        state.slots[index].asks = 3;
+                        ask(state, index);
                     });
                 }
             }
--- a/lab/src/yardusher/units/UnitsWorld.java
+++ b/lab/src/yardusher/units/UnitsWorld.java
@@ -262,24 +262,24 @@
             return switch (without) {
                 case ONE_END -> new UnitTable(self, life, bounds, rules, sink) {
                     @Override
-                    void end(double at, UnitName unit, Unit.Boundary by) { // also reports the state before the end
+                    void end(double atMs, UnitName unit, Unit.Boundary cause) { // also reports the state before the end
                         Unit held = find(unit);
-                        if (held != null && by == Unit.Boundary.CLOSED) { sink.ended(held); }
-                        super.end(at, unit, by);
+                        if (held != null && cause == Unit.Boundary.CLOSED) { sink.ended(held); }
+                        super.end(atMs, unit, cause);
                     }
                 };
                 case STATE_AT_THE_DOOR -> new UnitTable(self, life, bounds, rules, sink) {
-                    private final Map<UnitName, Unit> ever = new HashMap<>();
-                    private int grants = 1000;
+                    private final Map<UnitName, Unit> everHeld = new HashMap<>();
+                    private int nextGrant = 1000;
 
                     @Override
-                    void ask(double at, UnitName unit, Ticket ticket, java.util.function.Predicate<String> silent) {
+                    void ask(double atMs, UnitName unit, Ticket ticket, java.util.function.Predicate<String> isSilent) {
                         Unit held = find(unit);
-                        if (held != null) { ever.put(unit, held); }
-                        if (held == null && ever.containsKey(unit) && ticket.kind().isPart()) {
-                            sink.grant(ever.get(unit), ticket, grants++);
+                        if (held != null) { everHeld.put(unit, held); }
+                        if (held == null && everHeld.containsKey(unit) && ticket.kind().isPart()) {
+                            sink.grant(everHeld.get(unit), ticket, nextGrant++);
                         } else {
-                            super.ask(at, unit, ticket, silent);
+                            super.ask(atMs, unit, ticket, isSilent);
                         }
                     }
                 };
--- a/src/main/java/yardusher/units/UnitTable.java
+++ b/src/main/java/yardusher/units/UnitTable.java
@@ -53,16 +53,16 @@
         this.rules = rules;
         this.sink = new Unit.Sink() {
             @Override
-            public void grant(Unit unit, Ticket ticket, int grant) {
+            public void grant(Unit unit, Ticket ticket, int grantNumber) {
                 counts.grants++;
                 outs.put(unit.name, unit);
-                sink.grant(unit, ticket, grant);
+                sink.grant(unit, ticket, grantNumber);
             }
 
             @Override
-            public void refuse(Unit unit, Ticket ticket, Refusal why, long figure) {
+            public void refuse(Unit unit, Ticket ticket, Refusal reason, long detail) {
                 counts.refused++;
-                sink.refuse(unit, ticket, why, figure);
+                sink.refuse(unit, ticket, reason, detail);
             }
 
             @Override
--- a/src/test/java/yardusher/units/UnitsTest.java
+++ b/src/test/java/yardusher/units/UnitsTest.java
@@ -109,10 +109,10 @@
             public void transmit(String to, byte[] datagram) { out.add(datagram); }
 
             @Override
-            public void message(String from, long life, byte[] body) { came.add(life + ":" + new String(body, StandardCharsets.ISO_8859_1)); }
+            public void message(String from, long incarnation, byte[] body) { came.add(incarnation + ":" + new String(body, StandardCharsets.ISO_8859_1)); }
 
             @Override
-            public void newLife(String name, long life) { }
+            public void newLife(String name, long incarnation) { }
         };
     }
 
@@ -168,10 +168,10 @@
         int[] ended = new int[1];
         UnitTable table = new UnitTable("n0", 7, new UnitTable.Bounds(100_000, 1_000_000, 30_000, 1000), new Unit.Rules(16, 100), new Unit.Sink() {
             @Override
-            public void grant(Unit unit, Ticket ticket, int grant) { }
+            public void grant(Unit unit, Ticket ticket, int grantNumber) { }
 
             @Override
-            public void refuse(Unit unit, Ticket ticket, Refusal why, long figure) { }
+            public void refuse(Unit unit, Ticket ticket, Refusal reason, long detail) { }
 
             @Override
             public void waits(Unit unit, Ticket ticket) { }
