--- a/lab/src/yardusher/units/UnitsModel.java
+++ b/lab/src/yardusher/units/UnitsModel.java
@@ -17,7 +17,7 @@
  */
 final class UnitsModel {
     /** A rule that is left out, to show that the model detects it. The names are arguments of {@link #main}. */
-    enum Without {
+    enum Omission {
         NOTHING,
         /** A report counts whatever its holder, incarnation and grant. */
         NAMES_AND_TOKENS,
@@ -34,35 +34,35 @@
     }
 
     /** The one larger fault that may occur at any time. */
-    enum Fault { NONE, OTHER_DIES, HOME_DIES, HANDS_OVER }
+    enum Fault { NONE, OTHER_RESTARTS, HOME_CRASHES, HOME_TRANSFERS }
 
     /** The number of states, and the actions that lead to the first breach of a rule, null for none. */
-    record Found(int states, List<String> breach) { }
+    record Result(int states, List<String> breachPath) { }
 
     private static final int PARTS = 3;
     private static final String[] NAMES = {"n0", "n1"};
     private static final Unit.Rules RULES = new Unit.Rules(8, 1);
-    private static final int NONE = 0, WAITS = 1, RUNS = 2, OUT = 3, OVER = 4;
+    private static final int NOT_REQUESTED = 0, WAITING = 1, GRANTED = 2, STARTED = 3, FINISHED = 4;
 
     /** A terminal's request for a part at one ingress, and its progress there. */
-    private static final class Slot implements Cloneable {
-        int at;
+    private static final class PartRequest implements Cloneable {
+        int ingress;
         int part;
-        int life;                                    // of the ingress when it sent the request
+        int incarnation;                                    // of the ingress when it sent the request
         int stage;
-        int asks;                                    // how often the request has arrived at the home
-        int grant;
-        int bound = -1;                              // the zone it may run in
-        int hall = -1;
-        boolean open;                                // the ingress has its connection to the region open
-        boolean going;                               // the region runs it
-        boolean gaveUp;
+        int arrivals;                                    // how often the request has arrived at the home
+        int grantNumber;
+        int boundZone = -1;                              // the zone it may run in
+        int ranInZone = -1;
+        boolean connected;                                // the ingress has its connection to the region open
+        boolean running;                               // the region runs it
+        boolean cancelled;
         boolean withdrawn;
 
         @Override
-        public Slot clone() {
+        public PartRequest clone() {
             try {
-                return (Slot) super.clone();
+                return (PartRequest) super.clone();
             } catch (CloneNotSupportedException e) {
                 throw new IllegalStateException(e);
             }
@@ -71,236 +71,236 @@
     }
 
     /** One state of the model. */
-    private final class World {
+    private final class ModelState {
         Unit home;                                   // null after a crash
-        Unit old;                                    // the former home, if it was not sealed
-        int homeAt;
-        int now;
-        Slot[] slots;
-        TreeSet<String> grants = new TreeSet<>();    // "request grantNumber zone"
-        TreeSet<String> words = new TreeSet<>();     // "ingress incarnation grantNumber result mayRunOn zone"
-        int life1;                                   // restarts of the other ingress
-        boolean told1;                               // whether the home knows of the restart
-        boolean crashed;
-        boolean handed;
-        int ends;                                    // a bit for each boundary
-        int ended;                                   // how often the unit was reported as ended
-        int hall = -1;                               // where the parts ran
-        boolean repeated;                            // a part was requested at both ingresses
-        boolean doubled;                             // a request has arrived twice
-        int most;                                    // the highest part that was started
-
-        World copy() {
-            World copy = new World();
+        Unit unsealedHome;                                    // the former home, if it was not sealed
+        int homeIngress;
+        int time;
+        PartRequest[] requests;
+        TreeSet<String> grantMessages = new TreeSet<>();    // "request grantNumber zone"
+        TreeSet<String> reports = new TreeSet<>();     // "ingress incarnation grantNumber result mayRunOn zone"
+        int otherRestarts;                                   // restarts of the other ingress
+        boolean homeKnowsRestart;                               // whether the home knows of the restart
+        boolean homeCrashed;
+        boolean transferred;
+        int usedBoundaries;                                    // a bit for each boundary
+        int endCount;                                   // how often the unit was reported as ended
+        int zone = -1;                               // where the parts ran
+        boolean partRepeated;                            // a part was requested at both ingresses
+        boolean requestDuplicated;                             // a request has arrived twice
+        int latestPart;                                    // the highest part that was started
+
+        ModelState copy() {
+            ModelState copy = new ModelState();
             copy.home = home == null ? null : home.copy();
-            copy.old = old == null ? null : old.copy();
-            copy.homeAt = homeAt;
-            copy.now = now;
-            copy.slots = new Slot[slots.length];
-            for (int i = 0; i < slots.length; i++) { copy.slots[i] = slots[i].clone(); }
-            copy.grants = new TreeSet<>(grants);
-            copy.words = new TreeSet<>(words);
-            copy.life1 = life1;
-            copy.told1 = told1;
-            copy.crashed = crashed;
-            copy.handed = handed;
-            copy.ends = ends;
-            copy.ended = ended;
-            copy.hall = hall;
-            copy.most = most;
-            copy.repeated = repeated;
-            copy.doubled = doubled;
+            copy.unsealedHome = unsealedHome == null ? null : unsealedHome.copy();
+            copy.homeIngress = homeIngress;
+            copy.time = time;
+            copy.requests = new PartRequest[requests.length];
+            for (int i = 0; i < requests.length; i++) { copy.requests[i] = requests[i].clone(); }
+            copy.grantMessages = new TreeSet<>(grantMessages);
+            copy.reports = new TreeSet<>(reports);
+            copy.otherRestarts = otherRestarts;
+            copy.homeKnowsRestart = homeKnowsRestart;
+            copy.homeCrashed = homeCrashed;
+            copy.transferred = transferred;
+            copy.usedBoundaries = usedBoundaries;
+            copy.endCount = endCount;
+            copy.zone = zone;
+            copy.latestPart = latestPart;
+            copy.partRepeated = partRepeated;
+            copy.requestDuplicated = requestDuplicated;
             return copy;
         }
 
         /** Drops what has no effect any more, so that equivalent states are one. */
-        void tidy() {
-            if (without != Without.NOTHING) { return; }
-            words.removeIf(report -> {
+        void normalize() {
+            if (omission != Omission.NOTHING) { return; }
+            reports.removeIf(report -> {
                 String[] fields = report.split(" ");
-                return home == null || home.out() == null || home.grants() != Integer.parseInt(fields[2]) || !home.out().holder().equals(NAMES[Integer.parseInt(fields[0])])
-                        || home.out().life() != Integer.parseInt(fields[1]);
+                return home == null || home.granted() == null || home.grantCount() != Integer.parseInt(fields[2]) || !home.granted().holder().equals(NAMES[Integer.parseInt(fields[0])])
+                        || home.granted().incarnation() != Integer.parseInt(fields[1]);
             });
-            grants.removeIf(message -> {
+            grantMessages.removeIf(message -> {
                 String[] fields = message.split(" ");
-                Slot request = slots[Integer.parseInt(fields[0])];
+                PartRequest request = requests[Integer.parseInt(fields[0])];
                 int grant = Integer.parseInt(fields[1]);
-                boolean waits = request.stage == WAITS && request.life == life(request.at);
-                boolean owes = request.life == life(request.at) && request.grant != grant && home != null && home.out() != null && home.grants() == grant;
-                return !waits && !owes;
+                boolean waiting = request.stage == WAITING && request.incarnation == incarnationOf(request.ingress);
+                boolean owes = request.incarnation == incarnationOf(request.ingress) && request.grantNumber != grant && home != null && home.granted() != null && home.grantCount() == grant;
+                return !waiting && !owes;
             });
             boolean over = home == null || home.state().isOver();
-            for (int i = 0; i < slots.length; i++) {
-                Slot request = slots[i];
-                if (request.stage == OVER) {
-                    request.bound = request.hall = -1;
-                    request.gaveUp = false;
-                    boolean named = home != null && home.out() != null && home.out().ask() == i && home.grants() == request.grant;
-                    if (!named) { request.grant = 0; }
+            for (int i = 0; i < requests.length; i++) {
+                PartRequest request = requests[i];
+                if (request.stage == FINISHED) {
+                    request.boundZone = request.ranInZone = -1;
+                    request.cancelled = false;
+                    boolean named = home != null && home.granted() != null && home.granted().requestId() == i && home.grantCount() == request.grantNumber;
+                    if (!named) { request.grantNumber = 0; }
                 }
                 if (over) {
-                    request.asks = 2;
+                    request.arrivals = 2;
                     request.withdrawn = false;
                 }
-                if (request.at == homeAt) { request.withdrawn = false; }
+                if (request.ingress == homeIngress) { request.withdrawn = false; }
             }
         }
 
-        String key() {
-            int base = home == null ? 0 : home.grants();
-            StringBuilder text = new StringBuilder(200).append(home == null ? "-" : home.shape(now)).append(old == null ? "" : old.shape(now)).append(homeAt);
-            for (Slot request : slots) {
-                text.append(' ').append(request.stage).append(request.life).append(request.asks).append(request.grant == 0 ? 99 : base - request.grant).append(request.bound).append(request.hall)
-                        .append(request.open ? 'o' : '-').append(request.going ? 'r' : '-').append(request.gaveUp ? 'u' : '-').append(request.withdrawn ? 'w' : '-');
+        String stateKey() {
+            int grantCount = home == null ? 0 : home.grantCount();
+            StringBuilder text = new StringBuilder(200).append(home == null ? "-" : home.stateKey(time)).append(unsealedHome == null ? "" : unsealedHome.stateKey(time)).append(homeIngress);
+            for (PartRequest request : requests) {
+                text.append(' ').append(request.stage).append(request.incarnation).append(request.arrivals).append(request.grantNumber == 0 ? 99 : grantCount - request.grantNumber).append(request.boundZone).append(request.ranInZone)
+                        .append(request.connected ? 'o' : '-').append(request.running ? 'r' : '-').append(request.cancelled ? 'u' : '-').append(request.withdrawn ? 'w' : '-');
             }
-            for (String grant : grants) {
+            for (String grant : grantMessages) {
                 String[] fields = grant.split(" ");
-                text.append(" g").append(fields[0]).append(',').append(base - Integer.parseInt(fields[1])).append(',').append(fields[2]);
+                text.append(" g").append(fields[0]).append(',').append(grantCount - Integer.parseInt(fields[1])).append(',').append(fields[2]);
             }
-            for (String report : words) {
+            for (String report : reports) {
                 String[] fields = report.split(" ");
-                text.append(" d").append(fields[0]).append(fields[1]).append(',').append(base - Integer.parseInt(fields[2])).append(',').append(fields[3]).append(fields[4]).append(fields[5]);
+                text.append(" d").append(fields[0]).append(fields[1]).append(',').append(grantCount - Integer.parseInt(fields[2])).append(',').append(fields[3]).append(fields[4]).append(fields[5]);
             }
-            return text.append(life1).append(told1).append(crashed).append(handed).append(ends).append(Math.min(ended, 2)).append(hall).append(most).append(repeated).append(doubled).toString();
+            return text.append(otherRestarts).append(homeKnowsRestart).append(homeCrashed).append(transferred).append(usedBoundaries).append(Math.min(endCount, 2)).append(zone).append(latestPart).append(partRepeated).append(requestDuplicated).toString();
         }
 
         /** Turns the home's results into messages of the model. */
-        Unit.Sink sink() {
-            return new Unit.Sink() {
+        Unit.Listener listener() {
+            return new Unit.Listener() {
                 @Override
-                public void grant(Unit unit, Ticket ticket, int grantNumber) {
-                    String message = ticket.ask() + " " + grantNumber + " " + (unit.mode == Mode.SESSION ? unit.server() : unit.zone());
-                    if (ticket.holder().equals(NAMES[homeAt])) { afterwards.add(() -> granted(message)); } else { grants.add(message); }
+                public void onGrant(Unit unit, Ticket ticket, int grantNumber) {
+                    String message = ticket.requestId() + " " + grantNumber + " " + (unit.mode == Mode.SESSION ? unit.region() : unit.zone());
+                    if (ticket.holder().equals(NAMES[homeIngress])) { deferred.add(() -> deliverGrant(message)); } else { grantMessages.add(message); }
                 }
 
                 @Override
-                public void refuse(Unit unit, Ticket ticket, Refusal reason, long detail) {
-                    Slot request = slots[(int) ticket.ask()];
-                    if (reason != Refusal.MOVED && request.stage == WAITS && request.life == ticket.life()) { request.stage = OVER; }
+                public void onRefuse(Unit unit, Ticket ticket, Refusal reason, long detail) {
+                    PartRequest request = requests[(int) ticket.requestId()];
+                    if (reason != Refusal.MOVED && request.stage == WAITING && request.incarnation == ticket.incarnation()) { request.stage = FINISHED; }
                 }
 
                 @Override
-                public void waits(Unit unit, Ticket ticket) { }
+                public void onQueued(Unit unit, Ticket ticket) { }
 
                 @Override
-                public void told(Unit unit, Ticket ticket) { }
+                public void handleOutcome(Unit unit, Ticket ticket) { }
 
                 @Override
-                public void ended(Unit unit) {
-                    ended++;
-                    for (Slot one : slots) {
-                        if (one.going) { breach("the unit ended and its binding is free while part " + one.part + " runs"); }
+                public void onEnded(Unit unit) {
+                    endCount++;
+                    for (PartRequest one : requests) {
+                        if (one.running) { recordBreach("the unit ended and its binding is free while part " + one.part + " runs"); }
                     }
                 }
             };
         }
 
-        final List<Runnable> afterwards = new ArrayList<>();
+        final List<Runnable> deferred = new ArrayList<>();
 
-        void settleDown() {
-            while (!afterwards.isEmpty()) { afterwards.remove(0).run(); }
+        void runDeferred() {
+            while (!deferred.isEmpty()) { deferred.remove(0).run(); }
         }
 
-        void granted(String message) {
-            String[] words = message.split(" ");
-            Slot request = slots[Integer.parseInt(words[0])];
-            int grant = Integer.parseInt(words[1]);
-            boolean here = request.stage == WAITS && request.life == life(request.at) || without == Without.LATE_GRANT && request.stage == OVER && request.gaveUp;
-            if (here) {
-                request.stage = RUNS;
-                request.grant = grant;
-                request.bound = Integer.parseInt(words[2]);
-                request.gaveUp = false;
-            } else if (request.grant != grant && request.life == life(request.at)) {
-                word(request, grant, Unit.Result.NEVER_RAN, false, -1);
+        void deliverGrant(String message) {
+            String[] fields = message.split(" ");
+            PartRequest request = requests[Integer.parseInt(fields[0])];
+            int grantNumber = Integer.parseInt(fields[1]);
+            boolean accepted = request.stage == WAITING && request.incarnation == incarnationOf(request.ingress) || omission == Omission.LATE_GRANT && request.stage == FINISHED && request.cancelled;
+            if (accepted) {
+                request.stage = GRANTED;
+                request.grantNumber = grantNumber;
+                request.boundZone = Integer.parseInt(fields[2]);
+                request.cancelled = false;
+            } else if (request.grantNumber != grantNumber && request.incarnation == incarnationOf(request.ingress)) {
+                report(request, grantNumber, Unit.Result.NEVER_RAN, false, -1);
             }
         }
 
-        int life(int ingress) { return ingress == 0 ? 1 : 1 + life1; }
+        int incarnationOf(int ingress) { return ingress == 0 ? 1 : 1 + otherRestarts; }
 
-        void word(Slot request, int grant, Unit.Result result, boolean loose, int hall) {
-            String message = request.at + " " + request.life + " " + grant + " " + result.ordinal() + " " + (loose ? 1 : 0) + " " + hall;
-            if (request.at == homeAt && home != null) { heard(message); } else { words.add(message); }
+        void report(PartRequest request, int grantNumber, Unit.Result result, boolean mayRunOn, int ranInZone) {
+            String message = request.ingress + " " + request.incarnation + " " + grantNumber + " " + result.ordinal() + " " + (mayRunOn ? 1 : 0) + " " + ranInZone;
+            if (request.ingress == homeIngress && home != null) { deliverReport(message); } else { reports.add(message); }
         }
 
-        void heard(String message) {
+        void deliverReport(String message) {
             String[] fields = message.split(" ");
-            for (Unit unit : old == null ? List.of(home) : List.of(home, old)) {
-                boolean any = without == Without.NAMES_AND_TOKENS && unit.out() != null;
-                unit.done(now, any ? unit.out().holder() : NAMES[Integer.parseInt(fields[0])], any ? unit.out().life() : Integer.parseInt(fields[1]),
-                        any ? unit.grants() : Integer.parseInt(fields[2]), Unit.Result.values()[Integer.parseInt(fields[3])],
-                        without == Without.SETTLING ? 0 : Integer.parseInt(fields[4]), Integer.parseInt(fields[5]), Integer.parseInt(fields[5]), sink());
+            for (Unit unit : unsealedHome == null ? List.of(home) : List.of(home, unsealedHome)) {
+                boolean acceptAny = omission == Omission.NAMES_AND_TOKENS && unit.granted() != null;
+                unit.partDone(time, acceptAny ? unit.granted().holder() : NAMES[Integer.parseInt(fields[0])], acceptAny ? unit.granted().incarnation() : Integer.parseInt(fields[1]),
+                        acceptAny ? unit.grantCount() : Integer.parseInt(fields[2]), Unit.Result.values()[Integer.parseInt(fields[3])],
+                        omission == Omission.SETTLING ? 0 : Integer.parseInt(fields[4]), Integer.parseInt(fields[5]), Integer.parseInt(fields[5]), listener());
             }
-            settleDown();
+            runDeferred();
         }
     }
 
-    private final Mode opener;
-    private final Mode other;
-    private final Without without;
-    private final int mostStates;
+    private final Mode openerMode;
+    private final Mode otherMode;
+    private final Omission omission;
+    private final int maxStates;
     private final Fault fault;
-    private final int mostEnds;
-    private final Set<Long> seen = new HashSet<>();
+    private final int maxBoundaries;
+    private final Set<Long> visited = new HashSet<>();
     private final List<int[]> parents = new ArrayList<>();
-    private final List<String> acts = new ArrayList<>();
-    private final ArrayDeque<World> next = new ArrayDeque<>();
-    private final ArrayDeque<Integer> nextNumbers = new ArrayDeque<>();
-    private World now;
-    private int nowNumber;
-    private String broken;
-
-    private UnitsModel(Mode opener, Mode other, Fault fault, int mostEnds, Without without, int mostStates) {
+    private final List<String> actions = new ArrayList<>();
+    private final ArrayDeque<ModelState> queue = new ArrayDeque<>();
+    private final ArrayDeque<Integer> queueIndexes = new ArrayDeque<>();
+    private ModelState current;
+    private int currentIndex;
+    private String firstBreach;
+
+    private UnitsModel(Mode openerMode, Mode otherMode, Fault fault, int maxBoundaries, Omission omission, int maxStates) {
         this.fault = fault;
-        this.mostEnds = mostEnds;
-        this.opener = opener;
-        this.other = other;
-        this.without = without;
-        this.mostStates = mostStates;
+        this.maxBoundaries = maxBoundaries;
+        this.openerMode = openerMode;
+        this.otherMode = otherMode;
+        this.omission = omission;
+        this.maxStates = maxStates;
     }
 
     /** Visits all states for the modes of the opening and the other ingress. More than {@code maxStates} states count as a breach. */
-    static Found explore(Mode opener, Mode other, Fault fault, int mostEnds, Without without, int mostStates) {
-        return new UnitsModel(opener, other, fault, mostEnds, without, mostStates).run();
+    static Result explore(Mode openerMode, Mode otherMode, Fault fault, int maxBoundaries, Omission omission, int maxStates) {
+        return new UnitsModel(openerMode, otherMode, fault, maxBoundaries, omission, maxStates).run();
     }
 
-    private void breach(String what) {
-        if (broken == null) { broken = what; }
+    private void recordBreach(String what) {
+        if (firstBreach == null) { firstBreach = what; }
     }
 
-    private Found run() {
-        World first = new World();
-        first.home = new Unit(new UnitName(NAMES[0], 1, 1), 5, opener, 0);
-        first.slots = new Slot[2 * PARTS];
-        for (int i = 0; i < first.slots.length; i++) {
-            first.slots[i] = new Slot();
-            first.slots[i].at = i / PARTS;
+    private Result run() {
+        ModelState first = new ModelState();
+        first.home = new Unit(new UnitName(NAMES[0], 1, 1), 5, openerMode, 0);
+        first.requests = new PartRequest[2 * PARTS];
+        for (int i = 0; i < first.requests.length; i++) {
+            first.requests[i] = new PartRequest();
+            first.requests[i].ingress = i / PARTS;
             // Requests of a session have no part number; the home assigns it.
-            first.slots[i].part = i / PARTS == 0 && opener == Mode.SESSION ? 0 : 1 + i % PARTS;
+            first.requests[i].part = i / PARTS == 0 && openerMode == Mode.SESSION ? 0 : 1 + i % PARTS;
         }
-        reach(first, "initial state", -1);
-        while (!next.isEmpty()) {
-            now = next.poll();
-            nowNumber = nextNumbers.poll();
-            terminals();
-            messages();
-            holders();
-            faults();
-            if (broken != null) { return new Found(seen.size(), way()); }
-            if (seen.size() > mostStates) {
-                broken = "more than " + mostStates + " states";
-                return new Found(seen.size(), way());
+        addState(first, "initial state", -1);
+        while (!queue.isEmpty()) {
+            current = queue.poll();
+            currentIndex = queueIndexes.poll();
+            exploreTerminals();
+            exploreMessages();
+            exploreHolders();
+            exploreFaults();
+            if (firstBreach != null) { return new Result(visited.size(), pathToBreach()); }
+            if (visited.size() > maxStates) {
+                firstBreach = "more than " + maxStates + " states";
+                return new Result(visited.size(), pathToBreach());
             }
         }
-        return new Found(seen.size(), null);
+        return new Result(visited.size(), null);
     }
 
-    private List<String> way() {
-        List<String> way = new ArrayList<>();
-        for (int at = parents.size() - 1; at >= 0; at = parents.get(at)[0]) { way.add(acts.get(at)); }
-        Collections.reverse(way);
-        way.add("BREACH: " + broken);
-        return way;
+    private List<String> pathToBreach() {
+        List<String> path = new ArrayList<>();
+        for (int index = parents.size() - 1; index >= 0; index = parents.get(index)[0]) { path.add(actions.get(index)); }
+        Collections.reverse(path);
+        path.add("BREACH: " + firstBreach);
+        return path;
     }
 
     private static long hash(String text) {
@@ -311,230 +311,230 @@
     }
 
     /** Adds a state that was reached; a breach is reported with the path to it. */
-    private void reach(World state, String by, int from) {
-        state.tidy();
-        if (broken == null && state.ended > 1) { breach("the unit ended twice"); }
-        if (!seen.add(hash(state.key()))) {
-            if (broken == null) { return; }
+    private void addState(ModelState state, String action, int from) {
+        state.normalize();
+        if (firstBreach == null && state.endCount > 1) { recordBreach("the unit ended twice"); }
+        if (!visited.add(hash(state.stateKey()))) {
+            if (firstBreach == null) { return; }
         }
         parents.add(new int[] {from});
-        acts.add(by);
-        next.add(state);
-        nextNumbers.add(parents.size() - 1);
+        actions.add(action);
+        queue.add(state);
+        queueIndexes.add(parents.size() - 1);
     }
 
-    private interface Act {
-        void on(World state);
+    private interface Action {
+        void applyTo(ModelState state);
     }
 
-    private void act(String by, Act act) {
-        if (broken != null) { return; }
-        World state = now.copy();
-        act.on(state);
-        state.settleDown();
-        reach(state, by, nowNumber);
+    private void apply(String description, Action action) {
+        if (firstBreach != null) { return; }
+        ModelState state = current.copy();
+        action.applyTo(state);
+        state.runDeferred();
+        addState(state, description, currentIndex);
     }
 
-    private boolean isOver() { return now.home != null && now.home.state().isOver(); }
+    private boolean isOver() { return current.home != null && current.home.state().isOver(); }
 
     /** Terminals request parts in any order, each once at each ingress, and each boundary once. */
-    private void terminals() {
-        for (int i = 0; i < now.slots.length; i++) {
-            Slot request = now.slots[i];
-            if (request.stage != NONE) { continue; }
+    private void exploreTerminals() {
+        for (int i = 0; i < current.requests.length; i++) {
+            PartRequest request = current.requests[i];
+            if (request.stage != NOT_REQUESTED) { continue; }
                 int index = i;
-            Slot twin = now.slots[(i + PARTS) % now.slots.length];
-            boolean before = i % PARTS == 0 || now.slots[i - 1].stage != NONE || now.slots[(i + PARTS - 1) % now.slots.length].stage != NONE;
-            int open = 0;
-            for (Slot one : now.slots) { open += one.stage != NONE && one.stage != OVER && one.life == now.life(one.at) ? 1 : 0; }
-            if (!before || open > 1 || twin.stage != NONE && now.repeated) { continue; }
-            if (request.at != now.homeAt || now.home != null) {
-                act("n" + request.at + " is asked to run part " + request.part, state -> {
-                    state.repeated |= twin.stage != NONE;
-                    state.slots[index].stage = WAITS;
-                    state.slots[index].life = state.life(state.slots[index].at);
-                    if (state.slots[index].at == state.homeAt) { ask(state, index); }
+            PartRequest twin = current.requests[(i + PARTS) % current.requests.length];
+            boolean mayCome = i % PARTS == 0 || current.requests[i - 1].stage != NOT_REQUESTED || current.requests[(i + PARTS - 1) % current.requests.length].stage != NOT_REQUESTED;
+            int openRequests = 0;
+            for (PartRequest one : current.requests) { openRequests += one.stage != NOT_REQUESTED && one.stage != FINISHED && one.incarnation == current.incarnationOf(one.ingress) ? 1 : 0; }
+            if (!mayCome || openRequests > 1 || twin.stage != NOT_REQUESTED && current.partRepeated) { continue; }
+            if (request.ingress != current.homeIngress || current.home != null) {
+                apply("n" + request.ingress + " is asked to run part " + request.part, state -> {
+                    state.partRepeated |= twin.stage != NOT_REQUESTED;
+                    state.requests[index].stage = WAITING;
+                    state.requests[index].incarnation = state.incarnationOf(state.requests[index].ingress);
+                    if (state.requests[index].ingress == state.homeIngress) { submit(state, index); }
                 });
-                if (request.at == 1 && Translation.CROSSING.at(other) == Translation.Then.REFUSES) {
-                    act("part " + request.part + " crosses a unit of its connection at n1", state -> {
-                        state.slots[index].stage = OVER;
-                        state.slots[index].asks = 3;     // the home gets no request
+                if (request.ingress == 1 && BoundaryRule.CROSSING_PART.actionIn(otherMode) == BoundaryRule.Action.REFUSES) {
+                    apply("part " + request.part + " crosses a unit of its connection at n1", state -> {
+                        state.requests[index].stage = FINISHED;
+                        state.requests[index].arrivals = 3;     // the home gets no request
                     });
                 }
             }
         }
-        if (now.home == null || isOver()) { return; }
+        if (current.home == null || isOver()) { return; }
         String[] boundaries = {"an end is requested at n0", "an end is requested at n1", "the terminal's connection closes", "the unit is idle for too long"};
-        if (Integer.bitCount(now.ends) == mostEnds) { return; } // two different boundaries, or one at both ingresses
-        for (int e = 0; e < boundaries.length; e++) {
-            if ((now.ends & 1 << e) != 0 || e == 2 && (opener != Mode.SESSION || now.homeAt == 1)
-                    || e == 3 && (now.home.out() != null || now.home.waitingCount() > 0)) { continue; }
-            int bit = e;
-            act(boundaries[e], state -> {
-                state.ends |= 1 << bit;
-                Unit.Boundary by = bit < 2 ? Unit.Boundary.SAID : bit == 2 ? Unit.Boundary.CLOSED : Unit.Boundary.SILENT;
-                if (without == Without.ONE_END && state.home.state() != Unit.State.OPEN) { state.ended++; }
-                state.home.end(state.now, by, null, state.sink());
-                if (state.old != null) { state.old.end(state.now, by, null, state.sink()); }
+        if (Integer.bitCount(current.usedBoundaries) == maxBoundaries) { return; } // two different boundaries, or one at both ingresses
+        for (int boundary = 0; boundary < boundaries.length; boundary++) {
+            if ((current.usedBoundaries & 1 << boundary) != 0 || boundary == 2 && (openerMode != Mode.SESSION || current.homeIngress == 1)
+                    || boundary == 3 && (current.home.granted() != null || current.home.waitingCount() > 0)) { continue; }
+            int boundaryIndex = boundary;
+            apply(boundaries[boundary], state -> {
+                state.usedBoundaries |= 1 << boundaryIndex;
+                Unit.Boundary cause = boundaryIndex < 2 ? Unit.Boundary.SAID : boundaryIndex == 2 ? Unit.Boundary.CLOSED : Unit.Boundary.SILENT;
+                if (omission == Omission.ONE_END && state.home.state() != Unit.State.OPEN) { state.endCount++; }
+                state.home.end(state.time, cause, null, state.listener());
+                if (state.unsealedHome != null) { state.unsealedHome.end(state.time, cause, null, state.listener()); }
             });
         }
     }
 
-    private void ask(World state, int index) {
-        Slot request = state.slots[index];
-        Ticket ticket = new Ticket(index, NAMES[request.at], request.life, 5, request.part, Ticket.Kind.PART, 1e9, request.part == 2 ? 0 : Double.POSITIVE_INFINITY);
-        if (without == Without.LATE_PART && state.home.state() != Unit.State.OPEN) {
-            state.sink().grant(state.home, ticket, 50 + index);
+    private void submit(ModelState state, int index) {
+        PartRequest request = state.requests[index];
+        Ticket ticket = new Ticket(index, NAMES[request.ingress], request.incarnation, 5, request.part, Ticket.Kind.PART, 1e9, request.part == 2 ? 0 : Double.POSITIVE_INFINITY);
+        if (omission == Omission.LATE_PART && state.home.state() != Unit.State.OPEN) {
+            state.listener().onGrant(state.home, ticket, 50 + index);
         } else {
-            state.home.ask(state.now, ticket, RULES, state.sink());
+            state.home.submit(state.time, ticket, RULES, state.listener());
         }
-        if (state.old != null) { state.old.ask(state.now, ticket, RULES, state.sink()); }
+        if (state.unsealedHome != null) { state.unsealedHome.submit(state.time, ticket, RULES, state.listener()); }
     }
 
     /** Messages that were sent arrive, or not. */
-    private void messages() {
-        for (int i = 0; i < now.slots.length; i++) {
-            Slot request = now.slots[i];
+    private void exploreMessages() {
+        for (int i = 0; i < current.requests.length; i++) {
+            PartRequest request = current.requests[i];
             int index = i;
-            if (now.home == null || request.at == now.homeAt) { continue; }
-            boolean stale = now.told1 && request.at == 1 && request.life != now.life(1); // of an incarnation that the home knows to be gone
-            if (request.stage >= WAITS && request.asks < (now.doubled ? 1 : 2) && !stale) {
-                act("n" + request.at + "'s request for part " + request.part + " arrives", state -> {
-                    state.doubled |= ++state.slots[index].asks > 1;
-                    ask(state, index);
+            if (current.home == null || request.ingress == current.homeIngress) { continue; }
+            boolean stale = current.homeKnowsRestart && request.ingress == 1 && request.incarnation != current.incarnationOf(1); // of an incarnation that the home knows to be gone
+            if (request.stage >= WAITING && request.arrivals < (current.requestDuplicated ? 1 : 2) && !stale) {
+                apply("n" + request.ingress + "'s request for part " + request.part + " arrives", state -> {
+                    state.requestDuplicated |= ++state.requests[index].arrivals > 1;
+                    submit(state, index);
                 });
             }
             if (request.withdrawn && !stale) {
-                act("n" + request.at + "'s withdrawal of part " + request.part + " arrives", state -> {
-                    for (Unit unit : state.old == null ? List.of(state.home) : List.of(state.home, state.old)) {
-                        unit.withdraw(state.now, NAMES[state.slots[index].at], state.slots[index].life, index, state.sink());
+                apply("n" + request.ingress + "'s withdrawal of part " + request.part + " arrives", state -> {
+                    for (Unit unit : state.unsealedHome == null ? List.of(state.home) : List.of(state.home, state.unsealedHome)) {
+                        unit.withdraw(state.time, NAMES[state.requests[index].ingress], state.requests[index].incarnation, index, state.listener());
                     }
                 });
             }
         }
-        for (String grant : now.grants) { act("grant " + grant + " arrives", state -> state.granted(grant)); }
-        if (now.home == null) { return; }
-        for (String report : now.words) { act("report " + report + " arrives", state -> state.heard(report)); }
+        for (String grant : current.grantMessages) { apply("grant " + grant + " arrives", state -> state.deliverGrant(grant)); }
+        if (current.home == null) { return; }
+        for (String report : current.reports) { apply("report " + report + " arrives", state -> state.deliverReport(report)); }
     }
 
     /** Holders and regions act on granted parts. */
-    private void holders() {
-        for (int i = 0; i < now.slots.length; i++) {
-            Slot request = now.slots[i];
+    private void exploreHolders() {
+        for (int i = 0; i < current.requests.length; i++) {
+            PartRequest request = current.requests[i];
             int index = i;
-            boolean alive = request.life == now.life(request.at) && !(request.at == 0 && now.home == null && now.crashed);
-            if (request.stage == WAITS && alive) {
-                act("n" + request.at + " cancels its request for part " + request.part, state -> {
-                    state.slots[index].stage = OVER;
-                    state.slots[index].gaveUp = true;
-                    state.slots[index].withdrawn = true;
-                    if (state.slots[index].at == state.homeAt && state.home != null) { state.home.withdraw(state.now, NAMES[state.slots[index].at], state.slots[index].life, index, state.sink()); }
+            boolean alive = request.incarnation == current.incarnationOf(request.ingress) && !(request.ingress == 0 && current.home == null && current.homeCrashed);
+            if (request.stage == WAITING && alive) {
+                apply("n" + request.ingress + " cancels its request for part " + request.part, state -> {
+                    state.requests[index].stage = FINISHED;
+                    state.requests[index].cancelled = true;
+                    state.requests[index].withdrawn = true;
+                    if (state.requests[index].ingress == state.homeIngress && state.home != null) { state.home.withdraw(state.time, NAMES[state.requests[index].ingress], state.requests[index].incarnation, index, state.listener()); }
                 });
             }
-            if (request.stage == RUNS && alive) {
-                act("part " + request.part + " is refused at n" + request.at, state -> {
-                    state.slots[index].stage = OVER;
-                    state.word(state.slots[index], state.slots[index].grant, Unit.Result.NEVER_RAN, false, -1);
+            if (request.stage == GRANTED && alive) {
+                apply("part " + request.part + " is refused at n" + request.ingress, state -> {
+                    state.requests[index].stage = FINISHED;
+                    state.report(state.requests[index], state.requests[index].grantNumber, Unit.Result.NEVER_RAN, false, -1);
                 });
-                for (int hall = 0; hall < 2; hall++) {
+                for (int zone = 0; zone < 2; zone++) {
                     // Until a part has run, the zones are equivalent.
-                    if (request.bound >= 0 && request.bound != hall || now.hall < 0 && request.bound < 0 && hall > 0) { continue; }
-                    int in = hall;
-                    act("part " + request.part + " starts in zone " + hall + " for n" + request.at, state -> begins(state, index, in));
+                    if (request.boundZone >= 0 && request.boundZone != zone || current.zone < 0 && request.boundZone < 0 && zone > 0) { continue; }
+                    int chosenZone = zone;
+                    apply("part " + request.part + " starts in zone " + zone + " for n" + request.ingress, state -> startPart(state, index, chosenZone));
                 }
             }
-            if (request.stage == OUT && alive && request.going) {
-                act("part " + request.part + " is served for n" + request.at, state -> {
-                    Slot target = state.slots[index];
-                    target.stage = OVER;
-                    target.going = target.open = false;
-                    state.word(target, target.grant, Unit.Result.SERVED, false, target.hall);
+            if (request.stage == STARTED && alive && request.running) {
+                apply("part " + request.part + " is served for n" + request.ingress, state -> {
+                    PartRequest target = state.requests[index];
+                    target.stage = FINISHED;
+                    target.running = target.connected = false;
+                    state.report(target, target.grantNumber, Unit.Result.SERVED, false, target.ranInZone);
                 });
-                act("n" + request.at + " abandons part " + request.part + ", which runs on", state -> {
-                    Slot target = state.slots[index];
-                    target.stage = OVER;
-                    target.open = false;
-                    state.word(target, target.grant, Unit.Result.MAY_HAVE_RUN, true, target.hall);
+                apply("n" + request.ingress + " abandons part " + request.part + ", which runs on", state -> {
+                    PartRequest target = state.requests[index];
+                    target.stage = FINISHED;
+                    target.connected = false;
+                    state.report(target, target.grantNumber, Unit.Result.MAY_HAVE_RUN, true, target.ranInZone);
                 });
             }
-            if (request.going && !request.open) {
-                act("the region ends part " + request.part + ", which was abandoned", state -> state.slots[index].going = false);
+            if (request.running && !request.connected) {
+                apply("the region ends part " + request.part + ", which was abandoned", state -> state.requests[index].running = false);
             }
         }
     }
 
-    private void begins(World state, int index, int hall) {
-        Slot request = state.slots[index];
-        boolean over = state.home != null && state.home.state().isOver() || state.ended > 0;
-        if (over) { breach("part " + request.part + " is started after the end"); }
-        for (Slot other : state.slots) {
+    private void startPart(ModelState state, int index, int zone) {
+        PartRequest request = state.requests[index];
+        boolean over = state.home != null && state.home.state().isOver() || state.endCount > 0;
+        if (over) { recordBreach("part " + request.part + " is started after the end"); }
+        for (PartRequest other : state.requests) {
             if (other == request) { continue; }
-            boolean same = other.part == request.part && request.part > 0;
-            if (same && other.open) { breach("part " + request.part + " has two open attempts at once"); }
-            if (!same && other.going) { breach("part " + request.part + " starts while part " + other.part + ", which it follows, runs"); }
+            boolean samePart = other.part == request.part && request.part > 0;
+            if (samePart && other.connected) { recordBreach("part " + request.part + " has two open attempts at once"); }
+            if (!samePart && other.running) { recordBreach("part " + request.part + " starts while part " + other.part + ", which it follows, runs"); }
         }
-        if (state.hall >= 0 && state.hall != hall) { breach("its parts run in two zones"); }
-        if (request.part > 0 && state.most > request.part) { breach("part " + request.part + " is started after part " + state.most); }
-        state.hall = hall;
-        state.most = Math.max(state.most, request.part);
-        request.stage = OUT;
-        request.hall = hall;
-        request.open = request.going = true;
+        if (state.zone >= 0 && state.zone != zone) { recordBreach("its parts run in two zones"); }
+        if (request.part > 0 && state.latestPart > request.part) { recordBreach("part " + request.part + " is started after part " + state.latestPart); }
+        state.zone = zone;
+        state.latestPart = Math.max(state.latestPart, request.part);
+        request.stage = STARTED;
+        request.ranInZone = zone;
+        request.connected = request.running = true;
     }
 
-    private void faults() {
-        boolean loose = false;
-        for (Slot request : now.slots) { loose |= request.going && !request.open; }
-        if (!loose && now.home != null && now.now < now.home.looseUntil()) {
-            act("the settling time is over", state -> {
-                state.now++;
-                state.home.advance(state.now, state.sink());
-                if (state.old != null) { state.old.advance(state.now, state.sink()); }
+    private void exploreFaults() {
+        boolean runsOn = false;
+        for (PartRequest request : current.requests) { runsOn |= request.running && !request.connected; }
+        if (!runsOn && current.home != null && current.time < current.home.mayRunUntilMs()) {
+            apply("the settling time is over", state -> {
+                state.time++;
+                state.home.advance(state.time, state.listener());
+                if (state.unsealedHome != null) { state.unsealedHome.advance(state.time, state.listener()); }
             });
         }
-        if (fault == Fault.OTHER_DIES && now.life1 == 0 && now.homeAt == 0 && !now.crashed && !now.handed) {
-            act("n1 crashes and restarts", state -> {
-                state.life1 = 1;
-                for (Slot one : state.slots) {
-                    if (one.at == 1) { one.open = false; }
+        if (fault == Fault.OTHER_RESTARTS && current.otherRestarts == 0 && current.homeIngress == 0 && !current.homeCrashed && !current.transferred) {
+            apply("n1 crashes and restarts", state -> {
+                state.otherRestarts = 1;
+                for (PartRequest request : state.requests) {
+                    if (request.ingress == 1) { request.connected = false; }
                 }
             });
         }
-        if (now.life1 == 1 && !now.told1 && now.home != null && now.homeAt == 0) {
-            act("n0 learns of n1's new incarnation", state -> {
-                state.told1 = true;
-                state.home.died(state.now, NAMES[1], 2, RULES, state.sink());
+        if (current.otherRestarts == 1 && !current.homeKnowsRestart && current.home != null && current.homeIngress == 0) {
+            apply("n0 learns of n1's new incarnation", state -> {
+                state.homeKnowsRestart = true;
+                state.home.holderLost(state.time, NAMES[1], 2, RULES, state.listener());
             });
         }
-        if (fault == Fault.HOME_DIES && !now.crashed && now.home != null) {
-            act("the home crashes", state -> {
-                state.crashed = true;
+        if (fault == Fault.HOME_CRASHES && !current.homeCrashed && current.home != null) {
+            apply("the home crashes", state -> {
+                state.homeCrashed = true;
                 state.home = null;
-                for (Slot one : state.slots) {
-                    if (one.at == 0) {
-                        one.open = false;
-                        if (one.stage < OVER) { one.stage = OVER; }
+                for (PartRequest request : state.requests) {
+                    if (request.ingress == 0) {
+                        request.connected = false;
+                        if (request.stage < FINISHED) { request.stage = FINISHED; }
                     }
                 }
             });
         }
-        if (fault == Fault.HANDS_OVER && !now.handed && opener == Mode.UNIT && now.home != null && now.home.state() == Unit.State.OPEN) {
-            act("n0 transfers the unit to n1", state -> {
-                state.handed = true;
-                if (without == Without.SEALING) { state.old = state.home.copy(); }
-                UnitRecord record = state.home.handOver(state.now, state.sink());
-                state.home = Unit.of(record, state.now);
-                state.homeAt = 1;
-                state.home.advance(state.now, state.sink());
+        if (fault == Fault.HOME_TRANSFERS && !current.transferred && openerMode == Mode.UNIT && current.home != null && current.home.state() == Unit.State.OPEN) {
+            apply("n0 transfers the unit to n1", state -> {
+                state.transferred = true;
+                if (omission == Omission.SEALING) { state.unsealedHome = state.home.copy(); }
+                UnitRecord record = state.home.handOver(state.time, state.listener());
+                state.home = Unit.fromRecord(record, state.time);
+                state.homeIngress = 1;
+                state.home.advance(state.time, state.listener());
             });
         }
-        if (now.home != null && now.homeAt == 1) {   // requests waiting there are submitted again
-            for (int i = 0; i < now.slots.length; i++) {
+        if (current.home != null && current.homeIngress == 1) {   // requests waiting there are submitted again
+            for (int i = 0; i < current.requests.length; i++) {
                 int index = i;
-                if (now.slots[i].at == 1 && now.slots[i].stage == WAITS && now.slots[i].asks < 3) {
-                    act("n1 submits its request to itself for part " + now.slots[i].part, state -> {
-                        state.slots[index].asks = 3;
-                        ask(state, index);
+                if (current.requests[i].ingress == 1 && current.requests[i].stage == WAITING && current.requests[i].arrivals < 3) {
+                    apply("n1 submits its request to itself for part " + current.requests[i].part, state -> {
+                        state.requests[index].arrivals = 3;
+                        submit(state, index);
                     });
                 }
             }
@@ -543,20 +543,20 @@
 
     /** {@code [OMISSION]}: visits all pairs of modes with all faults. */
     public static void main(String[] args) {
-        Without without = args.length > 0 ? Without.valueOf(args[0]) : Without.NOTHING;
-        long all = 0;
+        Omission omission = args.length > 0 ? Omission.valueOf(args[0]) : Omission.NOTHING;
+        long totalStates = 0;
         for (Mode opener : List.of(Mode.SESSION, Mode.UNIT)) {
             for (Mode other : Mode.values()) {
                 for (Fault fault : Fault.values()) {
-                    if (fault == Fault.HANDS_OVER && opener == Mode.SESSION) { continue; } // a session is not transferred
+                    if (fault == Fault.HOME_TRANSFERS && opener == Mode.SESSION) { continue; } // a session is not transferred
                     long from = System.nanoTime();
-                    Found found = explore(opener, other, fault, fault == Fault.NONE ? 2 : 1, without, 12_000_000);
-                    all += found.states();
-                    System.out.printf("%s with %s, %s: %d states, %.1f s%n", opener, other, fault, found.states(), (System.nanoTime() - from) / 1e9);
-                    if (found.breach() != null) { found.breach().forEach(line -> System.out.println("    " + line)); }
+                    Result result = explore(opener, other, fault, fault == Fault.NONE ? 2 : 1, omission, 12_000_000);
+                    totalStates += result.states();
+                    System.out.printf("%s with %s, %s: %d states, %.1f s%n", opener, other, fault, result.states(), (System.nanoTime() - from) / 1e9);
+                    if (result.breachPath() != null) { result.breachPath().forEach(line -> System.out.println("    " + line)); }
                 }
             }
         }
-        System.out.println(all + " states");
+        System.out.println(totalStates + " states");
     }
 }
--- a/src/main/java/yardusher/units/Ticket.java
+++ b/src/main/java/yardusher/units/Ticket.java
@@ -10,19 +10,19 @@
  * @param repeatWindowMs for how long after a first attempt that may have run the request class allows another: 0 for never,
  *        infinity for always
  */
-record Ticket(long ask, String holder, long life, long customer, int part, Kind kind, double dueMs, double repeatMs) {
+record Ticket(long requestId, String holder, long incarnation, long customer, int part, Kind kind, double deadlineMs, double repeatWindowMs) {
     /** What is requested. Ordinals are sent between ingresses. */
     enum Kind {
         PART,
         /** A part that ends the unit once it is served. */
-        LAST,
+        LAST_PART,
         /** The end alone, without a part. */
         END,
         /** Abandons the unit, without a part. */
         ABANDON;
 
-        boolean isPart() { return this == PART || this == LAST; }
+        boolean isPart() { return this == PART || this == LAST_PART; }
     }
 
-    boolean is(String who, long lifeOf, long number) { return ask == number && life == lifeOf && holder.equals(who); }
+    boolean matches(String otherHolder, long otherIncarnation, long otherRequestId) { return requestId == otherRequestId && incarnation == otherIncarnation && holder.equals(otherHolder); }
 }
--- /dev/null
+++ b/src/main/java/yardusher/units/UnitRequest.java
@@ -0,0 +1,131 @@
+package yardusher.units;
+
+import java.nio.ByteBuffer;
+import java.util.function.Consumer;
+import yardusher.core.Deadlines;
+import yardusher.core.Flow;
+import yardusher.core.Order;
+import yardusher.core.Session;
+import yardusher.core.Stay;
+import yardusher.core.Terminal;
+import yardusher.core.EventLoop;
+
+/**
+ * One request that belongs to a unit, at the ingress that received it. It waits for the answer of the unit's home; a part then
+ * runs under the grant it was given. The front sees it as an admitted request, the core as the terminal to answer. A part is
+ * finished when its terminal was answered or has left, and none of its attempts is open.
+ */
+final class UnitRequest implements Stay, Terminal {
+    enum Stage { WAITING, RUNNING, FINISHED }
+
+    final Order clientRequest;
+    final UnitName unit;
+    final long requestId;
+    final int part;
+    final Ticket.Kind kind;
+    final double deadlineMs;
+    private final EventLoop loop;
+    private final Consumer<UnitRequest> onSettled;           // called whenever the request may have finished
+    private final Consumer<UnitRequest> onTerminalLeft;            // called when the terminal has left
+    Stage stage = Stage.WAITING;
+    String home;                                     // the ingress it was sent to; null for this one
+    long homeIncarnation;
+    int hops;                                        // homes it was sent to so far
+    int awaitedPart;                                         // while queued at the home: the part that is due there, else 0
+    Deadlines.Entry timer;
+    // While it runs:
+    Stay admitted;
+    int grantNumber;
+    boolean bindsToRegion;
+    long region = -1;                                // the binding: given by the home, or set by the first attempt that may have run
+    int zone = -1;
+    boolean handedOn;
+    boolean recorded;                                // by the request log behind UnitRequestLog
+    int openAttempts;                                         // attempts that have not ended
+    int attemptZone = -1;                                // the zone of the open attempt's region
+    boolean attemptReleased;                                  // whether the open attempt was allowed to be sent
+    boolean answered;
+    boolean served;
+    boolean mayHaveRun;
+    double mayRunUntilMs = Double.NEGATIVE_INFINITY;    // a region may still run an abandoned attempt until then
+
+    UnitRequest(Order clientRequest, UnitName unit, long requestId, int part, Ticket.Kind kind, EventLoop loop, Consumer<UnitRequest> onSettled, Consumer<UnitRequest> onTerminalLeft) {
+        this.clientRequest = clientRequest;
+        this.unit = unit;
+        this.requestId = requestId;
+        this.part = part;
+        this.kind = kind;
+        this.loop = loop;
+        this.onSettled = onSettled;
+        this.onTerminalLeft = onTerminalLeft;
+        this.deadlineMs = loop.now() + clientRequest.waitMs();
+    }
+
+    @Override
+    public Order order() { return clientRequest; }
+
+    @Override
+    public boolean mayHaveRun() { return mayHaveRun || admitted != null && admitted.mayHaveRun(); }
+
+    @Override
+    public void gone() {
+        if (answered) { return; }
+        answered = true;
+        onTerminalLeft.accept(this);
+    }
+
+    @Override
+    public Session session() { return clientRequest.terminal().session(); }
+
+    /** Marks the request as answered; false if it already was, since each request has exactly one final answer. */
+    private boolean markAnswered() {
+        boolean first = !answered;
+        answered = true;
+        loop.deadlines().cancel(timer);
+        return first;
+    }
+
+    @Override
+    public void served(byte[] value) {
+        served = stage == Stage.RUNNING;
+        if (markAnswered()) { clientRequest.terminal().served(value); }
+        onSettled.accept(this);
+    }
+
+    @Override
+    public void reject(long retryAfterMs, boolean may) {
+        mayHaveRun |= may;
+        if (markAnswered()) { clientRequest.terminal().reject(retryAfterMs, may); }
+        onSettled.accept(this);
+    }
+
+    @Override
+    public void failed(String why, boolean may) {
+        mayHaveRun |= may;
+        if (markAnswered()) { clientRequest.terminal().failed(why, may); }
+        onSettled.accept(this);
+    }
+
+    @Override
+    public Flow begin(long length) {
+        Flow flow = clientRequest.terminal().begin(length);
+        return flow == null ? null : new Flow() {
+            @Override
+            public void part(ByteBuffer bytes, Runnable then) { flow.part(bytes, then); }
+
+            @Override
+            public void end() {
+                served = true;
+                if (markAnswered()) { flow.end(); }
+                onSettled.accept(UnitRequest.this);
+            }
+
+            @Override
+            public void broken() {
+                mayHaveRun = true;
+                if (markAnswered()) { flow.broken(); }
+                onSettled.accept(UnitRequest.this);
+            }
+        };
+    }
+}
--- /dev/null
+++ b/src/main/java/yardusher/units/UnitRequestLog.java
@@ -0,0 +1,110 @@
+package yardusher.units;
+
+import java.util.IdentityHashMap;
+import java.util.Map;
+import java.util.function.Consumer;
+import java.util.function.ToIntFunction;
+import yardusher.Api;
+import yardusher.core.Attempt;
+import yardusher.core.Cargo;
+import yardusher.core.OrderLog;
+import yardusher.core.Request;
+
+/**
+ * A request log that follows the attempts of parts and makes the last check before one is sent: the part must be granted and not
+ * answered yet, and the region must match the unit's binding and the earlier attempts. Requests that are no parts pass unchanged to
+ * the log behind this one.
+ */
+final class UnitRequestLog implements OrderLog {
+    private final OrderLog inner;
+    private final Map<Cargo, UnitRequest> running = new IdentityHashMap<>();
+    private ToIntFunction<Long> zoneOfRegion = region -> -1; // a region's zone, -1 where it is not listed
+    private Consumer<UnitRequest> onSettled = asked -> { };
+    private double settleMs;
+    long blockedAttempts;                                       // attempts that were not sent
+
+    UnitRequestLog(OrderLog inner) { this.inner = inner; }
+
+    void connect(ToIntFunction<Long> newZoneOfRegion, Consumer<UnitRequest> newOnSettled) {
+        zoneOfRegion = newZoneOfRegion;
+        onSettled = newOnSettled;
+    }
+
+    void setSettleMs(double ms) { settleMs = ms; }
+
+    void add(UnitRequest part) { running.put(part.clientRequest.cargo(), part); }
+
+    void remove(UnitRequest part) { running.remove(part.clientRequest.cargo(), part); }
+
+    int runningCount() { return running.size(); }
+
+    private UnitRequest find(Request request) { return running.isEmpty() ? null : running.get(request.order.cargo()); }
+
+    @Override
+    public Admission take(Request request) {
+        Admission admission = inner.take(request);
+        UnitRequest part = find(request);
+        if (part == null || admission == Admission.REFUSED) { return admission; }
+        part.recorded = admission == Admission.RECORDED;
+        return Admission.RECORDED;
+    }
+
+    @Override
+    public void intend(Attempt attempt, Consumer<Boolean> then) {
+        UnitRequest part = find(attempt.request);
+        if (part == null) {
+            inner.intend(attempt, then);
+            return;
+        }
+        part.openAttempts++;
+        part.attemptReleased = false;
+        Consumer<Boolean> check = recorded -> {
+            int zone = zoneOfRegion.applyAsInt(attempt.backend);
+            boolean released = recorded && mayGo(part, attempt.backend, zone);
+            part.attemptZone = zone;                    // noted now: the region may be unlisted when the attempt ends
+            if (recorded && !released) { blockedAttempts++; }
+            part.attemptReleased = released && !attempt.isOver();
+            then.accept(released);
+        };
+        if (part.recorded) { inner.intend(attempt, check); } else { check.accept(true); }
+    }
+
+    private static boolean mayGo(UnitRequest part, long region, int zone) {
+        return part.stage == UnitRequest.Stage.RUNNING && !part.answered && zone >= 0 && (part.region < 0 || part.region == region)
+                && (part.zone < 0 || part.zone == zone);
+    }
+
+    @Override
+    public void written(Attempt attempt) {
+        UnitRequest part = find(attempt.request);
+        if (part == null || part.recorded) { inner.written(attempt); }
+    }
+
+    @Override
+    public void ended(Attempt attempt, Api.Outcome outcome) {
+        UnitRequest part = find(attempt.request);
+        if (part == null) {
+            inner.ended(attempt, outcome);
+            return;
+        }
+        if (part.recorded) { inner.ended(attempt, outcome); }
+        part.openAttempts--;
+        boolean mayHaveRun = part.attemptReleased && !outcome.neverRan();
+        if (mayHaveRun) {
+            part.mayHaveRun |= outcome != Api.Outcome.SERVED;
+            if (part.bindsToRegion) { part.region = attempt.backend; } else { part.zone = part.attemptZone; }
+            boolean answered = outcome == Api.Outcome.SERVED || outcome == Api.Outcome.SERVER_ERROR;
+            if (!answered) { part.mayRunUntilMs = Math.max(part.mayRunUntilMs, attempt.sentAt + attempt.waitMs + settleMs); }
+        }
+        onSettled.accept(part);
+    }
+
+    @Override
+    public void answered(Request request, Answer answer) {
+        UnitRequest part = find(request);
+        if (part == null || part.recorded) { inner.answered(request, answer); }
+    }
+
+    @Override
+    public double retryAfterMs() { return inner.retryAfterMs(); }
+}
--- a/src/main/java/yardusher/units/UnitSettings.java
+++ b/src/main/java/yardusher/units/UnitSettings.java
@@ -19,9 +19,9 @@
  * @param forwardsUnitFields whether a command's unit fields are sent on to the region
  * @param trace whether openings, grants, parts and ends are logged
  */
-public record UnitSettings(Map<String, Mode> modes, int mostOpen, int mostOfCustomer, int mostWaiting, double idleMs, double askMs,
-        double settleMs, double handOverMs, int handOverBytes, boolean sendsUnsure, boolean passOn, boolean trace) {
-    private static final int LEAST_IDLE_MS = 1000;
+public record UnitSettings(Map<String, Mode> modes, int maxOpen, int maxOpenPerCustomer, int maxWaiting, double idleMs, double homeTimeoutMs,
+        double settleMs, double handOverMs, int handOverBytes, boolean proceedsWhenUnsure, boolean forwardsUnitFields, boolean trace) {
+    private static final int MIN_IDLE_MS = 1000;
 
     /** Reads the table; null if the file has none. Errors name the key and the allowed values. */
     public static UnitSettings of(Toml file) {
@@ -30,15 +30,15 @@
         table.only(Set.of("mode", "most_open", "most_open_of_customer", "most_waiting", "idle_ms", "ask_ms", "settle_ms", "hand_over_ms",
                 "hand_over_kb", "when_unsure", "pass_on", "trace"));
         Map<String, Mode> modes = new HashMap<>();
-        for (Toml one : table.tables("mode")) {
-            one.only(Set.of("plan", "mode"));
-            Mode mode = Mode.valueOf(one.choice("mode", "single", "session", "unit", "single").toUpperCase(java.util.Locale.ROOT));
-            if (modes.put(one.text("plan"), mode) != null) {
-                throw new ConfigError.Conflict(null, "units.mode", "units.mode names the plan " + one.text("plan") + " twice");
+        for (Toml entry : table.tables("mode")) {
+            entry.only(Set.of("plan", "mode"));
+            Mode mode = Mode.valueOf(entry.choice("mode", "single", "session", "unit", "single").toUpperCase(java.util.Locale.ROOT));
+            if (modes.put(entry.text("plan"), mode) != null) {
+                throw new ConfigError.Conflict(null, "units.mode", "units.mode names the plan " + entry.text("plan") + " twice");
             }
         }
         return new UnitSettings(modes, table.whole("most_open", 100_000, 1, 1_000_000), table.whole("most_open_of_customer", 1000, 1, 1_000_000),
-                table.whole("most_waiting", 16, 1, 1000), table.whole("idle_ms", 30_000, LEAST_IDLE_MS, 86_400_000),
+                table.whole("most_waiting", 16, 1, 1000), table.whole("idle_ms", 30_000, MIN_IDLE_MS, 86_400_000),
                 table.whole("ask_ms", 400, 10, 60_000), table.whole("settle_ms", 2000, 0, 600_000), table.whole("hand_over_ms", 2000, 0, 60_000),
                 1024 * table.whole("hand_over_kb", 4096, 1, 1 << 20), table.choice("when_unsure", "refuse", "refuse", "send").equals("send"),
                 table.flag("pass_on", false), table.flag("trace", false));
@@ -51,9 +51,9 @@
         }
     }
 
-    Mode mode(String plan) { return modes.getOrDefault(plan, Mode.SINGLE); }
+    Mode modeOf(String plan) { return modes.getOrDefault(plan, Mode.SINGLE); }
 
-    UnitTable.Bounds bounds() { return new UnitTable.Bounds(mostOpen, mostOfCustomer, idleMs, Math.min(idleMs, LEAST_IDLE_MS)); }
+    UnitTable.Limits limits() { return new UnitTable.Limits(maxOpen, maxOpenPerCustomer, idleMs, Math.min(idleMs, MIN_IDLE_MS)); }
 
-    Unit.Rules rules() { return new Unit.Rules(mostWaiting, settleMs); }
+    Unit.Rules rules() { return new Unit.Rules(maxWaiting, settleMs); }
 }
