--- a/lab/src/yardusher/lab/units/UnitsChecker.java
+++ b/lab/src/yardusher/lab/units/UnitsChecker.java
@@ -23,7 +23,8 @@
     public record Execution(String region, String zone, String id, double fromMs, double toMs, double detachedMs) { }
 
     /** A request of a terminal; {@code excused} if its ingress was killed or stopped meanwhile. */
-    public record ClientRequest(String id, String fields, String customer, double sentMs, double waitMs, double answeredMs, int answerCount, boolean served,
+    public record ClientRequest(String id, String fields, String customer, double sentMs, double waitMs, double answeredMs, int answerCount,
+            boolean served,
             boolean excused) { }
 
     /**
@@ -31,11 +32,12 @@
      * "home.incarnation."; {@code endedCalmly}: whether the run ended with a period without faults that is long enough for all units
      * to end; {@code clockSkewMs}: how far the clocks of the processes may be apart.
      */
-    public record History(List<HomeEvent> homeEvents, List<PartStart> partStarts, List<Execution> executions, List<ClientRequest> clientRequests, List<String> lostIncarnations, boolean endedCalmly, double clockSkewMs) { }
+    public record History(List<HomeEvent> homeEvents, List<PartStart> partStarts, List<Execution> executions,
+            List<ClientRequest> clientRequests, List<String> lostIncarnations, boolean endedCalmly, double clockSkewMs) { }
 
-    private static final int ANSWER_SLACK_MS = 50;          // after the deadline; later answers count as late
-    private static final int MAX_LATE_MS = 500;          // a process that got no processor time may answer this late
-    private static final int REQUESTS_PER_LATE_ANSWER = 50;         // one request in this many may be answered late
+    private static final int ANSWER_SLACK_MS = 50;   // after the deadline; later answers count as late
+    private static final int MAX_LATE_MS = 500;      // a process that got no processor time may answer this late
+    private static final int REQUESTS_PER_LATE_ANSWER = 50; // one request in this many may be answered late
 
     private final History history;
     private final List<String> breaches = new ArrayList<>();
@@ -62,7 +64,9 @@
         }
         for (PartStart event : history.partStarts) {
             PartStart before = partById.put(event.id, event);
-            if (before != null && !before.unit.equals(event.unit)) { breaches.add("one request is a part of two units: " + before + " and " + event); }
+            if (before != null && !before.unit.equals(event.unit)) {
+                breaches.add("one request is a part of two units: " + before + " and " + event);
+            }
         }
         for (Execution event : history.executions) {
             PartStart start = partById.get(event.id);
@@ -82,7 +86,9 @@
         for (HomeEvent event : history.homeEvents) {
             boolean movedOrLost = history.lostIncarnations.stream().anyMatch(event.unit::startsWith)
                     || history.homeEvents.stream().anyMatch(other -> other.what.equals("moved") && other.unit.equals(event.unit));
-            if (event.what.equals("opened") && !movedOrLost && !endCounts.containsKey(event.unit)) { breaches.add("a unit never ended: " + event); }
+            if (event.what.equals("opened") && !movedOrLost && !endCounts.containsKey(event.unit)) {
+                breaches.add("a unit never ended: " + event);
+            }
         }
     }
 
@@ -94,7 +100,9 @@
         for (Execution execution : executions) {
             if (endMs == null) { continue; }
             if (execution.fromMs > endMs) { breaches.add("a part was begun after its unit ended at " + endMs + ": " + execution); }
-            if (execution.fromMs <= endMs && execution.toMs > endMs) { breaches.add("the binding was freed at " + endMs + " while a part ran: " + execution); }
+            if (execution.fromMs <= endMs && execution.toMs > endMs) {
+                breaches.add("the binding was freed at " + endMs + " while a part ran: " + execution);
+            }
         }
     }
 
@@ -115,11 +123,16 @@
             for (int j = i + 1; j < executions.size(); j++) {
                 PartStart b = partById.get(executions.get(j).id);
                 boolean samePart = a.id.equals(b.id) || a.part > 0 && a.part == b.part;
-                if (samePart && executions.get(j).fromMs < executions.get(i).detachedMs) { breaches.add("a part was out twice at once in " + unit + ": " + executions.get(i) + " and " + executions.get(j)); }
+                if (samePart && executions.get(j).fromMs < executions.get(i).detachedMs) {
+                    breaches.add("a part was out twice at once in " + unit + ": " + executions.get(i) + " and " + executions.get(j));
+                }
                 if (!samePart && executions.get(j).fromMs < executions.get(i).toMs) {
-                    breaches.add("a part was out while one that it follows may still run, in " + unit + ": " + executions.get(i) + " and " + executions.get(j));
+                    breaches.add("a part was out while one that it follows may still run, in " + unit + ": " + executions.get(i) + " and "
+                            + executions.get(j));
+                }
+                if (a.part > 0 && b.part > 0 && b.part < a.part) {
+                    breaches.add("parts ran out of order in " + unit + ": " + a + " before " + b);
                 }
-                if (a.part > 0 && b.part > 0 && b.part < a.part) { breaches.add("parts ran out of order in " + unit + ": " + a + " before " + b); }
             }
         }
     }
@@ -145,9 +158,12 @@
             }
             counted++;
             late += one.answerCount > 0 && one.answeredMs > one.sentMs + one.waitMs + ANSWER_SLACK_MS ? 1 : 0;
-            boolean boundaryOnly = one.fields.contains(",b=open") || one.fields.contains(",b=abandon") || one.fields.contains(",b=end") && !one.fields.contains(",p=");
+            boolean boundaryOnly = one.fields.contains(",b=open") || one.fields.contains(",b=abandon") || one.fields.contains(",b=end")
+                    && !one.fields.contains(",p=");
             if (boundaryOnly && executionsById.containsKey(one.id)) { breaches.add("a boundary alone reached a region: " + one); }
-            if (!boundaryOnly && one.served && !executionsById.containsKey(one.id)) { breaches.add("served, and no region ran it: " + one); }
+            if (!boundaryOnly && one.served && !executionsById.containsKey(one.id)) {
+                breaches.add("served, and no region ran it: " + one);
+            }
         }
         if (late * REQUESTS_PER_LATE_ANSWER > counted) { breaches.add(late + " of " + counted + " answered late"); }
     }
--- a/lab/src/yardusher/lab/units/UnitsCosts.java
+++ b/lab/src/yardusher/lab/units/UnitsCosts.java
@@ -107,7 +107,8 @@
         }
         Collections.sort(unknown);
         Collections.sort(refused);
-        System.out.printf(Locale.ROOT, "unit reported unknown after its home was killed, %d kills: p50 %.0f ms, max %.0f ms; first refusal p50 %.0f ms, max %.0f ms%n", kills,
+        System.out.printf(Locale.ROOT,
+                "unit reported unknown after its home was killed, %d kills: p50 %.0f ms, max %.0f ms; first refusal p50 %.0f ms, max %.0f ms%n", kills,
                 unknown.get(kills / 2), unknown.get(kills - 1), refused.get(kills / 2), refused.get(kills - 1));
     }
 }
--- a/lab/src/yardusher/lab/units/UnitsRun.java
+++ b/lab/src/yardusher/lab/units/UnitsRun.java
@@ -27,7 +27,7 @@
  * all kinds, under seeded faults. {@link UnitsChecker} checks the traces of the ingresses and the histories of regions and terminals.
  */
 public final class UnitsRun {
-    private static final double CLOCK_SKEW_MS = 8;        // clocks of processes on one machine, and the delay of a log line
+    private static final double CLOCK_SKEW_MS = 8;   // clocks of processes on one machine, and the delay of a log line
     private static final double MIN_STALL_MS = 45;
     private static final String[] MODES = {"session", "unit", "single"};
     private static final Pattern KEY_VALUE = Pattern.compile("([a-z]+)=(\\S+)");
@@ -60,7 +60,8 @@
         StringBuilder seeds = new StringBuilder();
         for (int j = 0; j < Math.min(3, group.size()); j++) { seeds.append(j == 0 ? "" : ", ").append('"').append(Programs.text(group.relayed(j, "view"))).append('"'); }
         return "[view]\nlisten = \"" + Programs.text(group.port(i, "view")) + "\"\nadvertise = \"" + Programs.text(group.relayed(i, "view"))
-                + "\"\ninstallation = \"lab\"\nseeds = [" + seeds + "]\n[units]\n" + moreUnitSettings + "[[units.mode]]\nplan = \"groot\"\nmode = \"" + mode + "\"\n";
+                + "\"\ninstallation = \"lab\"\nseeds = [" + seeds + "]\n[units]\n" + moreUnitSettings
+                + "[[units.mode]]\nplan = \"groot\"\nmode = \"" + mode + "\"\n";
     }
 
     /** Plays one seed and returns the breaches; {@code note} gets a summary. */
@@ -98,7 +99,9 @@
                 Faults faults = new Faults(group, seed, EnumSet.of(Faults.Kind.KILL, Faults.Kind.TERM, Faults.Kind.PAUSE, Faults.Kind.REGION, Faults.Kind.CUT_ONE,
                         Faults.Kind.CUT_ONE_WAY, Faults.Kind.SPLIT, Faults.Kind.LOSS, Faults.Kind.MESS), 3 + processes, ms, ms / 20, ms / 4);
                 for (Faults.Fault fault : faults.schedule()) {
-                    if (Set.of(Faults.Kind.KILL, Faults.Kind.TERM, Faults.Kind.PAUSE).contains(fault.kind())) { disturbed.addAll(fault.at()); }
+                    if (Set.of(Faults.Kind.KILL, Faults.Kind.TERM, Faults.Kind.PAUSE).contains(fault.kind())) {
+                        disturbed.addAll(fault.at());
+                    }
                 }
                 try {
                     faults.play();
@@ -146,7 +149,11 @@
             long customer = 10_000 + index * 1000L + number % 900;
             try {
                 int at = randomIngress(random);
-                if (MODES[(int) ((at + seed) % 3)].equals("session")) { runSession(random, at, customer); } else { runUnit(random, at, customer, number); }
+                if (MODES[(int) ((at + seed) % 3)].equals("session")) {
+                    runSession(random, at, customer);
+                } else {
+                    runUnit(random, at, customer, number);
+                }
                 Thread.sleep(random.nextInt(30));
             } catch (IOException e) { /* the ingress is down at the moment */
             } catch (InterruptedException e) {
@@ -176,7 +183,9 @@
                     if (got.end() == Terminals.End.LOST || got.end() == Terminals.End.SILENT || got.end() == Terminals.End.LATE) { return; }
                 }
             }
-            if (unit != null && random.nextInt(3) == 0) { group.terminals().send(randomIngress(random), command(random, customer, 800).with("u", unit).with("b", "end")); }
+            if (unit != null && random.nextInt(3) == 0) {
+                group.terminals().send(randomIngress(random), command(random, customer, 800).with("u", unit).with("b", "end"));
+            }
         }
     }
 
@@ -211,7 +220,8 @@
                 return;
             }
             for (int i = 0; i < 4; i++) {
-                Terminals.Try ended = group.terminals().send(randomIngress(random), command(random, customer, 800).with("u", unit).with("b", "end"));
+                Terminals.Try ended = group.terminals().send(randomIngress(random),
+                        command(random, customer, 800).with("u", unit).with("b", "end"));
                 if (ended.end() == Terminals.End.SERVED) { break; }
                 Thread.sleep(150);
             }
@@ -234,7 +244,8 @@
                 open.put(key, event);
             } else if (Set.of("served", "error", "busy", "dropped").contains(event.what()) && open.containsKey(key)) {
                 Region.Event from = open.remove(key);
-                executions.add(new UnitsChecker.Execution(from.region(), "hall-" + (from.region().charAt(1) - '0') / 2, from.word(2), from.atMs(), event.atMs(), event.atMs()));
+                executions.add(new UnitsChecker.Execution(from.region(), "hall-" + (from.region().charAt(1) - '0') / 2, from.word(2),
+                        from.atMs(), event.atMs(), event.atMs()));
             }
         }
         List<UnitsChecker.ClientRequest> clientRequests = new ArrayList<>();
@@ -243,22 +254,28 @@
             // A connection may end between two requests; a request sent at that moment is never read.
             boolean excused = disturbed.contains(one.ingress()) || one.end() == Terminals.End.LOST || one.end() == Terminals.End.UNSENT
                     || stalled(one);
-            clientRequests.add(new UnitsChecker.ClientRequest(one.id(), "," + one.words().split(" ")[3], one.words().split(" ")[1], one.sentMs(),
+            clientRequests.add(new UnitsChecker.ClientRequest(one.id(), "," + one.words().split(" ")[3], one.words().split(" ")[1],
+                    one.sentMs(),
                     Integer.parseInt(one.words().replaceAll(".*,d=([0-9]+).*", "$1")), one.answeredMs(), lost ? 0 : 1, one.end() == Terminals.End.SERVED, excused));
         }
         List<String> lost = disturbed.stream().map(i -> "n" + i + ".").toList();
-        breaches.addAll(UnitsChecker.check(new UnitsChecker.History(homeEvents, partStarts, executions, clientRequests, lost, true, CLOCK_SKEW_MS)));
+        breaches.addAll(UnitsChecker.check(new UnitsChecker.History(homeEvents, partStarts, executions, clientRequests, lost, true,
+                CLOCK_SKEW_MS)));
         long ended = homeEvents.stream().filter(one -> one.what().equals("ended")).count();
         long done = homeEvents.stream().filter(one -> one.what().equals("ended") && one.detail().equals("done")).count();
-        note.append(clientRequests.size()).append(" tries, ").append(clientRequests.stream().filter(UnitsChecker.ClientRequest::served).count()).append(" served, ")
-                .append(homeEvents.stream().filter(one -> one.what().equals("opened")).count()).append(" units, ").append(ended).append(" ended, ").append(done)
-                .append(" done, ").append(partStarts.size()).append(" parts; ").append(completedUnits).append(" of ").append(startedUnits).append(" opened units completed, ")
+        note.append(clientRequests.size()).append(" tries, ")
+                .append(clientRequests.stream().filter(UnitsChecker.ClientRequest::served).count()).append(" served, ")
+                .append(homeEvents.stream().filter(one -> one.what().equals("opened")).count()).append(" units, ").append(ended)
+                .append(" ended, ").append(done)
+                .append(" done, ").append(partStarts.size()).append(" parts; ").append(completedUnits).append(" of ").append(startedUnits)
+                .append(" opened units completed, ")
                 .append(stalls.size()).append(" stalls of the machine");
         if (partStarts.isEmpty()) { breaches.add("no part ran"); }
         return breaches;
     }
 
-    private static void readLogLine(String name, String line, List<UnitsChecker.HomeEvent> homeEvents, List<UnitsChecker.PartStart> partStarts, List<String> breaches) {
+    private static void readLogLine(String name, String line, List<UnitsChecker.HomeEvent> homeEvents,
+            List<UnitsChecker.PartStart> partStarts, List<String> breaches) {
         if (line.contains("Exception") || line.contains("\tat ")) { breaches.add(name + ": " + line); }
         if (!line.startsWith(name + " unit ") && !line.startsWith(name + " part ")) { return; }
         Map<String, String> values = new HashMap<>();
@@ -272,7 +289,8 @@
             partStarts.add(new UnitsChecker.PartStart(at, name, unit, part, grantNumber, values.get("id")));
         } else if (line.startsWith(name + " unit ")) {
             String what = line.startsWith(name + " unit handed over") ? "moved" : line.split(" ")[2];
-            homeEvents.add(new UnitsChecker.HomeEvent(at, name, what, unit, values.getOrDefault("mode", values.getOrDefault("state", "")), part, grantNumber));
+            homeEvents.add(new UnitsChecker.HomeEvent(at, name, what, unit, values.getOrDefault("mode", values.getOrDefault("state", "")),
+                    part, grantNumber));
         }
     }
 }
--- a/lab/src/yardusher/units/UnitsModel.java
+++ b/lab/src/yardusher/units/UnitsModel.java
@@ -48,14 +48,14 @@
     private static final class PartRequest implements Cloneable {
         int ingress;
         int part;
-        int incarnation;                                    // of the ingress when it sent the request
+        int incarnation;                             // of the ingress when it sent the request
         int stage;
-        int arrivals;                                    // how often the request has arrived at the home
+        int arrivals;                                // how often the request has arrived at the home
         int grantNumber;
-        int boundZone = -1;                              // the zone it may run in
+        int boundZone = -1;                          // the zone it may run in
         int ranInZone = -1;
-        boolean connected;                                // the ingress has its connection to the region open
-        boolean running;                               // the region runs it
+        boolean connected;                           // the ingress has its connection to the region open
+        boolean running;                             // the region runs it
         boolean cancelled;
         boolean withdrawn;
 
@@ -73,22 +73,22 @@
     /** One state of the model. */
     private final class ModelState {
         Unit home;                                   // null after a crash
-        Unit unsealedHome;                                    // the former home, if it was not sealed
+        Unit unsealedHome;                           // the former home, if it was not sealed
         int homeIngress;
         int time;
         PartRequest[] requests;
-        TreeSet<String> grantMessages = new TreeSet<>();    // "request grantNumber zone"
-        TreeSet<String> reports = new TreeSet<>();     // "ingress incarnation grantNumber result mayRunOn zone"
-        int otherRestarts;                                   // restarts of the other ingress
-        boolean homeKnowsRestart;                               // whether the home knows of the restart
+        TreeSet<String> grantMessages = new TreeSet<>(); // "request grantNumber zone"
+        TreeSet<String> reports = new TreeSet<>();   // "ingress incarnation grantNumber result mayRunOn zone"
+        int otherRestarts;                           // restarts of the other ingress
+        boolean homeKnowsRestart;                    // whether the home knows of the restart
         boolean homeCrashed;
         boolean transferred;
-        int usedBoundaries;                                    // a bit for each boundary
-        int endCount;                                   // how often the unit was reported as ended
+        int usedBoundaries;                          // a bit for each boundary
+        int endCount;                                // how often the unit was reported as ended
         int zone = -1;                               // where the parts ran
-        boolean partRepeated;                            // a part was requested at both ingresses
-        boolean requestDuplicated;                             // a request has arrived twice
-        int latestPart;                                    // the highest part that was started
+        boolean partRepeated;                        // a part was requested at both ingresses
+        boolean requestDuplicated;                   // a request has arrived twice
+        int latestPart;                              // the highest part that was started
 
         ModelState copy() {
             ModelState copy = new ModelState();
@@ -118,7 +118,8 @@
             if (omission != Omission.NOTHING) { return; }
             reports.removeIf(report -> {
                 String[] fields = report.split(" ");
-                return home == null || home.granted() == null || home.grantCount() != Integer.parseInt(fields[2]) || !home.granted().holder().equals(NAMES[Integer.parseInt(fields[0])])
+                return home == null || home.granted() == null || home.grantCount() != Integer.parseInt(fields[2])
+                        || !home.granted().holder().equals(NAMES[Integer.parseInt(fields[0])])
                         || home.granted().incarnation() != Integer.parseInt(fields[1]);
             });
             grantMessages.removeIf(message -> {
@@ -126,7 +127,8 @@
                 PartRequest request = requests[Integer.parseInt(fields[0])];
                 int grant = Integer.parseInt(fields[1]);
                 boolean waiting = request.stage == WAITING && request.incarnation == incarnationOf(request.ingress);
-                boolean owes = request.incarnation == incarnationOf(request.ingress) && request.grantNumber != grant && home != null && home.granted() != null && home.grantCount() == grant;
+                boolean owes = request.incarnation == incarnationOf(request.ingress) && request.grantNumber != grant && home != null
+                        && home.granted() != null && home.grantCount() == grant;
                 return !waiting && !owes;
             });
             boolean over = home == null || home.state().isOver();
@@ -135,7 +137,8 @@
                 if (request.stage == FINISHED) {
                     request.boundZone = request.ranInZone = -1;
                     request.cancelled = false;
-                    boolean named = home != null && home.granted() != null && home.granted().requestId() == i && home.grantCount() == request.grantNumber;
+                    boolean named = home != null && home.granted() != null && home.granted().requestId() == i
+                            && home.grantCount() == request.grantNumber;
                     if (!named) { request.grantNumber = 0; }
                 }
                 if (over) {
@@ -148,20 +151,28 @@
 
         String stateKey() {
             int grantCount = home == null ? 0 : home.grantCount();
-            StringBuilder text = new StringBuilder(200).append(home == null ? "-" : home.stateKey(time)).append(unsealedHome == null ? "" : unsealedHome.stateKey(time)).append(homeIngress);
+            StringBuilder text = new StringBuilder(200).append(home == null ? "-" : home.stateKey(time))
+                    .append(unsealedHome == null ? "" : unsealedHome.stateKey(time)).append(homeIngress);
             for (PartRequest request : requests) {
-                text.append(' ').append(request.stage).append(request.incarnation).append(request.arrivals).append(request.grantNumber == 0 ? 99 : grantCount - request.grantNumber).append(request.boundZone).append(request.ranInZone)
-                        .append(request.connected ? 'o' : '-').append(request.running ? 'r' : '-').append(request.cancelled ? 'u' : '-').append(request.withdrawn ? 'w' : '-');
+                text.append(' ').append(request.stage).append(request.incarnation).append(request.arrivals)
+                        .append(request.grantNumber == 0 ? 99 : grantCount - request.grantNumber).append(request.boundZone)
+                        .append(request.ranInZone)
+                        .append(request.connected ? 'o' : '-').append(request.running ? 'r' : '-').append(request.cancelled ? 'u' : '-')
+                        .append(request.withdrawn ? 'w' : '-');
             }
             for (String grant : grantMessages) {
                 String[] fields = grant.split(" ");
-                text.append(" g").append(fields[0]).append(',').append(grantCount - Integer.parseInt(fields[1])).append(',').append(fields[2]);
+                text.append(" g").append(fields[0]).append(',').append(grantCount - Integer.parseInt(fields[1])).append(',')
+                        .append(fields[2]);
             }
             for (String report : reports) {
                 String[] fields = report.split(" ");
-                text.append(" d").append(fields[0]).append(fields[1]).append(',').append(grantCount - Integer.parseInt(fields[2])).append(',').append(fields[3]).append(fields[4]).append(fields[5]);
+                text.append(" d").append(fields[0]).append(fields[1]).append(',').append(grantCount - Integer.parseInt(fields[2]))
+                        .append(',').append(fields[3]).append(fields[4]).append(fields[5]);
             }
-            return text.append(otherRestarts).append(homeKnowsRestart).append(homeCrashed).append(transferred).append(usedBoundaries).append(Math.min(endCount, 2)).append(zone).append(latestPart).append(partRepeated).append(requestDuplicated).toString();
+            return text.append(otherRestarts).append(homeKnowsRestart).append(homeCrashed).append(transferred).append(usedBoundaries)
+                    .append(Math.min(endCount, 2)).append(zone).append(latestPart).append(partRepeated)
+                    .append(requestDuplicated).toString();
         }
 
         /** Turns the home's results into messages of the model. */
@@ -169,14 +180,21 @@
             return new Unit.Listener() {
                 @Override
                 public void onGrant(Unit unit, Ticket ticket, int grantNumber) {
-                    String message = ticket.requestId() + " " + grantNumber + " " + (unit.mode == Mode.SESSION ? unit.region() : unit.zone());
-                    if (ticket.holder().equals(NAMES[homeIngress])) { deferred.add(() -> deliverGrant(message)); } else { grantMessages.add(message); }
+                    String message = ticket.requestId() + " " + grantNumber + " "
+                            + (unit.mode == Mode.SESSION ? unit.region() : unit.zone());
+                    if (ticket.holder().equals(NAMES[homeIngress])) {
+                        deferred.add(() -> deliverGrant(message));
+                    } else {
+                        grantMessages.add(message);
+                    }
                 }
 
                 @Override
                 public void onRefuse(Unit unit, Ticket ticket, Refusal reason, long detail) {
                     PartRequest request = requests[(int) ticket.requestId()];
-                    if (reason != Refusal.MOVED && request.stage == WAITING && request.incarnation == ticket.incarnation()) { request.stage = FINISHED; }
+                    if (reason != Refusal.MOVED && request.stage == WAITING && request.incarnation == ticket.incarnation()) {
+                        request.stage = FINISHED;
+                    }
                 }
 
                 @Override
@@ -205,7 +223,8 @@
             String[] fields = message.split(" ");
             PartRequest request = requests[Integer.parseInt(fields[0])];
             int grantNumber = Integer.parseInt(fields[1]);
-            boolean accepted = request.stage == WAITING && request.incarnation == incarnationOf(request.ingress) || omission == Omission.LATE_GRANT && request.stage == FINISHED && request.cancelled;
+            boolean accepted = request.stage == WAITING && request.incarnation == incarnationOf(request.ingress)
+                    || omission == Omission.LATE_GRANT && request.stage == FINISHED && request.cancelled;
             if (accepted) {
                 request.stage = GRANTED;
                 request.grantNumber = grantNumber;
@@ -219,7 +238,8 @@
         int incarnationOf(int ingress) { return ingress == 0 ? 1 : 1 + otherRestarts; }
 
         void report(PartRequest request, int grantNumber, Unit.Result result, boolean mayRunOn, int ranInZone) {
-            String message = request.ingress + " " + request.incarnation + " " + grantNumber + " " + result.ordinal() + " " + (mayRunOn ? 1 : 0) + " " + ranInZone;
+            String message = request.ingress + " " + request.incarnation + " " + grantNumber + " " + result.ordinal() + " "
+                    + (mayRunOn ? 1 : 0) + " " + ranInZone;
             if (request.ingress == homeIngress && home != null) { deliverReport(message); } else { reports.add(message); }
         }
 
@@ -227,9 +247,11 @@
             String[] fields = message.split(" ");
             for (Unit unit : unsealedHome == null ? List.of(home) : List.of(home, unsealedHome)) {
                 boolean acceptAny = omission == Omission.NAMES_AND_TOKENS && unit.granted() != null;
-                unit.partDone(time, acceptAny ? unit.granted().holder() : NAMES[Integer.parseInt(fields[0])], acceptAny ? unit.granted().incarnation() : Integer.parseInt(fields[1]),
+                unit.partDone(time, acceptAny ? unit.granted().holder() : NAMES[Integer.parseInt(fields[0])],
+                        acceptAny ? unit.granted().incarnation() : Integer.parseInt(fields[1]),
                         acceptAny ? unit.grantCount() : Integer.parseInt(fields[2]), Unit.Result.values()[Integer.parseInt(fields[3])],
-                        omission == Omission.SETTLING ? 0 : Integer.parseInt(fields[4]), Integer.parseInt(fields[5]), Integer.parseInt(fields[5]), listener());
+                        omission == Omission.SETTLING ? 0 : Integer.parseInt(fields[4]), Integer.parseInt(fields[5]),
+                        Integer.parseInt(fields[5]), listener());
             }
             runDeferred();
         }
@@ -344,9 +366,13 @@
             if (request.stage != NOT_REQUESTED) { continue; }
                 int index = i;
             PartRequest twin = current.requests[(i + PARTS) % current.requests.length];
-            boolean mayCome = i % PARTS == 0 || current.requests[i - 1].stage != NOT_REQUESTED || current.requests[(i + PARTS - 1) % current.requests.length].stage != NOT_REQUESTED;
+            boolean mayCome = i % PARTS == 0 || current.requests[i - 1].stage != NOT_REQUESTED
+                    || current.requests[(i + PARTS - 1) % current.requests.length].stage != NOT_REQUESTED;
             int openRequests = 0;
-            for (PartRequest one : current.requests) { openRequests += one.stage != NOT_REQUESTED && one.stage != FINISHED && one.incarnation == current.incarnationOf(one.ingress) ? 1 : 0; }
+            for (PartRequest one : current.requests) {
+                openRequests += one.stage != NOT_REQUESTED && one.stage != FINISHED && one.incarnation == current.incarnationOf(one.ingress)
+                        ? 1 : 0;
+            }
             if (!mayCome || openRequests > 1 || twin.stage != NOT_REQUESTED && current.partRepeated) { continue; }
             if (request.ingress != current.homeIngress || current.home != null) {
                 apply("n" + request.ingress + " is asked to run part " + request.part, state -> {
@@ -358,13 +384,14 @@
                 if (request.ingress == 1 && BoundaryRule.CROSSING_PART.actionIn(otherMode) == BoundaryRule.Action.REFUSES) {
                     apply("part " + request.part + " crosses a unit of its connection at n1", state -> {
                         state.requests[index].stage = FINISHED;
-                        state.requests[index].arrivals = 3;     // the home gets no request
+                        state.requests[index].arrivals = 3; // the home gets no request
                     });
                 }
             }
         }
         if (current.home == null || isOver()) { return; }
-        String[] boundaries = {"an end is requested at n0", "an end is requested at n1", "the terminal's connection closes", "the unit is idle for too long"};
+        String[] boundaries = {"an end is requested at n0", "an end is requested at n1", "the terminal's connection closes",
+                "the unit is idle for too long"};
         if (Integer.bitCount(current.usedBoundaries) == maxBoundaries) { return; } // two different boundaries, or one at both ingresses
         for (int boundary = 0; boundary < boundaries.length; boundary++) {
             if ((current.usedBoundaries & 1 << boundary) != 0 || boundary == 2 && (openerMode != Mode.SESSION || current.homeIngress == 1)
@@ -372,7 +399,8 @@
             int boundaryIndex = boundary;
             apply(boundaries[boundary], state -> {
                 state.usedBoundaries |= 1 << boundaryIndex;
-                Unit.Boundary cause = boundaryIndex < 2 ? Unit.Boundary.SAID : boundaryIndex == 2 ? Unit.Boundary.CLOSED : Unit.Boundary.SILENT;
+                Unit.Boundary cause = boundaryIndex < 2 ? Unit.Boundary.SAID : boundaryIndex == 2 ? Unit.Boundary.CLOSED
+                        : Unit.Boundary.SILENT;
                 if (omission == Omission.ONE_END && state.home.state() != Unit.State.OPEN) { state.endCount++; }
                 state.home.end(state.time, cause, null, state.listener());
                 if (state.unsealedHome != null) { state.unsealedHome.end(state.time, cause, null, state.listener()); }
@@ -382,7 +410,8 @@
 
     private void submit(ModelState state, int index) {
         PartRequest request = state.requests[index];
-        Ticket ticket = new Ticket(index, NAMES[request.ingress], request.incarnation, 5, request.part, Ticket.Kind.PART, 1e9, request.part == 2 ? 0 : Double.POSITIVE_INFINITY);
+        Ticket ticket = new Ticket(index, NAMES[request.ingress], request.incarnation, 5, request.part, Ticket.Kind.PART, 1e9,
+                request.part == 2 ? 0 : Double.POSITIVE_INFINITY);
         if (omission == Omission.LATE_PART && state.home.state() != Unit.State.OPEN) {
             state.listener().onGrant(state.home, ticket, 50 + index);
         } else {
@@ -397,7 +426,8 @@
             PartRequest request = current.requests[i];
             int index = i;
             if (current.home == null || request.ingress == current.homeIngress) { continue; }
-            boolean stale = current.homeKnowsRestart && request.ingress == 1 && request.incarnation != current.incarnationOf(1); // of an incarnation that the home knows to be gone
+            // of an incarnation that the home knows to be gone
+            boolean stale = current.homeKnowsRestart && request.ingress == 1 && request.incarnation != current.incarnationOf(1);
             if (request.stage >= WAITING && request.arrivals < (current.requestDuplicated ? 1 : 2) && !stale) {
                 apply("n" + request.ingress + "'s request for part " + request.part + " arrives", state -> {
                     state.requestDuplicated |= ++state.requests[index].arrivals > 1;
@@ -407,7 +437,8 @@
             if (request.withdrawn && !stale) {
                 apply("n" + request.ingress + "'s withdrawal of part " + request.part + " arrives", state -> {
                     for (Unit unit : state.unsealedHome == null ? List.of(state.home) : List.of(state.home, state.unsealedHome)) {
-                        unit.withdraw(state.time, NAMES[state.requests[index].ingress], state.requests[index].incarnation, index, state.listener());
+                        unit.withdraw(state.time, NAMES[state.requests[index].ingress], state.requests[index].incarnation, index,
+                                state.listener());
                     }
                 });
             }
@@ -422,13 +453,17 @@
         for (int i = 0; i < current.requests.length; i++) {
             PartRequest request = current.requests[i];
             int index = i;
-            boolean alive = request.incarnation == current.incarnationOf(request.ingress) && !(request.ingress == 0 && current.home == null && current.homeCrashed);
+            boolean alive = request.incarnation == current.incarnationOf(request.ingress)
+                    && !(request.ingress == 0 && current.home == null && current.homeCrashed);
             if (request.stage == WAITING && alive) {
                 apply("n" + request.ingress + " cancels its request for part " + request.part, state -> {
                     state.requests[index].stage = FINISHED;
                     state.requests[index].cancelled = true;
                     state.requests[index].withdrawn = true;
-                    if (state.requests[index].ingress == state.homeIngress && state.home != null) { state.home.withdraw(state.time, NAMES[state.requests[index].ingress], state.requests[index].incarnation, index, state.listener()); }
+                    if (state.requests[index].ingress == state.homeIngress && state.home != null) {
+                        state.home.withdraw(state.time, NAMES[state.requests[index].ingress], state.requests[index].incarnation, index,
+                                state.listener());
+                    }
                 });
             }
             if (request.stage == GRANTED && alive) {
@@ -438,9 +473,12 @@
                 });
                 for (int zone = 0; zone < 2; zone++) {
                     // Until a part has run, the zones are equivalent.
-                    if (request.boundZone >= 0 && request.boundZone != zone || current.zone < 0 && request.boundZone < 0 && zone > 0) { continue; }
+                    if (request.boundZone >= 0 && request.boundZone != zone || current.zone < 0 && request.boundZone < 0 && zone > 0) {
+                        continue;
+                    }
                     int chosenZone = zone;
-                    apply("part " + request.part + " starts in zone " + zone + " for n" + request.ingress, state -> startPart(state, index, chosenZone));
+                    apply("part " + request.part + " starts in zone " + zone + " for n" + request.ingress,
+                            state -> startPart(state, index, chosenZone));
                 }
             }
             if (request.stage == STARTED && alive && request.running) {
@@ -471,10 +509,14 @@
             if (other == request) { continue; }
             boolean samePart = other.part == request.part && request.part > 0;
             if (samePart && other.connected) { recordBreach("part " + request.part + " has two open attempts at once"); }
-            if (!samePart && other.running) { recordBreach("part " + request.part + " starts while part " + other.part + ", which it follows, runs"); }
+            if (!samePart && other.running) {
+                recordBreach("part " + request.part + " starts while part " + other.part + ", which it follows, runs");
+            }
         }
         if (state.zone >= 0 && state.zone != zone) { recordBreach("its parts run in two zones"); }
-        if (request.part > 0 && state.latestPart > request.part) { recordBreach("part " + request.part + " is started after part " + state.latestPart); }
+        if (request.part > 0 && state.latestPart > request.part) {
+            recordBreach("part " + request.part + " is started after part " + state.latestPart);
+        }
         state.zone = zone;
         state.latestPart = Math.max(state.latestPart, request.part);
         request.stage = STARTED;
@@ -492,7 +534,8 @@
                 if (state.unsealedHome != null) { state.unsealedHome.advance(state.time, state.listener()); }
             });
         }
-        if (fault == Fault.OTHER_RESTARTS && current.otherRestarts == 0 && current.homeIngress == 0 && !current.homeCrashed && !current.transferred) {
+        if (fault == Fault.OTHER_RESTARTS && current.otherRestarts == 0 && current.homeIngress == 0 && !current.homeCrashed
+                && !current.transferred) {
             apply("n1 crashes and restarts", state -> {
                 state.otherRestarts = 1;
                 for (PartRequest request : state.requests) {
@@ -518,7 +561,8 @@
                 }
             });
         }
-        if (fault == Fault.HOME_TRANSFERS && !current.transferred && openerMode == Mode.UNIT && current.home != null && current.home.state() == Unit.State.OPEN) {
+        if (fault == Fault.HOME_TRANSFERS && !current.transferred && openerMode == Mode.UNIT && current.home != null
+                && current.home.state() == Unit.State.OPEN) {
             apply("n0 transfers the unit to n1", state -> {
                 state.transferred = true;
                 if (omission == Omission.SEALING) { state.unsealedHome = state.home.copy(); }
@@ -528,7 +572,7 @@
                 state.home.advance(state.time, state.listener());
             });
         }
-        if (current.home != null && current.homeIngress == 1) {   // requests waiting there are submitted again
+        if (current.home != null && current.homeIngress == 1) { // requests waiting there are submitted again
             for (int i = 0; i < current.requests.length; i++) {
                 int index = i;
                 if (current.requests[i].ingress == 1 && current.requests[i].stage == WAITING && current.requests[i].arrivals < 3) {
@@ -552,7 +596,8 @@
                     long from = System.nanoTime();
                     Result result = explore(opener, other, fault, fault == Fault.NONE ? 2 : 1, omission, 12_000_000);
                     totalStates += result.states();
-                    System.out.printf("%s with %s, %s: %d states, %.1f s%n", opener, other, fault, result.states(), (System.nanoTime() - from) / 1e9);
+                    System.out.printf("%s with %s, %s: %d states, %.1f s%n", opener, other, fault, result.states(),
+                            (System.nanoTime() - from) / 1e9);
                     if (result.breachPath() != null) { result.breachPath().forEach(line -> System.out.println("    " + line)); }
                 }
             }
--- a/lab/src/yardusher/units/UnitsScript.java
+++ b/lab/src/yardusher/units/UnitsScript.java
@@ -11,7 +11,8 @@
 /** Runs units in a {@link UnitsSimulation} under seeded faults: terminals of all kinds through ingresses of all modes. */
 final class UnitsScript {
     /** The result of one seed: breaches of rules, counts and the trace. */
-    record Outcome(List<String> breaches, int requests, int served, long opened, long done, long abandoned, long unknown, java.util.Map<String, Integer> answers,
+    record Outcome(List<String> breaches, int requests, int served, long opened, long done, long abandoned, long unknown,
+            java.util.Map<String, Integer> answers,
             List<String> trace) { }
 
     private final UnitsSimulation simulation;
@@ -42,8 +43,11 @@
         }
         List<String> breaches = simulation.breaches(true);
         java.util.Map<String, Integer> answers = new java.util.TreeMap<>();
-        for (TerminalRequest one : simulation.requests) { answers.merge(one.served ? "served" : one.answer.isEmpty() ? "(none)" : one.answer.split(" ")[0], 1, Integer::sum); }
-        return new Outcome(breaches, simulation.requests.size(), (int) simulation.requests.stream().filter(one -> one.served).count(), opened, ended[Unit.State.DONE.ordinal()],
+        for (TerminalRequest one : simulation.requests) {
+            answers.merge(one.served ? "served" : one.answer.isEmpty() ? "(none)" : one.answer.split(" ")[0], 1, Integer::sum);
+        }
+        return new Outcome(breaches, simulation.requests.size(), (int) simulation.requests.stream().filter(one -> one.served).count(),
+                opened, ended[Unit.State.DONE.ordinal()],
                 ended[Unit.State.ABANDONED.ordinal()], ended[Unit.State.UNKNOWN.ordinal()], answers, simulation.trace);
     }
 
@@ -63,8 +67,13 @@
         if (simulation.nodes[node].mode == Mode.SESSION && random.nextInt(4) > 0) {
             Connection connection = simulation.connect(node);
             if (random.nextInt(3) == 0) {
-                simulation.send(connection, customer, UnitsSimulation.IDEMPOTENT, 0, new UnitWord(null, 0, UnitWord.Said.OPEN), 500, opened -> {
-                    if (opened.served) { playParts(connection, customer, opened.answer, 1, 1 + random.nextInt(3), startNext); } else { startNext.run(); }
+                simulation.send(connection, customer, UnitsSimulation.IDEMPOTENT, 0, new UnitWord(null, 0, UnitWord.Said.OPEN), 500,
+                        opened -> {
+                    if (opened.served) {
+                        playParts(connection, customer, opened.answer, 1, 1 + random.nextInt(3), startNext);
+                    } else {
+                        startNext.run();
+                    }
                 });
             } else {
                 playSession(connection, customer, 1 + random.nextInt(5), startNext);
@@ -72,7 +81,8 @@
             if (connection.closed) { startNext.run(); }
             return;
         }
-        TerminalRequest opening = simulation.send(simulation.connect(node), customer, UnitsSimulation.DEDUPLICATED, 1, new UnitWord(null, 0, UnitWord.Said.OPEN), 500, opened -> {
+        TerminalRequest opening = simulation.send(simulation.connect(node), customer, UnitsSimulation.DEDUPLICATED, 1,
+                new UnitWord(null, 0, UnitWord.Said.OPEN), 500, opened -> {
             if (opened.served) { playParts(null, customer, opened.answer, 1, 1 + random.nextInt(4), startNext); } else { startNext.run(); }
         });
         if (opening == null) { startNext.run(); } else { giveUpAfterWait(opening, startNext); }
@@ -83,7 +93,9 @@
         simulation.schedule(request.waitMs + 60, () -> {
             if (request.answerCount == 0 && !request.left) {
                 request.left = true;
-                if (request.admitted != null && request.connection.incarnation == simulation.nodes[request.connection.node].incarnation) { simulation.nodes[request.connection.node].turn(request.admitted::gone); }
+                if (request.admitted != null && request.connection.incarnation == simulation.nodes[request.connection.node].incarnation) {
+                    simulation.nodes[request.connection.node].turn(request.admitted::gone);
+                }
                 then.run();
             }
         });
@@ -97,9 +109,11 @@
             return;
         }
         boolean pipelined = random.nextInt(4) == 0;
-        TerminalRequest first = simulation.send(connection, customer, randomClass(), random.nextLong(), null, 500, pipelined ? any -> { } : any -> playSession(connection, customer, remaining - 1, startNext));
+        TerminalRequest first = simulation.send(connection, customer, randomClass(), random.nextLong(), null, 500, pipelined ? any -> { }
+                : any -> playSession(connection, customer, remaining - 1, startNext));
         if (pipelined) {
-            TerminalRequest second = simulation.send(connection, customer, randomClass(), random.nextLong(), null, 500, any -> playSession(connection, customer, remaining - 1, startNext));
+            TerminalRequest second = simulation.send(connection, customer, randomClass(), random.nextLong(), null, 500,
+                    any -> playSession(connection, customer, remaining - 1, startNext));
             if (second == null) { startNext.run(); } else { giveUpAfterWait(second, startNext); }
         } else if (first == null) {
             startNext.run();
@@ -115,7 +129,10 @@
         }
     }
 
-    private int randomClass() { return new int[] {UnitsSimulation.IDEMPOTENT, UnitsSimulation.DEDUPLICATED, UnitsSimulation.DEDUPLICATED, UnitsSimulation.AT_MOST_ONCE}[random.nextInt(4)]; }
+    private int randomClass() {
+        return new int[] {UnitsSimulation.IDEMPOTENT, UnitsSimulation.DEDUPLICATED, UnitsSimulation.DEDUPLICATED,
+                UnitsSimulation.AT_MOST_ONCE}[random.nextInt(4)];
+    }
 
     /** Sends the parts of a unit, each through a random ingress, and retries through others. */
     private void playParts(Connection homeConnection, long customer, String unit, int part, int count, Runnable startNext) {
@@ -149,14 +166,17 @@
         });
     }
 
-    private void tryPart(Connection homeConnection, long customer, int classIndex, long key, UnitWord word, int remaining, java.util.function.Consumer<Boolean> then) {
-        Connection connection = homeConnection != null && !homeConnection.closed && random.nextInt(3) == 0 ? homeConnection : simulation.connect(randomNode());
+    private void tryPart(Connection homeConnection, long customer, int classIndex, long key, UnitWord word, int remaining,
+            java.util.function.Consumer<Boolean> then) {
+        Connection connection = homeConnection != null && !homeConnection.closed && random.nextInt(3) == 0 ? homeConnection
+                : simulation.connect(randomNode());
         boolean[] finished = {false};
         Runnable retry = () -> {
             if (finished[0]) { return; }
             finished[0] = true;
             if (remaining > 1) {
-                simulation.schedule(10 + random.nextInt(120), () -> tryPart(homeConnection, customer, classIndex, key, word, remaining - 1, then));
+                simulation.schedule(10 + random.nextInt(120), () -> tryPart(homeConnection, customer, classIndex, key, word, remaining - 1,
+                        then));
             } else {
                 then.accept(false);
             }
@@ -185,8 +205,12 @@
             homeConnection.close();
             if (how > 1) { return; }
         }
-        simulation.send(simulation.connect(randomNode()), customer, UnitsSimulation.IDEMPOTENT, 0, UnitsSimulation.end(unit), 500, any -> { });
-        if (how == 5) { simulation.send(simulation.connect(randomNode()), customer, UnitsSimulation.IDEMPOTENT, 0, new UnitWord(unit, 0, UnitWord.Said.ABANDON), 500, any -> { }); }
+        simulation.send(simulation.connect(randomNode()), customer, UnitsSimulation.IDEMPOTENT, 0, UnitsSimulation.end(unit), 500,
+                any -> { });
+        if (how == 5) {
+            simulation.send(simulation.connect(randomNode()), customer, UnitsSimulation.IDEMPOTENT, 0,
+                    new UnitWord(unit, 0, UnitWord.Said.ABANDON), 500, any -> { });
+        }
     }
 
     private void injectFaults(double untilMs) {
@@ -249,7 +273,9 @@
         simulation.schedule(50 + random.nextInt(400), () -> injectFaults(untilMs));
     }
 
-    private UnitsSimulation.SimulatedRegion randomRegion() { return new ArrayList<>(simulation.regions.values()).get(random.nextInt(simulation.regions.size())); }
+    private UnitsSimulation.SimulatedRegion randomRegion() {
+        return new ArrayList<>(simulation.regions.values()).get(random.nextInt(simulation.regions.size()));
+    }
 
     private void heal() {
         simulation.lossRate = simulation.duplicateRate = simulation.delayRate = 0;
@@ -276,7 +302,8 @@
         java.util.Map<String, Integer> answers = new java.util.TreeMap<>();
         for (long seed = first; seed < first + count; seed++) {
             Outcome outcome = play(seed, omission, 4000, 8, modes(seed));
-            long[] counts = {outcome.requests(), outcome.served(), outcome.opened(), outcome.done(), outcome.abandoned(), outcome.unknown()};
+            long[] counts = {outcome.requests(), outcome.served(), outcome.opened(), outcome.done(), outcome.abandoned(),
+                    outcome.unknown()};
             for (int i = 0; i < sums.length; i++) { sums[i] += counts[i]; }
             outcome.answers().forEach((what, times) -> answers.merge(what, times, Integer::sum));
             if (!outcome.breaches().isEmpty()) {
@@ -285,7 +312,8 @@
                 if (count == 1) { outcome.breaches().forEach(System.out::println); outcome.trace().forEach(System.out::println); }
             }
         }
-        System.out.printf("%d seeds, %d with a breach; requests %d, served %d, units opened %d, done %d, abandoned %d, unknown %d%n", count, seedsWithBreach, sums[0], sums[1],
+        System.out.printf("%d seeds, %d with a breach; requests %d, served %d, units opened %d, done %d, abandoned %d, unknown %d%n", count,
+                seedsWithBreach, sums[0], sums[1],
                 sums[2], sums[3], sums[4], sums[5]);
         System.out.println(answers);
     }
--- a/lab/src/yardusher/units/UnitsSimulation.java
+++ b/lab/src/yardusher/units/UnitsSimulation.java
@@ -186,7 +186,8 @@
         public UnitWord unit() { return unitWord; }
 
         String fields() {
-            return unitWord == null ? "" : "," + (unitWord.unit() == null ? "" : "u=" + unitWord.unit()) + (unitWord.part() > 0 ? ",p=" + unitWord.part() : "")
+            return unitWord == null ? "" : "," + (unitWord.unit() == null ? "" : "u=" + unitWord.unit())
+                    + (unitWord.part() > 0 ? ",p=" + unitWord.part() : "")
                     + switch (unitWord.said()) {
                         case OPEN -> ",b=open";
                         case END -> ",b=end";
@@ -205,7 +206,7 @@
         boolean paused;
         boolean draining;
         int incarnation;
-        final List<Runnable> heldWork = new ArrayList<>();       // deferred while the process is paused
+        final List<Runnable> heldWork = new ArrayList<>(); // deferred while the process is paused
         EventLoop loop;
         Ingress core;
         UnitsIntake intake;
@@ -224,7 +225,8 @@
         }
 
         UnitSettings settings() {
-            return new UnitSettings(Map.of("plan", mode), 1000, 100, 16, IDLE_MS, 150, omission == Omission.SETTLING ? 0 : SETTLE_MS, 300, 1 << 20,
+            return new UnitSettings(Map.of("plan", mode), 1000, 100, 16, IDLE_MS, 150, omission == Omission.SETTLING ? 0 : SETTLE_MS, 300,
+                    1 << 20,
                     proceedsWhenUnsure, false, true);
         }
 
@@ -244,7 +246,8 @@
             loop = new EventLoop(() -> now, e -> problems.add(name + ": " + stack(e)));
             loop.turn(() -> {
                 UnitRequestLog log = new UnitRequestLog(OrderLog.NONE);
-                core = new Ingress(apiSettings(index), seed * 31 + index * 7 + incarnation, loop, this, (to, body) -> { }, new Counters(), log);
+                core = new Ingress(apiSettings(index), seed * 31 + index * 7 + incarnation, loop, this, (to, body) -> { }, new Counters(),
+                        log);
                 core.tell(serverList());
                 long unitIncarnation = omission == Omission.LIVES ? 1000 + index : 1000 + index + 100L * incarnation;
                 UnitsIntake.Context place = new UnitsIntake.Context(name, unitIncarnation, loop, core, log, new UnitsIntake.Regions() {
@@ -291,7 +294,9 @@
             if (!up) { return; }
             up = false;
             lostIncarnations.add(name + "." + Long.toHexString(1000 + index + 100L * incarnation) + ".");
-            for (Map.Entry<Attempt, RegionRun> one : runs.entrySet()) { one.getValue().detachedMs = Math.min(one.getValue().detachedMs, now); }
+            for (Map.Entry<Attempt, RegionRun> one : runs.entrySet()) {
+                one.getValue().detachedMs = Math.min(one.getValue().detachedMs, now);
+            }
             for (Connection wire : connections) {
                 if (wire.node == index) { wire.closed = true; }
             }
@@ -342,7 +347,8 @@
                 regionRuns.add(run[0]);
                 runs.put(attempt, run[0]);
                 // The only assumption about a region: it ends an abandoned attempt within the settling time.
-                double serviceMs = Math.min(region.minServiceMs + random.nextDouble() * (region.maxServiceMs - region.minServiceMs), attempt.sentAt + attempt.waitMs + SETTLE_MS - 5 - now);
+                double serviceMs = Math.min(region.minServiceMs + random.nextDouble() * (region.maxServiceMs - region.minServiceMs),
+                        attempt.sentAt + attempt.waitMs + SETTLE_MS - 5 - now);
                 schedule(serviceMs, () -> {
                     if (run[0].finished) { return; }
                     run[0].finished = true;
@@ -350,7 +356,8 @@
                     run[0].detachedMs = Math.min(run[0].detachedMs, now);
                     schedule(0.2 + random.nextDouble(), () -> {
                         if (open[0]) {
-                            onNode(index, startedIncarnation, () -> core.ended(attempt, new Attempt.Result(Api.Outcome.SERVED, ("value " + id).getBytes(StandardCharsets.UTF_8), null)));
+                            onNode(index, startedIncarnation, () -> core.ended(attempt,
+                                    new Attempt.Result(Api.Outcome.SERVED, ("value " + id).getBytes(StandardCharsets.UTF_8), null)));
                         }
                     });
                 });
@@ -359,7 +366,9 @@
                     run[0].finished = true;
                     run[0].toMs = now;
                     run[0].detachedMs = Math.min(run[0].detachedMs, now);
-                    if (open[0]) { onNode(index, startedIncarnation, () -> core.ended(attempt, Attempt.Result.of(Api.Outcome.CONNECTION_LOST))); }
+                    if (open[0]) {
+                        onNode(index, startedIncarnation, () -> core.ended(attempt, Attempt.Result.of(Api.Outcome.CONNECTION_LOST)));
+                    }
                 });
             });
         }
@@ -394,7 +403,8 @@
 
         private View.Member memberAt(int other) {
             boolean alive = other == index || now - lastHeardMs[other] < FAILURE_DETECTION_MS;
-            return new Member(nodes[other].name, "hall", nodes[other].address(), nodes[other].incarnation, alive ? State.ALIVE : State.GONE);
+            return new Member(nodes[other].name, "hall", nodes[other].address(), nodes[other].incarnation,
+                    alive ? State.ALIVE : State.GONE);
         }
 
         void detectFailures() {
@@ -410,7 +420,9 @@
                     (alive ? came : gone).add(memberAt(i));
                 }
             }
-            if ((!came.isEmpty() || !gone.isEmpty()) && viewFollower != null) { loop.turn(() -> viewFollower.accept(new Change(picture(), came, gone))); }
+            if ((!came.isEmpty() || !gone.isEmpty()) && viewFollower != null) {
+                loop.turn(() -> viewFollower.accept(new Change(picture(), came, gone)));
+            }
         }
 
         @Override
@@ -446,10 +458,12 @@
             String unit = values.get("unit");
             if (text.startsWith("unit ") || text.equals("part granted")) {
                 String what = text.equals("part granted") ? "granted" : text.equals("unit handed over") ? "moved" : text.substring(5);
-                homeEvents.add(new UnitsChecker.HomeEvent(now, name, what, unit, values.getOrDefault("mode", values.getOrDefault("state", "")),
+                homeEvents.add(new UnitsChecker.HomeEvent(now, name, what, unit,
+                        values.getOrDefault("mode", values.getOrDefault("state", "")),
                         Integer.parseInt(values.getOrDefault("part", "0")), Integer.parseInt(values.getOrDefault("grant", "0"))));
             } else if (text.equals("part begins")) {
-                partStarts.add(new UnitsChecker.PartStart(now, name, unit, Integer.parseInt(values.get("part")), Integer.parseInt(values.get("grant")), values.get("id")));
+                partStarts.add(new UnitsChecker.PartStart(now, name, unit, Integer.parseInt(values.get("part")),
+                        Integer.parseInt(values.get("grant")), values.get("id")));
             }
         }
 
@@ -489,7 +503,8 @@
     private final List<String> lostIncarnations = new ArrayList<>();
     private final List<double[]> disturbances = new ArrayList<>(); // node, from, to
     private final Map<SimulatedRegion, List<Runnable>> crashHandlers = new HashMap<>();
-    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> a.atMs() != b.atMs() ? Double.compare(a.atMs(), b.atMs()) : Long.compare(a.sequence(), b.sequence()));
+    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> a.atMs() != b.atMs() ? Double.compare(a.atMs(), b.atMs())
+            : Long.compare(a.sequence(), b.sequence()));
     final boolean[][] partitioned;
     double lossRate;
     double duplicateRate;
@@ -568,8 +583,11 @@
     }
 
     /** Sends a request on a connection; null if the connection has ended. */
-    TerminalRequest send(Connection connection, long customer, int classIndex, long key, UnitWord unitWord, double waitMs, Consumer<TerminalRequest> onAnswer) {
-        if (connection.closed || !nodes[connection.node].up || nodes[connection.node].incarnation != connection.incarnation) { return null; }
+    TerminalRequest send(Connection connection, long customer, int classIndex, long key, UnitWord unitWord, double waitMs,
+            Consumer<TerminalRequest> onAnswer) {
+        if (connection.closed || !nodes[connection.node].up || nodes[connection.node].incarnation != connection.incarnation) {
+            return null;
+        }
         TerminalRequest request = new TerminalRequest(connection, customer, classIndex, key, unitWord, waitMs);
         request.onAnswer = onAnswer;
         requests.add(request);
@@ -651,13 +669,17 @@
         for (TerminalRequest one : requests) {
             double endMs = Double.isNaN(one.answeredMs) ? now : one.answeredMs;
             boolean excused = one.left || one.connection.closed && Double.isNaN(one.answeredMs);
-            for (double[] disturbance : disturbances) { excused |= disturbance[0] == one.connection.node && disturbance[1] <= endMs && disturbance[2] >= one.sentMs; }
-            clientRequests.add(new UnitsChecker.ClientRequest(String.format("%016x", one.id), one.fields(), Long.toString(one.customer), one.sentMs, one.waitMs, one.answeredMs,
+            for (double[] disturbance : disturbances) {
+                excused |= disturbance[0] == one.connection.node && disturbance[1] <= endMs && disturbance[2] >= one.sentMs;
+            }
+            clientRequests.add(new UnitsChecker.ClientRequest(String.format("%016x", one.id), one.fields(), Long.toString(one.customer),
+                    one.sentMs, one.waitMs, one.answeredMs,
                     one.answerCount, one.served, excused));
         }
         List<UnitsChecker.Execution> executions = new ArrayList<>();
         for (RegionRun one : regionRuns) {
-            executions.add(new UnitsChecker.Execution(one.region.name(), "hall-" + one.region.zone, one.id, one.fromMs, Math.min(one.toMs, now + 1e6), one.detachedMs));
+            executions.add(new UnitsChecker.Execution(one.region.name(), "hall-" + one.region.zone, one.id, one.fromMs,
+                    Math.min(one.toMs, now + 1e6), one.detachedMs));
         }
         return new UnitsChecker.History(homeEvents, partStarts, executions, clientRequests, lostIncarnations, endedCalmly, 0);
     }
--- a/src/main/java/yardusher/units/BoundaryRule.java
+++ b/src/main/java/yardusher/units/BoundaryRule.java
@@ -75,7 +75,9 @@
         StringBuilder text = new StringBuilder("| what happens | at `session` | at `unit` | at `single` |\n| --- | --- | --- | --- |\n");
         for (BoundaryRule rule : values()) {
             text.append("| ").append(rule.description);
-            for (Mode mode : Mode.values()) { text.append(" | ").append(rule.actionIn(mode).name().toLowerCase(Locale.ROOT).replace('_', ' ')); }
+            for (Mode mode : Mode.values()) {
+                text.append(" | ").append(rule.actionIn(mode).name().toLowerCase(Locale.ROOT).replace('_', ' '));
+            }
             text.append(" |\n");
         }
         return text.toString();
--- a/src/main/java/yardusher/units/Message.java
+++ b/src/main/java/yardusher/units/Message.java
@@ -10,7 +10,8 @@
 /** The messages that ingresses exchange about units, and their encoding. Durations are in milliseconds; -1 stands for no region or zone. */
 sealed interface Message {
     /** To a home: requests a part or an end; the sender waits for {@code waitMs}. */
-    record Request(UnitName unit, long requestId, long customer, int part, Ticket.Kind kind, double waitMs, double repeatWindowMs) implements Message { }
+    record Request(UnitName unit, long requestId, long customer, int part, Ticket.Kind kind, double waitMs,
+            double repeatWindowMs) implements Message { }
 
     /**
      * From a home: the part may run, bound to this region or zone. {@code bindsToRegion}: whether the first attempt of an unbound
@@ -28,7 +29,8 @@
     record Outcome(UnitName unit, long requestId, Unit.State state, int servedParts) implements Message { }
 
     /** To a home: a granted part has finished. {@code holder} and its incarnation are set only where a former home forwards the message. */
-    record PartDone(UnitName unit, int grantNumber, Unit.Result result, double mayRunForMs, long region, int zone, String holder, long holderIncarnation) implements Message { }
+    record PartDone(UnitName unit, int grantNumber, Unit.Result result, double mayRunForMs, long region, int zone, String holder,
+            long holderIncarnation) implements Message { }
 
     /** To a home: the sender cancels its request and runs nothing. Forwarded like {@link PartDone}. */
     record Withdraw(UnitName unit, long requestId, String holder, long holderIncarnation) implements Message { }
@@ -139,12 +141,15 @@
     static Message decode(byte[] bytes) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
         Message message = switch (in.readByte()) {
-            case 1 -> new Request(readName(in), in.readLong(), in.readLong(), requireNonNegative(in.readInt()), readEnum(Ticket.Kind.values(), in), readDuration(in), readDuration(in));
-            case 2 -> new Grant(readName(in), in.readLong(), requireNonNegative(in.readInt()), in.readBoolean(), in.readLong(), in.readInt());
+            case 1 -> new Request(readName(in), in.readLong(), in.readLong(), requireNonNegative(in.readInt()),
+                    readEnum(Ticket.Kind.values(), in), readDuration(in), readDuration(in));
+            case 2 -> new Grant(readName(in), in.readLong(), requireNonNegative(in.readInt()), in.readBoolean(), in.readLong(),
+                    in.readInt());
             case 3 -> new Refuse(readName(in), in.readLong(), readEnum(Refusal.values(), in), in.readLong(), in.readUTF());
             case 4 -> new Queued(readName(in), in.readLong(), requireNonNegative(in.readInt()));
             case 5 -> new Outcome(readName(in), in.readLong(), readEnum(Unit.State.values(), in), requireNonNegative(in.readInt()));
-            case 6 -> new PartDone(readName(in), requireNonNegative(in.readInt()), readEnum(Unit.Result.values(), in), readDuration(in), in.readLong(), in.readInt(), in.readUTF(), in.readLong());
+            case 6 -> new PartDone(readName(in), requireNonNegative(in.readInt()), readEnum(Unit.Result.values(), in), readDuration(in),
+                    in.readLong(), in.readInt(), in.readUTF(), in.readLong());
             case 7 -> new Withdraw(readName(in), in.readLong(), in.readUTF(), in.readLong());
             case 8 -> new UnitEnded(readName(in), readEnum(Unit.State.values(), in));
             case 9 -> new Moved(in.readUTF(), in.readLong(), in.readUTF(), requireNonNegative(in.readInt()));
@@ -182,7 +187,9 @@
 
     private static UnitName readName(DataInputStream in) throws IOException {
         UnitName name = new UnitName(in.readUTF(), in.readLong(), in.readLong());
-        if (name.home().isEmpty() || name.home().length() > 64 || name.incarnation() <= 0 || name.number() <= 0) { throw new IOException("not a unit name"); }
+        if (name.home().isEmpty() || name.home().length() > 64 || name.incarnation() <= 0 || name.number() <= 0) {
+            throw new IOException("not a unit name");
+        }
         return name;
     }
 
@@ -193,7 +200,8 @@
         out.writeInt(r.epoch());
         out.writeInt(r.nextPart());
         out.writeInt(r.grantCount());
-        out.writeByte((r.repeatGranted() ? 1 : 0) | (r.nextPartUncertain() ? 2 : 0) | (r.uncertainPartNumbered() ? 4 : 0) | (r.lastPartNumbered() ? 8 : 0) | (r.grantedIsLast() ? 16 : 0));
+        out.writeByte((r.repeatGranted() ? 1 : 0) | (r.nextPartUncertain() ? 2 : 0) | (r.uncertainPartNumbered() ? 4 : 0)
+                | (r.lastPartNumbered() ? 8 : 0) | (r.grantedIsLast() ? 16 : 0));
         out.writeInt(r.skippedUncertain());
         out.writeDouble(r.firstGrantedAgoMs());
         out.writeDouble(r.mayRunForMs());
@@ -222,8 +230,10 @@
         long region = in.readLong();
         int zone = in.readInt();
         String holder = in.readUTF();
-        return new UnitRecord(name, customer, mode, epoch, nextPart, grantCount, (flags & 1) != 0, (flags & 2) != 0, (flags & 4) != 0, (flags & 8) != 0,
-                skippedUncertain, firstGrantedAgoMs, mayRunForMs, servedParts, region, zone, holder.isEmpty() ? null : holder, in.readLong(), in.readLong(), requireNonNegative(in.readInt()),
+        return new UnitRecord(name, customer, mode, epoch, nextPart, grantCount, (flags & 1) != 0, (flags & 2) != 0, (flags & 4) != 0,
+                (flags & 8) != 0,
+                skippedUncertain, firstGrantedAgoMs, mayRunForMs, servedParts, region, zone, holder.isEmpty() ? null : holder,
+                in.readLong(), in.readLong(), requireNonNegative(in.readInt()),
                 (flags & 16) != 0, readDuration(in));
     }
 }
--- a/src/main/java/yardusher/units/ReliableTransport.java
+++ b/src/main/java/yardusher/units/ReliableTransport.java
@@ -45,14 +45,14 @@
     static final int MAX_MESSAGE_BYTES = 600;
     private static final int VERSION = 1;
     private static final int MAX_NAME_LENGTH = 64;
-    private static final int MAX_QUEUED_PER_PEER = 20_000;   // messages not acknowledged by one peer
-    private static final int MAX_REORDER_WINDOW = 40_000;    // sequence numbers received out of order from one peer
+    private static final int MAX_QUEUED_PER_PEER = 20_000; // messages not acknowledged by one peer
+    private static final int MAX_REORDER_WINDOW = 40_000; // sequence numbers received out of order from one peer
     private static final int MAX_ACKS_PER_DATAGRAM = 64;
-    private static final int MAX_PAST_INCARNATIONS = 16;         // of one peer; datagrams of these are dropped
-    private static final int MAX_RESENT_PER_TICK = 16;             // to one peer
+    private static final int MAX_PAST_INCARNATIONS = 16; // of one peer; datagrams of these are dropped
+    private static final int MAX_RESENT_PER_TICK = 16; // to one peer
     private static final double INITIAL_RESEND_MS = 40;
     private static final double MAX_RESEND_MS = 1000;
-    private static final double ACK_DELAY_MS = 10;         // an acknowledgement waits this long for a datagram that carries messages
+    private static final double ACK_DELAY_MS = 10;   // an acknowledgement waits this long for a datagram that carries messages
 
     private static final class OutboundMessage {
         final long sequence;
@@ -71,13 +71,13 @@
 
     private final class Peer {
         final String name;
-        long incarnation;                                   // 0 while not known
+        long incarnation;                            // 0 while not known
         long nonce = nonceSource.getAsLong();
-        long peerNonce;                                 // to be echoed to the peer
+        long peerNonce;                              // to be echoed to the peer
         final ArrayDeque<Long> pastIncarnations = new ArrayDeque<>(0);
         final TreeMap<Long, OutboundMessage> unacknowledged = new TreeMap<>();
         long lastSequence;
-        long lowestExpected = 1;                                // all below were received, or were given up by the sender
+        long lowestExpected = 1;                     // all below were received, or were given up by the sender
         final Set<Long> receivedAhead = new HashSet<>();
         List<Long> pendingAcks = new ArrayList<>();
         double ackAtMs = Double.POSITIVE_INFINITY;
@@ -95,7 +95,7 @@
     long resent;
     long received;
     long duplicates;
-    long stale;                                     // from or to a past incarnation, or one not accepted yet
+    long stale;                                      // from or to a past incarnation, or one not accepted yet
     long malformed;
     long unknownSenders;
     long dropped;                                    // messages that expired, met a full queue, or were for a past incarnation
@@ -168,7 +168,8 @@
                 out.writeShort(message.body.length);
                 out.write(message.body);
             }
-            peer.pendingAcks = acks == peer.pendingAcks.size() ? new ArrayList<>() : new ArrayList<>(peer.pendingAcks.subList(acks, peer.pendingAcks.size()));
+            peer.pendingAcks = acks == peer.pendingAcks.size() ? new ArrayList<>()
+                    : new ArrayList<>(peer.pendingAcks.subList(acks, peer.pendingAcks.size()));
             if (peer.pendingAcks.isEmpty()) { peer.ackAtMs = Double.POSITIVE_INFINITY; }
         } catch (IOException e) {
             throw new UncheckedIOException(e);       // cannot happen: writes to memory
@@ -176,7 +177,8 @@
         callbacks.sendDatagram(peer.name, bytes.toByteArray());
     }
 
-    private record Datagram(String from, long incarnation, long toIncarnation, long nonce, long echoedNonce, long lowestUnacknowledged, long[] acks, long[] sequences, byte[][] bodies) {
+    private record Datagram(String from, long incarnation, long toIncarnation, long nonce, long echoedNonce, long lowestUnacknowledged,
+            long[] acks, long[] sequences, byte[][] bodies) {
         static Datagram decode(byte[] datagram) throws IOException {
             DataInputStream in = new DataInputStream(new ByteArrayInputStream(datagram));
             if (in.readByte() != VERSION) { throw new IOException("another version"); }
@@ -197,7 +199,8 @@
                 bodies[i] = new byte[length];
                 in.readFully(bodies[i]);
             }
-            if (in.read() >= 0 || from.isEmpty() || from.length() > MAX_NAME_LENGTH || incarnation <= 0 || lowestUnacknowledged < 1 || acks.length > MAX_ACKS_PER_DATAGRAM) {
+            if (in.read() >= 0 || from.isEmpty() || from.length() > MAX_NAME_LENGTH || incarnation <= 0 || lowestUnacknowledged < 1
+                    || acks.length > MAX_ACKS_PER_DATAGRAM) {
                 throw new IOException("malformed datagram");
             }
             return new Datagram(from, incarnation, toIncarnation, nonce, echoedNonce, lowestUnacknowledged, acks, sequences, bodies);
@@ -232,7 +235,7 @@
             }
             acceptIncarnation(now, peer, datagram.incarnation);
         }
-        if (datagram.toIncarnation != incarnation) {                       // the peer knows an earlier incarnation of this process, or none
+        if (datagram.toIncarnation != incarnation) { // the peer knows an earlier incarnation of this process, or none
             stale++;
             sendHello(now, peer);
             return;
@@ -245,7 +248,7 @@
             peer.pastIncarnations.add(peer.incarnation);
             if (peer.pastIncarnations.size() > MAX_PAST_INCARNATIONS) { peer.pastIncarnations.poll(); }
             dropped += peer.unacknowledged.size();
-            peer.unacknowledged.clear();                        // these were for the past incarnation
+            peer.unacknowledged.clear();             // these were for the past incarnation
         }
         peer.incarnation = newIncarnation;
         peer.nonce = nonceSource.getAsLong();
@@ -267,7 +270,8 @@
         }
         for (int i = 0; i < datagram.sequences.length; i++) {
             long sequence = datagram.sequences[i];
-            if (sequence >= peer.lowestExpected + MAX_REORDER_WINDOW) {   // beyond the reorder window: not acknowledged, so the peer resends it
+            // beyond the reorder window: not acknowledged, so the peer resends it
+            if (sequence >= peer.lowestExpected + MAX_REORDER_WINDOW) {
                 malformed++;
                 continue;
             }
@@ -307,7 +311,9 @@
             }
             if (now >= peer.ackAtMs) { transmit(peer, List.of()); }
             next = Math.min(next, peer.ackAtMs);
-            for (OutboundMessage message : peer.unacknowledged.values()) { next = Math.min(next, Math.min(message.resendAtMs, message.expiresAtMs)); }
+            for (OutboundMessage message : peer.unacknowledged.values()) {
+                next = Math.min(next, Math.min(message.resendAtMs, message.expiresAtMs));
+            }
         }
         return next;
     }
@@ -329,7 +335,9 @@
     }
 
     String statusLine() {
-        return "units_messages=" + sent + " units_again=" + resent + " units_heard=" + received + " units_doubled=" + duplicates + " units_void=" + stale
-                + " units_spoilt=" + malformed + " units_unknown_senders=" + unknownSenders + " units_dropped=" + dropped + " units_unacked=" + unacknowledgedCount();
+        return "units_messages=" + sent + " units_again=" + resent + " units_heard=" + received + " units_doubled=" + duplicates
+                + " units_void=" + stale
+                + " units_spoilt=" + malformed + " units_unknown_senders=" + unknownSenders + " units_dropped=" + dropped
+                + " units_unacked=" + unacknowledgedCount();
     }
 }
--- a/src/main/java/yardusher/units/Ticket.java
+++ b/src/main/java/yardusher/units/Ticket.java
@@ -10,7 +10,8 @@
  * @param repeatWindowMs for how long after a first attempt that may have run the request class allows another: 0 for never,
  *        infinity for always
  */
-record Ticket(long requestId, String holder, long incarnation, long customer, int part, Kind kind, double deadlineMs, double repeatWindowMs) {
+record Ticket(long requestId, String holder, long incarnation, long customer, int part, Kind kind, double deadlineMs,
+        double repeatWindowMs) {
     /** What is requested. Ordinals are sent between ingresses. */
     enum Kind {
         PART,
@@ -24,5 +25,7 @@
         boolean isPart() { return this == PART || this == LAST_PART; }
     }
 
-    boolean matches(String otherHolder, long otherIncarnation, long otherRequestId) { return requestId == otherRequestId && incarnation == otherIncarnation && holder.equals(otherHolder); }
+    boolean matches(String otherHolder, long otherIncarnation, long otherRequestId) {
+        return requestId == otherRequestId && incarnation == otherIncarnation && holder.equals(otherHolder);
+    }
 }
--- a/src/main/java/yardusher/units/Unit.java
+++ b/src/main/java/yardusher/units/Unit.java
@@ -80,23 +80,23 @@
     final Mode mode;
     private State state = State.OPEN;
     private Boundary boundary;
-    private boolean complete = true;                    // no part was granted or waiting when the unit began to end
+    private boolean complete = true;                 // no part was granted or waiting when the unit began to end
     private int epoch;                               // how often the unit was transferred
-    private int nextPart = 1;                            // the number of the part that is due
-    private Ticket granted;                              // the part that a holder runs, null for none
+    private int nextPart = 1;                        // the number of the part that is due
+    private Ticket granted;                          // the part that a holder runs, null for none
     private int grantCount;
-    private boolean repeatGranted;                         // the granted part was served before
-    private boolean nextPartUncertain;                           // the part that is due may have run
-    private boolean uncertainPartNumbered;                       // and it has a number, so that its terminal can repeat it
-    private boolean lastPartNumbered;                        // the part before was served, and has a number
-    private int skippedUncertain;                              // parts without a number that may have run and were skipped
-    private double firstGrantedAtMs;                          // when the latest part was first granted
+    private boolean repeatGranted;                   // the granted part was served before
+    private boolean nextPartUncertain;               // the part that is due may have run
+    private boolean uncertainPartNumbered;           // and it has a number, so that its terminal can repeat it
+    private boolean lastPartNumbered;                // the part before was served, and has a number
+    private int skippedUncertain;                    // parts without a number that may have run and were skipped
+    private double firstGrantedAtMs;                 // when the latest part was first granted
     private double mayRunUntilMs = Double.NEGATIVE_INFINITY; // an abandoned attempt may run until then
     private double lastActivityMs;
     private int servedParts;
     private long region = -1;
     private int zone = -1;
-    boolean wakePending;                                   // used by UnitTable: a wake-up is scheduled
+    boolean wakePending;                             // used by UnitTable: a wake-up is scheduled
     private List<Ticket> waiting = new ArrayList<>(0);
 
     Unit(UnitName name, long customer, Mode mode, double now) {
@@ -149,7 +149,10 @@
             end(now, ticket.kind() == Ticket.Kind.END ? Boundary.SAID : Boundary.ABANDON_SAID, ticket, listener);
             return;
         }
-        if (granted != null && granted.matches(ticket.holder(), ticket.incarnation(), ticket.requestId()) || waiting.stream().anyMatch(queued -> queued.matches(ticket.holder(), ticket.incarnation(), ticket.requestId()))) { return; }
+        if (granted != null && granted.matches(ticket.holder(), ticket.incarnation(), ticket.requestId())
+                || waiting.stream().anyMatch(queued -> queued.matches(ticket.holder(), ticket.incarnation(), ticket.requestId()))) {
+            return;
+        }
         lastActivityMs = now;
         if (state != State.OPEN) {
             listener.onRefuse(this, ticket, Refusal.ENDED, state.ordinal());
@@ -168,7 +171,8 @@
 
     /** Whether a part may run again: it was the last one served, no later part has started, and its class allows it. */
     private boolean mayRepeat(double now, Ticket ticket) {
-        return ticket.part() == nextPart - 1 && lastPartNumbered && !nextPartUncertain && (granted == null || granted.part() == ticket.part()) && now - firstGrantedAtMs < ticket.repeatWindowMs();
+        return ticket.part() == nextPart - 1 && lastPartNumbered && !nextPartUncertain
+                && (granted == null || granted.part() == ticket.part()) && now - firstGrantedAtMs < ticket.repeatWindowMs();
     }
 
     /** Grants the next part if one may run, and finishes the end if it is due. */
@@ -226,8 +230,11 @@
      * region and zone are where the part may have run, -1 for nowhere. False, with no effect, for a report of an older grant or of
      * another holder.
      */
-    boolean partDone(double now, String holder, long incarnation, int grantNumber, Result result, double mayRunForMs, long atRegion, int atZone, Listener listener) {
-        if (granted == null || grantNumber != grantCount || granted.incarnation() != incarnation || !granted.holder().equals(holder)) { return false; }
+    boolean partDone(double now, String holder, long incarnation, int grantNumber, Result result, double mayRunForMs, long atRegion,
+            int atZone, Listener listener) {
+        if (granted == null || grantNumber != grantCount || granted.incarnation() != incarnation || !granted.holder().equals(holder)) {
+            return false;
+        }
         lastActivityMs = now;
         Ticket ticket = granted;
         granted = null;
@@ -248,7 +255,9 @@
             }
         }
         if (result == Result.MAY_HAVE_RUN && !isBound() && state == State.OPEN) { beginEnding(Boundary.LOST, listener); } // region unknown
-        if (result == Result.SERVED && ticket.kind() == Ticket.Kind.LAST_PART && state == State.OPEN) { beginEnding(Boundary.SAID, listener); }
+        if (result == Result.SERVED && ticket.kind() == Ticket.Kind.LAST_PART && state == State.OPEN) {
+            beginEnding(Boundary.SAID, listener);
+        }
         advance(now, listener);
         return true;
     }
@@ -256,7 +265,9 @@
     /** Cancels a request: drops its ticket; a part that was granted for it never ran. */
     void withdraw(double now, String holder, long incarnation, long requestId, Listener listener) {
         waiting.removeIf(t -> t.matches(holder, incarnation, requestId));
-        if (granted != null && granted.matches(holder, incarnation, requestId)) { partDone(now, holder, incarnation, grantCount, Result.NEVER_RAN, 0, -1, -1, listener); }
+        if (granted != null && granted.matches(holder, incarnation, requestId)) {
+            partDone(now, holder, incarnation, grantCount, Result.NEVER_RAN, 0, -1, -1, listener);
+        }
     }
 
     /** Ends the unit. {@code asker} is answered once the unit is over, null for nobody. Only the first cause counts. */
@@ -321,9 +332,11 @@
 
     /** Seals the unit for transfer: waiting requests are redirected to the new home, and nothing is granted here any more. */
     UnitRecord handOver(double now, Listener listener) {
-        UnitRecord record = new UnitRecord(name, customer, mode, epoch + 1, nextPart, grantCount, repeatGranted, nextPartUncertain, uncertainPartNumbered, lastPartNumbered, skippedUncertain, now - firstGrantedAtMs,
-                Math.max(0, mayRunUntilMs - now), servedParts, region, zone, granted == null ? null : granted.holder(), granted == null ? 0 : granted.incarnation(),
-                granted == null ? 0 : granted.requestId(), granted == null ? 0 : granted.part(), granted != null && granted.kind() == Ticket.Kind.LAST_PART,
+        UnitRecord record = new UnitRecord(name, customer, mode, epoch + 1, nextPart, grantCount, repeatGranted, nextPartUncertain,
+                uncertainPartNumbered, lastPartNumbered, skippedUncertain, now - firstGrantedAtMs,
+                Math.max(0, mayRunUntilMs - now), servedParts, region, zone, granted == null ? null : granted.holder(),
+                granted == null ? 0 : granted.incarnation(), granted == null ? 0 : granted.requestId(),
+                granted == null ? 0 : granted.part(), granted != null && granted.kind() == Ticket.Kind.LAST_PART,
                 granted == null ? 0 : Math.max(0, granted.deadlineMs() - now));
         state = State.ENDING;
         List<Ticket> queued = waiting;
@@ -349,7 +362,8 @@
         unit.region = record.region();
         unit.zone = record.zone();
         if (record.holder() != null) {
-            unit.granted = new Ticket(record.requestId(), record.holder(), record.holderIncarnation(), record.customer(), record.grantedPart(), record.grantedIsLast() ? Ticket.Kind.LAST_PART : Ticket.Kind.PART,
+            unit.granted = new Ticket(record.requestId(), record.holder(), record.holderIncarnation(), record.customer(),
+                    record.grantedPart(), record.grantedIsLast() ? Ticket.Kind.LAST_PART : Ticket.Kind.PART,
                     now + record.deadlineInMs(), 0);
         }
         return unit;
@@ -381,8 +395,10 @@
 
     /** A text of all that decides the next transitions, except the grant count; equal for units that behave alike. */
     String stateKey(double now) {
-        StringBuilder text = new StringBuilder(64).append(state.ordinal()).append(boundary == null ? "" : boundary.ordinal()).append(complete ? 'w' : 'c').append(nextPart)
-                .append(repeatGranted ? 'r' : '-').append(nextPartUncertain ? 'd' : '-').append(uncertainPartNumbered ? 's' : '-').append(lastPartNumbered ? 'l' : '-').append(skippedUncertain > 0 ? 'p' : '-')
+        StringBuilder text = new StringBuilder(64).append(state.ordinal()).append(boundary == null ? "" : boundary.ordinal())
+                .append(complete ? 'w' : 'c').append(nextPart)
+                .append(repeatGranted ? 'r' : '-').append(nextPartUncertain ? 'd' : '-').append(uncertainPartNumbered ? 's' : '-')
+                .append(lastPartNumbered ? 'l' : '-').append(skippedUncertain > 0 ? 'p' : '-')
                 .append(now < mayRunUntilMs ? 'L' : '-').append(region).append('/').append(zone).append('@').append(epoch);
         if (granted != null) { text.append(" o").append(granted.requestId()).append(granted.incarnation()); }
         for (Ticket ticket : waiting) { text.append(" t").append(ticket.requestId()).append(ticket.incarnation()); }
@@ -395,8 +411,13 @@
         StringBuilder text = new StringBuilder(128).append(name).append(" mode=").append(mode.name().toLowerCase(java.util.Locale.ROOT))
                 .append(" state=").append(state.label()).append(" next=").append(nextPart).append(" served=").append(servedParts)
                 .append(" grants=").append(grantCount).append(" epoch=").append(epoch);
-        if (boundary != null) { text.append(" by=").append(boundary.name().toLowerCase(java.util.Locale.ROOT)).append(complete ? "" : " cut=1"); }
-        if (granted != null) { text.append(" out=").append(granted.part()).append('@').append(granted.holder()).append(granted.kind() == Ticket.Kind.LAST_PART ? " last=1" : ""); }
+        if (boundary != null) {
+            text.append(" by=").append(boundary.name().toLowerCase(java.util.Locale.ROOT)).append(complete ? "" : " cut=1");
+        }
+        if (granted != null) {
+            text.append(" out=").append(granted.part()).append('@').append(granted.holder())
+                    .append(granted.kind() == Ticket.Kind.LAST_PART ? " last=1" : "");
+        }
         if (repeatGranted) { text.append(" repeat=1"); }
         if (isUncertain()) { text.append(" may_have_run=").append(skippedUncertain + (nextPartUncertain ? 1 : 0)); }
         if (region >= 0) { text.append(" region=s-").append(String.format("%08x", region)); }
--- a/src/main/java/yardusher/units/UnitName.java
+++ b/src/main/java/yardusher/units/UnitName.java
@@ -5,7 +5,7 @@
  * {@code n2.3f19c0a84d21.1f}. The name alone tells at which ingress the unit was opened.
  */
 record UnitName(String home, long incarnation, long number) {
-    static final int MAX_LENGTH = 100;                     // characters
+    static final int MAX_LENGTH = 100;               // characters
 
     /** Parses a name; null for a text that is none. */
     static UnitName parse(String text) {
--- a/src/main/java/yardusher/units/UnitRequest.java
+++ b/src/main/java/yardusher/units/UnitRequest.java
@@ -25,13 +25,13 @@
     final Ticket.Kind kind;
     final double deadlineMs;
     private final EventLoop loop;
-    private final Consumer<UnitRequest> onSettled;           // called whenever the request may have finished
-    private final Consumer<UnitRequest> onTerminalLeft;            // called when the terminal has left
+    private final Consumer<UnitRequest> onSettled;   // called whenever the request may have finished
+    private final Consumer<UnitRequest> onTerminalLeft; // called when the terminal has left
     Stage stage = Stage.WAITING;
     String home;                                     // the ingress it was sent to; null for this one
     long homeIncarnation;
     int hops;                                        // homes it was sent to so far
-    int awaitedPart;                                         // while queued at the home: the part that is due there, else 0
+    int awaitedPart;                                 // while queued at the home: the part that is due there, else 0
     Deadlines.Entry timer;
     // While it runs:
     Stay admitted;
@@ -41,15 +41,16 @@
     int zone = -1;
     boolean handedOn;
     boolean recorded;                                // by the request log behind UnitRequestLog
-    int openAttempts;                                         // attempts that have not ended
-    int attemptZone = -1;                                // the zone of the open attempt's region
-    boolean attemptReleased;                                  // whether the open attempt was allowed to be sent
+    int openAttempts;                                // attempts that have not ended
+    int attemptZone = -1;                            // the zone of the open attempt's region
+    boolean attemptReleased;                         // whether the open attempt was allowed to be sent
     boolean answered;
     boolean served;
     boolean mayHaveRun;
-    double mayRunUntilMs = Double.NEGATIVE_INFINITY;    // a region may still run an abandoned attempt until then
+    double mayRunUntilMs = Double.NEGATIVE_INFINITY; // a region may still run an abandoned attempt until then
 
-    UnitRequest(Order clientRequest, UnitName unit, long requestId, int part, Ticket.Kind kind, EventLoop loop, Consumer<UnitRequest> onSettled, Consumer<UnitRequest> onTerminalLeft) {
+    UnitRequest(Order clientRequest, UnitName unit, long requestId, int part, Ticket.Kind kind, EventLoop loop,
+            Consumer<UnitRequest> onSettled, Consumer<UnitRequest> onTerminalLeft) {
         this.clientRequest = clientRequest;
         this.unit = unit;
         this.requestId = requestId;
--- a/src/main/java/yardusher/units/UnitRequestLog.java
+++ b/src/main/java/yardusher/units/UnitRequestLog.java
@@ -21,7 +21,7 @@
     private ToIntFunction<Long> zoneOfRegion = region -> -1; // a region's zone, -1 where it is not listed
     private Consumer<UnitRequest> onSettled = asked -> { };
     private double settleMs;
-    long blockedAttempts;                                       // attempts that were not sent
+    long blockedAttempts;                            // attempts that were not sent
 
     UnitRequestLog(OrderLog inner) { this.inner = inner; }
 
@@ -61,7 +61,7 @@
         Consumer<Boolean> check = recorded -> {
             int zone = zoneOfRegion.applyAsInt(attempt.backend);
             boolean released = recorded && mayGo(part, attempt.backend, zone);
-            part.attemptZone = zone;                    // noted now: the region may be unlisted when the attempt ends
+            part.attemptZone = zone;                 // noted now: the region may be unlisted when the attempt ends
             if (recorded && !released) { blockedAttempts++; }
             part.attemptReleased = released && !attempt.isOver();
             then.accept(released);
--- a/src/main/java/yardusher/units/UnitSettings.java
+++ b/src/main/java/yardusher/units/UnitSettings.java
@@ -19,7 +19,8 @@
  * @param forwardsUnitFields whether a command's unit fields are sent on to the region
  * @param trace whether openings, grants, parts and ends are logged
  */
-public record UnitSettings(Map<String, Mode> modes, int maxOpen, int maxOpenPerCustomer, int maxWaiting, double idleMs, double homeTimeoutMs,
+public record UnitSettings(Map<String, Mode> modes, int maxOpen, int maxOpenPerCustomer, int maxWaiting, double idleMs,
+        double homeTimeoutMs,
         double settleMs, double handOverMs, int handOverBytes, boolean proceedsWhenUnsure, boolean forwardsUnitFields, boolean trace) {
     private static final int MIN_IDLE_MS = 1000;
 
--- a/src/main/java/yardusher/units/UnitTable.java
+++ b/src/main/java/yardusher/units/UnitTable.java
@@ -26,12 +26,12 @@
         long refused;
         long takenOver;
         long handedOver;
-        long staleReports;                                  // reports of older grants, without effect
+        long staleReports;                           // reports of older grants, without effect
     }
 
     private record Wake(double atMs, UnitName name) { }
 
-    private static final int MAX_RECENTLY_ENDED = 4096;       // about 256 KiB
+    private static final int MAX_RECENTLY_ENDED = 4096; // about 256 KiB
 
     private final String self;
     private final long incarnation;
@@ -40,7 +40,8 @@
     private Unit.Rules rules;
     private final LinkedHashMap<UnitName, Unit> units = new LinkedHashMap<>(); // the longest idle first
     private final Map<Long, Integer> openByCustomer = new HashMap<>();
-    private final PriorityQueue<Wake> wakes = new PriorityQueue<>((a, b) -> Double.compare(a.atMs(), b.atMs())); // at most one for each unit
+    // at most one for each unit
+    private final PriorityQueue<Wake> wakes = new PriorityQueue<>((a, b) -> Double.compare(a.atMs(), b.atMs()));
     private final LinkedHashMap<UnitName, Unit> withGrantedPart = new LinkedHashMap<>(); // the longest without activity first
     private final LinkedHashMap<UnitName, Unit> recentlyEnded = new LinkedHashMap<>(); // so that a repeated end gets the same answer
     private long lastNumber;
@@ -114,14 +115,16 @@
 
     private void remove(Unit unit) {
         withGrantedPart.remove(unit.name);
-        if (units.remove(unit.name) != null) { openByCustomer.computeIfPresent(unit.customer, (customer, open) -> open == 1 ? null : open - 1); }
+        if (units.remove(unit.name) != null) {
+            openByCustomer.computeIfPresent(unit.customer, (customer, open) -> open == 1 ? null : open - 1);
+        }
     }
 
     /** Abandons the longest idle unit without a granted or waiting part; false if none has been idle that long. */
     private boolean abandonLongestIdle(double now, double idleMs) {
         for (Unit unit : units.values()) {
             if (now - unit.lastActivityMs() < idleMs) { return false; }
-            unit.expireWaiting(now);                        // a request that arrived after its withdrawal would wait forever
+            unit.expireWaiting(now);                 // a request that arrived after its withdrawal would wait forever
             if (unit.state() != Unit.State.OPEN || unit.granted() != null || unit.waitingCount() > 0) { continue; }
             unit.end(now, Unit.Boundary.SILENT, null, listener);
             scheduleWake(now, unit);
@@ -160,7 +163,8 @@
     }
 
     /** Handles a holder's report; see {@link Unit#partDone}. */
-    boolean partDone(double now, UnitName name, String holder, long holderIncarnation, int grantNumber, Unit.Result result, double mayRunForMs, long region, int zone) {
+    boolean partDone(double now, UnitName name, String holder, long holderIncarnation, int grantNumber, Unit.Result result,
+            double mayRunForMs, long region, int zone) {
         Unit unit = units.get(name);
         if (unit == null || !unit.partDone(now, holder, holderIncarnation, grantNumber, result, mayRunForMs, region, zone, listener)) {
             counts.staleReports++;
@@ -217,7 +221,7 @@
             unit.markActive(now);
             withGrantedPart.remove(unit.name);
             withGrantedPart.put(unit.name, unit);
-            moveToEnd(unit);                             // else it would hide the idle ones behind it
+            moveToEnd(unit);                         // else it would hide the idle ones behind it
         }
         return found;
     }
@@ -233,7 +237,7 @@
     private void scheduleWake(double now, Unit unit) {
         double atMs = unit.nextWakeMs(now);
         if (atMs == Double.POSITIVE_INFINITY || unit.wakePending) { return; }
-        unit.wakePending = true;                           // one for each unit: it is rescheduled when this one is due
+        unit.wakePending = true;                     // one for each unit: it is rescheduled when this one is due
         wakes.add(new Wake(atMs, unit.name));
     }
 
@@ -283,6 +287,7 @@
         return "units_open=" + units.size() + " units_opened=" + counts.opened + " units_done=" + counts.ended[Unit.State.DONE.ordinal()]
                 + " units_abandoned=" + counts.ended[Unit.State.ABANDONED.ordinal()] + " units_unknown="
                 + counts.ended[Unit.State.UNKNOWN.ordinal()] + " units_grants=" + counts.grants + " units_refused=" + counts.refused
-                + " units_handed_over=" + counts.handedOver + " units_taken_over=" + counts.takenOver + " units_stale=" + counts.staleReports;
+                + " units_handed_over=" + counts.handedOver + " units_taken_over=" + counts.takenOver + " units_stale="
+                + counts.staleReports;
     }
 }
--- a/src/main/java/yardusher/units/UnitsIntake.java
+++ b/src/main/java/yardusher/units/UnitsIntake.java
@@ -40,17 +40,19 @@
     }
 
     /** The parts of the ingress that the intake works with. */
-    record Context(String self, long incarnation, EventLoop loop, Intake inner, UnitRequestLog log, Regions regions, Mesh mesh, View view, Events events,
+    record Context(String self, long incarnation, EventLoop loop, Intake inner, UnitRequestLog log, Regions regions, Mesh mesh, View view,
+            Events events,
             List<Api.RequestClass> classes, List<String> plans, LongSupplier nonces) { }
 
     private static final int MAX_HOPS = 4;
     private static final int MAX_REMEMBERED = 4096; // of each: ended units, sent reports, units that moved one by one
-    private static final int MAX_MOVES = 4096;      // incarnations of homes whose units moved
-    private static final int MAX_SEARCHES = 64;     // incarnations that are located at once
-    private static final int MAX_TRANSFERS_IN_FLIGHT = 256;             // unacknowledged messages while units are transferred
-    private static final int MAX_UNITS_PER_TICK = 256;             // units handled in one tick
-    private static final double MAX_ANSWER_MARGIN_MS = 100;       // before the deadline of a waiting part; an eighth of its wait if that is less
-    private static final double MAX_TICK_MS = 100;       // between ticks at most
+    private static final int MAX_MOVES = 4096;       // incarnations of homes whose units moved
+    private static final int MAX_SEARCHES = 64;      // incarnations that are located at once
+    private static final int MAX_TRANSFERS_IN_FLIGHT = 256; // unacknowledged messages while units are transferred
+    private static final int MAX_UNITS_PER_TICK = 256; // units handled in one tick
+    // before the deadline of a waiting part; an eighth of its wait if that is less
+    private static final double MAX_ANSWER_MARGIN_MS = 100;
+    private static final double MAX_TICK_MS = 100;   // between ticks at most
     private static final double MIN_TICK_MS = 5;
     private static final double STATUS_QUERY_AFTER_MS = 1000;
     private static final double TRANSFER_RETRY_MS = 40;
@@ -68,9 +70,11 @@
     private final Map<UnitName, Session> sessionOf = new HashMap<>();
     private final Map<UnitName, Set<String>> remoteHolders = new HashMap<>(); // other ingresses that were granted a part of an open unit
     private final LinkedHashMap<UnitName, Unit.State> endedElsewhere = new LinkedHashMap<>(); // units of other homes
-    private final LinkedHashMap<UnitName, Message.PartDone> sentReports = new LinkedHashMap<>(); // the latest ones, to be repeated on request
+    // the latest ones, to be repeated on request
+    private final LinkedHashMap<UnitName, Message.PartDone> sentReports = new LinkedHashMap<>();
     private final LinkedHashMap<UnitName, String> movedUnits = new LinkedHashMap<>(); // units transferred one by one, by their new home
-    private final LinkedHashMap<Long, Message.Moved> movedIncarnations = new LinkedHashMap<>(); // by the incarnation of the home that opened them
+    // by the incarnation of the home that opened them
+    private final LinkedHashMap<Long, Message.Moved> movedIncarnations = new LinkedHashMap<>();
     private final Map<Long, List<UnitRequest>> searches = new HashMap<>();
     private final ArrayDeque<Unit> transferQueue = new ArrayDeque<>();
     private final Map<String, Integer> refusalsByCode = new HashMap<>(); // about a dozen codes
@@ -151,7 +155,9 @@
         Session session = clientRequest.terminal().session();
         Unit unit = sessionUnit(session, clientRequest.customer());
         if (unit == null) {
-            if (session == null || BoundaryRule.UNNAMED_REQUEST.actionIn(mode) != BoundaryRule.Action.JOINS) { return context.inner.take(clientRequest); }
+            if (session == null || BoundaryRule.UNNAMED_REQUEST.actionIn(mode) != BoundaryRule.Action.JOINS) {
+                return context.inner.take(clientRequest);
+            }
             unit = openSessionUnit(session, clientRequest);
             if (unit == null) { return refuseOpening(clientRequest); }
         } else if (unit.state() != Unit.State.OPEN) { // order between units of a session is not defined elsewhere: the next one waits
@@ -184,15 +190,20 @@
     private Stay takeOpening(Order clientRequest, UnitWord word, Mode mode) {
         Session session = mode == Mode.SESSION ? clientRequest.terminal().session() : null;
         Unit unit = sessionUnit(session, clientRequest.customer());
-        boolean nested = word.unit() != null || unit != null && (unit.isStarted() || unit.waitingCount() > 0 || unit.state() != Unit.State.OPEN);
+        boolean nested = word.unit() != null
+                || unit != null && (unit.isStarted() || unit.waitingCount() > 0 || unit.state() != Unit.State.OPEN);
         BoundaryRule.Action action = (nested ? BoundaryRule.NESTED_OPENING : BoundaryRule.OPENING).actionIn(mode);
-        if (nested) { return fail(clientRequest, new UnitError.Boundary(word.unit() == null ? unit.name : word.unit(), "a unit is opened inside it")); }
+        if (nested) {
+            return fail(clientRequest, new UnitError.Boundary(word.unit() == null ? unit.name : word.unit(), "a unit is opened inside it"));
+        }
         if (action == BoundaryRule.Action.REFUSES || action == BoundaryRule.Action.NAMES && session == null) {
-            return fail(clientRequest, new UnitError.Mode("new", mode.name().toLowerCase(java.util.Locale.ROOT), "no unit can be opened here"));
+            return fail(clientRequest, new UnitError.Mode("new", mode.name().toLowerCase(java.util.Locale.ROOT),
+                    "no unit can be opened here"));
         }
         if (draining) { return refuseOpening(clientRequest); }
         if (unit == null) {
-            unit = action == BoundaryRule.Action.NAMES ? openSessionUnit(session, clientRequest) : table.open(loop.now(), clientRequest.customer(), Mode.UNIT);
+            unit = action == BoundaryRule.Action.NAMES ? openSessionUnit(session, clientRequest)
+                    : table.open(loop.now(), clientRequest.customer(), Mode.UNIT);
             if (unit == null) { return refuseOpening(clientRequest); }
             if (action == BoundaryRule.Action.OPENS) { trace("unit opened", unit, "mode", "unit"); }
             scheduleTick(loop.now() + MAX_TICK_MS);
@@ -206,10 +217,14 @@
         Ticket.Kind kind = word.said() == UnitWord.Said.ABANDON ? Ticket.Kind.ABANDON : word.said() == UnitWord.Said.NONE ? Ticket.Kind.PART
                 : word.part() > 0 ? Ticket.Kind.LAST_PART : Ticket.Kind.END;
         Unit sessionUnit = mode == Mode.SESSION ? sessionUnit(clientRequest.terminal().session(), clientRequest.customer()) : null;
-        if (kind.isPart() && sessionUnit != null && !sessionUnit.name.equals(name) && sessionUnit.isStarted() && BoundaryRule.CROSSING_PART.actionIn(mode) == BoundaryRule.Action.REFUSES) {
-            return fail(clientRequest, new UnitError.Boundary(name, "its part crosses unit " + sessionUnit.name + " of the same connection"));
+        if (kind.isPart() && sessionUnit != null && !sessionUnit.name.equals(name) && sessionUnit.isStarted()
+                && BoundaryRule.CROSSING_PART.actionIn(mode) == BoundaryRule.Action.REFUSES) {
+            return fail(clientRequest,
+                    new UnitError.Boundary(name, "its part crosses unit " + sessionUnit.name + " of the same connection"));
+        }
+        if (kind.isPart() && endedElsewhere.containsKey(name)) {
+            return fail(clientRequest, new UnitError.Ended(name, endedElsewhere.get(name).label()));
         }
-        if (kind.isPart() && endedElsewhere.containsKey(name)) { return fail(clientRequest, new UnitError.Ended(name, endedElsewhere.get(name).label())); }
         return submit(clientRequest, name, word.part(), kind);
     }
 
@@ -234,7 +249,8 @@
 
     /** Answers an opening for which there is no room, or while this ingress drains. */
     private Stay refuseOpening(Order clientRequest) {
-        return draining ? reject(clientRequest, DRAINING_RETRY_AFTER_MS) : fail(clientRequest, new UnitError.Full("new", settings.maxOpen()));
+        return draining ? reject(clientRequest, DRAINING_RETRY_AFTER_MS)
+                : fail(clientRequest, new UnitError.Full("new", settings.maxOpen()));
     }
 
     private Stay fail(Order clientRequest, UnitError error) {
@@ -250,13 +266,16 @@
     // Requests to a home.
 
     private Stay submit(Order clientRequest, UnitName name, int part, Ticket.Kind kind) {
-        UnitRequest request = new UnitRequest(clientRequest, name, ++lastRequestId, part, kind, loop, this::reportIfFinished, this::terminalLeft);
+        UnitRequest request = new UnitRequest(clientRequest, name, ++lastRequestId, part, kind, loop, this::reportIfFinished,
+                this::terminalLeft);
         requests.put(request.requestId, request);
         sendToHome(request);
         return request;
     }
 
-    private static double answerByMs(UnitRequest request) { return request.deadlineMs - Math.min(MAX_ANSWER_MARGIN_MS, request.clientRequest.waitMs() / 8); }
+    private static double answerByMs(UnitRequest request) {
+        return request.deadlineMs - Math.min(MAX_ANSWER_MARGIN_MS, request.clientRequest.waitMs() / 8);
+    }
 
     private double repeatWindowMs(UnitRequest request) {
         Api.RequestClass requestClass = context.classes.get(request.clientRequest.classIndex());
@@ -274,10 +293,12 @@
             failWaiting(request, new UnitError.Holder(request.unit, String.valueOf(request.home)), false);
             return;
         }
-        if (table.find(request.unit) != null || table.isOpenedHere(request.unit) && !movedIncarnations.containsKey(context.incarnation) && !movedUnits.containsKey(request.unit)) {
+        if (table.find(request.unit) != null || table.isOpenedHere(request.unit) && !movedIncarnations.containsKey(context.incarnation)
+                && !movedUnits.containsKey(request.unit)) {
             request.home = null;
             startTimeout(request, answerByMs(request));
-            table.submit(now, request.unit, new Ticket(request.requestId, context.self, context.incarnation, request.clientRequest.customer(), request.part, request.kind,
+            table.submit(now, request.unit, new Ticket(request.requestId, context.self, context.incarnation,
+                    request.clientRequest.customer(), request.part, request.kind,
                     request.deadlineMs, repeatWindowMs(request)), this::isSilent);
             scheduleTick(now + MIN_TICK_MS);
             return;
@@ -285,14 +306,16 @@
         String home = homeOf(request.unit);
         View.Member member = context.view.member(home);
         boolean present = member != null && !hasLeft(member) && !home.equals(context.self);
-        boolean sameIncarnation = !home.equals(request.unit.home()) || transport.incarnationOf(home) == 0 || transport.incarnationOf(home) == request.unit.incarnation();
+        boolean sameIncarnation = !home.equals(request.unit.home()) || transport.incarnationOf(home) == 0
+                || transport.incarnationOf(home) == request.unit.incarnation();
         if (!present || !sameIncarnation) {
             locate(request);
             return;
         }
         request.home = home;
         request.homeIncarnation = transport.incarnationOf(home);
-        Message.Request message = new Message.Request(request.unit, request.requestId, request.clientRequest.customer(), request.part, request.kind, request.deadlineMs - now, repeatWindowMs(request));
+        Message.Request message = new Message.Request(request.unit, request.requestId, request.clientRequest.customer(), request.part,
+                request.kind, request.deadlineMs - now, repeatWindowMs(request));
         double untilMs = Math.min(now + settings.homeTimeoutMs(), answerByMs(request));
         if (!transport.send(now, home, message.encode(), untilMs)) {
             failWaiting(request, new UnitError.Holder(request.unit, home), false);
@@ -377,7 +400,8 @@
         if (table.find(request.unit) != null) {
             table.withdraw(now, request.unit, context.self, context.incarnation, request.requestId);
         } else if (request.home != null) {
-            transport.send(now, request.home, new Message.Withdraw(request.unit, request.requestId, "", 0).encode(), Double.POSITIVE_INFINITY);
+            transport.send(now, request.home, new Message.Withdraw(request.unit, request.requestId, "", 0).encode(),
+                    Double.POSITIVE_INFINITY);
         }
         scheduleTick(now + MIN_TICK_MS);
     }
@@ -426,7 +450,8 @@
         request.zone = grant.zone();
         double leftMs = request.deadlineMs - loop.now();
         boolean bound = request.region >= 0 || request.zone >= 0;
-        boolean listed = request.region >= 0 ? context.regions.zoneOf(request.region) >= 0 : request.zone < 0 || context.regions.hasZone(request.zone);
+        boolean listed = request.region >= 0 ? context.regions.zoneOf(request.region) >= 0
+                : request.zone < 0 || context.regions.hasZone(request.zone);
         if (!listed || leftMs < 1) {
             request.handedOn = true;
             String where = request.region >= 0 ? String.format("s-%08x", request.region) : "of hall " + request.zone;
@@ -436,9 +461,11 @@
         startedParts++;
         startedRemoteParts += from == null ? 0 : 1;
         context.log.add(request);
-        trace("part begins", null, "unit", request.unit, "part", request.part, "grant", request.grantNumber, "id", String.format("%016x", request.clientRequest.cargo().id()));
+        trace("part begins", null, "unit", request.unit, "part", request.part, "grant", request.grantNumber, "id",
+                String.format("%016x", request.clientRequest.cargo().id()));
         Order clientRequest = request.clientRequest;
-        request.admitted = context.inner.take(new Order(clientRequest.classIndex(), clientRequest.plan(), clientRequest.customer(), clientRequest.units(), clientRequest.first(), clientRequest.spread(), leftMs, clientRequest.cargo(), request,
+        request.admitted = context.inner.take(new Order(clientRequest.classIndex(), clientRequest.plan(), clientRequest.customer(),
+                clientRequest.units(), clientRequest.first(), clientRequest.spread(), leftMs, clientRequest.cargo(), request,
                 bound ? new Api.Binding(request.region, request.zone, -1) : clientRequest.only()));
         request.handedOn = true;
         reportIfFinished(request);
@@ -453,24 +480,28 @@
         double now = loop.now();
         Unit.Result result = request.served ? Unit.Result.SERVED : request.mayHaveRun ? Unit.Result.MAY_HAVE_RUN : Unit.Result.NEVER_RAN;
         double mayRunForMs = Math.max(0, request.mayRunUntilMs - now);
-        if (result == Unit.Result.MAY_HAVE_RUN && request.mayRunUntilMs == Double.NEGATIVE_INFINITY && request.zone < 0 && request.region < 0) {
+        if (result == Unit.Result.MAY_HAVE_RUN && request.mayRunUntilMs == Double.NEGATIVE_INFINITY && request.zone < 0
+                && request.region < 0) {
             // Reported by the core without an attempt that was seen here: where it may have run is not known.
             mayRunForMs = Math.max(0, request.deadlineMs - now) + settings.settleMs();
         }
         trace("part over", null, "unit", request.unit, "part", request.part, "grant", request.grantNumber, "result", result);
-        Message.PartDone done = new Message.PartDone(request.unit, request.grantNumber, result, mayRunForMs, request.region, request.zone, "", 0);
+        Message.PartDone done = new Message.PartDone(request.unit, request.grantNumber, result, mayRunForMs, request.region, request.zone,
+                "", 0);
         // Deferred: the home may grant the next part within the call.
         if (request.home == null) { loop.afterwards(() -> report(done, null)); } else { report(done, request.home); }
     }
 
     private void report(Message.PartDone done, String home) {
         double now = loop.now();
-        if (table.partDone(now, done.unit(), context.self, context.incarnation, done.grantNumber(), done.result(), done.mayRunForMs(), done.region(), done.zone())) {
+        if (table.partDone(now, done.unit(), context.self, context.incarnation, done.grantNumber(), done.result(), done.mayRunForMs(),
+                done.region(), done.zone())) {
             scheduleTick(now + MIN_TICK_MS);
             return;
         }
         remember(sentReports, done.unit(), done);
-        String to = home == null || movedUnits.containsKey(done.unit()) || movedIncarnations.containsKey(done.unit().incarnation()) ? homeOf(done.unit()) : home;
+        String to = home == null || movedUnits.containsKey(done.unit()) || movedIncarnations.containsKey(done.unit().incarnation())
+                ? homeOf(done.unit()) : home;
         if (!to.equals(context.self)) { transport.send(now, to, done.encode(), Double.POSITIVE_INFINITY); }
         scheduleTick(now + MIN_TICK_MS);
     }
@@ -496,7 +527,8 @@
             requests.remove(request.requestId);
             request.reject(refuse.detail(), false);
         } else {
-            failWaiting(request, refuse.reason().error(refuse.unit(), refuse.detail(), request.part, from == null ? context.self : from), refuse.reason() == Refusal.ALREADY_RUN);
+            failWaiting(request, refuse.reason().error(refuse.unit(), refuse.detail(), request.part, from == null ? context.self : from),
+                    refuse.reason() == Refusal.ALREADY_RUN);
         }
     }
 
@@ -510,7 +542,9 @@
 
     // Results of the table, for units whose home this is.
 
-    private boolean isFromHere(Ticket ticket) { return ticket.holder().equals(context.self) && ticket.incarnation() == context.incarnation; }
+    private boolean isFromHere(Ticket ticket) {
+        return ticket.holder().equals(context.self) && ticket.incarnation() == context.incarnation;
+    }
 
     private void sendTo(Ticket ticket, Message message) {
         if (transport.incarnationOf(ticket.holder()) == ticket.incarnation()) { // else the requesting incarnation is gone
@@ -521,7 +555,8 @@
 
     @Override
     public void onGrant(Unit unit, Ticket ticket, int grantNumber) {
-        Message.Grant message = new Message.Grant(unit.name, ticket.requestId(), grantNumber, unit.mode == Mode.SESSION, unit.region(), unit.zone());
+        Message.Grant message = new Message.Grant(unit.name, ticket.requestId(), grantNumber, unit.mode == Mode.SESSION, unit.region(),
+                unit.zone());
         trace("part granted", unit, "part", ticket.part(), "grant", grantNumber, "to", ticket.holder());
         if (isFromHere(ticket)) {
             loop.afterwards(() -> handleGrant(message, null));
@@ -545,7 +580,7 @@
         }
     }
 
-    private UnitName requestedUnit;                         // the unit of the request in progress, which may not be in the table
+    private UnitName requestedUnit;                  // the unit of the request in progress, which may not be in the table
 
     @Override
     public void onQueued(Unit unit, Ticket ticket) {
@@ -615,9 +650,14 @@
         double now = loop.now();
         table.holderLost(now, name, incarnation);
         for (UnitRequest request : List.copyOf(requests.values())) {
-            if (request.stage == UnitRequest.Stage.WAITING && name.equals(request.home) && request.homeIncarnation != 0 && request.homeIncarnation != incarnation) { sendToHome(request); }
+            if (request.stage == UnitRequest.Stage.WAITING && name.equals(request.home) && request.homeIncarnation != 0
+                    && request.homeIncarnation != incarnation) {
+                sendToHome(request);
+            }
+        }
+        if (movedIncarnations.containsKey(context.incarnation)) {
+            transport.send(now, name, movedIncarnations.get(context.incarnation).encode(), now + settings.handOverMs());
         }
-        if (movedIncarnations.containsKey(context.incarnation)) { transport.send(now, name, movedIncarnations.get(context.incarnation).encode(), now + settings.handOverMs()); }
         scheduleTick(now + MIN_TICK_MS);
     }
 
@@ -647,17 +687,21 @@
             handleOutcome(m.unit(), m.requestId(), m.state(), m.servedParts());
         } else if (message instanceof Message.PartDone m) {
             boolean forwarded = !m.holder().isEmpty();
-            if (!table.partDone(now, m.unit(), forwarded ? m.holder() : from, forwarded ? m.holderIncarnation() : incarnation, m.grantNumber(), m.result(), m.mayRunForMs(), m.region(),
+            if (!table.partDone(now, m.unit(), forwarded ? m.holder() : from, forwarded ? m.holderIncarnation() : incarnation,
+                    m.grantNumber(), m.result(), m.mayRunForMs(), m.region(),
                     m.zone()) && !forwarded && movedUnits.containsKey(m.unit())) {
-                Message.PartDone forward = new Message.PartDone(m.unit(), m.grantNumber(), m.result(), m.mayRunForMs(), m.region(), m.zone(), from, incarnation);
+                Message.PartDone forward = new Message.PartDone(m.unit(), m.grantNumber(), m.result(), m.mayRunForMs(), m.region(),
+                        m.zone(), from, incarnation);
                 transport.send(now, movedUnits.get(m.unit()), forward.encode(), Double.POSITIVE_INFINITY);
             }
         } else if (message instanceof Message.Withdraw m) {
             if (table.find(m.unit()) == null && movedUnits.containsKey(m.unit()) && m.holder().isEmpty()) {
-                transport.send(now, movedUnits.get(m.unit()), new Message.Withdraw(m.unit(), m.requestId(), from, incarnation).encode(), Double.POSITIVE_INFINITY);
+                transport.send(now, movedUnits.get(m.unit()), new Message.Withdraw(m.unit(), m.requestId(), from, incarnation).encode(),
+                        Double.POSITIVE_INFINITY);
             } else {
                 boolean forwarded = !m.holder().isEmpty();
-                table.withdraw(now, m.unit(), forwarded ? m.holder() : from, forwarded ? m.holderIncarnation() : incarnation, m.requestId());
+                table.withdraw(now, m.unit(), forwarded ? m.holder() : from, forwarded ? m.holderIncarnation() : incarnation,
+                        m.requestId());
             }
         } else if (message instanceof Message.StatusQuery m) {
             handleStatusQuery(from, m);
@@ -678,7 +722,8 @@
 
     private void handleRequest(String from, long incarnation, Message.Request message) {
         double now = loop.now();
-        Ticket ticket = new Ticket(message.requestId(), from, incarnation, message.customer(), message.part(), message.kind(), now + message.waitMs(), message.repeatWindowMs());
+        Ticket ticket = new Ticket(message.requestId(), from, incarnation, message.customer(), message.part(), message.kind(),
+                now + message.waitMs(), message.repeatWindowMs());
         String newHome = movedUnits.get(message.unit());
         if (table.find(message.unit()) == null && newHome != null) {
             sendTo(ticket, new Message.Refuse(message.unit(), message.requestId(), Refusal.MOVED, 0, newHome));
@@ -691,8 +736,9 @@
     /** Answers a home that has had no report of a granted part for a while. */
     private void handleStatusQuery(String from, Message.StatusQuery query) {
         for (UnitRequest request : requests.values()) {
-            if (request.unit.equals(query.unit()) && request.grantNumber == query.grantNumber() && request.stage == UnitRequest.Stage.RUNNING) {
-                request.home = from;                   // the unit may have been transferred to it
+            if (request.unit.equals(query.unit()) && request.grantNumber == query.grantNumber()
+                    && request.stage == UnitRequest.Stage.RUNNING) {
+                request.home = from;                 // the unit may have been transferred to it
                 return;
             }
         }
@@ -704,7 +750,9 @@
     }
 
     private void handleMoved(Message.Moved moved) {
-        if (moved.incarnation() == context.incarnation || moved.home().equals(context.self) && moved.newHome().equals(context.self)) { return; }
+        if (moved.incarnation() == context.incarnation || moved.home().equals(context.self) && moved.newHome().equals(context.self)) {
+            return;
+        }
         Message.Moved known = movedIncarnations.get(moved.incarnation());
         if (known == null || moved.epoch() >= known.epoch()) {
             movedIncarnations.remove(moved.incarnation());
@@ -754,7 +802,7 @@
                 continue;
             }
             transferQueue.poll();
-            remember(movedUnits, unit.name, successor);         // before it is sealed: sealing redirects the waiting requests
+            remember(movedUnits, unit.name, successor); // before it is sealed: sealing redirects the waiting requests
             byte[] message = new Message.Transfer(table.handOver(now, unit)).encode();
             remoteHolders.remove(unit.name);
             transferBytesLeft -= message.length;
@@ -765,12 +813,16 @@
             Map<Long, Message.Moved> announced = new HashMap<>();
             announced.put(context.incarnation, new Message.Moved(context.self, context.incarnation, successor, 1));
             for (Message.Moved known : movedIncarnations.values()) {
-                if (known.newHome().equals(context.self)) { announced.put(known.incarnation(), new Message.Moved(known.home(), known.incarnation(), successor, known.epoch() + 1)); }
+                if (known.newHome().equals(context.self)) {
+                    announced.put(known.incarnation(), new Message.Moved(known.home(), known.incarnation(), successor, known.epoch() + 1));
+                }
             }
             for (Message.Moved moved : announced.values()) {
                 movedIncarnations.put(moved.incarnation(), moved);
                 for (View.Member member : context.view.picture().members()) {
-                    if (!member.name().equals(context.self)) { transport.send(now, member.name(), moved.encode(), now + settings.handOverMs()); }
+                    if (!member.name().equals(context.self)) {
+                        transport.send(now, member.name(), moved.encode(), now + settings.handOverMs());
+                    }
                 }
             }
         }
@@ -781,13 +833,17 @@
         if (!table.takeOver(now, record)) { return; }
         Message.Moved known = movedIncarnations.get(record.name().incarnation());
         if (known == null || !known.newHome().equals(context.self)) {
-            movedIncarnations.put(record.name().incarnation(), new Message.Moved(record.name().home(), record.name().incarnation(), context.self, record.epoch()));
+            movedIncarnations.put(record.name().incarnation(), new Message.Moved(record.name().home(), record.name().incarnation(),
+                    context.self, record.epoch()));
         }
         movedUnits.remove(record.name());
         trace("unit taken over", table.find(record.name()));
     }
 
-    boolean isBusy() { return !transferQueue.isEmpty() || !requests.isEmpty() || draining && transport.unacknowledgedCount() > 0 && loop.now() < transferDeadlineMs; }
+    boolean isBusy() {
+        return !transferQueue.isEmpty() || !requests.isEmpty() || draining && transport.unacknowledgedCount() > 0
+                && loop.now() < transferDeadlineMs;
+    }
 
     // Time and membership.
 
@@ -803,7 +859,9 @@
             if (member.state() == View.State.LEFT) { transport.forget(member.name()); }
         }
         for (UnitRequest request : List.copyOf(requests.values())) {
-            if (request.stage == UnitRequest.Stage.WAITING && request.home != null && goneNames.contains(request.home)) { sendToHome(request); }
+            if (request.stage == UnitRequest.Stage.WAITING && request.home != null && goneNames.contains(request.home)) {
+                sendToHome(request);
+            }
         }
         scheduleTick(loop.now() + MIN_TICK_MS);
     }
@@ -833,25 +891,30 @@
         if (isSilent(granted.holder())) {
             if (settings.proceedsWhenUnsure() && now > granted.deadlineMs() + settings.settleMs()) { table.presumeHolderLost(now, unit); }
         } else {
-            transport.send(now, granted.holder(), new Message.StatusQuery(unit.name, unit.grantCount()).encode(), now + STATUS_QUERY_AFTER_MS);
+            transport.send(now, granted.holder(), new Message.StatusQuery(unit.name, unit.grantCount()).encode(),
+                    now + STATUS_QUERY_AFTER_MS);
         }
     }
 
     // Status for operators.
 
     String statusLine() {
-        return table.statusLine() + " units_parts=" + startedParts + " units_parts_elsewhere=" + startedRemoteParts + " units_waiting=" + requests.size()
-                + " units_sessions=" + sessionUnits.size() + " units_not_handed_over=" + notTransferred + " units_held_back=" + context.log.blockedAttempts
+        return table.statusLine() + " units_parts=" + startedParts + " units_parts_elsewhere=" + startedRemoteParts + " units_waiting="
+                + requests.size()
+                + " units_sessions=" + sessionUnits.size() + " units_not_handed_over=" + notTransferred + " units_held_back="
+                + context.log.blockedAttempts
                 + " units_bad_messages=" + malformedMessages + " " + transport.statusLine();
     }
 
     /** Counters, refusals by error code, and the units that have been idle for longest. */
     String report() {
         StringBuilder text = new StringBuilder(1024);
-        text.append("self name=").append(context.self).append(" life=").append(Long.toHexString(context.incarnation)).append(draining ? " drains to=" + successor : "").append('\n');
+        text.append("self name=").append(context.self).append(" life=").append(Long.toHexString(context.incarnation))
+                .append(draining ? " drains to=" + successor : "").append('\n');
         text.append(statusLine()).append('\n');
         refusalsByCode.forEach((code, count) -> text.append("refused code=").append(code).append(" count=").append(count).append('\n'));
-        movedIncarnations.values().stream().limit(50).forEach(move -> text.append("moved life=").append(Long.toHexString(move.incarnation())).append(" of=").append(move.home())
+        movedIncarnations.values().stream().limit(50).forEach(move -> text.append("moved life=")
+                .append(Long.toHexString(move.incarnation())).append(" of=").append(move.home())
                 .append(" to=").append(move.newHome()).append('\n'));
         table.all().stream().limit(50).forEach(unit -> text.append("unit name=").append(unit).append(" silent_ms=")
                 .append(Math.round(loop.now() - unit.lastActivityMs())).append('\n'));
--- a/src/main/java/yardusher/units/UnitsSubsystem.java
+++ b/src/main/java/yardusher/units/UnitsSubsystem.java
@@ -12,7 +12,7 @@
 
 /** Units of work in an ingress. Enabled by the table {@code units} of the settings file; needs the mesh and the view. */
 public final class UnitsSubsystem implements Subsystem {
-    private static final int INCARNATION_BITS = 47;         // at most twelve hex digits of a unit's name
+    private static final int INCARNATION_BITS = 47;  // at most twelve hex digits of a unit's name
 
     private final UnitSettings settings;
     private final Ids ids = new Ids();
--- a/src/test/java/yardusher/units/HardCasesTest.java
+++ b/src/test/java/yardusher/units/HardCasesTest.java
@@ -36,11 +36,17 @@
         assertThat(simulation.breaches(true)).isEmpty();
     }
 
-    private TerminalRequest sendPart(int node, long customer, String unit, int number) { return simulation.submit(node, customer, DEDUPLICATED, part(unit, number)); }
+    private TerminalRequest sendPart(int node, long customer, String unit, int number) {
+        return simulation.submit(node, customer, DEDUPLICATED, part(unit, number));
+    }
 
-    private TerminalRequest sendUnnamed(Connection connection, long customer) { return simulation.send(connection, customer, DEDUPLICATED, 77, null, 600, any -> { }); }
+    private TerminalRequest sendUnnamed(Connection connection, long customer) {
+        return simulation.send(connection, customer, DEDUPLICATED, 77, null, 600, any -> { });
+    }
 
-    private long countEvents(String event, String unit) { return simulation.homeEvents.stream().filter(one -> one.what().equals(event) && one.unit().equals(unit)).count(); }
+    private long countEvents(String event, String unit) {
+        return simulation.homeEvents.stream().filter(one -> one.what().equals(event) && one.unit().equals(unit)).count();
+    }
 
     private void slowRegions() { simulation.regions.values().forEach(region -> region.minServiceMs = region.maxServiceMs = 60); }
 
@@ -49,7 +55,7 @@
         open(Mode.UNIT, Mode.SINGLE, Mode.SESSION);
         String unit = simulation.open(0, 5);
         TerminalRequest first = sendPart(1, 5, unit, 1);
-        TerminalRequest third = sendPart(0, 5, unit, 3);            // it waits for the second
+        TerminalRequest third = sendPart(0, 5, unit, 3); // it waits for the second
         simulation.run(2);
         TerminalRequest second = sendPart(2, 5, unit, 2);
         simulation.run(80);
@@ -86,17 +92,18 @@
         String unit = simulation.open(0, 5);
         TerminalRequest part = sendPart(1, 5, unit, 1);
         while (!part.served) {
-            simulation.setPartitioned(0, 1, simulation.nodes[1].intake.pendingCount() > 0 && simulation.requests.size() > 1 && part.admitted != null && part.admitted.mayHaveRun());
+            simulation.setPartitioned(0, 1, simulation.nodes[1].intake.pendingCount() > 0 && simulation.requests.size() > 1
+                    && part.admitted != null && part.admitted.mayHaveRun());
             simulation.run(1);
         }
         simulation.kill(0);
-        simulation.run(1000);                             // until the view takes it for gone
+        simulation.run(1000);                        // until the view takes it for gone
         TerminalRequest next = sendPart(2, 5, unit, 2);
         simulation.run(300);
         assertThat(next.answer).startsWith("UNIT_UNKNOWN");
         simulation.start(0);
         simulation.run(200);
-        TerminalRequest again = sendPart(1, 5, unit, 2);            // the new incarnation does not know the unit either
+        TerminalRequest again = sendPart(1, 5, unit, 2); // the new incarnation does not know the unit either
         simulation.run(300);
         assertThat(again.answer).startsWith("UNIT_UNKNOWN");
         assertThat(countEvents("ended", unit)).isZero();
@@ -108,7 +115,7 @@
         String unit = simulation.open(0, 5);
         TerminalRequest part = sendPart(1, 5, unit, 1);
         simulation.run(30);
-        simulation.partitioned[0][1] = true;                      // the home's answer is lost
+        simulation.partitioned[0][1] = true;         // the home's answer is lost
         TerminalRequest ended = simulation.submit(1, 5, IDEMPOTENT, end(unit));
         while (countEvents("ended", unit) == 0) { simulation.run(0.1); }
         simulation.kill(0);
@@ -141,7 +148,7 @@
         simulation.run(100);
         assertThat(List.of(second.served, third.served)).containsExactly(true, true);
         assertThat(ended.answer).isEqualTo("done 3");
-        simulation.resume(0);                             // it has sealed the unit before the transfer
+        simulation.resume(0);                        // it has sealed the unit before the transfer
         simulation.run(50);
         TerminalRequest late = sendPart(0, 5, unit, 4);
         simulation.run(300);
@@ -164,7 +171,7 @@
         assertThat(unknown.answer).startsWith("UNIT_UNKNOWN");
         simulation.resume(0);
         simulation.run(100);
-        TerminalRequest again = sendPart(1, 5, unit, 2);            // no other ingress could have taken the unit over
+        TerminalRequest again = sendPart(1, 5, unit, 2); // no other ingress could have taken the unit over
         simulation.run(100);
         assertThat(again.served).isTrue();
     }
@@ -204,8 +211,10 @@
         simulation.run(30);
         simulation.nodes[0].mode = Mode.SINGLE;
         simulation.nodes[1].mode = Mode.SESSION;
-        for (int i = 0; i < 2; i++) { assertThat(simulation.nodes[i].intake.reload(simulation.nodes[i].settings())).isEqualTo("units as told"); }
-        TerminalRequest after = sendUnnamed(connection, 5);                  // the session keeps its unit until it closes
+        for (int i = 0; i < 2; i++) {
+            assertThat(simulation.nodes[i].intake.reload(simulation.nodes[i].settings())).isEqualTo("units as told");
+        }
+        TerminalRequest after = sendUnnamed(connection, 5); // the session keeps its unit until it closes
         TerminalRequest part = sendPart(1, 6, unit, 2);
         simulation.run(60);
         assertThat(List.of(before.served, after.served, part.served)).containsOnly(true);
@@ -213,7 +222,7 @@
         TerminalRequest refused = simulation.submit(0, 7, IDEMPOTENT, new UnitWord(null, 0, UnitWord.Said.OPEN));
         connection.close();
         Connection next = simulation.connect(0);
-        sendUnnamed(next, 5);                              // new requests stand alone
+        sendUnnamed(next, 5);                        // new requests stand alone
         simulation.run(60);
         assertThat(refused.answer).startsWith("UNIT_MODE");
         assertThat(simulation.homeEvents.stream().filter(one -> one.what().equals("opened"))).hasSize(2);
@@ -229,14 +238,14 @@
         String unit = simulation.open(0, 5);
         TerminalRequest first = sendPart(1, 5, unit, 1);
         simulation.run(20);
-        simulation.setPartitioned(0, 1, true);                       // the part runs at node 1, and its end cannot be reported
+        simulation.setPartitioned(0, 1, true);       // the part runs at node 1, and its end cannot be reported
         simulation.run(100);
         assertThat(first.served).isTrue();
         TerminalRequest waits = sendPart(2, 5, unit, 2);
         simulation.run(650);
         assertThat(waits.served).isFalse();
         simulation.run(500);
-        TerminalRequest refused = sendPart(2, 5, unit, 2);          // the view takes its holder for gone: refused at once, and not sent
+        TerminalRequest refused = sendPart(2, 5, unit, 2); // the view takes its holder for gone: refused at once, and not sent
         simulation.run(30);
         assertThat(refused.answer).startsWith("UNIT_HOLDER");
         simulation.setPartitioned(0, 1, false);
@@ -277,7 +286,7 @@
         simulation.run(100);
         simulation.start(1);
         simulation.run(100);
-        TerminalRequest again = sendPart(2, 5, unit, 2);            // it may have run, and its class allows a repeat in the same zone
+        TerminalRequest again = sendPart(2, 5, unit, 2); // it may have run, and its class allows a repeat in the same zone
         simulation.run(150);
         assertThat(again.served).isTrue();
     }
@@ -350,7 +359,8 @@
         Connection connection = simulation.connect(1);
         sendUnnamed(connection, 5);
         simulation.run(30);
-        TerminalRequest insideASession = simulation.send(connection, 5, IDEMPOTENT, 1, new UnitWord(null, 0, UnitWord.Said.OPEN), 500, any -> { });
+        TerminalRequest insideASession = simulation.send(connection, 5, IDEMPOTENT, 1, new UnitWord(null, 0, UnitWord.Said.OPEN), 500,
+                any -> { });
         TerminalRequest crossing = simulation.send(connection, 5, DEDUPLICATED, 2, part(unit, 1), 500, any -> { });
         TerminalRequest foreign = sendPart(0, 6, unit, 1);
         TerminalRequest unopened = sendPart(2, 5, "n0.7b.1", 1);
--- a/src/test/java/yardusher/units/UnitsCheckerTest.java
+++ b/src/test/java/yardusher/units/UnitsCheckerTest.java
@@ -26,11 +26,15 @@
         for (int part = 1; part <= 2; part++) {
             partStarts.add(new PartStart(part * 10, "n1", "n0.1.1", part, part, "id" + part));
             executions.add(new Execution("r" + part, "hall-a", "id" + part, part * 10, part * 10 + 5, part * 10 + 5));
-            clientRequests.add(new ClientRequest("id" + part, ",u=n0.1.1,p=" + part, "5", part * 10 - 1, 500, part * 10 + 6, 1, true, false));
+            clientRequests.add(new ClientRequest("id" + part, ",u=n0.1.1,p=" + part, "5", part * 10 - 1, 500, part * 10 + 6, 1, true,
+                    false));
         }
     }
 
-    private String breaches() { return String.join("\n", UnitsChecker.check(new UnitsChecker.History(homeEvents, partStarts, executions, clientRequests, List.of(), true, 0))); }
+    private String breaches() {
+        return String.join("\n", UnitsChecker.check(new UnitsChecker.History(homeEvents, partStarts, executions, clientRequests, List.of(),
+                true, 0)));
+    }
 
     private void addExecution(int part, String zone, String region, double from, double to) {
         partStarts.add(new PartStart(from, "n1", "n0.1.1", part, 9, "id" + part + zone + from));
--- a/src/test/java/yardusher/units/UnitsTest.java
+++ b/src/test/java/yardusher/units/UnitsTest.java
@@ -38,7 +38,8 @@
         Call call = Call.withUnit(words(list), false);
         assertThat(call.unit()).hasToString("UnitWord[unit=n2.3f.1, part=2, said=END]");
         assertThat(encodedFields(call)).contains("\r\nc=lookup,t=basis,d=9,units=1,spread=1,first=0\r\n");
-        assertThat(encodedFields(Call.withUnit(words(list), true))).contains("u=n2.3f.1,c=lookup,t=basis,d=9,p=2,units=1,spread=1,first=0,b=end");
+        assertThat(encodedFields(Call.withUnit(words(list), true)))
+                .contains("u=n2.3f.1,c=lookup,t=basis,d=9,p=2,units=1,spread=1,first=0,b=end");
         assertThat(Call.withUnit(words("c=lookup,t=basis,d=480,units=1,spread=1,first=0"), false).unit()).isNull();
         assertThatThrownBy(() -> Call.of(words(list))).hasMessageContaining("unknown name in list"); // units are disabled
     }
@@ -86,7 +87,9 @@
     }
 
     @Test
-    void docsShowTheBoundaryRules() throws IOException { assertThat(Files.readString(Path.of("docs/units.md"))).contains(BoundaryRule.markdownTable()); }
+    void docsShowTheBoundaryRules() throws IOException {
+        assertThat(Files.readString(Path.of("docs/units.md"))).contains(BoundaryRule.markdownTable());
+    }
 
     @Property(tries = 3000)
     void malformedDatagramsAreCountedAndDropped(@ForAll byte[] bytes) {
@@ -109,7 +112,9 @@
             public void sendDatagram(String to, byte[] datagram) { sent.add(datagram); }
 
             @Override
-            public void onMessage(String from, long incarnation, byte[] body) { delivered.add(incarnation + ":" + new String(body, StandardCharsets.ISO_8859_1)); }
+            public void onMessage(String from, long incarnation, byte[] body) {
+                delivered.add(incarnation + ":" + new String(body, StandardCharsets.ISO_8859_1));
+            }
 
             @Override
             public void onNewIncarnation(String name, long incarnation) { }
@@ -125,7 +130,10 @@
         List<List<String>> delivered = List.of(new ArrayList<>(), new ArrayList<>());
         ReliableTransport[] transports = new ReliableTransport[2];
         long[] incarnations = {11, 12};
-        for (int i = 0; i < 2; i++) { transports[i] = new ReliableTransport(i == 0 ? "a" : "b", incarnations[i], random::nextLong, callbacks(networks.get(i), delivered.get(i))); }
+        for (int i = 0; i < 2; i++) {
+            transports[i] = new ReliableTransport(i == 0 ? "a" : "b", incarnations[i], random::nextLong,
+                    callbacks(networks.get(i), delivered.get(i)));
+        }
         int sent = 0;
         boolean restarted = false;
         int sentBeforeRestart = 0;
@@ -159,14 +167,16 @@
         int lastBeforeRestart = sentBeforeRestart;
         // What was queued at the restart goes to either incarnation; what was sent after the restart was noticed goes to the new one.
         assertThat(deliveredToB).allMatch(one -> Integer.parseInt(one.substring(1)) > 0);
-        assertThat(sentAfterRestart.stream().filter(one -> Integer.parseInt(one.substring(1)) > lastBeforeRestart + 40).toList()).allMatch(deliveredToB::contains);
+        assertThat(sentAfterRestart.stream().filter(one -> Integer.parseInt(one.substring(1)) > lastBeforeRestart + 40).toList())
+                .allMatch(deliveredToB::contains);
         assertThat(transports[0].unacknowledgedCount()).isZero();
     }
 
     @Test
     void tableStaysBoundedWithAHundredThousandOpenUnits() {
         int[] ended = new int[1];
-        UnitTable table = new UnitTable("n0", 7, new UnitTable.Limits(100_000, 1_000_000, 30_000, 1000), new Unit.Rules(16, 100), new Unit.Listener() {
+        UnitTable table = new UnitTable("n0", 7, new UnitTable.Limits(100_000, 1_000_000, 30_000, 1000), new Unit.Rules(16, 100),
+                new Unit.Listener() {
             @Override
             public void onGrant(Unit unit, Ticket ticket, int grantNumber) { }
 
@@ -194,7 +204,8 @@
 
     @Test
     void everyStateOfASmallPairKeepsTheRules() {
-        UnitsModel.Result single = UnitsModel.explore(Mode.UNIT, Mode.SINGLE, UnitsModel.Fault.NONE, 1, UnitsModel.Omission.NOTHING, 1_000_000);
+        UnitsModel.Result single = UnitsModel.explore(Mode.UNIT, Mode.SINGLE, UnitsModel.Fault.NONE, 1, UnitsModel.Omission.NOTHING,
+                1_000_000);
         assertThat(single.breachPath()).isNull();
         assertThat(single.states()).isGreaterThan(50_000);
     }
