--- a/lab/src/yardusher/lab/units/UnitsChecker.java
+++ b/lab/src/yardusher/lab/units/UnitsChecker.java
@@ -74,7 +74,7 @@
         }
     }
 
-    /** Each unit ends at most once, and exactly once if its home was not lost. */
+    /** Each unit ends at most once; if the run ended calmly, each one that was not moved or lost with its home has ended. */
     private void checkEnds() {
         Map<String, Integer> endCounts = new HashMap<>();
         for (HomeEvent event : history.homeEvents) {
--- a/lab/src/yardusher/units/UnitsModel.java
+++ b/lab/src/yardusher/units/UnitsModel.java
@@ -426,7 +426,7 @@
             PartRequest request = current.requests[i];
             int index = i;
             if (current.home == null || request.ingress == current.homeIngress) { continue; }
-            // of an incarnation that the home knows to be gone
+            // Messages of an incarnation that the home knows to be gone have no effect.
             boolean stale = current.homeKnowsRestart && request.ingress == 1 && request.incarnation != current.incarnationOf(1);
             if (request.stage >= WAITING && request.arrivals < (current.requestDuplicated ? 1 : 2) && !stale) {
                 apply("n" + request.ingress + "'s request for part " + request.part + " arrives", state -> {
--- a/lab/src/yardusher/units/UnitsScript.java
+++ b/lab/src/yardusher/units/UnitsScript.java
@@ -109,8 +109,8 @@
             return;
         }
         boolean pipelined = random.nextInt(4) == 0;
-        TerminalRequest first = simulation.send(connection, customer, randomClass(), random.nextLong(), null, 500, pipelined ? any -> { }
-                : any -> playSession(connection, customer, remaining - 1, startNext));
+        TerminalRequest first = simulation.send(connection, customer, randomClass(), random.nextLong(), null, 500,
+                pipelined ? any -> { } : any -> playSession(connection, customer, remaining - 1, startNext));
         if (pipelined) {
             TerminalRequest second = simulation.send(connection, customer, randomClass(), random.nextLong(), null, 500,
                     any -> playSession(connection, customer, remaining - 1, startNext));
--- a/lab/src/yardusher/units/UnitsSimulation.java
+++ b/lab/src/yardusher/units/UnitsSimulation.java
@@ -48,7 +48,17 @@
     static final int AT_MOST_ONCE = 2;
 
     /** A rule that is left out, to show that the checker detects it. The names are arguments of {@link UnitsScript}. */
-    enum Omission { NOTHING, LIVES, SETTLING, ONE_END, STATE_AT_THE_DOOR }
+    enum Omission {
+        NOTHING,
+        /** All incarnations of an ingress have the same number. */
+        LIVES,
+        /** An abandoned attempt is taken to have ended at once. */
+        SETTLING,
+        /** The close of a connection reports its unit as ended twice. */
+        ONE_END,
+        /** A part is granted after its unit has ended. */
+        STATE_AT_THE_DOOR
+    }
 
     private record Event(double atMs, long sequence, Runnable action) { }
 
@@ -250,14 +260,14 @@
                         log);
                 core.tell(serverList());
                 long unitIncarnation = omission == Omission.LIVES ? 1000 + index : 1000 + index + 100L * incarnation;
-                UnitsIntake.Context place = new UnitsIntake.Context(name, unitIncarnation, loop, core, log, new UnitsIntake.Regions() {
+                UnitsIntake.Context context = new UnitsIntake.Context(name, unitIncarnation, loop, core, log, new UnitsIntake.Regions() {
                     @Override
                     public int zoneOf(long region) { return knows(region) ? regions.get(region).zone : -1; }
 
                     @Override
                     public boolean hasZone(int zone) { return regions.values().stream().anyMatch(one -> one.listed && one.zone == zone); }
                 }, this, this, this, apiSettings(index).classes(), List.of("plan"), random::nextLong);
-                intake = new UnitsIntake(place, settings(), this::table);
+                intake = new UnitsIntake(context, settings(), this::table);
             });
         }
 
--- a/src/main/java/yardusher/units/Message.java
+++ b/src/main/java/yardusher/units/Message.java
@@ -193,26 +193,26 @@
         return name;
     }
 
-    private static void writeRecord(DataOutputStream out, UnitRecord r) throws IOException {
-        writeName(out, r.name());
-        out.writeLong(r.customer());
-        out.writeByte(r.mode().ordinal());
-        out.writeInt(r.epoch());
-        out.writeInt(r.nextPart());
-        out.writeInt(r.grantCount());
-        out.writeByte((r.repeatGranted() ? 1 : 0) | (r.nextPartUncertain() ? 2 : 0) | (r.uncertainPartNumbered() ? 4 : 0)
-                | (r.lastPartNumbered() ? 8 : 0) | (r.grantedIsLast() ? 16 : 0));
-        out.writeInt(r.skippedUncertain());
-        out.writeDouble(r.firstGrantedAgoMs());
-        out.writeDouble(r.mayRunForMs());
-        out.writeInt(r.servedParts());
-        out.writeLong(r.region());
-        out.writeInt(r.zone());
-        out.writeUTF(r.holder() == null ? "" : r.holder());
-        out.writeLong(r.holderIncarnation());
-        out.writeLong(r.requestId());
-        out.writeInt(r.grantedPart());
-        out.writeDouble(r.deadlineInMs());
+    private static void writeRecord(DataOutputStream out, UnitRecord record) throws IOException {
+        writeName(out, record.name());
+        out.writeLong(record.customer());
+        out.writeByte(record.mode().ordinal());
+        out.writeInt(record.epoch());
+        out.writeInt(record.nextPart());
+        out.writeInt(record.grantCount());
+        out.writeByte((record.repeatGranted() ? 1 : 0) | (record.nextPartUncertain() ? 2 : 0) | (record.uncertainPartNumbered() ? 4 : 0)
+                | (record.lastPartNumbered() ? 8 : 0) | (record.grantedIsLast() ? 16 : 0));
+        out.writeInt(record.skippedUncertain());
+        out.writeDouble(record.firstGrantedAgoMs());
+        out.writeDouble(record.mayRunForMs());
+        out.writeInt(record.servedParts());
+        out.writeLong(record.region());
+        out.writeInt(record.zone());
+        out.writeUTF(record.holder() == null ? "" : record.holder());
+        out.writeLong(record.holderIncarnation());
+        out.writeLong(record.requestId());
+        out.writeInt(record.grantedPart());
+        out.writeDouble(record.deadlineInMs());
     }
 
     private static UnitRecord readRecord(DataInputStream in) throws IOException {
--- a/src/main/java/yardusher/units/ReliableTransport.java
+++ b/src/main/java/yardusher/units/ReliableTransport.java
@@ -270,7 +270,7 @@
         }
         for (int i = 0; i < datagram.sequences.length; i++) {
             long sequence = datagram.sequences[i];
-            // beyond the reorder window: not acknowledged, so the peer resends it
+            // Beyond the reorder window: not acknowledged, so the peer resends it.
             if (sequence >= peer.lowestExpected + MAX_REORDER_WINDOW) {
                 malformed++;
                 continue;
--- a/src/main/java/yardusher/units/UnitRequest.java
+++ b/src/main/java/yardusher/units/UnitRequest.java
@@ -16,6 +16,7 @@
  * finished when its terminal was answered or has left, and none of its attempts is open.
  */
 final class UnitRequest implements Stay, Terminal {
+    /** The progress of a request; only granted parts run. */
     enum Stage { WAITING, RUNNING, FINISHED }
 
     final Order clientRequest;
@@ -39,7 +40,7 @@
     boolean bindsToRegion;
     long region = -1;                                // the binding: given by the home, or set by the first attempt that may have run
     int zone = -1;
-    boolean handedOn;
+    boolean handedOn;                                // to the core, or answered instead
     boolean recorded;                                // by the request log behind UnitRequestLog
     int openAttempts;                                // attempts that have not ended
     int attemptZone = -1;                            // the zone of the open attempt's region
--- a/src/main/java/yardusher/units/UnitTable.java
+++ b/src/main/java/yardusher/units/UnitTable.java
@@ -40,7 +40,7 @@
     private Unit.Rules rules;
     private final LinkedHashMap<UnitName, Unit> units = new LinkedHashMap<>(); // the longest idle first
     private final Map<Long, Integer> openByCustomer = new HashMap<>();
-    // at most one for each unit
+    // At most one for each unit.
     private final PriorityQueue<Wake> wakes = new PriorityQueue<>((a, b) -> Double.compare(a.atMs(), b.atMs()));
     private final LinkedHashMap<UnitName, Unit> withGrantedPart = new LinkedHashMap<>(); // the longest without activity first
     private final LinkedHashMap<UnitName, Unit> recentlyEnded = new LinkedHashMap<>(); // so that a repeated end gets the same answer
--- a/src/main/java/yardusher/units/UnitsIntake.java
+++ b/src/main/java/yardusher/units/UnitsIntake.java
@@ -41,18 +41,17 @@
 
     /** The parts of the ingress that the intake works with. */
     record Context(String self, long incarnation, EventLoop loop, Intake inner, UnitRequestLog log, Regions regions, Mesh mesh, View view,
-            Events events,
-            List<Api.RequestClass> classes, List<String> plans, LongSupplier nonces) { }
+            Events events, List<Api.RequestClass> classes, List<String> plans, LongSupplier nonces) { }
 
     private static final int MAX_HOPS = 4;
-    private static final int MAX_REMEMBERED = 4096; // of each: ended units, sent reports, units that moved one by one
+    private static final int MAX_REMEMBERED = 4096;  // of each: ended units, sent reports, units that moved one by one
     private static final int MAX_MOVES = 4096;       // incarnations of homes whose units moved
     private static final int MAX_SEARCHES = 64;      // incarnations that are located at once
     private static final int MAX_TRANSFERS_IN_FLIGHT = 256; // unacknowledged messages while units are transferred
-    private static final int MAX_UNITS_PER_TICK = 256; // units handled in one tick
-    // before the deadline of a waiting part; an eighth of its wait if that is less
+    private static final int MAX_UNITS_PER_TICK = 256;
+    // A waiting part is answered this long before its deadline, or an eighth of its wait if that is less.
     private static final double MAX_ANSWER_MARGIN_MS = 100;
-    private static final double MAX_TICK_MS = 100;   // between ticks at most
+    private static final double MAX_TICK_MS = 100;
     private static final double MIN_TICK_MS = 5;
     private static final double STATUS_QUERY_AFTER_MS = 1000;
     private static final double TRANSFER_RETRY_MS = 40;
@@ -70,10 +69,10 @@
     private final Map<UnitName, Session> sessionOf = new HashMap<>();
     private final Map<UnitName, Set<String>> remoteHolders = new HashMap<>(); // other ingresses that were granted a part of an open unit
     private final LinkedHashMap<UnitName, Unit.State> endedElsewhere = new LinkedHashMap<>(); // units of other homes
-    // the latest ones, to be repeated on request
+    // The latest reports, to be repeated when a home asks.
     private final LinkedHashMap<UnitName, Message.PartDone> sentReports = new LinkedHashMap<>();
     private final LinkedHashMap<UnitName, String> movedUnits = new LinkedHashMap<>(); // units transferred one by one, by their new home
-    // by the incarnation of the home that opened them
+    // By the incarnation of the home that opened the units.
     private final LinkedHashMap<Long, Message.Moved> movedIncarnations = new LinkedHashMap<>();
     private final Map<Long, List<UnitRequest>> searches = new HashMap<>();
     private final ArrayDeque<Unit> transferQueue = new ArrayDeque<>();
