--- a/src/main/java/yardusher/units/UnitRequestLog.java
+++ b/src/main/java/yardusher/units/UnitRequestLog.java
@@ -19,7 +19,7 @@
     private final OrderLog inner;
     private final Map<Cargo, UnitRequest> running = new IdentityHashMap<>();
     private ToIntFunction<Long> zoneOfRegion = region -> -1; // a region's zone, -1 where it is not listed
-    private Consumer<UnitRequest> onSettled = asked -> { };
+    private Consumer<UnitRequest> onSettled = request -> { };
     private double settleMs;
     long blockedAttempts;                            // attempts that were not sent
 
