--- a/lab/src/yardusher/units/UnitsScript.java
+++ b/lab/src/yardusher/units/UnitsScript.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
-import yardusher.core.UnitWord;
+import yardusher.core.UnitDirective;
 import yardusher.units.UnitsSimulation.TerminalRequest;
 import yardusher.units.UnitsSimulation.Connection;
 import yardusher.units.UnitsSimulation.Omission;
@@ -67,7 +67,7 @@
         if (simulation.nodes[node].mode == Mode.SESSION && random.nextInt(4) > 0) {
             Connection connection = simulation.connect(node);
             if (random.nextInt(3) == 0) {
-                simulation.send(connection, customer, UnitsSimulation.IDEMPOTENT, 0, new UnitWord(null, 0, UnitWord.Said.OPEN), 500,
+                simulation.send(connection, customer, UnitsSimulation.IDEMPOTENT, 0, new UnitDirective(null, 0, UnitDirective.Boundary.OPEN), 500,
                         opened -> {
                     if (opened.served) {
                         playParts(connection, customer, opened.answer, 1, 1 + random.nextInt(3), startNext);
@@ -82,7 +82,7 @@
             return;
         }
         TerminalRequest opening = simulation.send(simulation.connect(node), customer, UnitsSimulation.DEDUPLICATED, 1,
-                new UnitWord(null, 0, UnitWord.Said.OPEN), 500, opened -> {
+                new UnitDirective(null, 0, UnitDirective.Boundary.OPEN), 500, opened -> {
             if (opened.served) { playParts(null, customer, opened.answer, 1, 1 + random.nextInt(4), startNext); } else { startNext.run(); }
         });
         if (opening == null) { startNext.run(); } else { giveUpAfterWait(opening, startNext); }
@@ -94,7 +94,7 @@
             if (request.answerCount == 0 && !request.left) {
                 request.left = true;
                 if (request.admitted != null && request.connection.incarnation == simulation.nodes[request.connection.node].incarnation) {
-                    simulation.nodes[request.connection.node].turn(request.admitted::gone);
+                    simulation.nodes[request.connection.node].turn(request.admitted::terminalLeft);
                 }
                 then.run();
             }
@@ -142,7 +142,7 @@
         }
         if (random.nextInt(30) == 0) {               // an end that crosses the next part, or a part too early, too late or of no unit
             Connection otherConnection = simulation.connect(randomNode());
-            UnitWord word = switch (random.nextInt(4)) {
+            UnitDirective word = switch (random.nextInt(4)) {
                 case 0 -> UnitsSimulation.end(unit);
                 case 1 -> UnitsSimulation.part(unit, part + 1);
                 case 2 -> UnitsSimulation.part(unit, Math.max(1, part - 1));
@@ -151,7 +151,7 @@
             simulation.send(otherConnection, customer, UnitsSimulation.IDEMPOTENT, 0, word, 400, any -> { });
         }
         boolean last = part == count && random.nextInt(3) == 0;
-        UnitWord word = new UnitWord(unit, part, last ? UnitWord.Said.END : UnitWord.Said.NONE);
+        UnitDirective word = new UnitDirective(unit, part, last ? UnitDirective.Boundary.END : UnitDirective.Boundary.NONE);
         tryPart(homeConnection, customer, randomClass(), random.nextLong(), word, 4, ok -> {
             if (ok && last) {
                 completedUnits++;
@@ -166,7 +166,7 @@
         });
     }
 
-    private void tryPart(Connection homeConnection, long customer, int classIndex, long key, UnitWord word, int remaining,
+    private void tryPart(Connection homeConnection, long customer, int classIndex, long key, UnitDirective word, int remaining,
             java.util.function.Consumer<Boolean> then) {
         Connection connection = homeConnection != null && !homeConnection.closed && random.nextInt(3) == 0 ? homeConnection
                 : simulation.connect(randomNode());
@@ -209,7 +209,7 @@
                 any -> { });
         if (how == 5) {
             simulation.send(simulation.connect(randomNode()), customer, UnitsSimulation.IDEMPOTENT, 0,
-                    new UnitWord(unit, 0, UnitWord.Said.ABANDON), 500, any -> { });
+                    new UnitDirective(unit, 0, UnitDirective.Boundary.ABANDON), 500, any -> { });
         }
     }
 
--- a/lab/src/yardusher/units/UnitsSimulation.java
+++ b/lab/src/yardusher/units/UnitsSimulation.java
@@ -17,17 +17,17 @@
 import java.util.function.Consumer;
 import yardusher.Api;
 import yardusher.core.Attempt;
-import yardusher.core.Cargo;
+import yardusher.core.BackendCommand;
 import yardusher.core.Counters;
 import yardusher.core.Ingress;
-import yardusher.core.Order;
-import yardusher.core.OrderLog;
+import yardusher.core.IncomingRequest;
+import yardusher.core.RequestLog;
 import yardusher.core.Backends;
 import yardusher.core.Session;
-import yardusher.core.Stay;
+import yardusher.core.RequestHandle;
 import yardusher.core.Terminal;
 import yardusher.core.EventLoop;
-import yardusher.core.UnitWord;
+import yardusher.core.UnitDirective;
 import yardusher.lab.units.UnitsChecker;
 import yardusher.log.Events;
 import yardusher.mesh.Mesh;
@@ -109,29 +109,29 @@
         }
 
         @Override
-        public void atEnd(Runnable then) { if (closed) { then.run(); } else { endListeners.add(then); } }
+        public void onClose(Runnable then) { if (closed) { then.run(); } else { endListeners.add(then); } }
 
         /** Closes the connection from the terminal's side. */
         void close() {
             if (closed) { return; }
             closed = true;
             schedule(0.1, () -> onNode(node, incarnation, () -> {
-                endListeners.forEach(nodes[node].loop::afterwards);
+                endListeners.forEach(nodes[node].loop::defer);
                 for (TerminalRequest one : List.copyOf(openRequests)) {
                     one.left = true;
-                    if (one.admitted != null) { one.admitted.gone(); }
+                    if (one.admitted != null) { one.admitted.terminalLeft(); }
                 }
             }));
         }
     }
 
     /** One request of a terminal. */
-    final class TerminalRequest implements Terminal, Cargo {
+    final class TerminalRequest implements Terminal, BackendCommand {
         final long id = ++lastId;
         final long customer;
         final int classIndex;
         final long key;
-        final UnitWord unitWord;
+        final UnitDirective unitWord;
         final double waitMs;
         final Connection connection;
         final double sentMs = now;
@@ -141,10 +141,10 @@
         boolean busy;
         boolean left;
         String answer = "";
-        Stay admitted;
+        RequestHandle admitted;
         Consumer<TerminalRequest> onAnswer = any -> { };
 
-        TerminalRequest(Connection connection, long customer, int classIndex, long key, UnitWord unitWord, double waitMs) {
+        TerminalRequest(Connection connection, long customer, int classIndex, long key, UnitDirective unitWord, double waitMs) {
             this.connection = connection;
             this.customer = customer;
             this.classIndex = classIndex;
@@ -190,15 +190,15 @@
         public String key() { return classIndex == DEDUPLICATED ? String.format("%016x", key) : null; }
 
         @Override
-        public long print() { return key; }
+        public long fingerprint() { return key; }
 
         @Override
-        public UnitWord unit() { return unitWord; }
+        public UnitDirective unit() { return unitWord; }
 
         String fields() {
-            return unitWord == null ? "" : "," + (unitWord.unit() == null ? "" : "u=" + unitWord.unit())
+            return unitWord == null ? "" : "," + (unitWord.unitName() == null ? "" : "u=" + unitWord.unitName())
                     + (unitWord.part() > 0 ? ",p=" + unitWord.part() : "")
-                    + switch (unitWord.said()) {
+                    + switch (unitWord.boundary()) {
                         case OPEN -> ",b=open";
                         case END -> ",b=end";
                         case ABANDON -> ",b=abandon";
@@ -220,7 +220,7 @@
         EventLoop loop;
         Ingress core;
         UnitsIntake intake;
-        private Mesh.Hearer hearer;
+        private Mesh.MessageHandler hearer;
         private Consumer<Change> viewFollower;
         private final Map<Attempt, RegionRun> runs = new HashMap<>();
         private final double[] lastHeardMs;
@@ -254,15 +254,15 @@
                 seenAlive[i] = nodes[i] != null && nodes[i].up;
             }
             loop = new EventLoop(() -> now, e -> problems.add(name + ": " + stack(e)));
-            loop.turn(() -> {
-                UnitRequestLog log = new UnitRequestLog(OrderLog.NONE);
+            loop.execute(() -> {
+                UnitRequestLog log = new UnitRequestLog(RequestLog.NONE);
                 core = new Ingress(apiSettings(index), seed * 31 + index * 7 + incarnation, loop, this, (to, body) -> { }, new Counters(),
                         log);
-                core.tell(serverList());
+                core.deliver(serverList());
                 long unitIncarnation = omission == Omission.LIVES ? 1000 + index : 1000 + index + 100L * incarnation;
                 UnitsIntake.Context context = new UnitsIntake.Context(name, unitIncarnation, loop, core, log, new UnitsIntake.Regions() {
                     @Override
-                    public int zoneOf(long region) { return knows(region) ? regions.get(region).zone : -1; }
+                    public int zoneOf(long region) { return isAvailable(region) ? regions.get(region).zone : -1; }
 
                     @Override
                     public boolean hasZone(int zone) { return regions.values().stream().anyMatch(one -> one.listed && one.zone == zone); }
@@ -315,7 +315,7 @@
         /** Runs work in a turn of the event loop, or after the pause. */
         void turn(Runnable work) {
             if (!up) { return; }
-            if (paused) { heldWork.add(work); } else { loop.turn(work); }
+            if (paused) { heldWork.add(work); } else { loop.execute(work); }
         }
 
         void resume() {
@@ -323,42 +323,42 @@
             if (!up) { return; }
             List<Runnable> waiting = new ArrayList<>(heldWork);
             heldWork.clear();
-            waiting.forEach(loop::turn);
+            waiting.forEach(loop::execute);
         }
 
         // Backends.
 
         @Override
-        public boolean knows(long region) { return regions.containsKey(region) && regions.get(region).listed; }
+        public boolean isAvailable(long region) { return regions.containsKey(region) && regions.get(region).listed; }
 
         @Override
-        public void begin(Attempt attempt, ByteBuffer... cargo) {
+        public void start(Attempt attempt, ByteBuffer... cargo) {
             SimulatedRegion region = regions.get(attempt.backend);
             int startedIncarnation = incarnation;
-            String id = String.format("%016x", attempt.request.order.cargo().id());
+            String id = String.format("%016x", attempt.request.incoming.command().id());
             boolean[] open = {true};
             RegionRun[] run = new RegionRun[1];
-            attempt.giveUp = () -> {
+            attempt.abort = () -> {
                 open[0] = false;
                 if (run[0] != null) { run[0].detachedMs = Math.min(run[0].detachedMs, now); }
             };
             schedule(0.2 + random.nextDouble(), () -> {
                 if (!up || incarnation != startedIncarnation || !open[0]) { return; }
                 if (!region.alive) {
-                    onNode(index, startedIncarnation, () -> core.ended(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED)));
+                    onNode(index, startedIncarnation, () -> core.attemptEnded(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED)));
                     return;
                 }
-                if (!attempt.hand(now)) {
-                    onNode(index, startedIncarnation, () -> core.ended(attempt, Attempt.Result.of(Api.Outcome.NOT_SENT)));
+                if (!attempt.handToSocket(now)) {
+                    onNode(index, startedIncarnation, () -> core.attemptEnded(attempt, Attempt.Result.of(Api.Outcome.NOT_SENT)));
                     return;
                 }
-                onNode(index, startedIncarnation, () -> core.written(attempt));
+                onNode(index, startedIncarnation, () -> core.attemptWritten(attempt));
                 run[0] = new RegionRun(region, id, now);
                 regionRuns.add(run[0]);
                 runs.put(attempt, run[0]);
                 // The only assumption about a region: it ends an abandoned attempt within the settling time.
                 double serviceMs = Math.min(region.minServiceMs + random.nextDouble() * (region.maxServiceMs - region.minServiceMs),
-                        attempt.sentAt + attempt.waitMs + SETTLE_MS - 5 - now);
+                        attempt.sentAtMs + attempt.waitMs + SETTLE_MS - 5 - now);
                 schedule(serviceMs, () -> {
                     if (run[0].finished) { return; }
                     run[0].finished = true;
@@ -366,7 +366,7 @@
                     run[0].detachedMs = Math.min(run[0].detachedMs, now);
                     schedule(0.2 + random.nextDouble(), () -> {
                         if (open[0]) {
-                            onNode(index, startedIncarnation, () -> core.ended(attempt,
+                            onNode(index, startedIncarnation, () -> core.attemptEnded(attempt,
                                     new Attempt.Result(Api.Outcome.SERVED, ("value " + id).getBytes(StandardCharsets.UTF_8), null)));
                         }
                     });
@@ -377,7 +377,7 @@
                     run[0].toMs = now;
                     run[0].detachedMs = Math.min(run[0].detachedMs, now);
                     if (open[0]) {
-                        onNode(index, startedIncarnation, () -> core.ended(attempt, Attempt.Result.of(Api.Outcome.CONNECTION_LOST)));
+                        onNode(index, startedIncarnation, () -> core.attemptEnded(attempt, Attempt.Result.of(Api.Outcome.CONNECTION_LOST)));
                     }
                 });
             });
@@ -398,16 +398,16 @@
                 byte[] bytes = body.clone();
                 if (random.nextDouble() < corruptionRate) { bytes[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8)); }
                 schedule(delayMs, () -> nodes[other].turn(() -> {
-                    if (nodes[other].hearer != null) { nodes[other].hearer.heard(address(), bytes); }
+                    if (nodes[other].hearer != null) { nodes[other].hearer.onMessage(address(), bytes); }
                 }));
             }
         }
 
         @Override
-        public void hear(Mesh.Kind kind, Mesh.Hearer by) { hearer = by; }
+        public void setHandler(Mesh.Kind kind, Mesh.MessageHandler by) { hearer = by; }
 
         @Override
-        public String line() { return ""; }
+        public String countersLine() { return ""; }
 
         // View.
 
@@ -431,7 +431,7 @@
                 }
             }
             if ((!came.isEmpty() || !gone.isEmpty()) && viewFollower != null) {
-                loop.turn(() -> viewFollower.accept(new Change(picture(), came, gone)));
+                loop.execute(() -> viewFollower.accept(new Change(snapshot(), came, gone)));
             }
         }
 
@@ -439,12 +439,12 @@
         public Member self() { return memberAt(index); }
 
         @Override
-        public Picture picture() {
+        public Snapshot snapshot() {
             List<Member> there = new ArrayList<>();
             for (int i = 0; i < size; i++) {
                 if (memberAt(i).state() == State.ALIVE) { there.add(memberAt(i)); }
             }
-            return new Picture(there, 0, 0, 0, 0);
+            return new Snapshot(there, 0, 0, 0, 0);
         }
 
         @Override
@@ -456,7 +456,7 @@
         }
 
         @Override
-        public void follow(Consumer<Change> by) { viewFollower = by; }
+        public void subscribe(Consumer<Change> by) { viewFollower = by; }
 
         // Events.
 
@@ -556,7 +556,7 @@
 
     /** Sends the current server list to all ingresses. */
     void publishServerList() {
-        for (Node node : nodes) { node.turn(() -> node.core.tell(serverList())); }
+        for (Node node : nodes) { node.turn(() -> node.core.deliver(serverList())); }
     }
 
     void schedule(double delayMs, Runnable action) { events.add(new Event(now + delayMs, eventSequence++, action)); }
@@ -576,7 +576,7 @@
             }
             now = next;
             for (Node node : nodes) {
-                if (node.up && !node.paused) { node.loop.turn(() -> { }); }
+                if (node.up && !node.paused) { node.loop.execute(() -> { }); }
             }
             if (lastDetectionMs + 20 <= (long) now) {
                 lastDetectionMs = (long) now;
@@ -593,7 +593,7 @@
     }
 
     /** Sends a request on a connection; null if the connection has ended. */
-    TerminalRequest send(Connection connection, long customer, int classIndex, long key, UnitWord unitWord, double waitMs,
+    TerminalRequest send(Connection connection, long customer, int classIndex, long key, UnitDirective unitWord, double waitMs,
             Consumer<TerminalRequest> onAnswer) {
         if (connection.closed || !nodes[connection.node].up || nodes[connection.node].incarnation != connection.incarnation) {
             return null;
@@ -605,14 +605,14 @@
         Node node = nodes[connection.node];
         schedule(0.1, () -> onNode(connection.node, connection.incarnation, () -> {
             if (connection.closed) { return; }
-            request.admitted = node.intake.take(new Order(classIndex, 0, customer, 1, 0, 8, waitMs, request, request));
+            request.admitted = node.intake.accept(new IncomingRequest(classIndex, 0, customer, 1, 0, 8, waitMs, request, request));
         }));
         return request;
     }
 
     // Shorthands for tests.
 
-    TerminalRequest submit(int node, long customer, int classIndex, UnitWord unitWord) {
+    TerminalRequest submit(int node, long customer, int classIndex, UnitDirective unitWord) {
         TerminalRequest request = send(connect(node), customer, classIndex, lastId + 77, unitWord, 600, any -> { });
         if (request == null) { throw new IllegalStateException("n" + node + " is down"); }
         return request;
@@ -620,15 +620,15 @@
 
     /** Opens a unit and returns its name. */
     String open(int node, long customer) {
-        TerminalRequest opening = submit(node, customer, IDEMPOTENT, new UnitWord(null, 0, UnitWord.Said.OPEN));
+        TerminalRequest opening = submit(node, customer, IDEMPOTENT, new UnitDirective(null, 0, UnitDirective.Boundary.OPEN));
         run(5);
         if (!opening.served) { throw new IllegalStateException(opening.answer); }
         return opening.answer;
     }
 
-    static UnitWord part(String unit, int number) { return new UnitWord(unit, number, UnitWord.Said.NONE); }
+    static UnitDirective part(String unit, int number) { return new UnitDirective(unit, number, UnitDirective.Boundary.NONE); }
 
-    static UnitWord end(String unit) { return new UnitWord(unit, 0, UnitWord.Said.END); }
+    static UnitDirective end(String unit) { return new UnitDirective(unit, 0, UnitDirective.Boundary.END); }
 
     // Faults.
 
--- a/src/main/java/yardusher/units/UnitRequest.java
+++ b/src/main/java/yardusher/units/UnitRequest.java
@@ -3,10 +3,10 @@
 import java.nio.ByteBuffer;
 import java.util.function.Consumer;
 import yardusher.core.Deadlines;
-import yardusher.core.Flow;
-import yardusher.core.Order;
+import yardusher.core.ResponseStream;
+import yardusher.core.IncomingRequest;
 import yardusher.core.Session;
-import yardusher.core.Stay;
+import yardusher.core.RequestHandle;
 import yardusher.core.Terminal;
 import yardusher.core.EventLoop;
 
@@ -15,11 +15,11 @@
  * runs under the grant it was given. The front sees it as an admitted request, the core as the terminal to answer. A part is
  * finished when its terminal was answered or has left, and none of its attempts is open.
  */
-final class UnitRequest implements Stay, Terminal {
+final class UnitRequest implements RequestHandle, Terminal {
     /** The progress of a request; only granted parts run. */
     enum Stage { WAITING, RUNNING, FINISHED }
 
-    final Order clientRequest;
+    final IncomingRequest clientRequest;
     final UnitName unit;
     final long requestId;
     final int part;
@@ -35,7 +35,7 @@
     int awaitedPart;                                 // while queued at the home: the part that is due there, else 0
     Deadlines.Entry timer;
     // While it runs:
-    Stay admitted;
+    RequestHandle admitted;
     int grantNumber;
     boolean bindsToRegion;
     long region = -1;                                // the binding: given by the home, or set by the first attempt that may have run
@@ -50,7 +50,7 @@
     boolean mayHaveRun;
     double mayRunUntilMs = Double.NEGATIVE_INFINITY; // a region may still run an abandoned attempt until then
 
-    UnitRequest(Order clientRequest, UnitName unit, long requestId, int part, Ticket.Kind kind, EventLoop loop,
+    UnitRequest(IncomingRequest clientRequest, UnitName unit, long requestId, int part, Ticket.Kind kind, EventLoop loop,
             Consumer<UnitRequest> onSettled, Consumer<UnitRequest> onTerminalLeft) {
         this.clientRequest = clientRequest;
         this.unit = unit;
@@ -64,13 +64,13 @@
     }
 
     @Override
-    public Order order() { return clientRequest; }
+    public IncomingRequest incoming() { return clientRequest; }
 
     @Override
     public boolean mayHaveRun() { return mayHaveRun || admitted != null && admitted.mayHaveRun(); }
 
     @Override
-    public void gone() {
+    public void terminalLeft() {
         if (answered) { return; }
         answered = true;
         onTerminalLeft.accept(this);
@@ -109,11 +109,11 @@
     }
 
     @Override
-    public Flow begin(long length) {
-        Flow flow = clientRequest.terminal().begin(length);
-        return flow == null ? null : new Flow() {
+    public ResponseStream beginStream(long length) {
+        ResponseStream flow = clientRequest.terminal().beginStream(length);
+        return flow == null ? null : new ResponseStream() {
             @Override
-            public void part(ByteBuffer bytes, Runnable then) { flow.part(bytes, then); }
+            public void write(ByteBuffer bytes, Runnable then) { flow.write(bytes, then); }
 
             @Override
             public void end() {
@@ -123,9 +123,9 @@
             }
 
             @Override
-            public void broken() {
+            public void fail() {
                 mayHaveRun = true;
-                if (markAnswered()) { flow.broken(); }
+                if (markAnswered()) { flow.fail(); }
                 onSettled.accept(UnitRequest.this);
             }
         };
--- a/src/main/java/yardusher/units/UnitRequestLog.java
+++ b/src/main/java/yardusher/units/UnitRequestLog.java
@@ -6,8 +6,8 @@
 import java.util.function.ToIntFunction;
 import yardusher.Api;
 import yardusher.core.Attempt;
-import yardusher.core.Cargo;
-import yardusher.core.OrderLog;
+import yardusher.core.BackendCommand;
+import yardusher.core.RequestLog;
 import yardusher.core.Request;
 
 /**
@@ -15,15 +15,15 @@
  * answered yet, and the region must match the unit's binding and the earlier attempts. Requests that are no parts pass unchanged to
  * the log behind this one.
  */
-final class UnitRequestLog implements OrderLog {
-    private final OrderLog inner;
-    private final Map<Cargo, UnitRequest> running = new IdentityHashMap<>();
+final class UnitRequestLog implements RequestLog {
+    private final RequestLog inner;
+    private final Map<BackendCommand, UnitRequest> running = new IdentityHashMap<>();
     private ToIntFunction<Long> zoneOfRegion = region -> -1; // a region's zone, -1 where it is not listed
     private Consumer<UnitRequest> onSettled = request -> { };
     private double settleMs;
     long blockedAttempts;                            // attempts that were not sent
 
-    UnitRequestLog(OrderLog inner) { this.inner = inner; }
+    UnitRequestLog(RequestLog inner) { this.inner = inner; }
 
     void connect(ToIntFunction<Long> newZoneOfRegion, Consumer<UnitRequest> newOnSettled) {
         zoneOfRegion = newZoneOfRegion;
@@ -32,17 +32,17 @@
 
     void setSettleMs(double ms) { settleMs = ms; }
 
-    void add(UnitRequest part) { running.put(part.clientRequest.cargo(), part); }
+    void add(UnitRequest part) { running.put(part.clientRequest.command(), part); }
 
-    void remove(UnitRequest part) { running.remove(part.clientRequest.cargo(), part); }
+    void remove(UnitRequest part) { running.remove(part.clientRequest.command(), part); }
 
     int runningCount() { return running.size(); }
 
-    private UnitRequest find(Request request) { return running.isEmpty() ? null : running.get(request.order.cargo()); }
+    private UnitRequest find(Request request) { return running.isEmpty() ? null : running.get(request.incoming.command()); }
 
     @Override
-    public Admission take(Request request) {
-        Admission admission = inner.take(request);
+    public Admission admit(Request request) {
+        Admission admission = inner.admit(request);
         UnitRequest part = find(request);
         if (part == null || admission == Admission.REFUSED) { return admission; }
         part.recorded = admission == Admission.RECORDED;
@@ -50,10 +50,10 @@
     }
 
     @Override
-    public void intend(Attempt attempt, Consumer<Boolean> then) {
+    public void recordIntent(Attempt attempt, Consumer<Boolean> then) {
         UnitRequest part = find(attempt.request);
         if (part == null) {
-            inner.intend(attempt, then);
+            inner.recordIntent(attempt, then);
             return;
         }
         part.openAttempts++;
@@ -66,7 +66,7 @@
             part.attemptReleased = released && !attempt.isOver();
             then.accept(released);
         };
-        if (part.recorded) { inner.intend(attempt, check); } else { check.accept(true); }
+        if (part.recorded) { inner.recordIntent(attempt, check); } else { check.accept(true); }
     }
 
     private static boolean mayGo(UnitRequest part, long region, int zone) {
@@ -75,26 +75,26 @@
     }
 
     @Override
-    public void written(Attempt attempt) {
+    public void attemptWritten(Attempt attempt) {
         UnitRequest part = find(attempt.request);
-        if (part == null || part.recorded) { inner.written(attempt); }
+        if (part == null || part.recorded) { inner.attemptWritten(attempt); }
     }
 
     @Override
-    public void ended(Attempt attempt, Api.Outcome outcome) {
+    public void attemptEnded(Attempt attempt, Api.Outcome outcome) {
         UnitRequest part = find(attempt.request);
         if (part == null) {
-            inner.ended(attempt, outcome);
+            inner.attemptEnded(attempt, outcome);
             return;
         }
-        if (part.recorded) { inner.ended(attempt, outcome); }
+        if (part.recorded) { inner.attemptEnded(attempt, outcome); }
         part.openAttempts--;
         boolean mayHaveRun = part.attemptReleased && !outcome.neverRan();
         if (mayHaveRun) {
             part.mayHaveRun |= outcome != Api.Outcome.SERVED;
             if (part.bindsToRegion) { part.region = attempt.backend; } else { part.zone = part.attemptZone; }
             boolean answered = outcome == Api.Outcome.SERVED || outcome == Api.Outcome.SERVER_ERROR;
-            if (!answered) { part.mayRunUntilMs = Math.max(part.mayRunUntilMs, attempt.sentAt + attempt.waitMs + settleMs); }
+            if (!answered) { part.mayRunUntilMs = Math.max(part.mayRunUntilMs, attempt.sentAtMs + attempt.waitMs + settleMs); }
         }
         onSettled.accept(part);
     }
--- a/src/main/java/yardusher/units/UnitsIntake.java
+++ b/src/main/java/yardusher/units/UnitsIntake.java
@@ -15,12 +15,12 @@
 import java.util.function.ToIntFunction;
 import yardusher.Api;
 import yardusher.core.Deadlines;
-import yardusher.core.Intake;
-import yardusher.core.Order;
+import yardusher.core.RequestAcceptor;
+import yardusher.core.IncomingRequest;
 import yardusher.core.Session;
-import yardusher.core.Stay;
+import yardusher.core.RequestHandle;
 import yardusher.core.EventLoop;
-import yardusher.core.UnitWord;
+import yardusher.core.UnitDirective;
 import yardusher.error.UnitError;
 import yardusher.log.Events;
 import yardusher.mesh.Mesh;
@@ -31,7 +31,7 @@
  * unit's home, and is itself the home of the units that were opened here. Requests that belong to no unit pass straight on. Used in
  * turns of the event loop only.
  */
-final class UnitsIntake implements Intake, Unit.Listener, ReliableTransport.Callbacks {
+final class UnitsIntake implements RequestAcceptor, Unit.Listener, ReliableTransport.Callbacks {
     /** The listed regions: the zone of one, -1 if it is not listed; and whether a zone has any. */
     interface Regions {
         int zoneOf(long region);
@@ -40,7 +40,7 @@
     }
 
     /** The parts of the ingress that the intake works with. */
-    record Context(String self, long incarnation, EventLoop loop, Intake inner, UnitRequestLog log, Regions regions, Mesh mesh, View view,
+    record Context(String self, long incarnation, EventLoop loop, RequestAcceptor inner, UnitRequestLog log, Regions regions, Mesh mesh, View view,
             Events events, List<Api.RequestClass> classes, List<String> plans, LongSupplier nonces) { }
 
     private static final int MAX_HOPS = 4;
@@ -104,12 +104,12 @@
         this.transport = new ReliableTransport(context.self, context.incarnation, context.nonces, this);
         configure(settings);
         context.log.connect(zoneOfRegion(), this::reportIfFinished);
-        context.mesh.hear(Mesh.Kind.UNITS, (from, body) -> {
+        context.mesh.setHandler(Mesh.Kind.UNITS, (from, body) -> {
             transport.receive(loop.now(), body);
             scheduleTick(loop.now() + MIN_TICK_MS);
         });
-        context.view.follow(this::viewChanged);
-        for (View.Member member : context.view.picture().members()) { greet(member); }
+        context.view.subscribe(this::viewChanged);
+        for (View.Member member : context.view.snapshot().members()) { greet(member); }
         scheduleTick(loop.now() + MAX_TICK_MS);
     }
 
@@ -135,11 +135,11 @@
     // Requests from the fronts.
 
     @Override
-    public Stay take(Order clientRequest) {
-        UnitWord word = clientRequest.cargo().unit();
+    public RequestHandle accept(IncomingRequest clientRequest) {
+        UnitDirective word = clientRequest.command().unit();
         Mode mode = modeByPlan[clientRequest.plan()];
         if (word == null) { return takeUnnamed(clientRequest, mode); }
-        return word.said() == UnitWord.Said.OPEN ? takeOpening(clientRequest, word, mode) : takeNamed(clientRequest, word, mode);
+        return word.boundary() == UnitDirective.Boundary.OPEN ? takeOpening(clientRequest, word, mode) : takeNamed(clientRequest, word, mode);
     }
 
     /** The unit that this connection has open for a customer, null for none. */
@@ -149,13 +149,13 @@
         return name == null ? null : table.find(name);
     }
 
-    private Stay takeUnnamed(Order clientRequest, Mode mode) {
-        if (mode != Mode.SESSION && sessionUnits.isEmpty()) { return context.inner.take(clientRequest); }
+    private RequestHandle takeUnnamed(IncomingRequest clientRequest, Mode mode) {
+        if (mode != Mode.SESSION && sessionUnits.isEmpty()) { return context.inner.accept(clientRequest); }
         Session session = clientRequest.terminal().session();
         Unit unit = sessionUnit(session, clientRequest.customer());
         if (unit == null) {
             if (session == null || BoundaryRule.UNNAMED_REQUEST.actionIn(mode) != BoundaryRule.Action.JOINS) {
-                return context.inner.take(clientRequest);
+                return context.inner.accept(clientRequest);
             }
             unit = openSessionUnit(session, clientRequest);
             if (unit == null) { return refuseOpening(clientRequest); }
@@ -165,12 +165,12 @@
         return submit(clientRequest, unit.name, 0, Ticket.Kind.PART);
     }
 
-    private Unit openSessionUnit(Session session, Order clientRequest) {
+    private Unit openSessionUnit(Session session, IncomingRequest clientRequest) {
         Unit unit = draining ? null : table.open(loop.now(), clientRequest.customer(), Mode.SESSION);
         if (unit == null) { return null; }
         if (!sessionUnits.containsKey(session)) {
             sessionUnits.put(session, new HashMap<>(2));
-            session.atEnd(() -> connectionClosed(session));
+            session.onClose(() -> connectionClosed(session));
         }
         sessionUnits.get(session).put(clientRequest.customer(), unit.name);
         sessionOf.put(unit.name, session);
@@ -186,14 +186,14 @@
         scheduleTick(loop.now() + MIN_TICK_MS);
     }
 
-    private Stay takeOpening(Order clientRequest, UnitWord word, Mode mode) {
+    private RequestHandle takeOpening(IncomingRequest clientRequest, UnitDirective word, Mode mode) {
         Session session = mode == Mode.SESSION ? clientRequest.terminal().session() : null;
         Unit unit = sessionUnit(session, clientRequest.customer());
-        boolean nested = word.unit() != null
+        boolean nested = word.unitName() != null
                 || unit != null && (unit.isStarted() || unit.waitingCount() > 0 || unit.state() != Unit.State.OPEN);
         BoundaryRule.Action action = (nested ? BoundaryRule.NESTED_OPENING : BoundaryRule.OPENING).actionIn(mode);
         if (nested) {
-            return fail(clientRequest, new UnitError.Boundary(word.unit() == null ? unit.name : word.unit(), "a unit is opened inside it"));
+            return fail(clientRequest, new UnitError.Boundary(word.unitName() == null ? unit.name : word.unitName(), "a unit is opened inside it"));
         }
         if (action == BoundaryRule.Action.REFUSES || action == BoundaryRule.Action.NAMES && session == null) {
             return fail(clientRequest, new UnitError.Mode("new", mode.name().toLowerCase(java.util.Locale.ROOT),
@@ -210,10 +210,10 @@
         return answer(clientRequest, unit.name.toString());
     }
 
-    private Stay takeNamed(Order clientRequest, UnitWord word, Mode mode) {
-        UnitName name = UnitName.parse(word.unit());
-        if (name == null) { return fail(clientRequest, new UnitError.Unknown(word.unit())); }
-        Ticket.Kind kind = word.said() == UnitWord.Said.ABANDON ? Ticket.Kind.ABANDON : word.said() == UnitWord.Said.NONE ? Ticket.Kind.PART
+    private RequestHandle takeNamed(IncomingRequest clientRequest, UnitDirective word, Mode mode) {
+        UnitName name = UnitName.parse(word.unitName());
+        if (name == null) { return fail(clientRequest, new UnitError.Unknown(word.unitName())); }
+        Ticket.Kind kind = word.boundary() == UnitDirective.Boundary.ABANDON ? Ticket.Kind.ABANDON : word.boundary() == UnitDirective.Boundary.NONE ? Ticket.Kind.PART
                 : word.part() > 0 ? Ticket.Kind.LAST_PART : Ticket.Kind.END;
         Unit sessionUnit = mode == Mode.SESSION ? sessionUnit(clientRequest.terminal().session(), clientRequest.customer()) : null;
         if (kind.isPart() && sessionUnit != null && !sessionUnit.name.equals(name) && sessionUnit.isStarted()
@@ -228,31 +228,31 @@
     }
 
     /** A request that was answered at once. */
-    private record AnsweredRequest(Order order) implements Stay {
+    private record AnsweredRequest(IncomingRequest incoming) implements RequestHandle {
         @Override
         public boolean mayHaveRun() { return false; }
 
         @Override
-        public void gone() { }
+        public void terminalLeft() { }
     }
 
-    private Stay answer(Order clientRequest, String text) {
+    private RequestHandle answer(IncomingRequest clientRequest, String text) {
         clientRequest.terminal().served(text.getBytes(StandardCharsets.UTF_8));
         return new AnsweredRequest(clientRequest);
     }
 
-    private Stay reject(Order clientRequest, long retryAfterMs) {
+    private RequestHandle reject(IncomingRequest clientRequest, long retryAfterMs) {
         clientRequest.terminal().reject(retryAfterMs, false);
         return new AnsweredRequest(clientRequest);
     }
 
     /** Answers an opening for which there is no room, or while this ingress drains. */
-    private Stay refuseOpening(Order clientRequest) {
+    private RequestHandle refuseOpening(IncomingRequest clientRequest) {
         return draining ? reject(clientRequest, DRAINING_RETRY_AFTER_MS)
                 : fail(clientRequest, new UnitError.Full("new", settings.maxOpen()));
     }
 
-    private Stay fail(Order clientRequest, UnitError error) {
+    private RequestHandle fail(IncomingRequest clientRequest, UnitError error) {
         clientRequest.terminal().failed(errorText(error), false);
         return new AnsweredRequest(clientRequest);
     }
@@ -264,7 +264,7 @@
 
     // Requests to a home.
 
-    private Stay submit(Order clientRequest, UnitName name, int part, Ticket.Kind kind) {
+    private RequestHandle submit(IncomingRequest clientRequest, UnitName name, int part, Ticket.Kind kind) {
         UnitRequest request = new UnitRequest(clientRequest, name, ++lastRequestId, part, kind, loop, this::reportIfFinished,
                 this::terminalLeft);
         requests.put(request.requestId, request);
@@ -353,11 +353,11 @@
             searches.put(request.unit.incarnation(), waiting);
             byte[] message = new Message.Locate(request.unit.home(), request.unit.incarnation()).encode();
             double untilMs = loop.now() + settings.homeTimeoutMs();
-            for (View.Member member : context.view.picture().members()) {
+            for (View.Member member : context.view.snapshot().members()) {
                 if (!member.name().equals(context.self)) { transport.send(loop.now(), member.name(), message, untilMs); }
             }
             long incarnation = request.unit.incarnation();
-            loop.deadlines().at(loop.now() + settings.homeTimeoutMs() / 2, () -> endSearch(incarnation));
+            loop.deadlines().schedule(loop.now() + settings.homeTimeoutMs() / 2, () -> endSearch(incarnation));
             scheduleTick(loop.now() + MIN_TICK_MS);
         }
         waiting.add(request);
@@ -377,7 +377,7 @@
 
     private void startTimeout(UnitRequest request, double untilMs) {
         loop.deadlines().cancel(request.timer);
-        request.timer = loop.deadlines().at(untilMs, () -> timedOut(request));
+        request.timer = loop.deadlines().schedule(untilMs, () -> timedOut(request));
     }
 
     private void timedOut(UnitRequest request) {
@@ -421,7 +421,7 @@
             withdraw(request);
         } else if (request.stage == UnitRequest.Stage.RUNNING) {
             request.mayHaveRun |= request.admitted != null && request.admitted.mayHaveRun();
-            if (request.admitted != null) { request.admitted.gone(); }
+            if (request.admitted != null) { request.admitted.terminalLeft(); }
             reportIfFinished(request);
         }
     }
@@ -461,11 +461,11 @@
         startedRemoteParts += from == null ? 0 : 1;
         context.log.add(request);
         trace("part begins", null, "unit", request.unit, "part", request.part, "grant", request.grantNumber, "id",
-                String.format("%016x", request.clientRequest.cargo().id()));
-        Order clientRequest = request.clientRequest;
-        request.admitted = context.inner.take(new Order(clientRequest.classIndex(), clientRequest.plan(), clientRequest.customer(),
-                clientRequest.units(), clientRequest.first(), clientRequest.spread(), leftMs, clientRequest.cargo(), request,
-                bound ? new Api.Binding(request.region, request.zone, -1) : clientRequest.only()));
+                String.format("%016x", request.clientRequest.command().id()));
+        IncomingRequest clientRequest = request.clientRequest;
+        request.admitted = context.inner.accept(new IncomingRequest(clientRequest.classIndex(), clientRequest.plan(), clientRequest.customer(),
+                clientRequest.units(), clientRequest.first(), clientRequest.spread(), leftMs, clientRequest.command(), request,
+                bound ? new Api.Binding(request.region, request.zone, -1) : clientRequest.binding()));
         request.handedOn = true;
         reportIfFinished(request);
     }
@@ -488,7 +488,7 @@
         Message.PartDone done = new Message.PartDone(request.unit, request.grantNumber, result, mayRunForMs, request.region, request.zone,
                 "", 0);
         // Deferred: the home may grant the next part within the call.
-        if (request.home == null) { loop.afterwards(() -> report(done, null)); } else { report(done, request.home); }
+        if (request.home == null) { loop.defer(() -> report(done, null)); } else { report(done, request.home); }
     }
 
     private void report(Message.PartDone done, String home) {
@@ -518,7 +518,7 @@
             if (!refuse.newHome().isEmpty()) { remember(movedUnits, refuse.unit(), refuse.newHome()); }
             sendToHome(request);
         } else if (refuse.reason() == Refusal.UNKNOWN && movedUnits.containsKey(refuse.unit()) && request.hops < MAX_HOPS) {
-            loop.deadlines().at(loop.now() + TRANSFER_RETRY_MS, () -> { // the transfer may still be on its way
+            loop.deadlines().schedule(loop.now() + TRANSFER_RETRY_MS, () -> { // the transfer may still be on its way
                 if (request.stage == UnitRequest.Stage.WAITING && !request.answered) { sendToHome(request); }
             });
         } else if (refuse.reason() == Refusal.RETRY_LATER) {
@@ -558,7 +558,7 @@
                 unit.zone());
         trace("part granted", unit, "part", ticket.part(), "grant", grantNumber, "to", ticket.holder());
         if (isFromHere(ticket)) {
-            loop.afterwards(() -> handleGrant(message, null));
+            loop.defer(() -> handleGrant(message, null));
         } else {
             remoteHolders.computeIfAbsent(unit.name, none -> new HashSet<>(2)).add(ticket.holder());
             sendTo(ticket, message);
@@ -569,7 +569,7 @@
     public void onRefuse(Unit unit, Ticket ticket, Refusal reason, long detail) {
         String newHome = reason == Refusal.MOVED ? successor : "";
         if (isFromHere(ticket)) {
-            loop.afterwards(() -> {
+            loop.defer(() -> {
                 UnitRequest request = requests.get(ticket.requestId());
                 if (request != null) { handleRefuse(new Message.Refuse(request.unit, ticket.requestId(), reason, detail, newHome), null); }
             });
@@ -594,7 +594,7 @@
     @Override
     public void handleOutcome(Unit unit, Ticket ticket) {
         if (isFromHere(ticket)) {
-            loop.afterwards(() -> handleOutcome(unit.name, ticket.requestId(), unit.state(), unit.servedParts()));
+            loop.defer(() -> handleOutcome(unit.name, ticket.requestId(), unit.state(), unit.servedParts()));
         } else {
             sendTo(ticket, new Message.Outcome(unit.name, ticket.requestId(), unit.state(), unit.servedParts()));
         }
@@ -641,7 +641,7 @@
     @Override
     public void sendDatagram(String to, byte[] datagram) {
         View.Member member = context.view.member(to);
-        if (member != null && datagram.length <= Mesh.MOST_BODY) { context.mesh.send(member.at(), Mesh.Kind.UNITS, datagram); }
+        if (member != null && datagram.length <= Mesh.MAX_BODY_BYTES) { context.mesh.send(member.address(), Mesh.Kind.UNITS, datagram); }
     }
 
     @Override
@@ -779,7 +779,7 @@
     /** The next live ingress by name, cyclically; null if there is none. */
     private String chooseSuccessor() {
         List<String> names = new ArrayList<>();
-        for (View.Member member : context.view.picture().members()) {
+        for (View.Member member : context.view.snapshot().members()) {
             if (member.state() == View.State.ALIVE && !member.name().equals(context.self)) { names.add(member.name()); }
         }
         return names.stream().filter(name -> name.compareTo(context.self) > 0).findFirst().orElse(names.isEmpty() ? null : names.get(0));
@@ -818,7 +818,7 @@
             }
             for (Message.Moved moved : announced.values()) {
                 movedIncarnations.put(moved.incarnation(), moved);
-                for (View.Member member : context.view.picture().members()) {
+                for (View.Member member : context.view.snapshot().members()) {
                     if (!member.name().equals(context.self)) {
                         transport.send(now, member.name(), moved.encode(), now + settings.handOverMs());
                     }
@@ -851,9 +851,9 @@
     }
 
     private void viewChanged(View.Change change) {
-        change.came().forEach(this::greet);
+        change.joined().forEach(this::greet);
         Set<String> goneNames = new HashSet<>();
-        for (View.Member member : change.gone()) {
+        for (View.Member member : change.departed()) {
             goneNames.add(member.name());
             if (member.state() == View.State.LEFT) { transport.forget(member.name()); }
         }
@@ -869,7 +869,7 @@
         if (atMs >= nextTickMs) { return; }
         loop.deadlines().cancel(tickTimer);
         nextTickMs = atMs;
-        tickTimer = loop.deadlines().at(atMs, this::tick);
+        tickTimer = loop.deadlines().schedule(atMs, this::tick);
     }
 
     private void tick() {
--- a/src/main/java/yardusher/units/UnitsSubsystem.java
+++ b/src/main/java/yardusher/units/UnitsSubsystem.java
@@ -2,9 +2,9 @@
 
 import java.io.IOException;
 import java.util.function.Supplier;
-import yardusher.core.Ids;
-import yardusher.core.Intake;
-import yardusher.core.OrderLog;
+import yardusher.core.IdGenerator;
+import yardusher.core.RequestAcceptor;
+import yardusher.core.RequestLog;
 import yardusher.discovery.DiscoveredBackends;
 import yardusher.settings.Settings;
 import yardusher.subsystem.Site;
@@ -15,7 +15,7 @@
     private static final int INCARNATION_BITS = 47;  // at most twelve hex digits of a unit's name
 
     private final UnitSettings settings;
-    private final Ids ids = new Ids();
+    private final IdGenerator ids = new IdGenerator();
     private UnitRequestLog log;
     private UnitsIntake intake;
 
@@ -25,13 +25,13 @@
     public String name() { return "units"; }
 
     @Override
-    public OrderLog orders(OrderLog inner) {
+    public RequestLog orders(RequestLog inner) {
         log = new UnitRequestLog(inner);
         return log;
     }
 
     @Override
-    public Intake intake(Site site, Intake inner) throws IOException {
+    public RequestAcceptor intake(Site site, RequestAcceptor inner) throws IOException {
         Supplier<DiscoveredBackends> table = site::table;
         long incarnation = (ids.next() >>> 64 - INCARNATION_BITS) | 1;
         intake = new UnitsIntake(new UnitsIntake.Context(site.name(), incarnation, site.loop(), inner, log, new UnitsIntake.Regions() {
@@ -46,7 +46,7 @@
 
     @Override
     public void join(Site site) {
-        if (site.front() != null) { site.front().readUnits(settings.forwardsUnitFields()); }
+        if (site.front() != null) { site.front().enableUnits(settings.forwardsUnitFields()); }
     }
 
     @Override
--- a/src/test/java/yardusher/units/HardCasesTest.java
+++ b/src/test/java/yardusher/units/HardCasesTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import yardusher.core.UnitWord;
+import yardusher.core.UnitDirective;
 import yardusher.units.UnitsSimulation.TerminalRequest;
 import yardusher.units.UnitsSimulation.Connection;
 import yardusher.units.UnitsSimulation.Omission;
@@ -71,7 +71,7 @@
     void closeAndEndAtTwoIngressesEndTheUnitOnce() {
         open(Mode.SESSION, Mode.UNIT);
         Connection connection = simulation.connect(0);
-        TerminalRequest named = simulation.send(connection, 5, IDEMPOTENT, 1, new UnitWord(null, 0, UnitWord.Said.OPEN), 500, any -> { });
+        TerminalRequest named = simulation.send(connection, 5, IDEMPOTENT, 1, new UnitDirective(null, 0, UnitDirective.Boundary.OPEN), 500, any -> { });
         simulation.run(5);
         TerminalRequest part = sendPart(1, 5, named.answer, 1);
         simulation.run(30);
@@ -219,7 +219,7 @@
         simulation.run(60);
         assertThat(List.of(before.served, after.served, part.served)).containsOnly(true);
         assertThat(simulation.homeEvents.stream().filter(one -> one.what().equals("opened"))).hasSize(2);
-        TerminalRequest refused = simulation.submit(0, 7, IDEMPOTENT, new UnitWord(null, 0, UnitWord.Said.OPEN));
+        TerminalRequest refused = simulation.submit(0, 7, IDEMPOTENT, new UnitDirective(null, 0, UnitDirective.Boundary.OPEN));
         connection.close();
         Connection next = simulation.connect(0);
         sendUnnamed(next, 5);                        // new requests stand alone
@@ -340,7 +340,7 @@
         open(Mode.UNIT, Mode.SINGLE);
         int refused = 0;
         for (int i = 0; i < 10_000; i++) {
-            TerminalRequest opening = simulation.submit(0, 1000 + i % 500, IDEMPOTENT, new UnitWord(null, 0, UnitWord.Said.OPEN));
+            TerminalRequest opening = simulation.submit(0, 1000 + i % 500, IDEMPOTENT, new UnitDirective(null, 0, UnitDirective.Boundary.OPEN));
             if (i % 100 == 99) { simulation.run(3); }
             refused += opening.answer.startsWith("UNIT_FULL") ? 1 : 0;
             assertThat(simulation.nodes[0].intake.table().size()).isLessThanOrEqualTo(1000);
@@ -355,11 +355,11 @@
     void nestedRepeatedMissingCrossingAndLateBoundariesAreHandled() {
         open(Mode.UNIT, Mode.SESSION, Mode.SINGLE);
         String unit = simulation.open(0, 5);
-        TerminalRequest nested = simulation.submit(0, 5, IDEMPOTENT, new UnitWord(unit, 0, UnitWord.Said.OPEN));
+        TerminalRequest nested = simulation.submit(0, 5, IDEMPOTENT, new UnitDirective(unit, 0, UnitDirective.Boundary.OPEN));
         Connection connection = simulation.connect(1);
         sendUnnamed(connection, 5);
         simulation.run(30);
-        TerminalRequest insideASession = simulation.send(connection, 5, IDEMPOTENT, 1, new UnitWord(null, 0, UnitWord.Said.OPEN), 500,
+        TerminalRequest insideASession = simulation.send(connection, 5, IDEMPOTENT, 1, new UnitDirective(null, 0, UnitDirective.Boundary.OPEN), 500,
                 any -> { });
         TerminalRequest crossing = simulation.send(connection, 5, DEDUPLICATED, 2, part(unit, 1), 500, any -> { });
         TerminalRequest foreign = sendPart(0, 6, unit, 1);
