--- a/lab/src/yardusher/lab/units/UnitsChecker.java
+++ b/lab/src/yardusher/lab/units/UnitsChecker.java
@@ -9,32 +9,35 @@
 import java.util.TreeMap;
 
 /**
- * Holds what regions, terminals and ingresses of a run wrote down against the rules of units of work. The breaches, a line
- * each; empty for none. Times are milliseconds on one clock.
+ * Checks the recorded history of regions, terminals and ingresses of a run against the rules of units of work, and returns a line for
+ * each breach. Times are milliseconds on one clock.
  */
 public final class UnitsChecker {
-    /** A home's word on a unit: "opened" with its mode, "ended" with its state, "granted" a part under a number, "moved" on. */
+    /** An event at a unit's home: "opened" with its mode, "ended" with its state, "granted" a part under a number, or "moved". */
     public record HomeEvent(double atMs, String home, String what, String unit, String detail, int part, int grantNumber) { }
 
-    /** A holder's word: the request with this id runs as a part, under a grant. */
+    /** A holder started the request with this id as a part, under a grant. */
     public record PartStart(double atMs, String holder, String unit, int part, int grantNumber, String id) { }
 
-    /** A region's: it ran from one moment to the other; it was out until its answer was written or its connection ended. */
+    /** A region ran a request from one time to another; {@code detachedMs}: when its answer was written or its connection ended. */
     public record Execution(String region, String zone, String id, double fromMs, double toMs, double detachedMs) { }
 
-    /** A terminal's: {@code excused} where its ingress was killed or stopped meanwhile. */
-    public record ClientRequest(String id, String fields, String customer, double sentMs, double waitMs, double answeredMs, int answerCount, boolean served,
+    /** A request of a terminal; {@code excused} if its ingress was killed or stopped meanwhile. */
+    public record ClientRequest(String id, String fields, String customer, double sentMs, double waitMs, double answeredMs, int answerCount,
+            boolean served,
             boolean excused) { }
 
     /**
-     * All of a run. {@code lost}: homes' lives that were cut off, as their units' names begin with, "home.life."; {@code calm}:
-     * nothing failed at its end, for long enough; {@code slackMs}: how far the clocks of processes may be apart.
+     * The history of a run. {@code lostIncarnations}: incarnations of homes that were killed, as prefixes of their units' names,
+     * "home.incarnation."; {@code endedCalmly}: whether the run ended with a period without faults that is long enough for all units
+     * to end; {@code clockSkewMs}: how far the clocks of the processes may be apart.
      */
-    public record History(List<HomeEvent> homeEvents, List<PartStart> partStarts, List<Execution> executions, List<ClientRequest> clientRequests, List<String> lostIncarnations, boolean endedCalmly, double clockSkewMs) { }
+    public record History(List<HomeEvent> homeEvents, List<PartStart> partStarts, List<Execution> executions,
+            List<ClientRequest> clientRequests, List<String> lostIncarnations, boolean endedCalmly, double clockSkewMs) { }
 
-    private static final int ANSWER_SLACK_MS = 50;          // an answer may come so long after its time
-    private static final int MAX_LATE_MS = 500;          // and so long, earning nothing, where the machine gave a process no time: one in MOST_LATE
-    private static final int REQUESTS_PER_LATE_ANSWER = 50;
+    private static final int ANSWER_SLACK_MS = 50;   // after the deadline; later answers count as late
+    private static final int MAX_LATE_MS = 500;      // a process that got no processor time may answer this late
+    private static final int REQUESTS_PER_LATE_ANSWER = 50; // one request in this many may be answered late
 
     private final History history;
     private final List<String> breaches = new ArrayList<>();
@@ -45,7 +48,7 @@
 
     private UnitsChecker(History history) { this.history = history; }
 
-    /** Holds a run against all rules. */
+    /** Checks a run against all rules. */
     public static List<String> check(History history) {
         UnitsChecker checker = new UnitsChecker(history);
         checker.index();
@@ -61,7 +64,9 @@
         }
         for (PartStart event : history.partStarts) {
             PartStart before = partById.put(event.id, event);
-            if (before != null && !before.unit.equals(event.unit)) { breaches.add("one request is a part of two units: " + before + " and " + event); }
+            if (before != null && !before.unit.equals(event.unit)) {
+                breaches.add("one request is a part of two units: " + before + " and " + event);
+            }
         }
         for (Execution event : history.executions) {
             PartStart start = partById.get(event.id);
@@ -69,7 +74,7 @@
         }
     }
 
-    /** Each unit ends exactly once, and where nothing failed after it, it does end. */
+    /** Each unit ends at most once; if the run ended calmly, each one that was not moved or lost with its home has ended. */
     private void checkEnds() {
         Map<String, Integer> endCounts = new HashMap<>();
         for (HomeEvent event : history.homeEvents) {
@@ -81,7 +86,9 @@
         for (HomeEvent event : history.homeEvents) {
             boolean movedOrLost = history.lostIncarnations.stream().anyMatch(event.unit::startsWith)
                     || history.homeEvents.stream().anyMatch(other -> other.what.equals("moved") && other.unit.equals(event.unit));
-            if (event.what.equals("opened") && !movedOrLost && !endCounts.containsKey(event.unit)) { breaches.add("a unit never ended: " + event); }
+            if (event.what.equals("opened") && !movedOrLost && !endCounts.containsKey(event.unit)) {
+                breaches.add("a unit never ended: " + event);
+            }
         }
     }
 
@@ -93,17 +100,19 @@
         for (Execution execution : executions) {
             if (endMs == null) { continue; }
             if (execution.fromMs > endMs) { breaches.add("a part was begun after its unit ended at " + endMs + ": " + execution); }
-            if (execution.fromMs <= endMs && execution.toMs > endMs) { breaches.add("the binding was freed at " + endMs + " while a part ran: " + execution); }
+            if (execution.fromMs <= endMs && execution.toMs > endMs) {
+                breaches.add("the binding was freed at " + endMs + " while a part ran: " + execution);
+            }
         }
     }
 
-    /** The parts run in one hall, those of a session at one region. */
+    /** The parts of a unit run in one zone, those of a session at one region. */
     private void checkBinding(String unit, List<Execution> executions) {
         boolean session = "session".equals(modeByUnit.get(unit));
         Execution first = executions.get(0);
         for (Execution execution : executions) {
             if (session ? !execution.region.equals(first.region) : !execution.zone.equals(first.zone)) {
-                breaches.add("a unit ran at two " + (session ? "regions" : "halls") + ": " + first + " and " + execution);
+                breaches.add("a unit ran at two " + (session ? "regions" : "zones") + ": " + first + " and " + execution);
             }
         }
     }
@@ -114,23 +123,28 @@
             for (int j = i + 1; j < executions.size(); j++) {
                 PartStart b = partById.get(executions.get(j).id);
                 boolean samePart = a.id.equals(b.id) || a.part > 0 && a.part == b.part;
-                if (samePart && executions.get(j).fromMs < executions.get(i).detachedMs) { breaches.add("a part was out twice at once in " + unit + ": " + executions.get(i) + " and " + executions.get(j)); }
+                if (samePart && executions.get(j).fromMs < executions.get(i).detachedMs) {
+                    breaches.add("a part was out twice at once in " + unit + ": " + executions.get(i) + " and " + executions.get(j));
+                }
                 if (!samePart && executions.get(j).fromMs < executions.get(i).toMs) {
-                    breaches.add("a part was out while one that it follows may still run, in " + unit + ": " + executions.get(i) + " and " + executions.get(j));
+                    breaches.add("a part was out while one that it follows may still run, in " + unit + ": " + executions.get(i) + " and "
+                            + executions.get(j));
+                }
+                if (a.part > 0 && b.part > 0 && b.part < a.part) {
+                    breaches.add("parts ran out of order in " + unit + ": " + a + " before " + b);
                 }
-                if (a.part > 0 && b.part > 0 && b.part < a.part) { breaches.add("parts ran out of order in " + unit + ": " + a + " before " + b); }
             }
         }
     }
 
-    /** Every transaction has one answer before its client gives up, and what was served ran. Each counts once. */
+    /** Every request has one answer before its client gives up, each served request ran, and each is admitted once. */
     private void checkAnswers() {
         Map<String, List<Execution>> executionsById = new TreeMap<>();
         for (Execution one : history.executions) { executionsById.computeIfAbsent(one.id, none -> new ArrayList<>()).add(one); }
         Map<String, Integer> startCounts = new HashMap<>();
         for (PartStart one : history.partStarts) { startCounts.merge(one.id, 1, Integer::sum); }
         startCounts.forEach((id, times) -> {
-            if (times > 1) { breaches.add("a request was let in " + times + " times, and counted so often: " + id); }
+            if (times > 1) { breaches.add("a request was admitted " + times + " times: " + id); }
         });
         int late = 0;
         int counted = 0;
@@ -140,13 +154,16 @@
             if (one.answerCount == 0) {
                 breaches.add("never answered: " + one);
             } else if (one.answeredMs > one.sentMs + one.waitMs + MAX_LATE_MS) {
-                breaches.add("answered when it was lost: " + one);
+                breaches.add("answered long after its deadline: " + one);
             }
             counted++;
             late += one.answerCount > 0 && one.answeredMs > one.sentMs + one.waitMs + ANSWER_SLACK_MS ? 1 : 0;
-            boolean boundaryOnly = one.fields.contains(",b=open") || one.fields.contains(",b=abandon") || one.fields.contains(",b=end") && !one.fields.contains(",p=");
+            boolean boundaryOnly = one.fields.contains(",b=open") || one.fields.contains(",b=abandon") || one.fields.contains(",b=end")
+                    && !one.fields.contains(",p=");
             if (boundaryOnly && executionsById.containsKey(one.id)) { breaches.add("a boundary alone reached a region: " + one); }
-            if (!boundaryOnly && one.served && !executionsById.containsKey(one.id)) { breaches.add("served, and no region ran it: " + one); }
+            if (!boundaryOnly && one.served && !executionsById.containsKey(one.id)) {
+                breaches.add("served, and no region ran it: " + one);
+            }
         }
         if (late * REQUESTS_PER_LATE_ANSWER > counted) { breaches.add(late + " of " + counted + " answered late"); }
     }
--- a/lab/src/yardusher/units/UnitsModel.java
+++ b/lab/src/yardusher/units/UnitsModel.java
@@ -9,34 +9,34 @@
 import java.util.TreeSet;
 
 /**
- * One unit of three parts at two ingresses as a small state machine, every state of which is visited: the home decides by
- * {@link Unit}, the very code that runs. A message that was sent may arrive at any time, more than once or never, which is
- * loss, doubling, delay and any cut in one; the other ingress may die and come back in a new life; the home may die, or hand the
- * unit over to the other; a holder may give a part up at any moment, and the region runs on. The one thing that is assumed of
- * time: what was given up has ended when the settling time is over.
+ * A model checker for units of work: one unit of three parts at two ingresses as a state machine, every state of which is visited. The
+ * home is the program's own {@link Unit}. A sent message may arrive at any time, more than once or never, which covers loss,
+ * duplication, delay and partitions. The other ingress may crash and restart in a new incarnation; the home may crash, or transfer the
+ * unit to the other ingress; a holder may abandon a part at any time while the region runs on. The only assumption about time is that an
+ * abandoned attempt has ended when the settling time is over.
  */
 final class UnitsModel {
-    /** What is left out, to see that the rules notice. */
+    /** A rule that is left out, to show that the model detects it. The names are arguments of {@link #main}. */
     enum Omission {
         NOTHING,
-        /** A word counts whoever's and of whatever grant it is. */
+        /** A report counts whatever its holder, incarnation and grant. */
         NAMES_AND_TOKENS,
-        /** What was given up is taken to have ended at once. */
+        /** An abandoned attempt is taken to have ended at once. */
         SETTLING,
-        /** The old home goes on after it has handed the unit over. */
+        /** The former home continues after the transfer. */
         SEALING,
-        /** A boundary of a connection is told again when the next is told. */
+        /** A second boundary ends the unit again. */
         ONE_END,
-        /** A grant is taken whenever it comes, also by who has given up. */
+        /** A grant is accepted whenever it arrives, also for a cancelled request. */
         LATE_GRANT,
-        /** A part is let in whatever the unit's state. */
+        /** A part is granted whatever the unit's state. */
         LATE_PART
     }
 
-    /** The one large fault that may come at any moment, or not. */
+    /** The one larger fault that may occur at any time. */
     enum Fault { NONE, OTHER_RESTARTS, HOME_CRASHES, HOME_TRANSFERS }
 
-    /** What was found: how many states there are, and the way to the first that breaks a rule, or null. */
+    /** The number of states, and the actions that lead to the first breach of a rule, null for none. */
     record Result(int states, List<String> breachPath) { }
 
     private static final int PARTS = 3;
@@ -44,18 +44,18 @@
     private static final Unit.Rules RULES = new Unit.Rules(8, 1);
     private static final int NOT_REQUESTED = 0, WAITING = 1, GRANTED = 2, STARTED = 3, FINISHED = 4;
 
-    /** A terminal's request for a part at one ingress, and what became of it in that ingress's hands. */
+    /** A terminal's request for a part at one ingress, and its progress there. */
     private static final class PartRequest implements Cloneable {
-        int ingress;                                      // the ingress
+        int ingress;
         int part;
-        int incarnation;                                    // of the ingress when it asked
+        int incarnation;                             // of the ingress when it sent the request
         int stage;
-        int arrivals;                                    // how often its question has arrived
+        int arrivals;                                // how often the request has arrived at the home
         int grantNumber;
-        int boundZone = -1;                              // where it may run
-        int ranInZone = -1;                               // where it ran
-        boolean connected;                                // its connection to the region
-        boolean running;                               // at the region
+        int boundZone = -1;                          // the zone it may run in
+        int ranInZone = -1;
+        boolean connected;                           // the ingress has its connection to the region open
+        boolean running;                             // the region runs it
         boolean cancelled;
         boolean withdrawn;
 
@@ -70,125 +70,144 @@
 
     }
 
+    /** One state of the model. */
     private final class ModelState {
-        Unit home;                                   // null where it died
-        Unit unsealedHome;                                    // an old home that was not sealed
+        Unit home;                                   // null after a crash
+        Unit unsealedHome;                           // the former home, if it was not sealed
         int homeIngress;
         int time;
         PartRequest[] requests;
-        TreeSet<String> grantMessages = new TreeSet<>();    // "slot grant bound"
-        TreeSet<String> reports = new TreeSet<>();     // "at life grant result loose hall"
-        int otherRestarts;                                   // of the other ingress
-        boolean homeKnowsRestart;                               // and the home knows
+        TreeSet<String> grantMessages = new TreeSet<>(); // "request grantNumber zone"
+        TreeSet<String> reports = new TreeSet<>();   // "ingress incarnation grantNumber result mayRunOn zone"
+        int otherRestarts;                           // restarts of the other ingress
+        boolean homeKnowsRestart;                    // whether the home knows of the restart
         boolean homeCrashed;
         boolean transferred;
-        int usedBoundaries;                                    // boundaries used, a bit each
-        int endCount;                                   // how often its end was told
-        int zone = -1;                               // where its parts ran
-        boolean partRepeated;                            // a part was asked for at both ingresses
-        boolean requestDuplicated;                             // a question has arrived twice
-        int latestPart;                                    // the latest part that was begun
+        int usedBoundaries;                          // a bit for each boundary
+        int endCount;                                // how often the unit was reported as ended
+        int zone = -1;                               // where the parts ran
+        boolean partRepeated;                        // a part was requested at both ingresses
+        boolean requestDuplicated;                   // a request has arrived twice
+        int latestPart;                              // the highest part that was started
 
         ModelState copy() {
-            ModelState w = new ModelState();
-            w.home = home == null ? null : home.copy();
-            w.unsealedHome = unsealedHome == null ? null : unsealedHome.copy();
-            w.homeIngress = homeIngress;
-            w.time = time;
-            w.requests = new PartRequest[requests.length];
-            for (int i = 0; i < requests.length; i++) { w.requests[i] = requests[i].clone(); }
-            w.grantMessages = new TreeSet<>(grantMessages);
-            w.reports = new TreeSet<>(reports);
-            w.otherRestarts = otherRestarts;
-            w.homeKnowsRestart = homeKnowsRestart;
-            w.homeCrashed = homeCrashed;
-            w.transferred = transferred;
-            w.usedBoundaries = usedBoundaries;
-            w.endCount = endCount;
-            w.zone = zone;
-            w.latestPart = latestPart;
-            w.partRepeated = partRepeated;
-            w.requestDuplicated = requestDuplicated;
-            return w;
+            ModelState copy = new ModelState();
+            copy.home = home == null ? null : home.copy();
+            copy.unsealedHome = unsealedHome == null ? null : unsealedHome.copy();
+            copy.homeIngress = homeIngress;
+            copy.time = time;
+            copy.requests = new PartRequest[requests.length];
+            for (int i = 0; i < requests.length; i++) { copy.requests[i] = requests[i].clone(); }
+            copy.grantMessages = new TreeSet<>(grantMessages);
+            copy.reports = new TreeSet<>(reports);
+            copy.otherRestarts = otherRestarts;
+            copy.homeKnowsRestart = homeKnowsRestart;
+            copy.homeCrashed = homeCrashed;
+            copy.transferred = transferred;
+            copy.usedBoundaries = usedBoundaries;
+            copy.endCount = endCount;
+            copy.zone = zone;
+            copy.latestPart = latestPart;
+            copy.partRepeated = partRepeated;
+            copy.requestDuplicated = requestDuplicated;
+            return copy;
         }
 
-        /** Drops what can have no effect any more, so that states that differ in nothing else are one. */
+        /** Drops what has no effect any more, so that equivalent states are one. */
         void normalize() {
             if (omission != Omission.NOTHING) { return; }
-            reports.removeIf(word -> {
-                String[] m = word.split(" ");
-                return home == null || home.granted() == null || home.grantCount() != Integer.parseInt(m[2]) || !home.granted().holder().equals(NAMES[Integer.parseInt(m[0])])
-                        || home.granted().incarnation() != Integer.parseInt(m[1]);
+            reports.removeIf(report -> {
+                String[] fields = report.split(" ");
+                return home == null || home.granted() == null || home.grantCount() != Integer.parseInt(fields[2])
+                        || !home.granted().holder().equals(NAMES[Integer.parseInt(fields[0])])
+                        || home.granted().incarnation() != Integer.parseInt(fields[1]);
             });
             grantMessages.removeIf(message -> {
-                String[] m = message.split(" ");
-                PartRequest slot = requests[Integer.parseInt(m[0])];
-                int grant = Integer.parseInt(m[1]);
-                boolean waiting = slot.stage == WAITING && slot.incarnation == incarnationOf(slot.ingress);
-                boolean owes = slot.incarnation == incarnationOf(slot.ingress) && slot.grantNumber != grant && home != null && home.granted() != null && home.grantCount() == grant;
+                String[] fields = message.split(" ");
+                PartRequest request = requests[Integer.parseInt(fields[0])];
+                int grant = Integer.parseInt(fields[1]);
+                boolean waiting = request.stage == WAITING && request.incarnation == incarnationOf(request.ingress);
+                boolean owes = request.incarnation == incarnationOf(request.ingress) && request.grantNumber != grant && home != null
+                        && home.granted() != null && home.grantCount() == grant;
                 return !waiting && !owes;
             });
             boolean over = home == null || home.state().isOver();
             for (int i = 0; i < requests.length; i++) {
-                PartRequest slot = requests[i];
-                if (slot.stage == FINISHED) {
-                    slot.boundZone = slot.ranInZone = -1;
-                    slot.cancelled = false;
-                    boolean named = home != null && home.granted() != null && home.granted().requestId() == i && home.grantCount() == slot.grantNumber;
-                    if (!named) { slot.grantNumber = 0; }
+                PartRequest request = requests[i];
+                if (request.stage == FINISHED) {
+                    request.boundZone = request.ranInZone = -1;
+                    request.cancelled = false;
+                    boolean named = home != null && home.granted() != null && home.granted().requestId() == i
+                            && home.grantCount() == request.grantNumber;
+                    if (!named) { request.grantNumber = 0; }
                 }
                 if (over) {
-                    slot.arrivals = 2;
-                    slot.withdrawn = false;
+                    request.arrivals = 2;
+                    request.withdrawn = false;
                 }
-                if (slot.ingress == homeIngress) { slot.withdrawn = false; }
+                if (request.ingress == homeIngress) { request.withdrawn = false; }
             }
         }
 
         String stateKey() {
             int grantCount = home == null ? 0 : home.grantCount();
-            StringBuilder text = new StringBuilder(200).append(home == null ? "-" : home.stateKey(time)).append(unsealedHome == null ? "" : unsealedHome.stateKey(time)).append(homeIngress);
-            for (PartRequest slot : requests) {
-                text.append(' ').append(slot.stage).append(slot.incarnation).append(slot.arrivals).append(slot.grantNumber == 0 ? 99 : grantCount - slot.grantNumber).append(slot.boundZone).append(slot.ranInZone)
-                        .append(slot.connected ? 'o' : '-').append(slot.running ? 'r' : '-').append(slot.cancelled ? 'u' : '-').append(slot.withdrawn ? 'w' : '-');
+            StringBuilder text = new StringBuilder(200).append(home == null ? "-" : home.stateKey(time))
+                    .append(unsealedHome == null ? "" : unsealedHome.stateKey(time)).append(homeIngress);
+            for (PartRequest request : requests) {
+                text.append(' ').append(request.stage).append(request.incarnation).append(request.arrivals)
+                        .append(request.grantNumber == 0 ? 99 : grantCount - request.grantNumber).append(request.boundZone)
+                        .append(request.ranInZone)
+                        .append(request.connected ? 'o' : '-').append(request.running ? 'r' : '-').append(request.cancelled ? 'u' : '-')
+                        .append(request.withdrawn ? 'w' : '-');
             }
             for (String grant : grantMessages) {
-                String[] m = grant.split(" ");
-                text.append(" g").append(m[0]).append(',').append(grantCount - Integer.parseInt(m[1])).append(',').append(m[2]);
+                String[] fields = grant.split(" ");
+                text.append(" g").append(fields[0]).append(',').append(grantCount - Integer.parseInt(fields[1])).append(',')
+                        .append(fields[2]);
             }
-            for (String word : reports) {
-                String[] m = word.split(" ");
-                text.append(" d").append(m[0]).append(m[1]).append(',').append(grantCount - Integer.parseInt(m[2])).append(',').append(m[3]).append(m[4]).append(m[5]);
+            for (String report : reports) {
+                String[] fields = report.split(" ");
+                text.append(" d").append(fields[0]).append(fields[1]).append(',').append(grantCount - Integer.parseInt(fields[2]))
+                        .append(',').append(fields[3]).append(fields[4]).append(fields[5]);
             }
-            return text.append(otherRestarts).append(homeKnowsRestart).append(homeCrashed).append(transferred).append(usedBoundaries).append(Math.min(endCount, 2)).append(zone).append(latestPart).append(partRepeated).append(requestDuplicated).toString();
+            return text.append(otherRestarts).append(homeKnowsRestart).append(homeCrashed).append(transferred).append(usedBoundaries)
+                    .append(Math.min(endCount, 2)).append(zone).append(latestPart).append(partRepeated)
+                    .append(requestDuplicated).toString();
         }
 
-        /** What the home tells, into the world's messages. */
+        /** Turns the home's results into messages of the model. */
         Unit.Listener listener() {
             return new Unit.Listener() {
                 @Override
-                public void onGrant(Unit unit, Ticket t, int grant) {
-                    String message = t.requestId() + " " + grant + " " + (unit.mode == Mode.SESSION ? unit.region() : unit.zone());
-                    if (t.holder().equals(NAMES[homeIngress])) { deferred.add(() -> deliverGrant(message)); } else { grantMessages.add(message); }
+                public void onGrant(Unit unit, Ticket ticket, int grantNumber) {
+                    String message = ticket.requestId() + " " + grantNumber + " "
+                            + (unit.mode == Mode.SESSION ? unit.region() : unit.zone());
+                    if (ticket.holder().equals(NAMES[homeIngress])) {
+                        deferred.add(() -> deliverGrant(message));
+                    } else {
+                        grantMessages.add(message);
+                    }
                 }
 
                 @Override
-                public void onRefuse(Unit unit, Ticket t, Refusal why, long figure) {
-                    PartRequest slot = requests[(int) t.requestId()];
-                    if (why != Refusal.MOVED && slot.stage == WAITING && slot.incarnation == t.incarnation()) { slot.stage = FINISHED; }
+                public void onRefuse(Unit unit, Ticket ticket, Refusal reason, long detail) {
+                    PartRequest request = requests[(int) ticket.requestId()];
+                    if (reason != Refusal.MOVED && request.stage == WAITING && request.incarnation == ticket.incarnation()) {
+                        request.stage = FINISHED;
+                    }
                 }
 
                 @Override
-                public void onQueued(Unit unit, Ticket t) { }
+                public void onQueued(Unit unit, Ticket ticket) { }
 
                 @Override
-                public void handleOutcome(Unit unit, Ticket t) { }
+                public void handleOutcome(Unit unit, Ticket ticket) { }
 
                 @Override
                 public void onEnded(Unit unit) {
                     endCount++;
                     for (PartRequest one : requests) {
-                        if (one.running) { recordBreach("the unit ended and its binding is free, while part " + one.part + " runs"); }
+                        if (one.running) { recordBreach("the unit ended and its binding is free while part " + one.part + " runs"); }
                     }
                 }
             };
@@ -202,33 +221,37 @@
 
         void deliverGrant(String message) {
             String[] fields = message.split(" ");
-            PartRequest slot = requests[Integer.parseInt(fields[0])];
+            PartRequest request = requests[Integer.parseInt(fields[0])];
             int grantNumber = Integer.parseInt(fields[1]);
-            boolean accepted = slot.stage == WAITING && slot.incarnation == incarnationOf(slot.ingress) || omission == Omission.LATE_GRANT && slot.stage == FINISHED && slot.cancelled;
+            boolean accepted = request.stage == WAITING && request.incarnation == incarnationOf(request.ingress)
+                    || omission == Omission.LATE_GRANT && request.stage == FINISHED && request.cancelled;
             if (accepted) {
-                slot.stage = GRANTED;
-                slot.grantNumber = grantNumber;
-                slot.boundZone = Integer.parseInt(fields[2]);
-                slot.cancelled = false;
-            } else if (slot.grantNumber != grantNumber && slot.incarnation == incarnationOf(slot.ingress)) {
-                report(slot, grantNumber, Unit.Result.NEVER_RAN, false, -1);
+                request.stage = GRANTED;
+                request.grantNumber = grantNumber;
+                request.boundZone = Integer.parseInt(fields[2]);
+                request.cancelled = false;
+            } else if (request.grantNumber != grantNumber && request.incarnation == incarnationOf(request.ingress)) {
+                report(request, grantNumber, Unit.Result.NEVER_RAN, false, -1);
             }
         }
 
         int incarnationOf(int ingress) { return ingress == 0 ? 1 : 1 + otherRestarts; }
 
-        void report(PartRequest slot, int grantNumber, Unit.Result result, boolean mayRunOn, int ranInZone) {
-            String message = slot.ingress + " " + slot.incarnation + " " + grantNumber + " " + result.ordinal() + " " + (mayRunOn ? 1 : 0) + " " + ranInZone;
-            if (slot.ingress == homeIngress && home != null) { deliverReport(message); } else { reports.add(message); }
+        void report(PartRequest request, int grantNumber, Unit.Result result, boolean mayRunOn, int ranInZone) {
+            String message = request.ingress + " " + request.incarnation + " " + grantNumber + " " + result.ordinal() + " "
+                    + (mayRunOn ? 1 : 0) + " " + ranInZone;
+            if (request.ingress == homeIngress && home != null) { deliverReport(message); } else { reports.add(message); }
         }
 
         void deliverReport(String message) {
-            String[] m = message.split(" ");
+            String[] fields = message.split(" ");
             for (Unit unit : unsealedHome == null ? List.of(home) : List.of(home, unsealedHome)) {
                 boolean acceptAny = omission == Omission.NAMES_AND_TOKENS && unit.granted() != null;
-                unit.partDone(time, acceptAny ? unit.granted().holder() : NAMES[Integer.parseInt(m[0])], acceptAny ? unit.granted().incarnation() : Integer.parseInt(m[1]),
-                        acceptAny ? unit.grantCount() : Integer.parseInt(m[2]), Unit.Result.values()[Integer.parseInt(m[3])],
-                        omission == Omission.SETTLING ? 0 : Integer.parseInt(m[4]), Integer.parseInt(m[5]), Integer.parseInt(m[5]), listener());
+                unit.partDone(time, acceptAny ? unit.granted().holder() : NAMES[Integer.parseInt(fields[0])],
+                        acceptAny ? unit.granted().incarnation() : Integer.parseInt(fields[1]),
+                        acceptAny ? unit.grantCount() : Integer.parseInt(fields[2]), Unit.Result.values()[Integer.parseInt(fields[3])],
+                        omission == Omission.SETTLING ? 0 : Integer.parseInt(fields[4]), Integer.parseInt(fields[5]),
+                        Integer.parseInt(fields[5]), listener());
             }
             runDeferred();
         }
@@ -258,7 +281,7 @@
         this.maxStates = maxStates;
     }
 
-    /** Visits all states of a pair of modes; the first is the opener's. A pair with more states than that is a breach of its own. */
+    /** Visits all states for the modes of the opening and the other ingress. More than {@code maxStates} states count as a breach. */
     static Result explore(Mode openerMode, Mode otherMode, Fault fault, int maxBoundaries, Omission omission, int maxStates) {
         return new UnitsModel(openerMode, otherMode, fault, maxBoundaries, omission, maxStates).run();
     }
@@ -274,10 +297,10 @@
         for (int i = 0; i < first.requests.length; i++) {
             first.requests[i] = new PartRequest();
             first.requests[i].ingress = i / PARTS;
-            // What a session brings has no number: its home gives it one.
+            // Requests of a session have no part number; the home assigns it.
             first.requests[i].part = i / PARTS == 0 && openerMode == Mode.SESSION ? 0 : 1 + i % PARTS;
         }
-        addState(first, "begins", -1);
+        addState(first, "initial state", -1);
         while (!queue.isEmpty()) {
             current = queue.poll();
             currentIndex = queueIndexes.poll();
@@ -309,207 +332,228 @@
         return h * 0x9E3779B97F4A7C15L;
     }
 
-    /** A state that was reached; what it breaks is told with the way there. */
-    private void addState(ModelState w, String action, int from) {
-        w.normalize();
-        if (firstBreach == null && w.endCount > 1) { recordBreach("the unit ended twice"); }
-        if (!visited.add(hash(w.stateKey()))) {
+    /** Adds a state that was reached; a breach is reported with the path to it. */
+    private void addState(ModelState state, String action, int from) {
+        state.normalize();
+        if (firstBreach == null && state.endCount > 1) { recordBreach("the unit ended twice"); }
+        if (!visited.add(hash(state.stateKey()))) {
             if (firstBreach == null) { return; }
         }
         parents.add(new int[] {from});
         actions.add(action);
-        queue.add(w);
+        queue.add(state);
         queueIndexes.add(parents.size() - 1);
     }
 
     private interface Action {
-        void applyTo(ModelState w);
+        void applyTo(ModelState state);
     }
 
     private void apply(String description, Action action) {
         if (firstBreach != null) { return; }
-        ModelState w = current.copy();
-        action.applyTo(w);
-        w.runDeferred();
-        addState(w, description, currentIndex);
+        ModelState state = current.copy();
+        action.applyTo(state);
+        state.runDeferred();
+        addState(state, description, currentIndex);
     }
 
     private boolean isOver() { return current.home != null && current.home.state().isOver(); }
 
-    /** Parts are asked for in any order, each once at each ingress; boundaries once each. */
+    /** Terminals request parts in any order, each once at each ingress, and each boundary once. */
     private void exploreTerminals() {
         for (int i = 0; i < current.requests.length; i++) {
-            PartRequest slot = current.requests[i];
-            if (slot.stage != NOT_REQUESTED) { continue; }
+            PartRequest request = current.requests[i];
+            if (request.stage != NOT_REQUESTED) { continue; }
                 int index = i;
             PartRequest twin = current.requests[(i + PARTS) % current.requests.length];
-            boolean mayCome = i % PARTS == 0 || current.requests[i - 1].stage != NOT_REQUESTED || current.requests[(i + PARTS - 1) % current.requests.length].stage != NOT_REQUESTED;
+            boolean mayCome = i % PARTS == 0 || current.requests[i - 1].stage != NOT_REQUESTED
+                    || current.requests[(i + PARTS - 1) % current.requests.length].stage != NOT_REQUESTED;
             int openRequests = 0;
-            for (PartRequest one : current.requests) { openRequests += one.stage != NOT_REQUESTED && one.stage != FINISHED && one.incarnation == current.incarnationOf(one.ingress) ? 1 : 0; }
+            for (PartRequest one : current.requests) {
+                openRequests += one.stage != NOT_REQUESTED && one.stage != FINISHED && one.incarnation == current.incarnationOf(one.ingress)
+                        ? 1 : 0;
+            }
             if (!mayCome || openRequests > 1 || twin.stage != NOT_REQUESTED && current.partRepeated) { continue; }
-            if (slot.ingress != current.homeIngress || current.home != null) {
-                apply("n" + slot.ingress + " is asked for part " + slot.part, w -> {
-                    w.partRepeated |= twin.stage != NOT_REQUESTED;
-                    w.requests[index].stage = WAITING;
-                    w.requests[index].incarnation = w.incarnationOf(w.requests[index].ingress);
-                    if (w.requests[index].ingress == w.homeIngress) { submit(w, index); }
+            if (request.ingress != current.homeIngress || current.home != null) {
+                apply("n" + request.ingress + " is asked to run part " + request.part, state -> {
+                    state.partRepeated |= twin.stage != NOT_REQUESTED;
+                    state.requests[index].stage = WAITING;
+                    state.requests[index].incarnation = state.incarnationOf(state.requests[index].ingress);
+                    if (state.requests[index].ingress == state.homeIngress) { submit(state, index); }
                 });
-                if (slot.ingress == 1 && BoundaryRule.CROSSING_PART.actionIn(otherMode) == BoundaryRule.Action.REFUSES) {
-                    apply("part " + slot.part + " crosses a unit of its connection at n1", w -> {
-                        w.requests[index].stage = FINISHED;
-                        w.requests[index].arrivals = 3;     // and its home hears nothing of it
+                if (request.ingress == 1 && BoundaryRule.CROSSING_PART.actionIn(otherMode) == BoundaryRule.Action.REFUSES) {
+                    apply("part " + request.part + " crosses a unit of its connection at n1", state -> {
+                        state.requests[index].stage = FINISHED;
+                        state.requests[index].arrivals = 3; // the home gets no request
                     });
                 }
             }
         }
         if (current.home == null || isOver()) { return; }
-        String[] boundaries = {"an end is said at n0", "an end is said at n1", "the terminal closes", "nothing is heard for long"};
-        if (Integer.bitCount(current.usedBoundaries) == maxBoundaries) { return; } // two that cross, or one that is doubled
+        String[] boundaries = {"an end is requested at n0", "an end is requested at n1", "the terminal's connection closes",
+                "the unit is idle for too long"};
+        if (Integer.bitCount(current.usedBoundaries) == maxBoundaries) { return; } // two different boundaries, or one at both ingresses
         for (int boundary = 0; boundary < boundaries.length; boundary++) {
             if ((current.usedBoundaries & 1 << boundary) != 0 || boundary == 2 && (openerMode != Mode.SESSION || current.homeIngress == 1)
                     || boundary == 3 && (current.home.granted() != null || current.home.waitingCount() > 0)) { continue; }
             int boundaryIndex = boundary;
-            apply(boundaries[boundary], w -> {
-                w.usedBoundaries |= 1 << boundaryIndex;
-                Unit.Boundary cause = boundaryIndex < 2 ? Unit.Boundary.SAID : boundaryIndex == 2 ? Unit.Boundary.CLOSED : Unit.Boundary.SILENT;
-                if (omission == Omission.ONE_END && w.home.state() != Unit.State.OPEN) { w.endCount++; }
-                w.home.end(w.time, cause, null, w.listener());
-                if (w.unsealedHome != null) { w.unsealedHome.end(w.time, cause, null, w.listener()); }
+            apply(boundaries[boundary], state -> {
+                state.usedBoundaries |= 1 << boundaryIndex;
+                Unit.Boundary cause = boundaryIndex < 2 ? Unit.Boundary.SAID : boundaryIndex == 2 ? Unit.Boundary.CLOSED
+                        : Unit.Boundary.SILENT;
+                if (omission == Omission.ONE_END && state.home.state() != Unit.State.OPEN) { state.endCount++; }
+                state.home.end(state.time, cause, null, state.listener());
+                if (state.unsealedHome != null) { state.unsealedHome.end(state.time, cause, null, state.listener()); }
             });
         }
     }
 
-    private void submit(ModelState w, int index) {
-        PartRequest slot = w.requests[index];
-        Ticket ticket = new Ticket(index, NAMES[slot.ingress], slot.incarnation, 5, slot.part, Ticket.Kind.PART, 1e9, slot.part == 2 ? 0 : Double.POSITIVE_INFINITY);
-        if (omission == Omission.LATE_PART && w.home.state() != Unit.State.OPEN) {
-            w.listener().onGrant(w.home, ticket, 50 + index);
+    private void submit(ModelState state, int index) {
+        PartRequest request = state.requests[index];
+        Ticket ticket = new Ticket(index, NAMES[request.ingress], request.incarnation, 5, request.part, Ticket.Kind.PART, 1e9,
+                request.part == 2 ? 0 : Double.POSITIVE_INFINITY);
+        if (omission == Omission.LATE_PART && state.home.state() != Unit.State.OPEN) {
+            state.listener().onGrant(state.home, ticket, 50 + index);
         } else {
-            w.home.submit(w.time, ticket, RULES, w.listener());
+            state.home.submit(state.time, ticket, RULES, state.listener());
         }
-        if (w.unsealedHome != null) { w.unsealedHome.submit(w.time, ticket, RULES, w.listener()); }
+        if (state.unsealedHome != null) { state.unsealedHome.submit(state.time, ticket, RULES, state.listener()); }
     }
 
-    /** What was sent arrives, unless the way is cut. */
+    /** Messages that were sent arrive, or not. */
     private void exploreMessages() {
         for (int i = 0; i < current.requests.length; i++) {
-            PartRequest slot = current.requests[i];
+            PartRequest request = current.requests[i];
             int index = i;
-            if (current.home == null || slot.ingress == current.homeIngress) { continue; }
-            boolean void0 = current.homeKnowsRestart && slot.ingress == 1 && slot.incarnation != current.incarnationOf(1); // of a life that the home knows to be over
-            if (slot.stage >= WAITING && slot.arrivals < (current.requestDuplicated ? 1 : 2) && !void0) {
-                apply("n" + slot.ingress + "'s question for part " + slot.part + " arrives", w -> {
-                    w.requestDuplicated |= ++w.requests[index].arrivals > 1;
-                    submit(w, index);
+            if (current.home == null || request.ingress == current.homeIngress) { continue; }
+            // Messages of an incarnation that the home knows to be gone have no effect.
+            boolean stale = current.homeKnowsRestart && request.ingress == 1 && request.incarnation != current.incarnationOf(1);
+            if (request.stage >= WAITING && request.arrivals < (current.requestDuplicated ? 1 : 2) && !stale) {
+                apply("n" + request.ingress + "'s request for part " + request.part + " arrives", state -> {
+                    state.requestDuplicated |= ++state.requests[index].arrivals > 1;
+                    submit(state, index);
                 });
             }
-            if (slot.withdrawn && !void0) {
-                apply("n" + slot.ingress + "'s withdrawal of part " + slot.part + " arrives", w -> {
-                    for (Unit unit : w.unsealedHome == null ? List.of(w.home) : List.of(w.home, w.unsealedHome)) {
-                        unit.withdraw(w.time, NAMES[w.requests[index].ingress], w.requests[index].incarnation, index, w.listener());
+            if (request.withdrawn && !stale) {
+                apply("n" + request.ingress + "'s withdrawal of part " + request.part + " arrives", state -> {
+                    for (Unit unit : state.unsealedHome == null ? List.of(state.home) : List.of(state.home, state.unsealedHome)) {
+                        unit.withdraw(state.time, NAMES[state.requests[index].ingress], state.requests[index].incarnation, index,
+                                state.listener());
                     }
                 });
             }
         }
-        for (String grant : current.grantMessages) { apply("grant " + grant + " arrives", w -> w.deliverGrant(grant)); }
+        for (String grant : current.grantMessages) { apply("grant " + grant + " arrives", state -> state.deliverGrant(grant)); }
         if (current.home == null) { return; }
-        for (String word : current.reports) { apply("word " + word + " arrives", w -> w.deliverReport(word)); }
+        for (String report : current.reports) { apply("report " + report + " arrives", state -> state.deliverReport(report)); }
     }
 
-    /** What holders and regions do with a part that is granted. */
+    /** Holders and regions act on granted parts. */
     private void exploreHolders() {
         for (int i = 0; i < current.requests.length; i++) {
-            PartRequest slot = current.requests[i];
+            PartRequest request = current.requests[i];
             int index = i;
-            boolean alive = slot.incarnation == current.incarnationOf(slot.ingress) && !(slot.ingress == 0 && current.home == null && current.homeCrashed);
-            if (slot.stage == WAITING && alive) {
-                apply("n" + slot.ingress + " gives up waiting for part " + slot.part, w -> {
-                    w.requests[index].stage = FINISHED;
-                    w.requests[index].cancelled = true;
-                    w.requests[index].withdrawn = true;
-                    if (w.requests[index].ingress == w.homeIngress && w.home != null) { w.home.withdraw(w.time, NAMES[w.requests[index].ingress], w.requests[index].incarnation, index, w.listener()); }
+            boolean alive = request.incarnation == current.incarnationOf(request.ingress)
+                    && !(request.ingress == 0 && current.home == null && current.homeCrashed);
+            if (request.stage == WAITING && alive) {
+                apply("n" + request.ingress + " cancels its request for part " + request.part, state -> {
+                    state.requests[index].stage = FINISHED;
+                    state.requests[index].cancelled = true;
+                    state.requests[index].withdrawn = true;
+                    if (state.requests[index].ingress == state.homeIngress && state.home != null) {
+                        state.home.withdraw(state.time, NAMES[state.requests[index].ingress], state.requests[index].incarnation, index,
+                                state.listener());
+                    }
                 });
             }
-            if (slot.stage == GRANTED && alive) {
-                apply("part " + slot.part + " is refused at n" + slot.ingress, w -> {
-                    w.requests[index].stage = FINISHED;
-                    w.report(w.requests[index], w.requests[index].grantNumber, Unit.Result.NEVER_RAN, false, -1);
+            if (request.stage == GRANTED && alive) {
+                apply("part " + request.part + " is refused at n" + request.ingress, state -> {
+                    state.requests[index].stage = FINISHED;
+                    state.report(state.requests[index], state.requests[index].grantNumber, Unit.Result.NEVER_RAN, false, -1);
                 });
                 for (int zone = 0; zone < 2; zone++) {
-                    // Before the first part the halls are the same.
-                    if (slot.boundZone >= 0 && slot.boundZone != zone || current.zone < 0 && slot.boundZone < 0 && zone > 0) { continue; }
+                    // Until a part has run, the zones are equivalent.
+                    if (request.boundZone >= 0 && request.boundZone != zone || current.zone < 0 && request.boundZone < 0 && zone > 0) {
+                        continue;
+                    }
                     int chosenZone = zone;
-                    apply("part " + slot.part + " begins in hall " + zone + " for n" + slot.ingress, w -> startPart(w, index, chosenZone));
+                    apply("part " + request.part + " starts in zone " + zone + " for n" + request.ingress,
+                            state -> startPart(state, index, chosenZone));
                 }
             }
-            if (slot.stage == STARTED && alive && slot.running) {
-                apply("part " + slot.part + " is served for n" + slot.ingress, w -> {
-                    PartRequest s = w.requests[index];
-                    s.stage = FINISHED;
-                    s.running = s.connected = false;
-                    w.report(s, s.grantNumber, Unit.Result.SERVED, false, s.ranInZone);
+            if (request.stage == STARTED && alive && request.running) {
+                apply("part " + request.part + " is served for n" + request.ingress, state -> {
+                    PartRequest target = state.requests[index];
+                    target.stage = FINISHED;
+                    target.running = target.connected = false;
+                    state.report(target, target.grantNumber, Unit.Result.SERVED, false, target.ranInZone);
                 });
-                apply("n" + slot.ingress + " gives part " + slot.part + " up, and it runs on", w -> {
-                    PartRequest s = w.requests[index];
-                    s.stage = FINISHED;
-                    s.connected = false;
-                    w.report(s, s.grantNumber, Unit.Result.MAY_HAVE_RUN, true, s.ranInZone);
+                apply("n" + request.ingress + " abandons part " + request.part + ", which runs on", state -> {
+                    PartRequest target = state.requests[index];
+                    target.stage = FINISHED;
+                    target.connected = false;
+                    state.report(target, target.grantNumber, Unit.Result.MAY_HAVE_RUN, true, target.ranInZone);
                 });
             }
-            if (slot.running && !slot.connected) {
-                apply("the region ends part " + slot.part + ", which nobody waits for", w -> w.requests[index].running = false);
+            if (request.running && !request.connected) {
+                apply("the region ends part " + request.part + ", which was abandoned", state -> state.requests[index].running = false);
             }
         }
     }
 
-    private void startPart(ModelState w, int index, int zone) {
-        PartRequest s = w.requests[index];
-        boolean over = w.home != null && w.home.state().isOver() || w.endCount > 0;
-        if (over) { recordBreach("part " + s.part + " is begun after the end"); }
-        for (PartRequest one : w.requests) {
-            if (one == s) { continue; }
-            boolean samePart = one.part == s.part && s.part > 0;
-            if (samePart && one.connected) { recordBreach("part " + s.part + " is out twice at once"); }
-            if (!samePart && one.running) { recordBreach("part " + s.part + " is out while part " + one.part + ", which it follows, runs"); }
+    private void startPart(ModelState state, int index, int zone) {
+        PartRequest request = state.requests[index];
+        boolean over = state.home != null && state.home.state().isOver() || state.endCount > 0;
+        if (over) { recordBreach("part " + request.part + " is started after the end"); }
+        for (PartRequest other : state.requests) {
+            if (other == request) { continue; }
+            boolean samePart = other.part == request.part && request.part > 0;
+            if (samePart && other.connected) { recordBreach("part " + request.part + " has two open attempts at once"); }
+            if (!samePart && other.running) {
+                recordBreach("part " + request.part + " starts while part " + other.part + ", which it follows, runs");
+            }
+        }
+        if (state.zone >= 0 && state.zone != zone) { recordBreach("its parts run in two zones"); }
+        if (request.part > 0 && state.latestPart > request.part) {
+            recordBreach("part " + request.part + " is started after part " + state.latestPart);
         }
-        if (w.zone >= 0 && w.zone != zone) { recordBreach("its parts run in two halls"); }
-        if (s.part > 0 && w.latestPart > s.part) { recordBreach("part " + s.part + " is begun after part " + w.latestPart); }
-        w.zone = zone;
-        w.latestPart = Math.max(w.latestPart, s.part);
-        s.stage = STARTED;
-        s.ranInZone = zone;
-        s.connected = s.running = true;
+        state.zone = zone;
+        state.latestPart = Math.max(state.latestPart, request.part);
+        request.stage = STARTED;
+        request.ranInZone = zone;
+        request.connected = request.running = true;
     }
 
     private void exploreFaults() {
         boolean runsOn = false;
-        for (PartRequest slot : current.requests) { runsOn |= slot.running && !slot.connected; }
+        for (PartRequest request : current.requests) { runsOn |= request.running && !request.connected; }
         if (!runsOn && current.home != null && current.time < current.home.mayRunUntilMs()) {
-            apply("the settling time is over", w -> {
-                w.time++;
-                w.home.advance(w.time, w.listener());
-                if (w.unsealedHome != null) { w.unsealedHome.advance(w.time, w.listener()); }
+            apply("the settling time is over", state -> {
+                state.time++;
+                state.home.advance(state.time, state.listener());
+                if (state.unsealedHome != null) { state.unsealedHome.advance(state.time, state.listener()); }
             });
         }
-        if (fault == Fault.OTHER_RESTARTS && current.otherRestarts == 0 && current.homeIngress == 0 && !current.homeCrashed && !current.transferred) {
-            apply("n1 dies and comes back", w -> {
-                w.otherRestarts = 1;
-                for (PartRequest request : w.requests) {
+        if (fault == Fault.OTHER_RESTARTS && current.otherRestarts == 0 && current.homeIngress == 0 && !current.homeCrashed
+                && !current.transferred) {
+            apply("n1 crashes and restarts", state -> {
+                state.otherRestarts = 1;
+                for (PartRequest request : state.requests) {
                     if (request.ingress == 1) { request.connected = false; }
                 }
             });
         }
         if (current.otherRestarts == 1 && !current.homeKnowsRestart && current.home != null && current.homeIngress == 0) {
-            apply("n0 hears of n1's new life", w -> {
-                w.homeKnowsRestart = true;
-                w.home.holderLost(w.time, NAMES[1], 2, RULES, w.listener());
+            apply("n0 learns of n1's new incarnation", state -> {
+                state.homeKnowsRestart = true;
+                state.home.holderLost(state.time, NAMES[1], 2, RULES, state.listener());
             });
         }
         if (fault == Fault.HOME_CRASHES && !current.homeCrashed && current.home != null) {
-            apply("the home dies", w -> {
-                w.homeCrashed = true;
-                w.home = null;
-                for (PartRequest request : w.requests) {
+            apply("the home crashes", state -> {
+                state.homeCrashed = true;
+                state.home = null;
+                for (PartRequest request : state.requests) {
                     if (request.ingress == 0) {
                         request.connected = false;
                         if (request.stage < FINISHED) { request.stage = FINISHED; }
@@ -517,41 +561,43 @@
                 }
             });
         }
-        if (fault == Fault.HOME_TRANSFERS && !current.transferred && openerMode == Mode.UNIT && current.home != null && current.home.state() == Unit.State.OPEN) {
-            apply("n0 hands the unit over to n1", w -> {
-                w.transferred = true;
-                if (omission == Omission.SEALING) { w.unsealedHome = w.home.copy(); }
-                UnitRecord record = w.home.handOver(w.time, w.listener());
-                w.home = Unit.fromRecord(record, w.time);
-                w.homeIngress = 1;
-                w.home.advance(w.time, w.listener());
+        if (fault == Fault.HOME_TRANSFERS && !current.transferred && openerMode == Mode.UNIT && current.home != null
+                && current.home.state() == Unit.State.OPEN) {
+            apply("n0 transfers the unit to n1", state -> {
+                state.transferred = true;
+                if (omission == Omission.SEALING) { state.unsealedHome = state.home.copy(); }
+                UnitRecord record = state.home.handOver(state.time, state.listener());
+                state.home = Unit.fromRecord(record, state.time);
+                state.homeIngress = 1;
+                state.home.advance(state.time, state.listener());
             });
         }
-        if (current.home != null && current.homeIngress == 1) {   // who waits there is asked anew
+        if (current.home != null && current.homeIngress == 1) { // requests waiting there are submitted again
             for (int i = 0; i < current.requests.length; i++) {
                 int index = i;
                 if (current.requests[i].ingress == 1 && current.requests[i].stage == WAITING && current.requests[i].arrivals < 3) {
-                    apply("n1 asks itself for part " + current.requests[i].part, w -> {
-                        w.requests[index].arrivals = 3;
-                        submit(w, index);
+                    apply("n1 submits its request to itself for part " + current.requests[i].part, state -> {
+                        state.requests[index].arrivals = 3;
+                        submit(state, index);
                     });
                 }
             }
         }
     }
 
-    /** All pairs of modes; {@code [WITHOUT]}. */
+    /** {@code [OMISSION]}: visits all pairs of modes with all faults. */
     public static void main(String[] args) {
         Omission omission = args.length > 0 ? Omission.valueOf(args[0]) : Omission.NOTHING;
         long totalStates = 0;
         for (Mode opener : List.of(Mode.SESSION, Mode.UNIT)) {
             for (Mode other : Mode.values()) {
                 for (Fault fault : Fault.values()) {
-                    if (fault == Fault.HOME_TRANSFERS && opener == Mode.SESSION) { continue; } // a connection is not handed over
+                    if (fault == Fault.HOME_TRANSFERS && opener == Mode.SESSION) { continue; } // a session is not transferred
                     long from = System.nanoTime();
                     Result result = explore(opener, other, fault, fault == Fault.NONE ? 2 : 1, omission, 12_000_000);
                     totalStates += result.states();
-                    System.out.printf("%s with %s, %s: %d states, %.1f s%n", opener, other, fault, result.states(), (System.nanoTime() - from) / 1e9);
+                    System.out.printf("%s with %s, %s: %d states, %.1f s%n", opener, other, fault, result.states(),
+                            (System.nanoTime() - from) / 1e9);
                     if (result.breachPath() != null) { result.breachPath().forEach(line -> System.out.println("    " + line)); }
                 }
             }
--- a/lab/src/yardusher/units/UnitsScript.java
+++ b/lab/src/yardusher/units/UnitsScript.java
@@ -8,10 +8,11 @@
 import yardusher.units.UnitsSimulation.Connection;
 import yardusher.units.UnitsSimulation.Omission;
 
-/** Units under faults by seed, on scripted time: terminals of all kinds through ingresses of all modes. */
+/** Runs units in a {@link UnitsSimulation} under seeded faults: terminals of all kinds through ingresses of all modes. */
 final class UnitsScript {
-    /** What came of a seed. */
-    record Outcome(List<String> breaches, int requests, int served, long opened, long done, long abandoned, long unknown, java.util.Map<String, Integer> answers,
+    /** The result of one seed: breaches of rules, counts and the trace. */
+    record Outcome(List<String> breaches, int requests, int served, long opened, long done, long abandoned, long unknown,
+            java.util.Map<String, Integer> answers,
             List<String> trace) { }
 
     private final UnitsSimulation simulation;
@@ -24,7 +25,7 @@
         this.random = new Random(simulation.seed ^ 0x5DEECE66DL);
     }
 
-    /** Plays a seed for so long with faults, then heals all and waits until everything is over. */
+    /** Runs a seed with faults for {@code ms}, then heals all faults and waits until all units have ended. */
     static Outcome play(long seed, Omission omission, double ms, int terminals, Mode... modes) {
         UnitsSimulation simulation = new UnitsSimulation(seed, omission, modes);
         UnitsScript script = new UnitsScript(simulation);
@@ -42,20 +43,23 @@
         }
         List<String> breaches = simulation.breaches(true);
         java.util.Map<String, Integer> answers = new java.util.TreeMap<>();
-        for (TerminalRequest one : simulation.requests) { answers.merge(one.served ? "served" : one.answer.isEmpty() ? "(none)" : one.answer.split(" ")[0], 1, Integer::sum); }
-        return new Outcome(breaches, simulation.requests.size(), (int) simulation.requests.stream().filter(one -> one.served).count(), opened, ended[Unit.State.DONE.ordinal()],
+        for (TerminalRequest one : simulation.requests) {
+            answers.merge(one.served ? "served" : one.answer.isEmpty() ? "(none)" : one.answer.split(" ")[0], 1, Integer::sum);
+        }
+        return new Outcome(breaches, simulation.requests.size(), (int) simulation.requests.stream().filter(one -> one.served).count(),
+                opened, ended[Unit.State.DONE.ordinal()],
                 ended[Unit.State.ABANDONED.ordinal()], ended[Unit.State.UNKNOWN.ordinal()], answers, simulation.trace);
     }
 
     private int randomNode() { return random.nextInt(simulation.size); }
 
-    /** One terminal after another for a customer. */
+    /** Runs one terminal for a customer, and then the next. */
     private void startTerminal(long customer, double untilMs) {
         if (simulation.now > untilMs) { return; }
         startedTerminals++;
         boolean[] finished = {false};
         Runnable startNext = () -> {
-            if (finished[0]) { return; }                 // one terminal goes on once
+            if (finished[0]) { return; }                 // each terminal has one successor
             finished[0] = true;
             simulation.schedule(5 + random.nextInt(40), () -> startTerminal(customer, untilMs));
         };
@@ -63,8 +67,13 @@
         if (simulation.nodes[node].mode == Mode.SESSION && random.nextInt(4) > 0) {
             Connection connection = simulation.connect(node);
             if (random.nextInt(3) == 0) {
-                simulation.send(connection, customer, UnitsSimulation.IDEMPOTENT, 0, new UnitDirective(null, 0, UnitDirective.Boundary.OPEN), 500, opened -> {
-                    if (opened.served) { playParts(connection, customer, opened.answer, 1, 1 + random.nextInt(3), startNext); } else { startNext.run(); }
+                simulation.send(connection, customer, UnitsSimulation.IDEMPOTENT, 0, new UnitDirective(null, 0, UnitDirective.Boundary.OPEN), 500,
+                        opened -> {
+                    if (opened.served) {
+                        playParts(connection, customer, opened.answer, 1, 1 + random.nextInt(3), startNext);
+                    } else {
+                        startNext.run();
+                    }
                 });
             } else {
                 playSession(connection, customer, 1 + random.nextInt(5), startNext);
@@ -72,24 +81,27 @@
             if (connection.closed) { startNext.run(); }
             return;
         }
-        TerminalRequest opening = simulation.send(simulation.connect(node), customer, UnitsSimulation.DEDUPLICATED, 1, new UnitDirective(null, 0, UnitDirective.Boundary.OPEN), 500, opened -> {
+        TerminalRequest opening = simulation.send(simulation.connect(node), customer, UnitsSimulation.DEDUPLICATED, 1,
+                new UnitDirective(null, 0, UnitDirective.Boundary.OPEN), 500, opened -> {
             if (opened.served) { playParts(null, customer, opened.answer, 1, 1 + random.nextInt(4), startNext); } else { startNext.run(); }
         });
         if (opening == null) { startNext.run(); } else { giveUpAfterWait(opening, startNext); }
     }
 
-    /** Who has no answer when it gives up goes on all the same. */
+    /** Continues after the wait even if there is no answer. */
     private void giveUpAfterWait(TerminalRequest request, Runnable then) {
         simulation.schedule(request.waitMs + 60, () -> {
             if (request.answerCount == 0 && !request.left) {
                 request.left = true;
-                if (request.admitted != null && request.connection.incarnation == simulation.nodes[request.connection.node].incarnation) { simulation.nodes[request.connection.node].turn(request.admitted::terminalLeft); }
+                if (request.admitted != null && request.connection.incarnation == simulation.nodes[request.connection.node].incarnation) {
+                    simulation.nodes[request.connection.node].turn(request.admitted::terminalLeft);
+                }
                 then.run();
             }
         });
     }
 
-    /** Transactions without a name on one connection, some of them behind one another; then it closes, at times too early. */
+    /** Requests without a unit's name on one connection, some of them pipelined; then it closes, sometimes too early. */
     private void playSession(Connection connection, long customer, int remaining, Runnable startNext) {
         if (remaining == 0 || connection.closed) {
             if (random.nextInt(10) > 0) { connection.close(); }
@@ -97,9 +109,11 @@
             return;
         }
         boolean pipelined = random.nextInt(4) == 0;
-        TerminalRequest first = simulation.send(connection, customer, randomClass(), random.nextLong(), null, 500, pipelined ? any -> { } : any -> playSession(connection, customer, remaining - 1, startNext));
+        TerminalRequest first = simulation.send(connection, customer, randomClass(), random.nextLong(), null, 500,
+                pipelined ? any -> { } : any -> playSession(connection, customer, remaining - 1, startNext));
         if (pipelined) {
-            TerminalRequest second = simulation.send(connection, customer, randomClass(), random.nextLong(), null, 500, any -> playSession(connection, customer, remaining - 1, startNext));
+            TerminalRequest second = simulation.send(connection, customer, randomClass(), random.nextLong(), null, 500,
+                    any -> playSession(connection, customer, remaining - 1, startNext));
             if (second == null) { startNext.run(); } else { giveUpAfterWait(second, startNext); }
         } else if (first == null) {
             startNext.run();
@@ -115,15 +129,18 @@
         }
     }
 
-    private int randomClass() { return new int[] {UnitsSimulation.IDEMPOTENT, UnitsSimulation.DEDUPLICATED, UnitsSimulation.DEDUPLICATED, UnitsSimulation.AT_MOST_ONCE}[random.nextInt(4)]; }
+    private int randomClass() {
+        return new int[] {UnitsSimulation.IDEMPOTENT, UnitsSimulation.DEDUPLICATED, UnitsSimulation.DEDUPLICATED,
+                UnitsSimulation.AT_MOST_ONCE}[random.nextInt(4)];
+    }
 
-    /** The parts of a unit, each through any ingress, tried again through another; at times the next one at once behind it. */
+    /** Sends the parts of a unit, each through a random ingress, and retries through others. */
     private void playParts(Connection homeConnection, long customer, String unit, int part, int count, Runnable startNext) {
         if (part > count) {
             endUnit(homeConnection, customer, unit, startNext);
             return;
         }
-        if (random.nextInt(30) == 0) {               // an end that crosses what follows, a part too early, one too late, or one of nobody's
+        if (random.nextInt(30) == 0) {               // an end that crosses the next part, or a part too early, too late or of no unit
             Connection otherConnection = simulation.connect(randomNode());
             UnitDirective word = switch (random.nextInt(4)) {
                 case 0 -> UnitsSimulation.end(unit);
@@ -149,14 +166,17 @@
         });
     }
 
-    private void tryPart(Connection homeConnection, long customer, int classIndex, long key, UnitDirective word, int remaining, java.util.function.Consumer<Boolean> then) {
-        Connection connection = homeConnection != null && !homeConnection.closed && random.nextInt(3) == 0 ? homeConnection : simulation.connect(randomNode());
+    private void tryPart(Connection homeConnection, long customer, int classIndex, long key, UnitDirective word, int remaining,
+            java.util.function.Consumer<Boolean> then) {
+        Connection connection = homeConnection != null && !homeConnection.closed && random.nextInt(3) == 0 ? homeConnection
+                : simulation.connect(randomNode());
         boolean[] finished = {false};
         Runnable retry = () -> {
             if (finished[0]) { return; }
             finished[0] = true;
             if (remaining > 1) {
-                simulation.schedule(10 + random.nextInt(120), () -> tryPart(homeConnection, customer, classIndex, key, word, remaining - 1, then));
+                simulation.schedule(10 + random.nextInt(120), () -> tryPart(homeConnection, customer, classIndex, key, word, remaining - 1,
+                        then));
             } else {
                 then.accept(false);
             }
@@ -174,19 +194,23 @@
             return;
         }
         giveUpAfterWait(request, retry);
-        if (random.nextInt(8) == 0) { simulation.schedule(1 + random.nextInt(30), retry); } // impatient: another try while this one runs
+        if (random.nextInt(8) == 0) { simulation.schedule(1 + random.nextInt(30), retry); } // another attempt while this one runs
     }
 
     private void endUnit(Connection homeConnection, long customer, String unit, Runnable startNext) {
         startNext.run();
         int how = random.nextInt(6);
-        if (how == 0) { return; }                    // never said
+        if (how == 0) { return; }                    // no end is sent
         if (homeConnection != null && how < 4) {
             homeConnection.close();
             if (how > 1) { return; }
         }
-        simulation.send(simulation.connect(randomNode()), customer, UnitsSimulation.IDEMPOTENT, 0, UnitsSimulation.end(unit), 500, any -> { });
-        if (how == 5) { simulation.send(simulation.connect(randomNode()), customer, UnitsSimulation.IDEMPOTENT, 0, new UnitDirective(unit, 0, UnitDirective.Boundary.ABANDON), 500, any -> { }); }
+        simulation.send(simulation.connect(randomNode()), customer, UnitsSimulation.IDEMPOTENT, 0, UnitsSimulation.end(unit), 500,
+                any -> { });
+        if (how == 5) {
+            simulation.send(simulation.connect(randomNode()), customer, UnitsSimulation.IDEMPOTENT, 0,
+                    new UnitDirective(unit, 0, UnitDirective.Boundary.ABANDON), 500, any -> { });
+        }
     }
 
     private void injectFaults(double untilMs) {
@@ -230,7 +254,7 @@
             }
             case 9 -> {
                 UnitsSimulation.SimulatedRegion region = randomRegion();
-                region.maxServiceMs = 1 + random.nextInt(900); // at times past what is waited for
+                region.maxServiceMs = 1 + random.nextInt(900); // sometimes longer than the request's wait
                 simulation.schedule(durationMs, () -> region.maxServiceMs = 8);
             }
             default -> {
@@ -241,7 +265,7 @@
                         simulation.schedule(50, () -> simulation.start(a));
                     });
                 } else {
-                    simulation.nodes[a].mode = Mode.values()[random.nextInt(3)]; // by reload
+                    simulation.nodes[a].mode = Mode.values()[random.nextInt(3)]; // changed by reload
                     simulation.nodes[a].turn(() -> simulation.nodes[a].intake.reload(simulation.nodes[a].settings()));
                 }
             }
@@ -249,7 +273,9 @@
         simulation.schedule(50 + random.nextInt(400), () -> injectFaults(untilMs));
     }
 
-    private UnitsSimulation.SimulatedRegion randomRegion() { return new ArrayList<>(simulation.regions.values()).get(random.nextInt(simulation.regions.size())); }
+    private UnitsSimulation.SimulatedRegion randomRegion() {
+        return new ArrayList<>(simulation.regions.values()).get(random.nextInt(simulation.regions.size()));
+    }
 
     private void heal() {
         simulation.lossRate = simulation.duplicateRate = simulation.delayRate = 0;
@@ -266,7 +292,7 @@
         simulation.publishServerList();
     }
 
-    /** {@code FIRST COUNT [WITHOUT]}: plays seeds and tells what was found. */
+    /** {@code FIRST COUNT [OMISSION]}: runs seeds and prints what was found. */
     public static void main(String[] args) {
         Omission omission = args.length > 2 ? Omission.valueOf(args[2]) : Omission.NOTHING;
         long first = Long.parseLong(args[0]);
@@ -276,7 +302,8 @@
         java.util.Map<String, Integer> answers = new java.util.TreeMap<>();
         for (long seed = first; seed < first + count; seed++) {
             Outcome outcome = play(seed, omission, 4000, 8, modes(seed));
-            long[] counts = {outcome.requests(), outcome.served(), outcome.opened(), outcome.done(), outcome.abandoned(), outcome.unknown()};
+            long[] counts = {outcome.requests(), outcome.served(), outcome.opened(), outcome.done(), outcome.abandoned(),
+                    outcome.unknown()};
             for (int i = 0; i < sums.length; i++) { sums[i] += counts[i]; }
             outcome.answers().forEach((what, times) -> answers.merge(what, times, Integer::sum));
             if (!outcome.breaches().isEmpty()) {
@@ -285,7 +312,8 @@
                 if (count == 1) { outcome.breaches().forEach(System.out::println); outcome.trace().forEach(System.out::println); }
             }
         }
-        System.out.printf("%d seeds, %d with a breach; tries %d, served %d, units opened %d, done %d, abandoned %d, unknown %d%n", count, seedsWithBreach, sums[0], sums[1],
+        System.out.printf("%d seeds, %d with a breach; requests %d, served %d, units opened %d, done %d, abandoned %d, unknown %d%n", count,
+                seedsWithBreach, sums[0], sums[1],
                 sums[2], sums[3], sums[4], sums[5]);
         System.out.println(answers);
     }
--- a/lab/src/yardusher/units/UnitsSimulation.java
+++ b/lab/src/yardusher/units/UnitsSimulation.java
@@ -34,9 +34,9 @@
 import yardusher.view.View;
 
 /**
- * Several ingresses on scripted time: the program's own core, decision module, log and intake in each, with a mesh that
- * loses, doubles, delays and cuts, a view that notices late, regions that run on after they are given up, and terminals. All
- * follows from the seed. Public to none but the lab; in this package since it plays what is private to it.
+ * A deterministic simulation of several ingresses on scripted time. Each has the program's own core, decision module, log and intake. The
+ * mesh loses, duplicates and delays datagrams and can be partitioned; the view detects failures late; regions run on after an attempt was
+ * abandoned. Everything follows from the seed. It is in this package because it drives package-private classes.
  */
 final class UnitsSimulation {
     static final double SETTLE_MS = 300;
@@ -47,12 +47,22 @@
     static final int DEDUPLICATED = 1;
     static final int AT_MOST_ONCE = 2;
 
-    /** What is left out, to see that the rules notice. */
-    enum Omission { NOTHING, LIVES, SETTLING, ONE_END, STATE_AT_THE_DOOR }
+    /** A rule that is left out, to show that the checker detects it. The names are arguments of {@link UnitsScript}. */
+    enum Omission {
+        NOTHING,
+        /** All incarnations of an ingress have the same number. */
+        LIVES,
+        /** An abandoned attempt is taken to have ended at once. */
+        SETTLING,
+        /** The close of a connection reports its unit as ended twice. */
+        ONE_END,
+        /** A part is granted after its unit has ended. */
+        STATE_AT_THE_DOOR
+    }
 
     private record Event(double atMs, long sequence, Runnable action) { }
 
-    /** One stand-in region. */
+    /** A simulated region. */
     static final class SimulatedRegion {
         final long id;
         final int zone;
@@ -69,7 +79,7 @@
         String name() { return String.format("s-%08x", id); }
     }
 
-    /** One command at a region, from its beginning to its end. */
+    /** One command at a region, from its start to its end. */
     private static final class RegionRun {
         final SimulatedRegion region;
         final String id;
@@ -101,7 +111,7 @@
         @Override
         public void onClose(Runnable then) { if (closed) { then.run(); } else { endListeners.add(then); } }
 
-        /** The terminal closes it. */
+        /** Closes the connection from the terminal's side. */
         void close() {
             if (closed) { return; }
             closed = true;
@@ -186,7 +196,8 @@
         public UnitDirective unit() { return unitWord; }
 
         String fields() {
-            return unitWord == null ? "" : "," + (unitWord.unitName() == null ? "" : "u=" + unitWord.unitName()) + (unitWord.part() > 0 ? ",p=" + unitWord.part() : "")
+            return unitWord == null ? "" : "," + (unitWord.unitName() == null ? "" : "u=" + unitWord.unitName())
+                    + (unitWord.part() > 0 ? ",p=" + unitWord.part() : "")
                     + switch (unitWord.boundary()) {
                         case OPEN -> ",b=open";
                         case END -> ",b=end";
@@ -196,7 +207,7 @@
         }
     }
 
-    /** An ingress, over all its lives. */
+    /** An ingress, over all its incarnations. */
     final class Node implements Backends, Mesh, View, Events {
         final int index;
         final String name;
@@ -205,7 +216,7 @@
         boolean paused;
         boolean draining;
         int incarnation;
-        final List<Runnable> heldWork = new ArrayList<>();       // while it is stopped
+        final List<Runnable> heldWork = new ArrayList<>(); // deferred while the process is paused
         EventLoop loop;
         Ingress core;
         UnitsIntake intake;
@@ -224,7 +235,8 @@
         }
 
         UnitSettings settings() {
-            return new UnitSettings(Map.of("plan", mode), 1000, 100, 16, IDLE_MS, 150, omission == Omission.SETTLING ? 0 : SETTLE_MS, 300, 1 << 20,
+            return new UnitSettings(Map.of("plan", mode), 1000, 100, 16, IDLE_MS, 150, omission == Omission.SETTLING ? 0 : SETTLE_MS, 300,
+                    1 << 20,
                     proceedsWhenUnsure, false, true);
         }
 
@@ -244,17 +256,18 @@
             loop = new EventLoop(() -> now, e -> problems.add(name + ": " + stack(e)));
             loop.execute(() -> {
                 UnitRequestLog log = new UnitRequestLog(RequestLog.NONE);
-                core = new Ingress(apiSettings(index), seed * 31 + index * 7 + incarnation, loop, this, (to, body) -> { }, new Counters(), log);
+                core = new Ingress(apiSettings(index), seed * 31 + index * 7 + incarnation, loop, this, (to, body) -> { }, new Counters(),
+                        log);
                 core.deliver(serverList());
                 long unitIncarnation = omission == Omission.LIVES ? 1000 + index : 1000 + index + 100L * incarnation;
-                UnitsIntake.Context place = new UnitsIntake.Context(name, unitIncarnation, loop, core, log, new UnitsIntake.Regions() {
+                UnitsIntake.Context context = new UnitsIntake.Context(name, unitIncarnation, loop, core, log, new UnitsIntake.Regions() {
                     @Override
                     public int zoneOf(long region) { return isAvailable(region) ? regions.get(region).zone : -1; }
 
                     @Override
                     public boolean hasZone(int zone) { return regions.values().stream().anyMatch(one -> one.listed && one.zone == zone); }
                 }, this, this, this, apiSettings(index).classes(), List.of("plan"), random::nextLong);
-                intake = new UnitsIntake(place, settings(), this::table);
+                intake = new UnitsIntake(context, settings(), this::table);
             });
         }
 
@@ -262,24 +275,24 @@
             return switch (omission) {
                 case ONE_END -> new UnitTable(self, incarnation, limits, rules, listener) {
                     @Override
-                    void end(double at, UnitName unit, Unit.Boundary by) { // its first state is told of as well
+                    void end(double atMs, UnitName unit, Unit.Boundary cause) { // also reports the state before the end
                         Unit held = find(unit);
-                        if (held != null && by == Unit.Boundary.CLOSED) { listener.onEnded(held); }
-                        super.end(at, unit, by);
+                        if (held != null && cause == Unit.Boundary.CLOSED) { listener.onEnded(held); }
+                        super.end(atMs, unit, cause);
                     }
                 };
                 case STATE_AT_THE_DOOR -> new UnitTable(self, incarnation, limits, rules, listener) {
-                    private final Map<UnitName, Unit> ever = new HashMap<>();
-                    private int grants = 1000;
+                    private final Map<UnitName, Unit> everHeld = new HashMap<>();
+                    private int nextGrant = 1000;
 
                     @Override
-                    void submit(double at, UnitName unit, Ticket ticket, java.util.function.Predicate<String> silent) {
+                    void submit(double atMs, UnitName unit, Ticket ticket, java.util.function.Predicate<String> isSilent) {
                         Unit held = find(unit);
-                        if (held != null) { ever.put(unit, held); }
-                        if (held == null && ever.containsKey(unit) && ticket.kind().isPart()) {
-                            listener.onGrant(ever.get(unit), ticket, grants++);
+                        if (held != null) { everHeld.put(unit, held); }
+                        if (held == null && everHeld.containsKey(unit) && ticket.kind().isPart()) {
+                            listener.onGrant(everHeld.get(unit), ticket, nextGrant++);
                         } else {
-                            super.submit(at, unit, ticket, silent);
+                            super.submit(atMs, unit, ticket, isSilent);
                         }
                     }
                 };
@@ -291,13 +304,15 @@
             if (!up) { return; }
             up = false;
             lostIncarnations.add(name + "." + Long.toHexString(1000 + index + 100L * incarnation) + ".");
-            for (Map.Entry<Attempt, RegionRun> one : runs.entrySet()) { one.getValue().detachedMs = Math.min(one.getValue().detachedMs, now); }
+            for (Map.Entry<Attempt, RegionRun> one : runs.entrySet()) {
+                one.getValue().detachedMs = Math.min(one.getValue().detachedMs, now);
+            }
             for (Connection wire : connections) {
                 if (wire.node == index) { wire.closed = true; }
             }
         }
 
-        /** Does work in a turn, or once it goes on. */
+        /** Runs work in a turn of the event loop, or after the pause. */
         void turn(Runnable work) {
             if (!up) { return; }
             if (paused) { heldWork.add(work); } else { loop.execute(work); }
@@ -319,7 +334,7 @@
         @Override
         public void start(Attempt attempt, ByteBuffer... cargo) {
             SimulatedRegion region = regions.get(attempt.backend);
-            int unitIncarnation = incarnation;
+            int startedIncarnation = incarnation;
             String id = String.format("%016x", attempt.request.incoming.command().id());
             boolean[] open = {true};
             RegionRun[] run = new RegionRun[1];
@@ -328,29 +343,31 @@
                 if (run[0] != null) { run[0].detachedMs = Math.min(run[0].detachedMs, now); }
             };
             schedule(0.2 + random.nextDouble(), () -> {
-                if (!up || incarnation != unitIncarnation || !open[0]) { return; }
+                if (!up || incarnation != startedIncarnation || !open[0]) { return; }
                 if (!region.alive) {
-                    onNode(index, unitIncarnation, () -> core.attemptEnded(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED)));
+                    onNode(index, startedIncarnation, () -> core.attemptEnded(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED)));
                     return;
                 }
                 if (!attempt.handToSocket(now)) {
-                    onNode(index, unitIncarnation, () -> core.attemptEnded(attempt, Attempt.Result.of(Api.Outcome.NOT_SENT)));
+                    onNode(index, startedIncarnation, () -> core.attemptEnded(attempt, Attempt.Result.of(Api.Outcome.NOT_SENT)));
                     return;
                 }
-                onNode(index, unitIncarnation, () -> core.attemptWritten(attempt));
+                onNode(index, startedIncarnation, () -> core.attemptWritten(attempt));
                 run[0] = new RegionRun(region, id, now);
                 regionRuns.add(run[0]);
                 runs.put(attempt, run[0]);
-                // The one thing that is assumed of a region: it ends what is given up within the settling time.
-                double takes = Math.min(region.minServiceMs + random.nextDouble() * (region.maxServiceMs - region.minServiceMs), attempt.sentAtMs + attempt.waitMs + SETTLE_MS - 5 - now);
-                schedule(takes, () -> {
+                // The only assumption about a region: it ends an abandoned attempt within the settling time.
+                double serviceMs = Math.min(region.minServiceMs + random.nextDouble() * (region.maxServiceMs - region.minServiceMs),
+                        attempt.sentAtMs + attempt.waitMs + SETTLE_MS - 5 - now);
+                schedule(serviceMs, () -> {
                     if (run[0].finished) { return; }
                     run[0].finished = true;
                     run[0].toMs = now;
                     run[0].detachedMs = Math.min(run[0].detachedMs, now);
                     schedule(0.2 + random.nextDouble(), () -> {
                         if (open[0]) {
-                            onNode(index, unitIncarnation, () -> core.attemptEnded(attempt, new Attempt.Result(Api.Outcome.SERVED, ("value " + id).getBytes(StandardCharsets.UTF_8), null)));
+                            onNode(index, startedIncarnation, () -> core.attemptEnded(attempt,
+                                    new Attempt.Result(Api.Outcome.SERVED, ("value " + id).getBytes(StandardCharsets.UTF_8), null)));
                         }
                     });
                 });
@@ -359,7 +376,9 @@
                     run[0].finished = true;
                     run[0].toMs = now;
                     run[0].detachedMs = Math.min(run[0].detachedMs, now);
-                    if (open[0]) { onNode(index, unitIncarnation, () -> core.attemptEnded(attempt, Attempt.Result.of(Api.Outcome.CONNECTION_LOST))); }
+                    if (open[0]) {
+                        onNode(index, startedIncarnation, () -> core.attemptEnded(attempt, Attempt.Result.of(Api.Outcome.CONNECTION_LOST)));
+                    }
                 });
             });
         }
@@ -394,7 +413,8 @@
 
         private View.Member memberAt(int other) {
             boolean alive = other == index || now - lastHeardMs[other] < FAILURE_DETECTION_MS;
-            return new Member(nodes[other].name, "hall", nodes[other].address(), nodes[other].incarnation, alive ? State.ALIVE : State.GONE);
+            return new Member(nodes[other].name, "hall", nodes[other].address(), nodes[other].incarnation,
+                    alive ? State.ALIVE : State.GONE);
         }
 
         void detectFailures() {
@@ -410,7 +430,9 @@
                     (alive ? came : gone).add(memberAt(i));
                 }
             }
-            if ((!came.isEmpty() || !gone.isEmpty()) && viewFollower != null) { loop.execute(() -> viewFollower.accept(new Change(snapshot(), came, gone))); }
+            if ((!came.isEmpty() || !gone.isEmpty()) && viewFollower != null) {
+                loop.execute(() -> viewFollower.accept(new Change(snapshot(), came, gone)));
+            }
         }
 
         @Override
@@ -446,10 +468,12 @@
             String unit = values.get("unit");
             if (text.startsWith("unit ") || text.equals("part granted")) {
                 String what = text.equals("part granted") ? "granted" : text.equals("unit handed over") ? "moved" : text.substring(5);
-                homeEvents.add(new UnitsChecker.HomeEvent(now, name, what, unit, values.getOrDefault("mode", values.getOrDefault("state", "")),
+                homeEvents.add(new UnitsChecker.HomeEvent(now, name, what, unit,
+                        values.getOrDefault("mode", values.getOrDefault("state", "")),
                         Integer.parseInt(values.getOrDefault("part", "0")), Integer.parseInt(values.getOrDefault("grant", "0"))));
             } else if (text.equals("part begins")) {
-                partStarts.add(new UnitsChecker.PartStart(now, name, unit, Integer.parseInt(values.get("part")), Integer.parseInt(values.get("grant")), values.get("id")));
+                partStarts.add(new UnitsChecker.PartStart(now, name, unit, Integer.parseInt(values.get("part")),
+                        Integer.parseInt(values.get("grant")), values.get("id")));
             }
         }
 
@@ -489,7 +513,8 @@
     private final List<String> lostIncarnations = new ArrayList<>();
     private final List<double[]> disturbances = new ArrayList<>(); // node, from, to
     private final Map<SimulatedRegion, List<Runnable>> crashHandlers = new HashMap<>();
-    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> a.atMs() != b.atMs() ? Double.compare(a.atMs(), b.atMs()) : Long.compare(a.sequence(), b.sequence()));
+    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> a.atMs() != b.atMs() ? Double.compare(a.atMs(), b.atMs())
+            : Long.compare(a.sequence(), b.sequence()));
     final boolean[][] partitioned;
     double lossRate;
     double duplicateRate;
@@ -502,7 +527,7 @@
     private long lastId = 0x1000;
     private long lastDetectionMs;
 
-    /** Ingresses of these modes, and two regions in each of two halls. */
+    /** Starts ingresses of these modes, and two regions in each of two zones. */
     UnitsSimulation(long seed, Omission omission, Mode... modes) {
         this.seed = seed;
         this.omission = omission;
@@ -529,7 +554,7 @@
                 .map(one -> new Api.Server(one.id, one.zone, 0, 1, 0, Api.Readiness.READY)).toList());
     }
 
-    /** Everybody hears of the list as it is. */
+    /** Sends the current server list to all ingresses. */
     void publishServerList() {
         for (Node node : nodes) { node.turn(() -> node.core.deliver(serverList())); }
     }
@@ -540,7 +565,7 @@
         if (nodes[node].incarnation == incarnation) { nodes[node].turn(action); }
     }
 
-    /** Time goes on. */
+    /** Advances the time and runs all events that are due. */
     void run(double ms) {
         double until = now + ms;
         while (now < until) {
@@ -567,9 +592,12 @@
         return connection;
     }
 
-    /** Sends on a connection; null where it has ended. */
-    TerminalRequest send(Connection connection, long customer, int classIndex, long key, UnitDirective unitWord, double waitMs, Consumer<TerminalRequest> onAnswer) {
-        if (connection.closed || !nodes[connection.node].up || nodes[connection.node].incarnation != connection.incarnation) { return null; }
+    /** Sends a request on a connection; null if the connection has ended. */
+    TerminalRequest send(Connection connection, long customer, int classIndex, long key, UnitDirective unitWord, double waitMs,
+            Consumer<TerminalRequest> onAnswer) {
+        if (connection.closed || !nodes[connection.node].up || nodes[connection.node].incarnation != connection.incarnation) {
+            return null;
+        }
         TerminalRequest request = new TerminalRequest(connection, customer, classIndex, key, unitWord, waitMs);
         request.onAnswer = onAnswer;
         requests.add(request);
@@ -582,15 +610,15 @@
         return request;
     }
 
-    // What a test says in one line.
+    // Shorthands for tests.
 
     TerminalRequest submit(int node, long customer, int classIndex, UnitDirective unitWord) {
         TerminalRequest request = send(connect(node), customer, classIndex, lastId + 77, unitWord, 600, any -> { });
-        if (request == null) { throw new IllegalStateException("n" + node + " is not there"); }
+        if (request == null) { throw new IllegalStateException("n" + node + " is down"); }
         return request;
     }
 
-    /** Opens a unit and gives its name. */
+    /** Opens a unit and returns its name. */
     String open(int node, long customer) {
         TerminalRequest opening = submit(node, customer, IDEMPOTENT, new UnitDirective(null, 0, UnitDirective.Boundary.OPEN));
         run(5);
@@ -645,19 +673,23 @@
         nodes[node].turn(() -> nodes[node].intake.drain());
     }
 
-    /** All that was written down. */
+    /** The recorded history, for {@link UnitsChecker}. */
     UnitsChecker.History history(boolean endedCalmly) {
         List<UnitsChecker.ClientRequest> clientRequests = new ArrayList<>();
         for (TerminalRequest one : requests) {
             double endMs = Double.isNaN(one.answeredMs) ? now : one.answeredMs;
             boolean excused = one.left || one.connection.closed && Double.isNaN(one.answeredMs);
-            for (double[] disturbance : disturbances) { excused |= disturbance[0] == one.connection.node && disturbance[1] <= endMs && disturbance[2] >= one.sentMs; }
-            clientRequests.add(new UnitsChecker.ClientRequest(String.format("%016x", one.id), one.fields(), Long.toString(one.customer), one.sentMs, one.waitMs, one.answeredMs,
+            for (double[] disturbance : disturbances) {
+                excused |= disturbance[0] == one.connection.node && disturbance[1] <= endMs && disturbance[2] >= one.sentMs;
+            }
+            clientRequests.add(new UnitsChecker.ClientRequest(String.format("%016x", one.id), one.fields(), Long.toString(one.customer),
+                    one.sentMs, one.waitMs, one.answeredMs,
                     one.answerCount, one.served, excused));
         }
         List<UnitsChecker.Execution> executions = new ArrayList<>();
         for (RegionRun one : regionRuns) {
-            executions.add(new UnitsChecker.Execution(one.region.name(), "hall-" + one.region.zone, one.id, one.fromMs, Math.min(one.toMs, now + 1e6), one.detachedMs));
+            executions.add(new UnitsChecker.Execution(one.region.name(), "hall-" + one.region.zone, one.id, one.fromMs,
+                    Math.min(one.toMs, now + 1e6), one.detachedMs));
         }
         return new UnitsChecker.History(homeEvents, partStarts, executions, clientRequests, lostIncarnations, endedCalmly, 0);
     }
--- a/src/main/java/yardusher/units/Message.java
+++ b/src/main/java/yardusher/units/Message.java
@@ -7,50 +7,56 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** What ingresses say to one another about units, and its bytes. Durations in milliseconds; -1 for no region or hall. */
+/** The messages that ingresses exchange about units, and their encoding. Durations are in milliseconds; -1 stands for no region or zone. */
 sealed interface Message {
-    /** To a home: a part or an end is asked for, and waited for so long. */
-    record Request(UnitName unit, long requestId, long customer, int part, Ticket.Kind kind, double waitMs, double repeatWindowMs) implements Message { }
-
-    /** From a home: run it, bound to this region or hall; {@code toRegion}: what the first attempt binds it to. */
+    /** To a home: requests a part or an end; the sender waits for {@code waitMs}. */
+    record Request(UnitName unit, long requestId, long customer, int part, Ticket.Kind kind, double waitMs,
+            double repeatWindowMs) implements Message { }
+
+    /**
+     * From a home: the part may run, bound to this region or zone. {@code bindsToRegion}: whether the first attempt of an unbound
+     * unit binds it to its region or to its zone.
+     */
     record Grant(UnitName unit, long requestId, int grantNumber, boolean bindsToRegion, long region, int zone) implements Message { }
 
-    /** {@code to}: where it is to be asked for, empty but for MOVED. */
+    /** From a home: the request is refused. {@code newHome}: the ingress to send it to, empty unless the reason is MOVED. */
     record Refuse(UnitName unit, long requestId, Refusal reason, long detail, String newHome) implements Message { }
 
-    /** From a home: it has its place and waits for its turn; part {@code due} is the one that is awaited. */
+    /** From a home: the request is queued until its turn; {@code awaitedPart} is the part that is due. */
     record Queued(UnitName unit, long requestId, int awaitedPart) implements Message { }
 
-    /** From a home: the unit is over. */
+    /** From a home: the answer to an end, with how the unit ended and how many parts were served. */
     record Outcome(UnitName unit, long requestId, Unit.State state, int servedParts) implements Message { }
 
-    /** To a home: the part that was granted is over. {@code holder} and its life are there where a former home passes it on. */
-    record PartDone(UnitName unit, int grantNumber, Unit.Result result, double mayRunForMs, long region, int zone, String holder, long holderIncarnation) implements Message { }
+    /** To a home: a granted part has finished. {@code holder} and its incarnation are set only where a former home forwards the message. */
+    record PartDone(UnitName unit, int grantNumber, Unit.Result result, double mayRunForMs, long region, int zone, String holder,
+            long holderIncarnation) implements Message { }
 
-    /** To a home: who asked asks no more, and runs nothing. */
+    /** To a home: the sender cancels its request and runs nothing. Forwarded like {@link PartDone}. */
     record Withdraw(UnitName unit, long requestId, String holder, long holderIncarnation) implements Message { }
 
-    /** From a home: is this part still in your hands? If not, its end is to be told again. */
+    /** From a home: asks whether this part still runs. If not, the holder repeats its {@link PartDone}. */
     record StatusQuery(UnitName unit, int grantNumber) implements Message { }
 
-    /** To whoever was granted a part: the unit is over, once. */
+    /** From a home, once, to each ingress that was granted a part: the unit has ended. */
     record UnitEnded(UnitName unit, Unit.State state) implements Message { }
 
-    /** To all: the units of a home's life are asked for at another ingress from now on. */
+    /** To all ingresses: units opened in this incarnation of a home now live at another ingress. */
     record Moved(String home, long incarnation, String newHome, int epoch) implements Message { }
 
-    /** To all: who knows where the units of that life went? Answered by Moved. */
+    /** To all ingresses: asks where the units of that incarnation are now. Answered by {@link Moved}. */
     record Locate(String home, long incarnation) implements Message { }
 
-    /** To the next home: a unit. */
+    /** To the next home: takes over a unit. */
     record Transfer(UnitRecord record) implements Message { }
 
+    /** Encodes the message: a type number, then its fields; enums as their ordinals. */
     default byte[] encode() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(96);
         try {
             write(this, new DataOutputStream(bytes));
         } catch (IOException e) {
-            throw new UncheckedIOException(e);       // never: it goes to memory
+            throw new UncheckedIOException(e);       // cannot happen: writes to memory
         }
         return bytes.toByteArray();
     }
@@ -131,23 +137,26 @@
         }
     }
 
-    /** Reads one; an {@link IOException} for bytes that are none. */
+    /** Decodes a message; throws an {@link IOException} for bytes that are not exactly one message. */
     static Message decode(byte[] bytes) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
         Message message = switch (in.readByte()) {
-            case 1 -> new Request(readName(in), in.readLong(), in.readLong(), requireNonNegative(in.readInt()), readEnum(Ticket.Kind.values(), in), readDuration(in), readDuration(in));
-            case 2 -> new Grant(readName(in), in.readLong(), requireNonNegative(in.readInt()), in.readBoolean(), in.readLong(), in.readInt());
+            case 1 -> new Request(readName(in), in.readLong(), in.readLong(), requireNonNegative(in.readInt()),
+                    readEnum(Ticket.Kind.values(), in), readDuration(in), readDuration(in));
+            case 2 -> new Grant(readName(in), in.readLong(), requireNonNegative(in.readInt()), in.readBoolean(), in.readLong(),
+                    in.readInt());
             case 3 -> new Refuse(readName(in), in.readLong(), readEnum(Refusal.values(), in), in.readLong(), in.readUTF());
             case 4 -> new Queued(readName(in), in.readLong(), requireNonNegative(in.readInt()));
             case 5 -> new Outcome(readName(in), in.readLong(), readEnum(Unit.State.values(), in), requireNonNegative(in.readInt()));
-            case 6 -> new PartDone(readName(in), requireNonNegative(in.readInt()), readEnum(Unit.Result.values(), in), readDuration(in), in.readLong(), in.readInt(), in.readUTF(), in.readLong());
+            case 6 -> new PartDone(readName(in), requireNonNegative(in.readInt()), readEnum(Unit.Result.values(), in), readDuration(in),
+                    in.readLong(), in.readInt(), in.readUTF(), in.readLong());
             case 7 -> new Withdraw(readName(in), in.readLong(), in.readUTF(), in.readLong());
             case 8 -> new UnitEnded(readName(in), readEnum(Unit.State.values(), in));
             case 9 -> new Moved(in.readUTF(), in.readLong(), in.readUTF(), requireNonNegative(in.readInt()));
             case 10 -> new Locate(in.readUTF(), in.readLong());
             case 11 -> new Transfer(readRecord(in));
             case 12 -> new StatusQuery(readName(in), requireNonNegative(in.readInt()));
-            default -> throw new IOException("of no kind that is known");
+            default -> throw new IOException("unknown message type");
         };
         if (in.read() >= 0) { throw new IOException("too long"); }
         return message;
@@ -155,7 +164,7 @@
 
     private static <T> T readEnum(T[] values, DataInputStream in) throws IOException {
         int index = in.readUnsignedByte();
-        if (index >= values.length) { throw new IOException("no such value"); }
+        if (index >= values.length) { throw new IOException("enum ordinal out of range"); }
         return values[index];
     }
 
@@ -166,7 +175,7 @@
 
     private static double readDuration(DataInputStream in) throws IOException {
         double value = in.readDouble();
-        if (Double.isNaN(value) || value < 0) { throw new IOException("no duration"); }
+        if (Double.isNaN(value) || value < 0) { throw new IOException("not a duration"); }
         return value;
     }
 
@@ -178,29 +187,32 @@
 
     private static UnitName readName(DataInputStream in) throws IOException {
         UnitName name = new UnitName(in.readUTF(), in.readLong(), in.readLong());
-        if (name.home().isEmpty() || name.home().length() > 64 || name.incarnation() <= 0 || name.number() <= 0) { throw new IOException("no name"); }
+        if (name.home().isEmpty() || name.home().length() > 64 || name.incarnation() <= 0 || name.number() <= 0) {
+            throw new IOException("not a unit name");
+        }
         return name;
     }
 
-    private static void writeRecord(DataOutputStream out, UnitRecord r) throws IOException {
-        writeName(out, r.name());
-        out.writeLong(r.customer());
-        out.writeByte(r.mode().ordinal());
-        out.writeInt(r.epoch());
-        out.writeInt(r.nextPart());
-        out.writeInt(r.grantCount());
-        out.writeByte((r.repeatGranted() ? 1 : 0) | (r.nextPartUncertain() ? 2 : 0) | (r.uncertainPartNumbered() ? 4 : 0) | (r.lastPartNumbered() ? 8 : 0) | (r.grantedIsLast() ? 16 : 0));
-        out.writeInt(r.skippedUncertain());
-        out.writeDouble(r.firstGrantedAgoMs());
-        out.writeDouble(r.mayRunForMs());
-        out.writeInt(r.servedParts());
-        out.writeLong(r.region());
-        out.writeInt(r.zone());
-        out.writeUTF(r.holder() == null ? "" : r.holder());
-        out.writeLong(r.holderIncarnation());
-        out.writeLong(r.requestId());
-        out.writeInt(r.grantedPart());
-        out.writeDouble(r.deadlineInMs());
+    private static void writeRecord(DataOutputStream out, UnitRecord record) throws IOException {
+        writeName(out, record.name());
+        out.writeLong(record.customer());
+        out.writeByte(record.mode().ordinal());
+        out.writeInt(record.epoch());
+        out.writeInt(record.nextPart());
+        out.writeInt(record.grantCount());
+        out.writeByte((record.repeatGranted() ? 1 : 0) | (record.nextPartUncertain() ? 2 : 0) | (record.uncertainPartNumbered() ? 4 : 0)
+                | (record.lastPartNumbered() ? 8 : 0) | (record.grantedIsLast() ? 16 : 0));
+        out.writeInt(record.skippedUncertain());
+        out.writeDouble(record.firstGrantedAgoMs());
+        out.writeDouble(record.mayRunForMs());
+        out.writeInt(record.servedParts());
+        out.writeLong(record.region());
+        out.writeInt(record.zone());
+        out.writeUTF(record.holder() == null ? "" : record.holder());
+        out.writeLong(record.holderIncarnation());
+        out.writeLong(record.requestId());
+        out.writeInt(record.grantedPart());
+        out.writeDouble(record.deadlineInMs());
     }
 
     private static UnitRecord readRecord(DataInputStream in) throws IOException {
@@ -218,8 +230,10 @@
         long region = in.readLong();
         int zone = in.readInt();
         String holder = in.readUTF();
-        return new UnitRecord(name, customer, mode, epoch, nextPart, grantCount, (flags & 1) != 0, (flags & 2) != 0, (flags & 4) != 0, (flags & 8) != 0,
-                skippedUncertain, firstGrantedAgoMs, mayRunForMs, servedParts, region, zone, holder.isEmpty() ? null : holder, in.readLong(), in.readLong(), requireNonNegative(in.readInt()),
+        return new UnitRecord(name, customer, mode, epoch, nextPart, grantCount, (flags & 1) != 0, (flags & 2) != 0, (flags & 4) != 0,
+                (flags & 8) != 0,
+                skippedUncertain, firstGrantedAgoMs, mayRunForMs, servedParts, region, zone, holder.isEmpty() ? null : holder,
+                in.readLong(), in.readLong(), requireNonNegative(in.readInt()),
                 (flags & 16) != 0, readDuration(in));
     }
 }
--- a/src/main/java/yardusher/units/ReliableTransport.java
+++ b/src/main/java/yardusher/units/ReliableTransport.java
@@ -17,25 +17,27 @@
 import java.util.function.LongSupplier;
 
 /**
- * Messages between lives of ingresses, over datagrams that may be lost, doubled, late or out of order: each is numbered,
- * repeated until it is acknowledged or its time is over, and handed on at most once. No order among them is promised.
+ * Reliable messages between incarnations of ingresses, over datagrams that may be lost, duplicated, delayed or reordered. Each
+ * message has a sequence number, is resent until it is acknowledged or expires, and is delivered at most once. The order of
+ * messages is not preserved.
  *
- * <p>A message is for one life of a process and from one. A life is believed once it has given back a number made for it
- * just now, so nothing late of a life that is over can be taken for a living one's. Free of I/O and clock.
+ * <p>A message goes from one incarnation of a process to one incarnation of another. A peer's incarnation is accepted once it has
+ * echoed a nonce made for it, so a late datagram of a past incarnation is never taken for one of a running process. Does no I/O
+ * and reads no clock: times are passed in, in milliseconds.
  */
 final class ReliableTransport {
-    /** What it needs of its ingress and tells it. */
+    /** What the transport needs from its ingress and reports to it. */
     interface Callbacks {
-        /** Whether this is another ingress of the installation. */
+        /** Whether the name is that of another ingress of the installation. */
         boolean isKnown(String name);
 
-        /** Sends a datagram of {@link #MOST_DATAGRAM} bytes at the most. */
+        /** Sends a datagram of at most {@link #MAX_DATAGRAM_BYTES} bytes. */
         void sendDatagram(String to, byte[] datagram);
 
-        /** A message came, for the first time. */
+        /** Delivers a message that was not delivered before. */
         void onMessage(String from, long incarnation, byte[] body);
 
-        /** A name is heard in a life that was not known; what the one before was sent or said and is not here is void. */
+        /** A peer has a new incarnation; messages to and from the one before that were not delivered yet are discarded. */
         void onNewIncarnation(String name, long incarnation);
     }
 
@@ -43,14 +45,14 @@
     static final int MAX_MESSAGE_BYTES = 600;
     private static final int VERSION = 1;
     private static final int MAX_NAME_LENGTH = 64;
-    private static final int MAX_QUEUED_PER_PEER = 20_000;   // to one peer
-    private static final int MAX_REORDER_WINDOW = 40_000;    // numbers seen out of order
-    private static final int MAX_ACKS_PER_DATAGRAM = 64;         // in one datagram
-    private static final int MAX_PAST_INCARNATIONS = 16;         // lives of a name that are over
-    private static final int MAX_RESENT_PER_TICK = 16;             // messages sent again to one peer in one go
+    private static final int MAX_QUEUED_PER_PEER = 20_000; // messages not acknowledged by one peer
+    private static final int MAX_REORDER_WINDOW = 40_000; // sequence numbers received out of order from one peer
+    private static final int MAX_ACKS_PER_DATAGRAM = 64;
+    private static final int MAX_PAST_INCARNATIONS = 16; // of one peer; datagrams of these are dropped
+    private static final int MAX_RESENT_PER_TICK = 16; // to one peer
     private static final double INITIAL_RESEND_MS = 40;
     private static final double MAX_RESEND_MS = 1000;
-    private static final double ACK_DELAY_MS = 10;         // an acknowledgement waits so long for something to ride on
+    private static final double ACK_DELAY_MS = 10;   // an acknowledgement waits this long for a datagram that carries messages
 
     private static final class OutboundMessage {
         final long sequence;
@@ -69,13 +71,13 @@
 
     private final class Peer {
         final String name;
-        long incarnation;                                   // 0 for not known yet
+        long incarnation;                            // 0 while not known
         long nonce = nonceSource.getAsLong();
-        long peerNonce;                                 // the number that it asks to have back
+        long peerNonce;                              // to be echoed to the peer
         final ArrayDeque<Long> pastIncarnations = new ArrayDeque<>(0);
         final TreeMap<Long, OutboundMessage> unacknowledged = new TreeMap<>();
         long lastSequence;
-        long lowestExpected = 1;                                // all below were seen, or will not come any more
+        long lowestExpected = 1;                     // all below were received, or were given up by the sender
         final Set<Long> receivedAhead = new HashSet<>();
         List<Long> pendingAcks = new ArrayList<>();
         double ackAtMs = Double.POSITIVE_INFINITY;
@@ -88,15 +90,15 @@
     private final long incarnation;
     private final LongSupplier nonceSource;
     private final Callbacks callbacks;
-    private final Map<String, Peer> peers = new HashMap<>(); // as many as the view has members
+    private final Map<String, Peer> peers = new HashMap<>(); // at most one for each member of the view
     long sent;
     long resent;
     long received;
     long duplicates;
-    long stale;                                     // of or for a life that is over, or not believed yet
+    long stale;                                      // from or to a past incarnation, or one not accepted yet
     long malformed;
     long unknownSenders;
-    long dropped;                                    // time over, queue full, life over
+    long dropped;                                    // messages that expired, met a full queue, or were for a past incarnation
 
     ReliableTransport(String self, long incarnation, LongSupplier nonceSource, Callbacks callbacks) {
         this.self = self;
@@ -105,19 +107,19 @@
         this.callbacks = callbacks;
     }
 
-    /** The life that a name is known in; 0 for not known. */
+    /** The accepted incarnation of a peer; 0 for none. */
     long incarnationOf(String name) {
         Peer peer = peers.get(name);
         return peer == null ? 0 : peer.incarnation;
     }
 
-    /** How many messages are not acknowledged yet. */
+    /** The number of messages that no peer has acknowledged yet. */
     int unacknowledgedCount() { return peers.values().stream().mapToInt(peer -> peer.unacknowledged.size()).sum(); }
 
-    /** Says hello, so that the first message needs no more than its own way. */
+    /** Exchanges incarnations with a peer in advance, so that the first message needs no extra round trip. */
     void greet(double now, String name) { sendHello(now, peer(name)); }
 
-    /** Forgets a name that will not come back, and all that waits for it. */
+    /** Forgets a peer that will not come back, and discards the messages queued for it. */
     void forget(String name) {
         Peer peer = peers.remove(name);
         if (peer != null) { dropped += peer.unacknowledged.size(); }
@@ -125,7 +127,7 @@
 
     private Peer peer(String name) { return peers.computeIfAbsent(name, Peer::new); }
 
-    /** Sends a message till it is acknowledged or {@code untilMs} is over; false where too many wait. */
+    /** Sends a message, repeatedly until it is acknowledged or {@code expiresAtMs} has passed; false if the peer's queue is full. */
     boolean send(double now, String to, byte[] body, double expiresAtMs) {
         if (body.length > MAX_MESSAGE_BYTES) { throw new IllegalArgumentException("a message of " + body.length + " bytes"); }
         Peer peer = peer(to);
@@ -166,15 +168,17 @@
                 out.writeShort(message.body.length);
                 out.write(message.body);
             }
-            peer.pendingAcks = acks == peer.pendingAcks.size() ? new ArrayList<>() : new ArrayList<>(peer.pendingAcks.subList(acks, peer.pendingAcks.size()));
+            peer.pendingAcks = acks == peer.pendingAcks.size() ? new ArrayList<>()
+                    : new ArrayList<>(peer.pendingAcks.subList(acks, peer.pendingAcks.size()));
             if (peer.pendingAcks.isEmpty()) { peer.ackAtMs = Double.POSITIVE_INFINITY; }
         } catch (IOException e) {
-            throw new UncheckedIOException(e);       // never: it goes to memory
+            throw new UncheckedIOException(e);       // cannot happen: writes to memory
         }
         callbacks.sendDatagram(peer.name, bytes.toByteArray());
     }
 
-    private record Datagram(String from, long incarnation, long toIncarnation, long nonce, long echoedNonce, long lowestUnacknowledged, long[] acks, long[] sequences, byte[][] bodies) {
+    private record Datagram(String from, long incarnation, long toIncarnation, long nonce, long echoedNonce, long lowestUnacknowledged,
+            long[] acks, long[] sequences, byte[][] bodies) {
         static Datagram decode(byte[] datagram) throws IOException {
             DataInputStream in = new DataInputStream(new ByteArrayInputStream(datagram));
             if (in.readByte() != VERSION) { throw new IOException("another version"); }
@@ -195,14 +199,15 @@
                 bodies[i] = new byte[length];
                 in.readFully(bodies[i]);
             }
-            if (in.read() >= 0 || from.isEmpty() || from.length() > MAX_NAME_LENGTH || incarnation <= 0 || lowestUnacknowledged < 1 || acks.length > MAX_ACKS_PER_DATAGRAM) {
-                throw new IOException("not a datagram of this kind");
+            if (in.read() >= 0 || from.isEmpty() || from.length() > MAX_NAME_LENGTH || incarnation <= 0 || lowestUnacknowledged < 1
+                    || acks.length > MAX_ACKS_PER_DATAGRAM) {
+                throw new IOException("malformed datagram");
             }
             return new Datagram(from, incarnation, toIncarnation, nonce, echoedNonce, lowestUnacknowledged, acks, sequences, bodies);
         }
     }
 
-    /** A datagram came. What is cut, made up, of no ingress known or for another life is counted and dropped. */
+    /** Handles a datagram. One that is malformed, from an unknown sender, or from or to another incarnation is counted and dropped. */
     void receive(double now, byte[] bytes) {
         Datagram datagram;
         try {
@@ -222,7 +227,7 @@
         }
         peer.peerNonce = datagram.nonce;
         if (datagram.incarnation != peer.incarnation) {
-            // It has to show that it lives. Whoever has not accepted this life yet says 0: one of the two is the first.
+            // It has to echo the nonce. A peer that has not accepted this incarnation yet sends 0, since one side has to accept first.
             if (datagram.toIncarnation != 0 && datagram.toIncarnation != incarnation || datagram.echoedNonce != peer.nonce) {
                 stale++;
                 sendHello(now, peer);
@@ -230,7 +235,7 @@
             }
             acceptIncarnation(now, peer, datagram.incarnation);
         }
-        if (datagram.toIncarnation != incarnation) {                       // it takes us for an earlier life, or does not know ours
+        if (datagram.toIncarnation != incarnation) { // the peer knows an earlier incarnation of this process, or none
             stale++;
             sendHello(now, peer);
             return;
@@ -243,7 +248,7 @@
             peer.pastIncarnations.add(peer.incarnation);
             if (peer.pastIncarnations.size() > MAX_PAST_INCARNATIONS) { peer.pastIncarnations.poll(); }
             dropped += peer.unacknowledged.size();
-            peer.unacknowledged.clear();                        // it was said to the life that is over
+            peer.unacknowledged.clear();             // these were for the past incarnation
         }
         peer.incarnation = newIncarnation;
         peer.nonce = nonceSource.getAsLong();
@@ -265,7 +270,8 @@
         }
         for (int i = 0; i < datagram.sequences.length; i++) {
             long sequence = datagram.sequences[i];
-            if (sequence >= peer.lowestExpected + MAX_REORDER_WINDOW) {   // far ahead of anything that was sent: it is not taken, and comes again
+            // Beyond the reorder window: not acknowledged, so the peer resends it.
+            if (sequence >= peer.lowestExpected + MAX_REORDER_WINDOW) {
                 malformed++;
                 continue;
             }
@@ -278,11 +284,11 @@
             while (peer.receivedAhead.remove(peer.lowestExpected)) { peer.lowestExpected++; }
             received++;
             callbacks.onMessage(peer.name, peer.incarnation, datagram.bodies[i]);
-            if (peers.get(peer.name) != peer) { return; } // forgotten by what was done with it
+            if (peers.get(peer.name) != peer) { return; } // the callback made this transport forget the peer
         }
     }
 
-    /** Repeats and acknowledges what is due; the result is when there is more to do, infinity for never. */
+    /** Resends and acknowledges what is due; returns when the next call is due, infinity for never. */
     double tick(double now) {
         double next = Double.POSITIVE_INFINITY;
         for (Peer peer : List.copyOf(peers.values())) {
@@ -305,12 +311,14 @@
             }
             if (now >= peer.ackAtMs) { transmit(peer, List.of()); }
             next = Math.min(next, peer.ackAtMs);
-            for (OutboundMessage message : peer.unacknowledged.values()) { next = Math.min(next, Math.min(message.resendAtMs, message.expiresAtMs)); }
+            for (OutboundMessage message : peer.unacknowledged.values()) {
+                next = Math.min(next, Math.min(message.resendAtMs, message.expiresAtMs));
+            }
         }
         return next;
     }
 
-    /** As many a datagram as fit. */
+    /** Sends messages, as many in each datagram as fit. */
     private void sendBatched(Peer peer, List<OutboundMessage> due) {
         List<OutboundMessage> batch = new ArrayList<>();
         int bytes = 0;
@@ -327,7 +335,9 @@
     }
 
     String statusLine() {
-        return "units_messages=" + sent + " units_again=" + resent + " units_heard=" + received + " units_doubled=" + duplicates + " units_void=" + stale
-                + " units_spoilt=" + malformed + " units_unknown_senders=" + unknownSenders + " units_dropped=" + dropped + " units_unacked=" + unacknowledgedCount();
+        return "units_messages=" + sent + " units_again=" + resent + " units_heard=" + received + " units_doubled=" + duplicates
+                + " units_void=" + stale
+                + " units_spoilt=" + malformed + " units_unknown_senders=" + unknownSenders + " units_dropped=" + dropped
+                + " units_unacked=" + unacknowledgedCount();
     }
 }
--- a/src/main/java/yardusher/units/Unit.java
+++ b/src/main/java/yardusher/units/Unit.java
@@ -4,37 +4,41 @@
 import java.util.List;
 
 /**
- * One unit of work, as its home holds it: parts are let out one at a time and in their order, each to one holder under a
- * grant with a number; the unit ends once. Free of I/O and clock: times come in as milliseconds that never go back. What
- * follows from a call is told to the {@link Listener} within it. Its size does not grow with its parts.
+ * The state of one unit of work at its home, the ingress that opened it or took it over. Parts are granted one at a time and in
+ * order, each to one holder under a grant number; the unit ends once. Does no I/O and reads no clock: times are passed in as
+ * milliseconds that never go back. Results are reported to the {@link Listener} within the call. The size of a unit does not grow
+ * with the number of its parts.
  */
 final class Unit {
+    /** Where a unit stands. Ordinals are sent between ingresses. */
     enum State {
         OPEN,
-        /** Nothing more is let in; it waits until nothing of it may run. */
+        /** No more parts are granted; the unit waits until none of its attempts may still run. */
         ENDING,
-        /** All that was begun was served. */
+        /** Every part that was started was served. */
         DONE,
-        /** Given up by rule, by a terminal that left, or by word. */
+        /** Ended by a rule, by the close of the terminal's connection, or by request. */
         ABANDONED,
-        /** Ended, and of some part nobody knows whether it ran. */
+        /** Ended, with a part of which it is not known whether it ran. */
         UNKNOWN;
 
         boolean isOver() { return ordinal() >= DONE.ordinal(); }
 
+        /** The name as terminals and operators see it. */
         String label() { return name().toLowerCase(java.util.Locale.ROOT); }
     }
 
-    /** By which boundary it ends; the first that comes counts. */
+    /** The boundary that ends a unit; the first one counts. */
     enum Boundary {
+        /** A terminal requested the end, or that the unit be abandoned. */
         SAID, ABANDON_SAID,
         /** The terminal's connection closed. */
         CLOSED,
-        /** Nothing was heard of it for too long, or it was the longest silent where room was needed. */
+        /** The unit was idle for too long, or was the longest idle one when room was needed. */
         SILENT,
-        /** Its home ends and could not hand it over. */
+        /** Its home drains and could not transfer it. */
         DRAINED,
-        /** Its first part went out with a holder that died: nobody knows where it may have run. */
+        /** The holder of its first part failed, so the region where that part may have run is not known. */
         LOST;
 
         private State finalState(boolean uncertain, boolean complete) {
@@ -47,27 +51,28 @@
         }
     }
 
-    /** How a holder says that a part in its hands is over. */
+    /** How a holder reports that a granted part finished. Ordinals are sent between ingresses. */
     enum Result { SERVED, NEVER_RAN, MAY_HAVE_RUN }
 
-    /** What a unit has to tell. */
+    /** Receives the results of a unit's transitions. */
     interface Listener {
-        /** The holder may run the part, under this grant and the unit's binding as it stands. */
+        /** The holder may run the part, under this grant number and the unit's current binding. */
         void onGrant(Unit unit, Ticket ticket, int grantNumber);
 
+        /** The ticket is refused; {@link Refusal} says what the detail is. */
         void onRefuse(Unit unit, Ticket ticket, Refusal reason, long detail);
 
-        /** It has to wait for its turn. */
+        /** The ticket waits for its turn. */
         void onQueued(Unit unit, Ticket ticket);
 
-        /** The answer to an end that was said. */
+        /** Answers a requested end: the unit is over. */
         void handleOutcome(Unit unit, Ticket ticket);
 
-        /** It is over and nothing of it may run: once for each unit. */
+        /** The unit is over and none of its attempts may still run. Called once for each unit. */
         void onEnded(Unit unit);
     }
 
-    /** What a unit goes by: waiting tickets at the most, and how long what was given up may run on, in milliseconds. */
+    /** Limits of a unit: the number of waiting tickets, and how long a region may still run an abandoned attempt after its deadline. */
     record Rules(int maxWaiting, double settleMs) { }
 
     final UnitName name;
@@ -75,23 +80,23 @@
     final Mode mode;
     private State state = State.OPEN;
     private Boundary boundary;
-    private boolean complete = true;                    // nothing was cut off by the boundary
-    private int epoch;                               // counts homes
-    private int nextPart = 1;                            // the part that is due
-    private Ticket granted;                              // the part in a holder's hands
+    private boolean complete = true;                 // no part was granted or waiting when the unit began to end
+    private int epoch;                               // how often the unit was transferred
+    private int nextPart = 1;                        // the number of the part that is due
+    private Ticket granted;                          // the part that a holder runs, null for none
     private int grantCount;
-    private boolean repeatGranted;                         // the part that is out was served before
-    private boolean nextPartUncertain;                           // the part that is due may have run
-    private boolean uncertainPartNumbered;                       // and its terminal gave it its number, so that it can say it again
-    private boolean lastPartNumbered;                        // the part before was served under a number its terminal gave
-    private int skippedUncertain;                              // parts passed over that may have run
-    private double firstGrantedAtMs;                          // when the latest part was first let out
-    private double mayRunUntilMs = Double.NEGATIVE_INFINITY; // something that was given up may run until then
+    private boolean repeatGranted;                   // the granted part was served before
+    private boolean nextPartUncertain;               // the part that is due may have run
+    private boolean uncertainPartNumbered;           // and it has a number, so that its terminal can repeat it
+    private boolean lastPartNumbered;                // the part before was served, and has a number
+    private int skippedUncertain;                    // parts without a number that may have run and were skipped
+    private double firstGrantedAtMs;                 // when the latest part was first granted
+    private double mayRunUntilMs = Double.NEGATIVE_INFINITY; // an abandoned attempt may run until then
     private double lastActivityMs;
     private int servedParts;
     private long region = -1;
     private int zone = -1;
-    boolean wakePending;                                   // for the table: a wake of it is pending
+    boolean wakePending;                             // used by UnitTable: a wake-up is scheduled
     private List<Ticket> waiting = new ArrayList<>(0);
 
     Unit(UnitName name, long customer, Mode mode, double now) {
@@ -129,12 +134,12 @@
 
     int waitingCount() { return waiting.size(); }
 
-    /** Whether any part was ever let out. */
+    /** Whether any part was ever granted. */
     boolean isStarted() { return grantCount > 0; }
 
     boolean isBound() { return region >= 0 || zone >= 0; }
 
-    /** Somebody asks for a part or an end. */
+    /** Handles a request for a part or an end. */
     void submit(double now, Ticket ticket, Rules rules, Listener listener) {
         if (ticket.customer() != customer) {
             listener.onRefuse(this, ticket, Refusal.UNKNOWN, 0);
@@ -144,7 +149,10 @@
             end(now, ticket.kind() == Ticket.Kind.END ? Boundary.SAID : Boundary.ABANDON_SAID, ticket, listener);
             return;
         }
-        if (granted != null && granted.matches(ticket.holder(), ticket.incarnation(), ticket.requestId()) || waiting.stream().anyMatch(queued -> queued.matches(ticket.holder(), ticket.incarnation(), ticket.requestId()))) { return; }
+        if (granted != null && granted.matches(ticket.holder(), ticket.incarnation(), ticket.requestId())
+                || waiting.stream().anyMatch(queued -> queued.matches(ticket.holder(), ticket.incarnation(), ticket.requestId()))) {
+            return;
+        }
         lastActivityMs = now;
         if (state != State.OPEN) {
             listener.onRefuse(this, ticket, Refusal.ENDED, state.ordinal());
@@ -161,18 +169,19 @@
 
     private boolean isEarlierPart(Ticket ticket) { return ticket.part() > 0 && ticket.part() < nextPart; }
 
-    /** Whether a past part may go once more: it was the last one served, nothing after it has begun, and its class bears it. */
+    /** Whether a part may run again: it was the last one served, no later part has started, and its class allows it. */
     private boolean mayRepeat(double now, Ticket ticket) {
-        return ticket.part() == nextPart - 1 && lastPartNumbered && !nextPartUncertain && (granted == null || granted.part() == ticket.part()) && now - firstGrantedAtMs < ticket.repeatWindowMs();
+        return ticket.part() == nextPart - 1 && lastPartNumbered && !nextPartUncertain
+                && (granted == null || granted.part() == ticket.part()) && now - firstGrantedAtMs < ticket.repeatWindowMs();
     }
 
-    /** Lets the next part out where one may go, and ends what is to end. */
+    /** Grants the next part if one may run, and finishes the end if it is due. */
     void advance(double now, Listener listener) {
         expireWaiting(now);
         while (granted == null && state == State.OPEN) {
             Ticket ticket = nextTicket();
             if (ticket == null) { return; }
-            if (nextPartUncertain && !uncertainPartNumbered && now >= mayRunUntilMs) { // nobody can say again which one it was: it is passed over
+            if (nextPartUncertain && !uncertainPartNumbered && now >= mayRunUntilMs) { // without a number it cannot be repeated: skip it
                 skippedUncertain++;
                 nextPartUncertain = false;
                 lastPartNumbered = false;
@@ -184,9 +193,9 @@
                 listener.onRefuse(this, ticket, Refusal.ALREADY_RUN, isEarlierPart(ticket) ? nextPart - 1 : nextPart);
             } else if (ticket.part() == 0 && nextPartUncertain && uncertainPartNumbered) {
                 waiting.remove(ticket);
-                listener.onRefuse(this, ticket, Refusal.OUT_OF_ORDER, nextPart); // the part with that number comes first
+                listener.onRefuse(this, ticket, Refusal.OUT_OF_ORDER, nextPart); // the numbered part has to be repeated first
             } else if (!repeat && now < mayRunUntilMs) {
-                if (ticket.deadlineMs() > mayRunUntilMs) { return; } // its turn comes
+                if (ticket.deadlineMs() > mayRunUntilMs) { return; } // it can wait until then
                 waiting.remove(ticket);
                 listener.onRefuse(this, ticket, Refusal.RETRY_LATER, (long) Math.ceil(mayRunUntilMs - now));
             } else {
@@ -196,7 +205,7 @@
         if (state == State.ENDING && granted == null && now >= mayRunUntilMs) { finish(listener); }
     }
 
-    /** Drops who waited longer than its terminal does; its holder has told it. */
+    /** Drops parts whose deadline has passed; the requesting ingress has answered the terminal itself. */
     void expireWaiting(double now) { waiting.removeIf(t -> t.kind().isPart() && t.deadlineMs() <= now); }
 
     private void grant(double now, Ticket ticket, boolean repeat, Listener listener) {
@@ -208,7 +217,7 @@
         listener.onGrant(this, ticket, grantCount);
     }
 
-    /** The ticket whose turn it is: a repeat of the part before, the part that is due, or a session's next. */
+    /** The ticket whose turn it is: a repeat of an earlier part, the part that is due, or the next one of a session. */
     private Ticket nextTicket() {
         for (Ticket ticket : waiting) {
             if (ticket.part() <= nextPart) { return ticket; }
@@ -217,11 +226,15 @@
     }
 
     /**
-     * A holder's word on the part in its hands. What it gave up may run for {@code looseMs} more; server and zone are where
-     * it may have run, -1 for nowhere. False where the word is of an older grant or another's, and changes nothing.
+     * Handles a holder's report that the granted part has finished. An abandoned attempt may run for {@code mayRunForMs} more;
+     * region and zone are where the part may have run, -1 for nowhere. False, with no effect, for a report of an older grant or of
+     * another holder.
      */
-    boolean partDone(double now, String holder, long incarnation, int grantNumber, Result result, double mayRunForMs, long atRegion, int atZone, Listener listener) {
-        if (granted == null || grantNumber != grantCount || granted.incarnation() != incarnation || !granted.holder().equals(holder)) { return false; }
+    boolean partDone(double now, String holder, long incarnation, int grantNumber, Result result, double mayRunForMs, long atRegion,
+            int atZone, Listener listener) {
+        if (granted == null || grantNumber != grantCount || granted.incarnation() != incarnation || !granted.holder().equals(holder)) {
+            return false;
+        }
         lastActivityMs = now;
         Ticket ticket = granted;
         granted = null;
@@ -241,19 +254,23 @@
                 uncertainPartNumbered = ticket.part() > 0;
             }
         }
-        if (result == Result.MAY_HAVE_RUN && !isBound() && state == State.OPEN) { beginEnding(Boundary.LOST, listener); } // nobody knows where
-        if (result == Result.SERVED && ticket.kind() == Ticket.Kind.LAST_PART && state == State.OPEN) { beginEnding(Boundary.SAID, listener); }
+        if (result == Result.MAY_HAVE_RUN && !isBound() && state == State.OPEN) { beginEnding(Boundary.LOST, listener); } // region unknown
+        if (result == Result.SERVED && ticket.kind() == Ticket.Kind.LAST_PART && state == State.OPEN) {
+            beginEnding(Boundary.SAID, listener);
+        }
         advance(now, listener);
         return true;
     }
 
-    /** Who asked asks no more: its ticket goes, and a part that was let out for it never ran. */
+    /** Cancels a request: drops its ticket; a part that was granted for it never ran. */
     void withdraw(double now, String holder, long incarnation, long requestId, Listener listener) {
         waiting.removeIf(t -> t.matches(holder, incarnation, requestId));
-        if (granted != null && granted.matches(holder, incarnation, requestId)) { partDone(now, holder, incarnation, grantCount, Result.NEVER_RAN, 0, -1, -1, listener); }
+        if (granted != null && granted.matches(holder, incarnation, requestId)) {
+            partDone(now, holder, incarnation, grantCount, Result.NEVER_RAN, 0, -1, -1, listener);
+        }
     }
 
-    /** A boundary. {@code asker} is told once it is over, null for nobody; of two that cross the first counts. */
+    /** Ends the unit. {@code asker} is answered once the unit is over, null for nobody. Only the first cause counts. */
     void end(double now, Boundary cause, Ticket asker, Listener listener) {
         if (asker != null && state.isOver()) {
             listener.handleOutcome(this, asker);
@@ -288,7 +305,10 @@
         for (Ticket asker : askers) { listener.handleOutcome(this, asker); }
     }
 
-    /** A holder is not in the life any more in which it got the part: what it held may have run, and may run till it settles. */
+    /**
+     * Handles the loss of a holder's incarnation: a part it held may have run, and may still run until {@code settleMs} after its
+     * deadline.
+     */
     void holderLost(double now, String holder, long currentIncarnation, Rules rules, Listener listener) {
         waiting.removeIf(t -> t.holder().equals(holder) && t.incarnation() != currentIncarnation);
         if (granted == null || !granted.holder().equals(holder) || granted.incarnation() == currentIncarnation) { return; }
@@ -304,17 +324,19 @@
         }
     }
 
-    /** When something is to be looked at again by {@link #advance}; infinity for never. */
+    /** When {@link #advance} is to be called again; infinity for never. */
     double nextWakeMs(double now) {
         if (granted != null || now >= mayRunUntilMs) { return Double.POSITIVE_INFINITY; }
         return state == State.ENDING || !waiting.isEmpty() ? mayRunUntilMs : Double.POSITIVE_INFINITY;
     }
 
-    /** Seals it for another home: who waits is to ask there, and here nothing is let out any more. */
+    /** Seals the unit for transfer: waiting requests are redirected to the new home, and nothing is granted here any more. */
     UnitRecord handOver(double now, Listener listener) {
-        UnitRecord record = new UnitRecord(name, customer, mode, epoch + 1, nextPart, grantCount, repeatGranted, nextPartUncertain, uncertainPartNumbered, lastPartNumbered, skippedUncertain, now - firstGrantedAtMs,
-                Math.max(0, mayRunUntilMs - now), servedParts, region, zone, granted == null ? null : granted.holder(), granted == null ? 0 : granted.incarnation(),
-                granted == null ? 0 : granted.requestId(), granted == null ? 0 : granted.part(), granted != null && granted.kind() == Ticket.Kind.LAST_PART,
+        UnitRecord record = new UnitRecord(name, customer, mode, epoch + 1, nextPart, grantCount, repeatGranted, nextPartUncertain,
+                uncertainPartNumbered, lastPartNumbered, skippedUncertain, now - firstGrantedAtMs,
+                Math.max(0, mayRunUntilMs - now), servedParts, region, zone, granted == null ? null : granted.holder(),
+                granted == null ? 0 : granted.incarnation(), granted == null ? 0 : granted.requestId(),
+                granted == null ? 0 : granted.part(), granted != null && granted.kind() == Ticket.Kind.LAST_PART,
                 granted == null ? 0 : Math.max(0, granted.deadlineMs() - now));
         state = State.ENDING;
         List<Ticket> queued = waiting;
@@ -323,7 +345,7 @@
         return record;
     }
 
-    /** A unit as another home handed it over. */
+    /** Restores a unit that another home transferred. */
     static Unit fromRecord(UnitRecord record, double now) {
         Unit unit = new Unit(record.name(), record.customer(), record.mode(), now);
         unit.epoch = record.epoch();
@@ -340,13 +362,14 @@
         unit.region = record.region();
         unit.zone = record.zone();
         if (record.holder() != null) {
-            unit.granted = new Ticket(record.requestId(), record.holder(), record.holderIncarnation(), record.customer(), record.grantedPart(), record.grantedIsLast() ? Ticket.Kind.LAST_PART : Ticket.Kind.PART,
+            unit.granted = new Ticket(record.requestId(), record.holder(), record.holderIncarnation(), record.customer(),
+                    record.grantedPart(), record.grantedIsLast() ? Ticket.Kind.LAST_PART : Ticket.Kind.PART,
                     now + record.deadlineInMs(), 0);
         }
         return unit;
     }
 
-    /** The same unit once more, for those who look at what might follow. */
+    /** A copy, used to explore possible successor states. */
     Unit copy() {
         Unit copy = new Unit(name, customer, mode, lastActivityMs);
         copy.state = state;
@@ -370,24 +393,31 @@
         return copy;
     }
 
-    /** All that decides what it does next but for the number of grants, in a text that is the same for equal units. */
+    /** A text of all that decides the next transitions, except the grant count; equal for units that behave alike. */
     String stateKey(double now) {
-        StringBuilder text = new StringBuilder(64).append(state.ordinal()).append(boundary == null ? "" : boundary.ordinal()).append(complete ? 'w' : 'c').append(nextPart)
-                .append(repeatGranted ? 'r' : '-').append(nextPartUncertain ? 'd' : '-').append(uncertainPartNumbered ? 's' : '-').append(lastPartNumbered ? 'l' : '-').append(skippedUncertain > 0 ? 'p' : '-')
+        StringBuilder text = new StringBuilder(64).append(state.ordinal()).append(boundary == null ? "" : boundary.ordinal())
+                .append(complete ? 'w' : 'c').append(nextPart)
+                .append(repeatGranted ? 'r' : '-').append(nextPartUncertain ? 'd' : '-').append(uncertainPartNumbered ? 's' : '-')
+                .append(lastPartNumbered ? 'l' : '-').append(skippedUncertain > 0 ? 'p' : '-')
                 .append(now < mayRunUntilMs ? 'L' : '-').append(region).append('/').append(zone).append('@').append(epoch);
         if (granted != null) { text.append(" o").append(granted.requestId()).append(granted.incarnation()); }
         for (Ticket ticket : waiting) { text.append(" t").append(ticket.requestId()).append(ticket.incarnation()); }
         return text.toString();
     }
 
-    /** One line for operators, and for telling states apart. */
+    /** One line of key=value pairs for the operators' report. */
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder(128).append(name).append(" mode=").append(mode.name().toLowerCase(java.util.Locale.ROOT))
                 .append(" state=").append(state.label()).append(" next=").append(nextPart).append(" served=").append(servedParts)
                 .append(" grants=").append(grantCount).append(" epoch=").append(epoch);
-        if (boundary != null) { text.append(" by=").append(boundary.name().toLowerCase(java.util.Locale.ROOT)).append(complete ? "" : " cut=1"); }
-        if (granted != null) { text.append(" out=").append(granted.part()).append('@').append(granted.holder()).append(granted.kind() == Ticket.Kind.LAST_PART ? " last=1" : ""); }
+        if (boundary != null) {
+            text.append(" by=").append(boundary.name().toLowerCase(java.util.Locale.ROOT)).append(complete ? "" : " cut=1");
+        }
+        if (granted != null) {
+            text.append(" out=").append(granted.part()).append('@').append(granted.holder())
+                    .append(granted.kind() == Ticket.Kind.LAST_PART ? " last=1" : "");
+        }
         if (repeatGranted) { text.append(" repeat=1"); }
         if (isUncertain()) { text.append(" may_have_run=").append(skippedUncertain + (nextPartUncertain ? 1 : 0)); }
         if (region >= 0) { text.append(" region=s-").append(String.format("%08x", region)); }
--- a/src/main/java/yardusher/units/UnitRequest.java
+++ b/src/main/java/yardusher/units/UnitRequest.java
@@ -11,11 +11,12 @@
 import yardusher.core.EventLoop;
 
 /**
- * One request that belongs to a unit, at the ingress that took it: it waits for its home's word, and as a part it then runs
- * under a grant. To the front it is what is under way, to the core it is the terminal. A part is over when its terminal has
- * its answer or has left, and no attempt of it is out.
+ * One request that belongs to a unit, at the ingress that received it. It waits for the answer of the unit's home; a part then
+ * runs under the grant it was given. The front sees it as an admitted request, the core as the terminal to answer. A part is
+ * finished when its terminal was answered or has left, and none of its attempts is open.
  */
 final class UnitRequest implements RequestHandle, Terminal {
+    /** The progress of a request; only granted parts run. */
     enum Stage { WAITING, RUNNING, FINISHED }
 
     final IncomingRequest clientRequest;
@@ -25,31 +26,32 @@
     final Ticket.Kind kind;
     final double deadlineMs;
     private final EventLoop loop;
-    private final Consumer<UnitRequest> onSettled;           // told whenever it may be over
-    private final Consumer<UnitRequest> onTerminalLeft;            // told when its terminal has left
+    private final Consumer<UnitRequest> onSettled;   // called whenever the request may have finished
+    private final Consumer<UnitRequest> onTerminalLeft; // called when the terminal has left
     Stage stage = Stage.WAITING;
-    String home;                                     // whom it was asked of; null for this ingress
+    String home;                                     // the ingress it was sent to; null for this one
     long homeIncarnation;
-    int hops;                                        // homes asked so far
-    int awaitedPart;                                         // where it has its place and waits: the part that is awaited, else 0
+    int hops;                                        // homes it was sent to so far
+    int awaitedPart;                                 // while queued at the home: the part that is due there, else 0
     Deadlines.Entry timer;
-    // Of its run:
+    // While it runs:
     RequestHandle admitted;
     int grantNumber;
     boolean bindsToRegion;
-    long region = -1;                                // where its attempts may go: told by the home, or where one may have run
+    long region = -1;                                // the binding: given by the home, or set by the first attempt that may have run
     int zone = -1;
-    boolean handedOn;
-    boolean recorded;                                // by the order log behind this one
-    int openAttempts;                                         // attempts that are not over
-    int attemptZone = -1;                                // the zone of the region of the one that is out
-    boolean attemptReleased;                                  // and it was let go
+    boolean handedOn;                                // to the core, or answered instead
+    boolean recorded;                                // by the request log behind UnitRequestLog
+    int openAttempts;                                // attempts that have not ended
+    int attemptZone = -1;                            // the zone of the open attempt's region
+    boolean attemptReleased;                         // whether the open attempt was allowed to be sent
     boolean answered;
     boolean served;
     boolean mayHaveRun;
-    double mayRunUntilMs = Double.NEGATIVE_INFINITY;
+    double mayRunUntilMs = Double.NEGATIVE_INFINITY; // a region may still run an abandoned attempt until then
 
-    UnitRequest(IncomingRequest clientRequest, UnitName unit, long requestId, int part, Ticket.Kind kind, EventLoop loop, Consumer<UnitRequest> onSettled, Consumer<UnitRequest> onTerminalLeft) {
+    UnitRequest(IncomingRequest clientRequest, UnitName unit, long requestId, int part, Ticket.Kind kind, EventLoop loop,
+            Consumer<UnitRequest> onSettled, Consumer<UnitRequest> onTerminalLeft) {
         this.clientRequest = clientRequest;
         this.unit = unit;
         this.requestId = requestId;
@@ -77,7 +79,7 @@
     @Override
     public Session session() { return clientRequest.terminal().session(); }
 
-    /** Whether this is its one final answer. */
+    /** Marks the request as answered; false if it already was, since each request has exactly one final answer. */
     private boolean markAnswered() {
         boolean first = !answered;
         answered = true;
--- a/src/main/java/yardusher/units/UnitRequestLog.java
+++ b/src/main/java/yardusher/units/UnitRequestLog.java
@@ -11,17 +11,17 @@
 import yardusher.core.Request;
 
 /**
- * Sees the attempts of parts go out and end, and is the last look before one goes: it has to be granted, its unit not over,
- * and the region must fit the unit's binding and the attempts before. What is not a part goes on to the log behind this one
- * as it came.
+ * A request log that follows the attempts of parts and makes the last check before one is sent: the part must be granted and not
+ * answered yet, and the region must match the unit's binding and the earlier attempts. Requests that are no parts pass unchanged to
+ * the log behind this one.
  */
 final class UnitRequestLog implements RequestLog {
     private final RequestLog inner;
     private final Map<BackendCommand, UnitRequest> running = new IdentityHashMap<>();
     private ToIntFunction<Long> zoneOfRegion = region -> -1; // a region's zone, -1 where it is not listed
-    private Consumer<UnitRequest> onSettled = asked -> { };
+    private Consumer<UnitRequest> onSettled = request -> { };
     private double settleMs;
-    long blockedAttempts;                                       // attempts that were not let out
+    long blockedAttempts;                            // attempts that were not sent
 
     UnitRequestLog(RequestLog inner) { this.inner = inner; }
 
@@ -41,32 +41,32 @@
     private UnitRequest find(Request request) { return running.isEmpty() ? null : running.get(request.incoming.command()); }
 
     @Override
-    public Admission admit(Request transaction) {
-        Admission admission = inner.admit(transaction);
-        UnitRequest asked = find(transaction);
-        if (asked == null || admission == Admission.REFUSED) { return admission; }
-        asked.recorded = admission == Admission.RECORDED;
+    public Admission admit(Request request) {
+        Admission admission = inner.admit(request);
+        UnitRequest part = find(request);
+        if (part == null || admission == Admission.REFUSED) { return admission; }
+        part.recorded = admission == Admission.RECORDED;
         return Admission.RECORDED;
     }
 
     @Override
     public void recordIntent(Attempt attempt, Consumer<Boolean> then) {
-        UnitRequest asked = find(attempt.request);
-        if (asked == null) {
+        UnitRequest part = find(attempt.request);
+        if (part == null) {
             inner.recordIntent(attempt, then);
             return;
         }
-        asked.openAttempts++;
-        asked.attemptReleased = false;
-        Consumer<Boolean> look = may -> {
+        part.openAttempts++;
+        part.attemptReleased = false;
+        Consumer<Boolean> check = recorded -> {
             int zone = zoneOfRegion.applyAsInt(attempt.backend);
-            boolean goes = may && mayGo(asked, attempt.backend, zone);
-            asked.attemptZone = zone;                    // by its end it may be listed no more
-            if (may && !goes) { blockedAttempts++; }
-            asked.attemptReleased = goes && !attempt.isOver();
-            then.accept(goes);
+            boolean released = recorded && mayGo(part, attempt.backend, zone);
+            part.attemptZone = zone;                 // noted now: the region may be unlisted when the attempt ends
+            if (recorded && !released) { blockedAttempts++; }
+            part.attemptReleased = released && !attempt.isOver();
+            then.accept(released);
         };
-        if (asked.recorded) { inner.recordIntent(attempt, look); } else { look.accept(true); }
+        if (part.recorded) { inner.recordIntent(attempt, check); } else { check.accept(true); }
     }
 
     private static boolean mayGo(UnitRequest part, long region, int zone) {
@@ -76,27 +76,27 @@
 
     @Override
     public void attemptWritten(Attempt attempt) {
-        UnitRequest asked = find(attempt.request);
-        if (asked == null || asked.recorded) { inner.attemptWritten(attempt); }
+        UnitRequest part = find(attempt.request);
+        if (part == null || part.recorded) { inner.attemptWritten(attempt); }
     }
 
     @Override
     public void attemptEnded(Attempt attempt, Api.Outcome outcome) {
-        UnitRequest asked = find(attempt.request);
-        if (asked == null) {
+        UnitRequest part = find(attempt.request);
+        if (part == null) {
             inner.attemptEnded(attempt, outcome);
             return;
         }
-        if (asked.recorded) { inner.attemptEnded(attempt, outcome); }
-        asked.openAttempts--;
-        boolean ran = asked.attemptReleased && !outcome.neverRan();
-        if (ran) {
-            asked.mayHaveRun |= outcome != Api.Outcome.SERVED;
-            if (asked.bindsToRegion) { asked.region = attempt.backend; } else { asked.zone = asked.attemptZone; }
-            boolean heard = outcome == Api.Outcome.SERVED || outcome == Api.Outcome.SERVER_ERROR;
-            if (!heard) { asked.mayRunUntilMs = Math.max(asked.mayRunUntilMs, attempt.sentAtMs + attempt.waitMs + settleMs); }
+        if (part.recorded) { inner.attemptEnded(attempt, outcome); }
+        part.openAttempts--;
+        boolean mayHaveRun = part.attemptReleased && !outcome.neverRan();
+        if (mayHaveRun) {
+            part.mayHaveRun |= outcome != Api.Outcome.SERVED;
+            if (part.bindsToRegion) { part.region = attempt.backend; } else { part.zone = part.attemptZone; }
+            boolean answered = outcome == Api.Outcome.SERVED || outcome == Api.Outcome.SERVER_ERROR;
+            if (!answered) { part.mayRunUntilMs = Math.max(part.mayRunUntilMs, attempt.sentAtMs + attempt.waitMs + settleMs); }
         }
-        onSettled.accept(asked);
+        onSettled.accept(part);
     }
 
     @Override
--- a/src/main/java/yardusher/units/UnitTable.java
+++ b/src/main/java/yardusher/units/UnitTable.java
@@ -10,11 +10,12 @@
 import java.util.function.Predicate;
 
 /**
- * All units whose home is this ingress, the longest silent first. Numbers of a life are given once and only grow, so a
- * number that was given and is not held is one that is over, and no rule needs it remembered; the last ones are, for who asks twice. Free of I/O and clock.
+ * The units whose home is this ingress, the longest idle first. Numbers grow within an incarnation and are given once, so a number
+ * that was given and is not in the table is that of a unit that has ended; ended units need not be remembered. The latest ones are,
+ * so that a repeated end gets the same answer. Does no I/O and reads no clock: times are passed in, in milliseconds.
  */
 class UnitTable {
-    /** Bounds: open at once, of one customer; silent for so long is given up, and before that where room is needed. */
+    /** Limits on open units. A unit that is idle for {@code idleMs} is abandoned; after {@code minIdleMs}, if room is needed. */
     record Limits(int maxOpen, int maxOpenPerCustomer, double idleMs, double minIdleMs) { }
 
     /** Counts since the start. */
@@ -25,23 +26,24 @@
         long refused;
         long takenOver;
         long handedOver;
-        long staleReports;                                  // words of older grants, void
+        long staleReports;                           // reports of older grants, without effect
     }
 
     private record Wake(double atMs, UnitName name) { }
 
-    private static final int MAX_RECENTLY_ENDED = 4096;       // a quarter of a megabyte
+    private static final int MAX_RECENTLY_ENDED = 4096; // about 256 KiB
 
     private final String self;
     private final long incarnation;
     private final Unit.Listener listener;
     private Limits limits;
     private Unit.Rules rules;
-    private final LinkedHashMap<UnitName, Unit> units = new LinkedHashMap<>(); // the longest without a word first
+    private final LinkedHashMap<UnitName, Unit> units = new LinkedHashMap<>(); // the longest idle first
     private final Map<Long, Integer> openByCustomer = new HashMap<>();
-    private final PriorityQueue<Wake> wakes = new PriorityQueue<>((a, b) -> Double.compare(a.atMs(), b.atMs())); // at most one a unit
-    private final LinkedHashMap<UnitName, Unit> withGrantedPart = new LinkedHashMap<>(); // with a part in a holder's hands, the longest first
-    private final LinkedHashMap<UnitName, Unit> recentlyEnded = new LinkedHashMap<>(); // the last that ended: who asks again hears the same
+    // At most one for each unit.
+    private final PriorityQueue<Wake> wakes = new PriorityQueue<>((a, b) -> Double.compare(a.atMs(), b.atMs()));
+    private final LinkedHashMap<UnitName, Unit> withGrantedPart = new LinkedHashMap<>(); // the longest without activity first
+    private final LinkedHashMap<UnitName, Unit> recentlyEnded = new LinkedHashMap<>(); // so that a repeated end gets the same answer
     private long lastNumber;
     final Counts counts = new Counts();
 
@@ -52,16 +54,16 @@
         this.rules = rules;
         this.listener = new Unit.Listener() {
             @Override
-            public void onGrant(Unit unit, Ticket ticket, int grant) {
+            public void onGrant(Unit unit, Ticket ticket, int grantNumber) {
                 counts.grants++;
                 withGrantedPart.put(unit.name, unit);
-                listener.onGrant(unit, ticket, grant);
+                listener.onGrant(unit, ticket, grantNumber);
             }
 
             @Override
-            public void onRefuse(Unit unit, Ticket ticket, Refusal why, long figure) {
+            public void onRefuse(Unit unit, Ticket ticket, Refusal reason, long detail) {
                 counts.refused++;
-                listener.onRefuse(unit, ticket, why, figure);
+                listener.onRefuse(unit, ticket, reason, detail);
             }
 
             @Override
@@ -94,7 +96,7 @@
 
     boolean isOpenedHere(UnitName name) { return name.incarnation() == incarnation && name.home().equals(self); }
 
-    /** Opens a unit; null where there is no room, also after the longest silent ones were given up. */
+    /** Opens a unit; null if there is no room even after idle units were abandoned. */
     Unit open(double now, long customer, Mode mode) {
         if (openByCustomer.getOrDefault(customer, 0) >= limits.maxOpenPerCustomer()) { return null; }
         while (units.size() >= limits.maxOpen()) {
@@ -113,14 +115,16 @@
 
     private void remove(Unit unit) {
         withGrantedPart.remove(unit.name);
-        if (units.remove(unit.name) != null) { openByCustomer.computeIfPresent(unit.customer, (customer, open) -> open == 1 ? null : open - 1); }
+        if (units.remove(unit.name) != null) {
+            openByCustomer.computeIfPresent(unit.customer, (customer, open) -> open == 1 ? null : open - 1);
+        }
     }
 
-    /** Ends the longest silent unit that has nothing out or waiting; false where none has been silent that long. */
+    /** Abandons the longest idle unit without a granted or waiting part; false if none has been idle that long. */
     private boolean abandonLongestIdle(double now, double idleMs) {
         for (Unit unit : units.values()) {
             if (now - unit.lastActivityMs() < idleMs) { return false; }
-            unit.expireWaiting(now);                        // a question that came after its withdrawal would wait for ever
+            unit.expireWaiting(now);                 // a request that arrived after its withdrawal would wait forever
             if (unit.state() != Unit.State.OPEN || unit.granted() != null || unit.waitingCount() > 0) { continue; }
             unit.end(now, Unit.Boundary.SILENT, null, listener);
             scheduleWake(now, unit);
@@ -129,7 +133,7 @@
         return false;
     }
 
-    /** Somebody asks for a part or an end of a unit. {@code silent}: whom nothing is heard of. */
+    /** Handles a request for a part or an end. {@code isSilent}: whether an ingress is no longer heard of. */
     void submit(double now, UnitName name, Ticket ticket, Predicate<String> isSilent) {
         Unit unit = units.get(name);
         if (unit == null) {
@@ -139,7 +143,7 @@
                 return;
             }
             counts.refused++;
-            boolean wasOpened = isOpenedHere(name) && name.number() <= lastNumber; // then it is over
+            boolean wasOpened = isOpenedHere(name) && name.number() <= lastNumber; // then it has ended
             listener.onRefuse(null, ticket, wasOpened ? Refusal.ENDED : Refusal.UNKNOWN, wasOpened ? Unit.State.DONE.ordinal() : 0);
             return;
         }
@@ -158,8 +162,9 @@
         units.put(unit.name, unit);
     }
 
-    /** A holder's word; see {@link Unit#partDone}. */
-    boolean partDone(double now, UnitName name, String holder, long holderIncarnation, int grantNumber, Unit.Result result, double mayRunForMs, long region, int zone) {
+    /** Handles a holder's report; see {@link Unit#partDone}. */
+    boolean partDone(double now, UnitName name, String holder, long holderIncarnation, int grantNumber, Unit.Result result,
+            double mayRunForMs, long region, int zone) {
         Unit unit = units.get(name);
         if (unit == null || !unit.partDone(now, holder, holderIncarnation, grantNumber, result, mayRunForMs, region, zone, listener)) {
             counts.staleReports++;
@@ -187,7 +192,7 @@
         scheduleWake(now, unit);
     }
 
-    /** A name is in a new life, or will not be heard of again: see {@link Unit#holderLost}. */
+    /** Handles the loss of a holder's incarnation; see {@link Unit#holderLost}. */
     void holderLost(double now, String holder, long currentIncarnation) {
         for (Unit unit : List.copyOf(units.values())) {
             double lastActivityMs = unit.lastActivityMs();
@@ -203,8 +208,8 @@
     }
 
     /**
-     * Units whose part has been out for so long without a word, some at the most; each counts as looked at. Who has
-     * them is asked, or held for gone.
+     * Returns units whose granted part has had no activity for {@code forMs}, up to a limit, and marks them as active, so that the
+     * next call returns others. The caller asks their holders, or presumes them lost.
      */
     List<Unit> takeLongGranted(double now, double forMs, int limit) {
         List<Unit> found = new ArrayList<>(0);
@@ -216,12 +221,12 @@
             unit.markActive(now);
             withGrantedPart.remove(unit.name);
             withGrantedPart.put(unit.name, unit);
-            moveToEnd(unit);                             // else it would hide the silent ones behind it
+            moveToEnd(unit);                         // else it would hide the idle ones behind it
         }
         return found;
     }
 
-    /** The holder of a part is held for gone, by rule: see {@link Unit#holderLost}. */
+    /** Presumes that the holder of a granted part is lost; see {@link Unit#holderLost}. */
     void presumeHolderLost(double now, Unit unit) {
         unit.holderLost(now, unit.granted().holder(), -1, rules, listener);
         if (units.containsKey(unit.name)) { moveToEnd(unit); }
@@ -232,11 +237,11 @@
     private void scheduleWake(double now, Unit unit) {
         double atMs = unit.nextWakeMs(now);
         if (atMs == Double.POSITIVE_INFINITY || unit.wakePending) { return; }
-        unit.wakePending = true;                           // one for each unit: what comes later is seen when this one is due
+        unit.wakePending = true;                     // one for each unit: it is rescheduled when this one is due
         wakes.add(new Wake(atMs, unit.name));
     }
 
-    /** Does what time alone brings: turns that come, ends that may be told, units silent for too long. At most so many a call. */
+    /** Does what is due by time: grants, ends, and units idle for too long. Handles at most {@code limit} of each. */
     void tick(double now, int limit) {
         for (int i = 0; i < limit && !wakes.isEmpty() && wakes.peek().atMs() <= now; i++) {
             Unit unit = units.get(wakes.poll().name());
@@ -249,10 +254,10 @@
         for (int i = 0; i < limit && abandonLongestIdle(now, limits.idleMs()); i++) { }
     }
 
-    /** When {@link #tick} has something to do, as far as is known; infinity for never. */
+    /** When {@link #tick} next has scheduled work; infinity for never. Idle units are not considered. */
     double nextWakeMs() { return wakes.isEmpty() ? Double.POSITIVE_INFINITY : wakes.peek().atMs(); }
 
-    /** Units that can go to another home: open ones that no connection here holds. */
+    /** The units that can be transferred: open ones that do not belong to a connection here. */
     List<Unit> transferable() {
         List<Unit> found = new ArrayList<>();
         for (Unit unit : units.values()) {
@@ -261,14 +266,14 @@
         return found;
     }
 
-    /** Seals a unit and forgets it. */
+    /** Seals a unit for transfer and removes it. */
     UnitRecord handOver(double now, Unit unit) {
         remove(unit);
         counts.handedOver++;
         return unit.handOver(now, listener);
     }
 
-    /** Takes a unit over; false where it is held already, or there is no room for it. */
+    /** Takes over a unit; false if it is held already, was opened here, or there is no room for it. */
     boolean takeOver(double now, UnitRecord record) {
         if (units.containsKey(record.name()) || isOpenedHere(record.name()) || units.size() >= 2 * limits.maxOpen()) { return false; }
         Unit unit = Unit.fromRecord(record, now);
@@ -282,6 +287,7 @@
         return "units_open=" + units.size() + " units_opened=" + counts.opened + " units_done=" + counts.ended[Unit.State.DONE.ordinal()]
                 + " units_abandoned=" + counts.ended[Unit.State.ABANDONED.ordinal()] + " units_unknown="
                 + counts.ended[Unit.State.UNKNOWN.ordinal()] + " units_grants=" + counts.grants + " units_refused=" + counts.refused
-                + " units_handed_over=" + counts.handedOver + " units_taken_over=" + counts.takenOver + " units_stale=" + counts.staleReports;
+                + " units_handed_over=" + counts.handedOver + " units_taken_over=" + counts.takenOver + " units_stale="
+                + counts.staleReports;
     }
 }
