--- a/src/main/java/yardusher/units/UnitsIntake.java
+++ b/src/main/java/yardusher/units/UnitsIntake.java
@@ -27,30 +27,31 @@
 import yardusher.view.View;
 
 /**
- * Stands between the fronts and what runs transactions: groups them into units of work by the plan's mode, asks a unit's
- * home for each part, and is itself the home of the units that were opened here. What names no unit, where the mode has
- * none, goes straight on. Used in turns only.
+ * The intake between the fronts and the core: groups requests into units of work by the plan's mode, requests each part from the
+ * unit's home, and is itself the home of the units that were opened here. Requests that belong to no unit pass straight on. Used in
+ * turns of the event loop only.
  */
 final class UnitsIntake implements RequestAcceptor, Unit.Listener, ReliableTransport.Callbacks {
-    /** What is known of regions: the zone of one, -1 where it is not listed; and whether a zone has any left. */
+    /** The listed regions: the zone of one, -1 if it is not listed; and whether a zone has any. */
     interface Regions {
         int zoneOf(long region);
 
         boolean hasZone(int zone);
     }
 
-    /** What it stands in. */
-    record Context(String self, long incarnation, EventLoop loop, RequestAcceptor inner, UnitRequestLog log, Regions regions, Mesh mesh, View view, Events events,
-            List<Api.RequestClass> classes, List<String> plans, LongSupplier nonces) { }
+    /** The parts of the ingress that the intake works with. */
+    record Context(String self, long incarnation, EventLoop loop, RequestAcceptor inner, UnitRequestLog log, Regions regions, Mesh mesh, View view,
+            Events events, List<Api.RequestClass> classes, List<String> plans, LongSupplier nonces) { }
 
     private static final int MAX_HOPS = 4;
-    private static final int MAX_REMEMBERED = 4096; // of each: ended units, words sent, units that went elsewhere
-    private static final int MAX_MOVES = 4096;      // homes' lives whose units went elsewhere
-    private static final int MAX_SEARCHES = 64;     // lives that are asked about at once
-    private static final int MAX_TRANSFERS_IN_FLIGHT = 256;             // units on their way to the next home at once
-    private static final int MAX_UNITS_PER_TICK = 256;             // units looked at in one go
-    private static final double MAX_ANSWER_MARGIN_MS = 100;       // a terminal whose part waits is answered so long before it gives up, or an eighth of its wait
-    private static final double MAX_TICK_MS = 100;       // between looks while something is held
+    private static final int MAX_REMEMBERED = 4096;  // of each: ended units, sent reports, units that moved one by one
+    private static final int MAX_MOVES = 4096;       // incarnations of homes whose units moved
+    private static final int MAX_SEARCHES = 64;      // incarnations that are located at once
+    private static final int MAX_TRANSFERS_IN_FLIGHT = 256; // unacknowledged messages while units are transferred
+    private static final int MAX_UNITS_PER_TICK = 256;
+    // A waiting part is answered this long before its deadline, or an eighth of its wait if that is less.
+    private static final double MAX_ANSWER_MARGIN_MS = 100;
+    private static final double MAX_TICK_MS = 100;
     private static final double MIN_TICK_MS = 5;
     private static final double STATUS_QUERY_AFTER_MS = 1000;
     private static final double TRANSFER_RETRY_MS = 40;
@@ -63,17 +64,19 @@
     private final ReliableTransport transport;
     private UnitSettings settings;
     private Mode[] modeByPlan;
-    private final Map<Long, UnitRequest> requests = new HashMap<>(); // as many as requests are open
+    private final Map<Long, UnitRequest> requests = new HashMap<>(); // as many as there are open requests
     private final Map<Session, Map<Long, UnitName>> sessionUnits = new IdentityHashMap<>(); // by connection and customer
     private final Map<UnitName, Session> sessionOf = new HashMap<>();
-    private final Map<UnitName, Set<String>> remoteHolders = new HashMap<>(); // other ingresses that were granted a part; open units only
-    private final LinkedHashMap<UnitName, Unit.State> endedElsewhere = new LinkedHashMap<>(); // told by other homes
-    private final LinkedHashMap<UnitName, Message.PartDone> sentReports = new LinkedHashMap<>(); // the last ones sent, to be said again
-    private final LinkedHashMap<UnitName, String> movedUnits = new LinkedHashMap<>(); // single units at another home now
-    private final LinkedHashMap<Long, Message.Moved> movedIncarnations = new LinkedHashMap<>(); // by the life of the home that opened them
+    private final Map<UnitName, Set<String>> remoteHolders = new HashMap<>(); // other ingresses that were granted a part of an open unit
+    private final LinkedHashMap<UnitName, Unit.State> endedElsewhere = new LinkedHashMap<>(); // units of other homes
+    // The latest reports, to be repeated when a home asks.
+    private final LinkedHashMap<UnitName, Message.PartDone> sentReports = new LinkedHashMap<>();
+    private final LinkedHashMap<UnitName, String> movedUnits = new LinkedHashMap<>(); // units transferred one by one, by their new home
+    // By the incarnation of the home that opened the units.
+    private final LinkedHashMap<Long, Message.Moved> movedIncarnations = new LinkedHashMap<>();
     private final Map<Long, List<UnitRequest>> searches = new HashMap<>();
     private final ArrayDeque<Unit> transferQueue = new ArrayDeque<>();
-    private final Map<String, Integer> refusalsByCode = new HashMap<>(); // by error code, of which there are a dozen
+    private final Map<String, Integer> refusalsByCode = new HashMap<>(); // about a dozen codes
     private String successor;
     private double transferDeadlineMs;
     private int transferBytesLeft;
@@ -86,7 +89,7 @@
     private long malformedMessages;
     private long notTransferred;
 
-    /** Makes the table of a home. */
+    /** Creates the unit table. */
     interface TableFactory {
         UnitTable create(String self, long incarnation, UnitTable.Limits limits, Unit.Rules rules, Unit.Listener listener);
     }
@@ -120,7 +123,7 @@
         context.log.setSettleMs(next.settleMs());
     }
 
-    /** Other settings hold from now on; units that are open keep the mode in which they were opened. */
+    /** Applies other settings; open units keep the mode in which they were opened. Returns what the reload has to report. */
     String reload(UnitSettings next) {
         next.check(context.plans);
         if (next.equals(settings)) { return null; }
@@ -129,17 +132,17 @@
         return forwardingChanges ? "units as told, but pass_on waits for a restart" : "units as told";
     }
 
-    // Requests of fronts.
+    // Requests from the fronts.
 
     @Override
-    public RequestHandle accept(IncomingRequest order) {
-        UnitDirective word = order.command().unit();
-        Mode mode = modeByPlan[order.plan()];
-        if (word == null) { return takeUnnamed(order, mode); }
-        return word.boundary() == UnitDirective.Boundary.OPEN ? takeOpening(order, word, mode) : takeNamed(order, word, mode);
+    public RequestHandle accept(IncomingRequest clientRequest) {
+        UnitDirective word = clientRequest.command().unit();
+        Mode mode = modeByPlan[clientRequest.plan()];
+        if (word == null) { return takeUnnamed(clientRequest, mode); }
+        return word.boundary() == UnitDirective.Boundary.OPEN ? takeOpening(clientRequest, word, mode) : takeNamed(clientRequest, word, mode);
     }
 
-    /** The unit that this connection holds for a customer, null for none. */
+    /** The unit that this connection has open for a customer, null for none. */
     private Unit sessionUnit(Session session, long customer) {
         Map<Long, UnitName> units = session == null ? null : sessionUnits.get(session);
         UnitName name = units == null ? null : units.get(customer);
@@ -151,10 +154,12 @@
         Session session = clientRequest.terminal().session();
         Unit unit = sessionUnit(session, clientRequest.customer());
         if (unit == null) {
-            if (session == null || BoundaryRule.UNNAMED_REQUEST.actionIn(mode) != BoundaryRule.Action.JOINS) { return context.inner.accept(clientRequest); }
+            if (session == null || BoundaryRule.UNNAMED_REQUEST.actionIn(mode) != BoundaryRule.Action.JOINS) {
+                return context.inner.accept(clientRequest);
+            }
             unit = openSessionUnit(session, clientRequest);
             if (unit == null) { return refuseOpening(clientRequest); }
-        } else if (unit.state() != Unit.State.OPEN) { // order across a session's units has no counterpart elsewhere: one after another
+        } else if (unit.state() != Unit.State.OPEN) { // order between units of a session is not defined elsewhere: the next one waits
             return reject(clientRequest, (long) Math.max(MIN_RETRY_AFTER_MS, Math.ceil(unit.mayRunUntilMs() - loop.now())));
         }
         return submit(clientRequest, unit.name, 0, Ticket.Kind.PART);
@@ -184,15 +189,20 @@
     private RequestHandle takeOpening(IncomingRequest clientRequest, UnitDirective word, Mode mode) {
         Session session = mode == Mode.SESSION ? clientRequest.terminal().session() : null;
         Unit unit = sessionUnit(session, clientRequest.customer());
-        boolean nested = word.unitName() != null || unit != null && (unit.isStarted() || unit.waitingCount() > 0 || unit.state() != Unit.State.OPEN);
+        boolean nested = word.unitName() != null
+                || unit != null && (unit.isStarted() || unit.waitingCount() > 0 || unit.state() != Unit.State.OPEN);
         BoundaryRule.Action action = (nested ? BoundaryRule.NESTED_OPENING : BoundaryRule.OPENING).actionIn(mode);
-        if (nested) { return fail(clientRequest, new UnitError.Boundary(word.unitName() == null ? unit.name : word.unitName(), "a unit is opened inside it")); }
+        if (nested) {
+            return fail(clientRequest, new UnitError.Boundary(word.unitName() == null ? unit.name : word.unitName(), "a unit is opened inside it"));
+        }
         if (action == BoundaryRule.Action.REFUSES || action == BoundaryRule.Action.NAMES && session == null) {
-            return fail(clientRequest, new UnitError.Mode("new", mode.name().toLowerCase(java.util.Locale.ROOT), "no unit can be opened here"));
+            return fail(clientRequest, new UnitError.Mode("new", mode.name().toLowerCase(java.util.Locale.ROOT),
+                    "no unit can be opened here"));
         }
         if (draining) { return refuseOpening(clientRequest); }
         if (unit == null) {
-            unit = action == BoundaryRule.Action.NAMES ? openSessionUnit(session, clientRequest) : table.open(loop.now(), clientRequest.customer(), Mode.UNIT);
+            unit = action == BoundaryRule.Action.NAMES ? openSessionUnit(session, clientRequest)
+                    : table.open(loop.now(), clientRequest.customer(), Mode.UNIT);
             if (unit == null) { return refuseOpening(clientRequest); }
             if (action == BoundaryRule.Action.OPENS) { trace("unit opened", unit, "mode", "unit"); }
             scheduleTick(loop.now() + MAX_TICK_MS);
@@ -206,14 +216,18 @@
         Ticket.Kind kind = word.boundary() == UnitDirective.Boundary.ABANDON ? Ticket.Kind.ABANDON : word.boundary() == UnitDirective.Boundary.NONE ? Ticket.Kind.PART
                 : word.part() > 0 ? Ticket.Kind.LAST_PART : Ticket.Kind.END;
         Unit sessionUnit = mode == Mode.SESSION ? sessionUnit(clientRequest.terminal().session(), clientRequest.customer()) : null;
-        if (kind.isPart() && sessionUnit != null && !sessionUnit.name.equals(name) && sessionUnit.isStarted() && BoundaryRule.CROSSING_PART.actionIn(mode) == BoundaryRule.Action.REFUSES) {
-            return fail(clientRequest, new UnitError.Boundary(name, "its part crosses unit " + sessionUnit.name + " of the same connection"));
+        if (kind.isPart() && sessionUnit != null && !sessionUnit.name.equals(name) && sessionUnit.isStarted()
+                && BoundaryRule.CROSSING_PART.actionIn(mode) == BoundaryRule.Action.REFUSES) {
+            return fail(clientRequest,
+                    new UnitError.Boundary(name, "its part crosses unit " + sessionUnit.name + " of the same connection"));
+        }
+        if (kind.isPart() && endedElsewhere.containsKey(name)) {
+            return fail(clientRequest, new UnitError.Ended(name, endedElsewhere.get(name).label()));
         }
-        if (kind.isPart() && endedElsewhere.containsKey(name)) { return fail(clientRequest, new UnitError.Ended(name, endedElsewhere.get(name).label())); }
         return submit(clientRequest, name, word.part(), kind);
     }
 
-    /** Something that was answered at once. */
+    /** A request that was answered at once. */
     private record AnsweredRequest(IncomingRequest incoming) implements RequestHandle {
         @Override
         public boolean mayHaveRun() { return false; }
@@ -232,9 +246,10 @@
         return new AnsweredRequest(clientRequest);
     }
 
-    /** No unit can be opened now. */
+    /** Answers an opening for which there is no room, or while this ingress drains. */
     private RequestHandle refuseOpening(IncomingRequest clientRequest) {
-        return draining ? reject(clientRequest, DRAINING_RETRY_AFTER_MS) : fail(clientRequest, new UnitError.Full("new", settings.maxOpen()));
+        return draining ? reject(clientRequest, DRAINING_RETRY_AFTER_MS)
+                : fail(clientRequest, new UnitError.Full("new", settings.maxOpen()));
     }
 
     private RequestHandle fail(IncomingRequest clientRequest, UnitError error) {
@@ -247,16 +262,19 @@
         return error.code() + " " + error.getMessage() + ". " + error.advice();
     }
 
-    // Asking a home.
+    // Requests to a home.
 
     private RequestHandle submit(IncomingRequest clientRequest, UnitName name, int part, Ticket.Kind kind) {
-        UnitRequest request = new UnitRequest(clientRequest, name, ++lastRequestId, part, kind, loop, this::reportIfFinished, this::terminalLeft);
+        UnitRequest request = new UnitRequest(clientRequest, name, ++lastRequestId, part, kind, loop, this::reportIfFinished,
+                this::terminalLeft);
         requests.put(request.requestId, request);
         sendToHome(request);
         return request;
     }
 
-    private static double answerByMs(UnitRequest request) { return request.deadlineMs - Math.min(MAX_ANSWER_MARGIN_MS, request.clientRequest.waitMs() / 8); }
+    private static double answerByMs(UnitRequest request) {
+        return request.deadlineMs - Math.min(MAX_ANSWER_MARGIN_MS, request.clientRequest.waitMs() / 8);
+    }
 
     private double repeatWindowMs(UnitRequest request) {
         Api.RequestClass requestClass = context.classes.get(request.clientRequest.classIndex());
@@ -274,10 +292,12 @@
             failWaiting(request, new UnitError.Holder(request.unit, String.valueOf(request.home)), false);
             return;
         }
-        if (table.find(request.unit) != null || table.isOpenedHere(request.unit) && !movedIncarnations.containsKey(context.incarnation) && !movedUnits.containsKey(request.unit)) {
+        if (table.find(request.unit) != null || table.isOpenedHere(request.unit) && !movedIncarnations.containsKey(context.incarnation)
+                && !movedUnits.containsKey(request.unit)) {
             request.home = null;
             startTimeout(request, answerByMs(request));
-            table.submit(now, request.unit, new Ticket(request.requestId, context.self, context.incarnation, request.clientRequest.customer(), request.part, request.kind,
+            table.submit(now, request.unit, new Ticket(request.requestId, context.self, context.incarnation,
+                    request.clientRequest.customer(), request.part, request.kind,
                     request.deadlineMs, repeatWindowMs(request)), this::isSilent);
             scheduleTick(now + MIN_TICK_MS);
             return;
@@ -285,14 +305,16 @@
         String home = homeOf(request.unit);
         View.Member member = context.view.member(home);
         boolean present = member != null && !hasLeft(member) && !home.equals(context.self);
-        boolean sameIncarnation = !home.equals(request.unit.home()) || transport.incarnationOf(home) == 0 || transport.incarnationOf(home) == request.unit.incarnation();
+        boolean sameIncarnation = !home.equals(request.unit.home()) || transport.incarnationOf(home) == 0
+                || transport.incarnationOf(home) == request.unit.incarnation();
         if (!present || !sameIncarnation) {
             locate(request);
             return;
         }
         request.home = home;
         request.homeIncarnation = transport.incarnationOf(home);
-        Message.Request message = new Message.Request(request.unit, request.requestId, request.clientRequest.customer(), request.part, request.kind, request.deadlineMs - now, repeatWindowMs(request));
+        Message.Request message = new Message.Request(request.unit, request.requestId, request.clientRequest.customer(), request.part,
+                request.kind, request.deadlineMs - now, repeatWindowMs(request));
         double untilMs = Math.min(now + settings.homeTimeoutMs(), answerByMs(request));
         if (!transport.send(now, home, message.encode(), untilMs)) {
             failWaiting(request, new UnitError.Holder(request.unit, home), false);
@@ -302,7 +324,7 @@
         scheduleTick(now + MIN_TICK_MS);
     }
 
-    /** Who is asked for a unit that is not here. */
+    /** The ingress that is asked for a unit that is not here. */
     private String homeOf(UnitName name) {
         String unitHome = movedUnits.get(name);
         if (unitHome != null) { return unitHome; }
@@ -312,14 +334,14 @@
 
     private static boolean hasLeft(View.Member member) { return member.state() == View.State.GONE || member.state() == View.State.LEFT; }
 
-    /** Whether nothing is heard of a holder, so that its part is waited for in vain. */
+    /** Whether a holder has left the view, so that the end of its part may never be reported. */
     private boolean isSilent(String holder) {
         if (holder.equals(context.self)) { return false; }
         View.Member member = context.view.member(holder);
         return member == null || hasLeft(member);
     }
 
-    /** The home is not there, or in another life: somebody may know where its units went. */
+    /** The home has left, or has another incarnation: asks all ingresses where its units are now. */
     private void locate(UnitRequest request) {
         List<UnitRequest> waiting = searches.get(request.unit.incarnation());
         if (waiting == null) {
@@ -342,7 +364,7 @@
         startTimeout(request, answerByMs(request));
     }
 
-    /** The time of a search is over, or somebody knew. */
+    /** Ends a search, because its time is over or the new home is known. */
     private void endSearch(long incarnation) {
         List<UnitRequest> waiting = searches.remove(incarnation);
         if (waiting == null) { return; }
@@ -365,7 +387,7 @@
             failWaiting(request, new UnitError.Holder(request.unit, request.home == null ? context.self : request.home), false);
         } else if (request.part > request.awaitedPart) {
             failWaiting(request, new UnitError.Order(request.unit, request.part, request.awaitedPart), false);
-        } else {                                     // what it waited for took all of its time
+        } else {                                     // the parts before it took all of its time
             request.stage = UnitRequest.Stage.FINISHED;
             requests.remove(request.requestId);
             request.failed("deadline passed", false);
@@ -377,19 +399,20 @@
         if (table.find(request.unit) != null) {
             table.withdraw(now, request.unit, context.self, context.incarnation, request.requestId);
         } else if (request.home != null) {
-            transport.send(now, request.home, new Message.Withdraw(request.unit, request.requestId, "", 0).encode(), Double.POSITIVE_INFINITY);
+            transport.send(now, request.home, new Message.Withdraw(request.unit, request.requestId, "", 0).encode(),
+                    Double.POSITIVE_INFINITY);
         }
         scheduleTick(now + MIN_TICK_MS);
     }
 
-    /** Gives up what waits, with its one answer. */
+    /** Answers a waiting request with an error. */
     private void failWaiting(UnitRequest request, UnitError error, boolean mayHaveRun) {
         request.stage = UnitRequest.Stage.FINISHED;
         requests.remove(request.requestId);
         request.failed(errorText(error), mayHaveRun);
     }
 
-    /** Its terminal left. */
+    /** The terminal of a request has left. */
     private void terminalLeft(UnitRequest request) {
         loop.deadlines().cancel(request.timer);
         if (request.stage == UnitRequest.Stage.WAITING) {
@@ -403,17 +426,17 @@
         }
     }
 
-    // Answers of homes.
+    // Answers from homes.
 
     private UnitRequest findWaiting(UnitName unit, long requestId) {
         UnitRequest request = requests.get(requestId);
         return request != null && request.stage == UnitRequest.Stage.WAITING && request.unit.equals(unit) ? request : null;
     }
 
-    /** A part may run here. */
+    /** Runs a granted part, or reports that it did not run if its request is no longer waiting. */
     private void handleGrant(Message.Grant grant, String from) {
         UnitRequest request = findWaiting(grant.unit(), grant.requestId());
-        if (request == null || !request.kind.isPart()) { // given up meanwhile: it never ran
+        if (request == null || !request.kind.isPart()) { // cancelled meanwhile: the part never ran
             report(new Message.PartDone(grant.unit(), grant.grantNumber(), Unit.Result.NEVER_RAN, 0, -1, -1, "", 0), from);
             return;
         }
@@ -426,7 +449,8 @@
         request.zone = grant.zone();
         double leftMs = request.deadlineMs - loop.now();
         boolean bound = request.region >= 0 || request.zone >= 0;
-        boolean listed = request.region >= 0 ? context.regions.zoneOf(request.region) >= 0 : request.zone < 0 || context.regions.hasZone(request.zone);
+        boolean listed = request.region >= 0 ? context.regions.zoneOf(request.region) >= 0
+                : request.zone < 0 || context.regions.hasZone(request.zone);
         if (!listed || leftMs < 1) {
             request.handedOn = true;
             String where = request.region >= 0 ? String.format("s-%08x", request.region) : "of hall " + request.zone;
@@ -436,15 +460,17 @@
         startedParts++;
         startedRemoteParts += from == null ? 0 : 1;
         context.log.add(request);
-        trace("part begins", null, "unit", request.unit, "part", request.part, "grant", request.grantNumber, "id", String.format("%016x", request.clientRequest.command().id()));
+        trace("part begins", null, "unit", request.unit, "part", request.part, "grant", request.grantNumber, "id",
+                String.format("%016x", request.clientRequest.command().id()));
         IncomingRequest clientRequest = request.clientRequest;
-        request.admitted = context.inner.accept(new IncomingRequest(clientRequest.classIndex(), clientRequest.plan(), clientRequest.customer(), clientRequest.units(), clientRequest.first(), clientRequest.spread(), leftMs, clientRequest.command(), request,
+        request.admitted = context.inner.accept(new IncomingRequest(clientRequest.classIndex(), clientRequest.plan(), clientRequest.customer(),
+                clientRequest.units(), clientRequest.first(), clientRequest.spread(), leftMs, clientRequest.command(), request,
                 bound ? new Api.Binding(request.region, request.zone, -1) : clientRequest.binding()));
         request.handedOn = true;
         reportIfFinished(request);
     }
 
-    /** Tells a part's home how it went, once it is over. */
+    /** Reports the result of a part to its home, once it was answered and has no open attempt. */
     private void reportIfFinished(UnitRequest request) {
         if (request.stage != UnitRequest.Stage.RUNNING || !request.handedOn || !request.answered || request.openAttempts > 0) { return; }
         request.stage = UnitRequest.Stage.FINISHED;
@@ -453,23 +479,28 @@
         double now = loop.now();
         Unit.Result result = request.served ? Unit.Result.SERVED : request.mayHaveRun ? Unit.Result.MAY_HAVE_RUN : Unit.Result.NEVER_RAN;
         double mayRunForMs = Math.max(0, request.mayRunUntilMs - now);
-        if (result == Unit.Result.MAY_HAVE_RUN && request.mayRunUntilMs == Double.NEGATIVE_INFINITY && request.zone < 0 && request.region < 0) {
-            mayRunForMs = Math.max(0, request.deadlineMs - now) + settings.settleMs(); // somebody else's word: nothing is known of where
+        if (result == Unit.Result.MAY_HAVE_RUN && request.mayRunUntilMs == Double.NEGATIVE_INFINITY && request.zone < 0
+                && request.region < 0) {
+            // Reported by the core without an attempt that was seen here: where it may have run is not known.
+            mayRunForMs = Math.max(0, request.deadlineMs - now) + settings.settleMs();
         }
         trace("part over", null, "unit", request.unit, "part", request.part, "grant", request.grantNumber, "result", result);
-        Message.PartDone done = new Message.PartDone(request.unit, request.grantNumber, result, mayRunForMs, request.region, request.zone, "", 0);
-        // After what runs now: the home may let the next part out within it.
+        Message.PartDone done = new Message.PartDone(request.unit, request.grantNumber, result, mayRunForMs, request.region, request.zone,
+                "", 0);
+        // Deferred: the home may grant the next part within the call.
         if (request.home == null) { loop.defer(() -> report(done, null)); } else { report(done, request.home); }
     }
 
     private void report(Message.PartDone done, String home) {
         double now = loop.now();
-        if (table.partDone(now, done.unit(), context.self, context.incarnation, done.grantNumber(), done.result(), done.mayRunForMs(), done.region(), done.zone())) {
+        if (table.partDone(now, done.unit(), context.self, context.incarnation, done.grantNumber(), done.result(), done.mayRunForMs(),
+                done.region(), done.zone())) {
             scheduleTick(now + MIN_TICK_MS);
             return;
         }
         remember(sentReports, done.unit(), done);
-        String to = home == null || movedUnits.containsKey(done.unit()) || movedIncarnations.containsKey(done.unit().incarnation()) ? homeOf(done.unit()) : home;
+        String to = home == null || movedUnits.containsKey(done.unit()) || movedIncarnations.containsKey(done.unit().incarnation())
+                ? homeOf(done.unit()) : home;
         if (!to.equals(context.self)) { transport.send(now, to, done.encode(), Double.POSITIVE_INFINITY); }
         scheduleTick(now + MIN_TICK_MS);
     }
@@ -487,7 +518,7 @@
             if (!refuse.newHome().isEmpty()) { remember(movedUnits, refuse.unit(), refuse.newHome()); }
             sendToHome(request);
         } else if (refuse.reason() == Refusal.UNKNOWN && movedUnits.containsKey(refuse.unit()) && request.hops < MAX_HOPS) {
-            loop.deadlines().schedule(loop.now() + TRANSFER_RETRY_MS, () -> { // it may still be on its way there
+            loop.deadlines().schedule(loop.now() + TRANSFER_RETRY_MS, () -> { // the transfer may still be on its way
                 if (request.stage == UnitRequest.Stage.WAITING && !request.answered) { sendToHome(request); }
             });
         } else if (refuse.reason() == Refusal.RETRY_LATER) {
@@ -495,7 +526,8 @@
             requests.remove(request.requestId);
             request.reject(refuse.detail(), false);
         } else {
-            failWaiting(request, refuse.reason().error(refuse.unit(), refuse.detail(), request.part, from == null ? context.self : from), refuse.reason() == Refusal.ALREADY_RUN);
+            failWaiting(request, refuse.reason().error(refuse.unit(), refuse.detail(), request.part, from == null ? context.self : from),
+                    refuse.reason() == Refusal.ALREADY_RUN);
         }
     }
 
@@ -507,12 +539,14 @@
         request.served((state.label() + " " + servedParts).getBytes(StandardCharsets.UTF_8));
     }
 
-    // What the table says of units whose home this is.
+    // Results of the table, for units whose home this is.
 
-    private boolean isFromHere(Ticket ticket) { return ticket.holder().equals(context.self) && ticket.incarnation() == context.incarnation; }
+    private boolean isFromHere(Ticket ticket) {
+        return ticket.holder().equals(context.self) && ticket.incarnation() == context.incarnation;
+    }
 
     private void sendTo(Ticket ticket, Message message) {
-        if (transport.incarnationOf(ticket.holder()) == ticket.incarnation()) { // else nobody is left who asked
+        if (transport.incarnationOf(ticket.holder()) == ticket.incarnation()) { // else the requesting incarnation is gone
             transport.send(loop.now(), ticket.holder(), message.encode(), ticket.deadlineMs() + settings.homeTimeoutMs());
             scheduleTick(loop.now() + MIN_TICK_MS);
         }
@@ -520,7 +554,8 @@
 
     @Override
     public void onGrant(Unit unit, Ticket ticket, int grantNumber) {
-        Message.Grant message = new Message.Grant(unit.name, ticket.requestId(), grantNumber, unit.mode == Mode.SESSION, unit.region(), unit.zone());
+        Message.Grant message = new Message.Grant(unit.name, ticket.requestId(), grantNumber, unit.mode == Mode.SESSION, unit.region(),
+                unit.zone());
         trace("part granted", unit, "part", ticket.part(), "grant", grantNumber, "to", ticket.holder());
         if (isFromHere(ticket)) {
             loop.defer(() -> handleGrant(message, null));
@@ -544,7 +579,7 @@
         }
     }
 
-    private UnitName requestedUnit;                         // the unit that is asked for right now, which may not be held
+    private UnitName requestedUnit;                  // the unit of the request in progress, which may not be in the table
 
     @Override
     public void onQueued(Unit unit, Ticket ticket) {
@@ -581,7 +616,7 @@
         trace("unit ended", unit, "state", unit.state().label(), "by", unit.boundary(), "served", unit.servedParts());
     }
 
-    /** For whoever follows units through many ingresses: each line says when, in Unix time. */
+    /** Logs an event of a unit, with the time in Unix milliseconds so that lines of several ingresses can be merged. */
     private void trace(String text, Unit unit, Object... pairs) {
         if (!settings.trace()) { return; }
         int prefixLength = unit == null ? 2 : 6;
@@ -598,7 +633,7 @@
         context.events.info(text, all);
     }
 
-    // Other ingresses.
+    // Messages from other ingresses.
 
     @Override
     public boolean isKnown(String name) { return context.view.member(name) != null; }
@@ -614,9 +649,14 @@
         double now = loop.now();
         table.holderLost(now, name, incarnation);
         for (UnitRequest request : List.copyOf(requests.values())) {
-            if (request.stage == UnitRequest.Stage.WAITING && name.equals(request.home) && request.homeIncarnation != 0 && request.homeIncarnation != incarnation) { sendToHome(request); }
+            if (request.stage == UnitRequest.Stage.WAITING && name.equals(request.home) && request.homeIncarnation != 0
+                    && request.homeIncarnation != incarnation) {
+                sendToHome(request);
+            }
+        }
+        if (movedIncarnations.containsKey(context.incarnation)) {
+            transport.send(now, name, movedIncarnations.get(context.incarnation).encode(), now + settings.handOverMs());
         }
-        if (movedIncarnations.containsKey(context.incarnation)) { transport.send(now, name, movedIncarnations.get(context.incarnation).encode(), now + settings.handOverMs()); }
         scheduleTick(now + MIN_TICK_MS);
     }
 
@@ -646,17 +686,21 @@
             handleOutcome(m.unit(), m.requestId(), m.state(), m.servedParts());
         } else if (message instanceof Message.PartDone m) {
             boolean forwarded = !m.holder().isEmpty();
-            if (!table.partDone(now, m.unit(), forwarded ? m.holder() : from, forwarded ? m.holderIncarnation() : incarnation, m.grantNumber(), m.result(), m.mayRunForMs(), m.region(),
+            if (!table.partDone(now, m.unit(), forwarded ? m.holder() : from, forwarded ? m.holderIncarnation() : incarnation,
+                    m.grantNumber(), m.result(), m.mayRunForMs(), m.region(),
                     m.zone()) && !forwarded && movedUnits.containsKey(m.unit())) {
-                Message.PartDone forward = new Message.PartDone(m.unit(), m.grantNumber(), m.result(), m.mayRunForMs(), m.region(), m.zone(), from, incarnation);
+                Message.PartDone forward = new Message.PartDone(m.unit(), m.grantNumber(), m.result(), m.mayRunForMs(), m.region(),
+                        m.zone(), from, incarnation);
                 transport.send(now, movedUnits.get(m.unit()), forward.encode(), Double.POSITIVE_INFINITY);
             }
         } else if (message instanceof Message.Withdraw m) {
             if (table.find(m.unit()) == null && movedUnits.containsKey(m.unit()) && m.holder().isEmpty()) {
-                transport.send(now, movedUnits.get(m.unit()), new Message.Withdraw(m.unit(), m.requestId(), from, incarnation).encode(), Double.POSITIVE_INFINITY);
+                transport.send(now, movedUnits.get(m.unit()), new Message.Withdraw(m.unit(), m.requestId(), from, incarnation).encode(),
+                        Double.POSITIVE_INFINITY);
             } else {
                 boolean forwarded = !m.holder().isEmpty();
-                table.withdraw(now, m.unit(), forwarded ? m.holder() : from, forwarded ? m.holderIncarnation() : incarnation, m.requestId());
+                table.withdraw(now, m.unit(), forwarded ? m.holder() : from, forwarded ? m.holderIncarnation() : incarnation,
+                        m.requestId());
             }
         } else if (message instanceof Message.StatusQuery m) {
             handleStatusQuery(from, m);
@@ -677,7 +721,8 @@
 
     private void handleRequest(String from, long incarnation, Message.Request message) {
         double now = loop.now();
-        Ticket ticket = new Ticket(message.requestId(), from, incarnation, message.customer(), message.part(), message.kind(), now + message.waitMs(), message.repeatWindowMs());
+        Ticket ticket = new Ticket(message.requestId(), from, incarnation, message.customer(), message.part(), message.kind(),
+                now + message.waitMs(), message.repeatWindowMs());
         String newHome = movedUnits.get(message.unit());
         if (table.find(message.unit()) == null && newHome != null) {
             sendTo(ticket, new Message.Refuse(message.unit(), message.requestId(), Refusal.MOVED, 0, newHome));
@@ -687,11 +732,12 @@
         table.submit(now, message.unit(), ticket, this::isSilent);
     }
 
-    /** A home asks for a part that it has not heard of for a while. */
+    /** Answers a home that has had no report of a granted part for a while. */
     private void handleStatusQuery(String from, Message.StatusQuery query) {
         for (UnitRequest request : requests.values()) {
-            if (request.unit.equals(query.unit()) && request.grantNumber == query.grantNumber() && request.stage == UnitRequest.Stage.RUNNING) {
-                request.home = from;                   // it may have gone there meanwhile
+            if (request.unit.equals(query.unit()) && request.grantNumber == query.grantNumber()
+                    && request.stage == UnitRequest.Stage.RUNNING) {
+                request.home = from;                 // the unit may have been transferred to it
                 return;
             }
         }
@@ -703,7 +749,9 @@
     }
 
     private void handleMoved(Message.Moved moved) {
-        if (moved.incarnation() == context.incarnation || moved.home().equals(context.self) && moved.newHome().equals(context.self)) { return; }
+        if (moved.incarnation() == context.incarnation || moved.home().equals(context.self) && moved.newHome().equals(context.self)) {
+            return;
+        }
         Message.Moved known = movedIncarnations.get(moved.incarnation());
         if (known == null || moved.epoch() >= known.epoch()) {
             movedIncarnations.remove(moved.incarnation());
@@ -713,9 +761,9 @@
         endSearch(moved.incarnation());
     }
 
-    // Handing over.
+    // Transfer of units while draining.
 
-    /** From now on no unit is opened here, and those that are open go to another home in bounded time. */
+    /** Stops opening units here, and transfers the open ones to another home in bounded time. */
     void drain() {
         if (draining) { return; }
         draining = true;
@@ -728,7 +776,7 @@
         scheduleTick(now + MIN_TICK_MS);
     }
 
-    /** The next ingress by name that is well; null where there is none. */
+    /** The next live ingress by name, cyclically; null if there is none. */
     private String chooseSuccessor() {
         List<String> names = new ArrayList<>();
         for (View.Member member : context.view.snapshot().members()) {
@@ -753,7 +801,7 @@
                 continue;
             }
             transferQueue.poll();
-            remember(movedUnits, unit.name, successor);         // before it is sealed: who waits is told
+            remember(movedUnits, unit.name, successor); // before it is sealed: sealing redirects the waiting requests
             byte[] message = new Message.Transfer(table.handOver(now, unit)).encode();
             remoteHolders.remove(unit.name);
             transferBytesLeft -= message.length;
@@ -764,12 +812,16 @@
             Map<Long, Message.Moved> announced = new HashMap<>();
             announced.put(context.incarnation, new Message.Moved(context.self, context.incarnation, successor, 1));
             for (Message.Moved known : movedIncarnations.values()) {
-                if (known.newHome().equals(context.self)) { announced.put(known.incarnation(), new Message.Moved(known.home(), known.incarnation(), successor, known.epoch() + 1)); }
+                if (known.newHome().equals(context.self)) {
+                    announced.put(known.incarnation(), new Message.Moved(known.home(), known.incarnation(), successor, known.epoch() + 1));
+                }
             }
             for (Message.Moved moved : announced.values()) {
                 movedIncarnations.put(moved.incarnation(), moved);
                 for (View.Member member : context.view.snapshot().members()) {
-                    if (!member.name().equals(context.self)) { transport.send(now, member.name(), moved.encode(), now + settings.handOverMs()); }
+                    if (!member.name().equals(context.self)) {
+                        transport.send(now, member.name(), moved.encode(), now + settings.handOverMs());
+                    }
                 }
             }
         }
@@ -780,15 +832,19 @@
         if (!table.takeOver(now, record)) { return; }
         Message.Moved known = movedIncarnations.get(record.name().incarnation());
         if (known == null || !known.newHome().equals(context.self)) {
-            movedIncarnations.put(record.name().incarnation(), new Message.Moved(record.name().home(), record.name().incarnation(), context.self, record.epoch()));
+            movedIncarnations.put(record.name().incarnation(), new Message.Moved(record.name().home(), record.name().incarnation(),
+                    context.self, record.epoch()));
         }
         movedUnits.remove(record.name());
         trace("unit taken over", table.find(record.name()));
     }
 
-    boolean isBusy() { return !transferQueue.isEmpty() || !requests.isEmpty() || draining && transport.unacknowledgedCount() > 0 && loop.now() < transferDeadlineMs; }
+    boolean isBusy() {
+        return !transferQueue.isEmpty() || !requests.isEmpty() || draining && transport.unacknowledgedCount() > 0
+                && loop.now() < transferDeadlineMs;
+    }
 
-    // Time, and who is there.
+    // Time and membership.
 
     private void greet(View.Member member) {
         if (!member.name().equals(context.self)) { transport.greet(loop.now(), member.name()); }
@@ -802,7 +858,9 @@
             if (member.state() == View.State.LEFT) { transport.forget(member.name()); }
         }
         for (UnitRequest request : List.copyOf(requests.values())) {
-            if (request.stage == UnitRequest.Stage.WAITING && request.home != null && goneNames.contains(request.home)) { sendToHome(request); }
+            if (request.stage == UnitRequest.Stage.WAITING && request.home != null && goneNames.contains(request.home)) {
+                sendToHome(request);
+            }
         }
         scheduleTick(loop.now() + MIN_TICK_MS);
     }
@@ -825,39 +883,44 @@
         scheduleTick(Math.max(now + MIN_TICK_MS, Math.min(nextMs, now + MAX_TICK_MS)));
     }
 
-    /** A part has been out for long: its holder is asked, or by rule held for gone. */
+    /** A part was granted long ago: asks its holder, or presumes it lost if the settings say so. */
     private void checkHolder(double now, Unit unit) {
         Ticket granted = unit.granted();
         if (isFromHere(granted)) { return; }
         if (isSilent(granted.holder())) {
             if (settings.proceedsWhenUnsure() && now > granted.deadlineMs() + settings.settleMs()) { table.presumeHolderLost(now, unit); }
         } else {
-            transport.send(now, granted.holder(), new Message.StatusQuery(unit.name, unit.grantCount()).encode(), now + STATUS_QUERY_AFTER_MS);
+            transport.send(now, granted.holder(), new Message.StatusQuery(unit.name, unit.grantCount()).encode(),
+                    now + STATUS_QUERY_AFTER_MS);
         }
     }
 
-    // For operators.
+    // Status for operators.
 
     String statusLine() {
-        return table.statusLine() + " units_parts=" + startedParts + " units_parts_elsewhere=" + startedRemoteParts + " units_waiting=" + requests.size()
-                + " units_sessions=" + sessionUnits.size() + " units_not_handed_over=" + notTransferred + " units_held_back=" + context.log.blockedAttempts
+        return table.statusLine() + " units_parts=" + startedParts + " units_parts_elsewhere=" + startedRemoteParts + " units_waiting="
+                + requests.size()
+                + " units_sessions=" + sessionUnits.size() + " units_not_handed_over=" + notTransferred + " units_held_back="
+                + context.log.blockedAttempts
                 + " units_bad_messages=" + malformedMessages + " " + transport.statusLine();
     }
 
-    /** Figures, refusals by code, and the units that have been silent for longest. */
+    /** Counters, refusals by error code, and the units that have been idle for longest. */
     String report() {
         StringBuilder text = new StringBuilder(1024);
-        text.append("self name=").append(context.self).append(" life=").append(Long.toHexString(context.incarnation)).append(draining ? " drains to=" + successor : "").append('\n');
+        text.append("self name=").append(context.self).append(" life=").append(Long.toHexString(context.incarnation))
+                .append(draining ? " drains to=" + successor : "").append('\n');
         text.append(statusLine()).append('\n');
         refusalsByCode.forEach((code, count) -> text.append("refused code=").append(code).append(" count=").append(count).append('\n'));
-        movedIncarnations.values().stream().limit(50).forEach(move -> text.append("moved life=").append(Long.toHexString(move.incarnation())).append(" of=").append(move.home())
+        movedIncarnations.values().stream().limit(50).forEach(move -> text.append("moved life=")
+                .append(Long.toHexString(move.incarnation())).append(" of=").append(move.home())
                 .append(" to=").append(move.newHome()).append('\n'));
         table.all().stream().limit(50).forEach(unit -> text.append("unit name=").append(unit).append(" silent_ms=")
                 .append(Math.round(loop.now() - unit.lastActivityMs())).append('\n'));
         return text.toString();
     }
 
-    /** The table, for tests and the lab. */
+    /** For tests and the lab. */
     UnitTable table() { return table; }
 
     int pendingCount() { return requests.size(); }
--- a/src/test/java/yardusher/units/UnitsCheckerTest.java
+++ b/src/test/java/yardusher/units/UnitsCheckerTest.java
@@ -12,7 +12,7 @@
 import yardusher.lab.units.UnitsChecker.HomeEvent;
 import yardusher.lab.units.UnitsChecker.ClientRequest;
 
-/** Each rule of the checker can fail, and a good run breaks none. */
+/** Each rule of the checker can fail, and a correct run breaks none. */
 class UnitsCheckerTest {
     private final List<HomeEvent> homeEvents = new ArrayList<>();
     private final List<PartStart> partStarts = new ArrayList<>();
@@ -26,11 +26,15 @@
         for (int part = 1; part <= 2; part++) {
             partStarts.add(new PartStart(part * 10, "n1", "n0.1.1", part, part, "id" + part));
             executions.add(new Execution("r" + part, "hall-a", "id" + part, part * 10, part * 10 + 5, part * 10 + 5));
-            clientRequests.add(new ClientRequest("id" + part, ",u=n0.1.1,p=" + part, "5", part * 10 - 1, 500, part * 10 + 6, 1, true, false));
+            clientRequests.add(new ClientRequest("id" + part, ",u=n0.1.1,p=" + part, "5", part * 10 - 1, 500, part * 10 + 6, 1, true,
+                    false));
         }
     }
 
-    private String breaches() { return String.join("\n", UnitsChecker.check(new UnitsChecker.History(homeEvents, partStarts, executions, clientRequests, List.of(), true, 0))); }
+    private String breaches() {
+        return String.join("\n", UnitsChecker.check(new UnitsChecker.History(homeEvents, partStarts, executions, clientRequests, List.of(),
+                true, 0)));
+    }
 
     private void addExecution(int part, String zone, String region, double from, double to) {
         partStarts.add(new PartStart(from, "n1", "n0.1.1", part, 9, "id" + part + zone + from));
@@ -43,7 +47,7 @@
     @Test
     void unitInTwoZones() {
         addExecution(3, "hall-b", "r1", 30, 35);
-        assertThat(breaches()).contains("ran at two halls");
+        assertThat(breaches()).contains("ran at two zones");
     }
 
     @Test
@@ -97,7 +101,7 @@
     @Test
     void requestAdmittedTwice() {
         partStarts.add(new PartStart(30, "n2", "n0.1.1", 2, 3, "id2"));
-        assertThat(breaches()).contains("let in 2 times");
+        assertThat(breaches()).contains("admitted 2 times");
     }
 
     @Test
@@ -114,7 +118,7 @@
         clientRequests.add(new ClientRequest("x4", ",u=n0.1.1,p=3", "5", 1, 500, 20, 1, true, false));
         clientRequests.add(new ClientRequest("x5", "", "5", 1, 500, 1100, 1, false, false));
         clientRequests.add(new ClientRequest("id2", ",u=n0.1.1,b=end", "5", 1, 500, 20, 1, true, false));
-        assertThat(breaches()).contains("answered 2 times").contains("never answered").contains("answered late").contains("answered when it was lost").contains("no region ran it")
+        assertThat(breaches()).contains("answered 2 times").contains("never answered").contains("answered late").contains("answered long after its deadline").contains("no region ran it")
                 .contains("a boundary alone reached a region");
     }
 }
--- a/src/test/java/yardusher/units/UnitsTest.java
+++ b/src/test/java/yardusher/units/UnitsTest.java
@@ -23,7 +23,7 @@
 import yardusher.file.Toml;
 import yardusher.resp.Call;
 
-/** What units of work consist of: names, words in lists, messages, the post between ingresses, the table's bounds, the model. */
+/** The building blocks of units of work: names, request fields, settings, messages, the transport, the table's limits and the model. */
 class UnitsTest {
     private static byte[][] words(String list) {
         return new byte[][] {"CALL.GET".getBytes(), "0000000000000005".getBytes(), "0000000000000007".getBytes(),
@@ -38,9 +38,10 @@
         Call call = Call.parseWithUnit(words(list), false);
         assertThat(call.unit()).hasToString("UnitWord[unit=n2.3f.1, part=2, said=END]");
         assertThat(encodedFields(call)).contains("\r\nc=lookup,t=basis,d=9,units=1,spread=1,first=0\r\n");
-        assertThat(encodedFields(Call.parseWithUnit(words(list), true))).contains("u=n2.3f.1,c=lookup,t=basis,d=9,p=2,units=1,spread=1,first=0,b=end");
+        assertThat(encodedFields(Call.parseWithUnit(words(list), true)))
+                .contains("u=n2.3f.1,c=lookup,t=basis,d=9,p=2,units=1,spread=1,first=0,b=end");
         assertThat(Call.parseWithUnit(words("c=lookup,t=basis,d=480,units=1,spread=1,first=0"), false).unit()).isNull();
-        assertThatThrownBy(() -> Call.parse(words(list))).hasMessageContaining("unknown name in list"); // off
+        assertThatThrownBy(() -> Call.parse(words(list))).hasMessageContaining("unknown name in list"); // units are disabled
     }
 
     @ParameterizedTest
@@ -86,7 +87,9 @@
     }
 
     @Test
-    void docsShowTheBoundaryRules() throws IOException { assertThat(Files.readString(Path.of("docs/units.md"))).contains(BoundaryRule.markdownTable()); }
+    void docsShowTheBoundaryRules() throws IOException {
+        assertThat(Files.readString(Path.of("docs/units.md"))).contains(BoundaryRule.markdownTable());
+    }
 
     @Property(tries = 3000)
     void malformedDatagramsAreCountedAndDropped(@ForAll byte[] bytes) {
@@ -97,7 +100,7 @@
         assertThat(transport.malformed + transport.unknownSenders + transport.stale).isEqualTo(1);
         try {
             Message.decode(bytes);
-        } catch (IOException e) { /* it is none */ }
+        } catch (IOException e) { /* not a message */ }
     }
 
     private static ReliableTransport.Callbacks callbacks(ArrayDeque<byte[]> sent, List<String> delivered) {
@@ -109,14 +112,16 @@
             public void sendDatagram(String to, byte[] datagram) { sent.add(datagram); }
 
             @Override
-            public void onMessage(String from, long life, byte[] body) { delivered.add(life + ":" + new String(body, StandardCharsets.ISO_8859_1)); }
+            public void onMessage(String from, long incarnation, byte[] body) {
+                delivered.add(incarnation + ":" + new String(body, StandardCharsets.ISO_8859_1));
+            }
 
             @Override
-            public void onNewIncarnation(String name, long life) { }
+            public void onNewIncarnation(String name, long incarnation) { }
         };
     }
 
-    /** Between two lives that last, each message comes exactly once, whatever the way does; one of a life that is over never comes. */
+    /** Between two running incarnations each message is delivered exactly once; messages of a past incarnation are never delivered. */
     @Property(tries = 300)
     void messagesAreDeliveredOnceDespiteLossDuplicatesDelayAndRestarts(@ForAll long seed) {
         Random random = new Random(seed);
@@ -125,7 +130,10 @@
         List<List<String>> delivered = List.of(new ArrayList<>(), new ArrayList<>());
         ReliableTransport[] transports = new ReliableTransport[2];
         long[] incarnations = {11, 12};
-        for (int i = 0; i < 2; i++) { transports[i] = new ReliableTransport(i == 0 ? "a" : "b", incarnations[i], random::nextLong, callbacks(networks.get(i), delivered.get(i))); }
+        for (int i = 0; i < 2; i++) {
+            transports[i] = new ReliableTransport(i == 0 ? "a" : "b", incarnations[i], random::nextLong,
+                    callbacks(networks.get(i), delivered.get(i)));
+        }
         int sent = 0;
         boolean restarted = false;
         int sentBeforeRestart = 0;
@@ -136,7 +144,7 @@
                 transports[0].send(now, "b", ("m" + ++sent).getBytes(), Double.POSITIVE_INFINITY);
                 if (restarted) { sentAfterRestart.add("m" + sent); } else { sentBeforeRestart = sent; }
             }
-            if (!restarted && now > 4000) {          // b begins anew; what was said to it before is void for its new life
+            if (!restarted && now > 4000) {          // b restarts; messages to its past incarnation are void for the new one
                 restarted = true;
                 transports[1] = new ReliableTransport("b", 13, random::nextLong, callbacks(networks.get(1), delivered.get(1)));
                 delivered.get(1).clear();
@@ -150,28 +158,30 @@
                     if (random.nextInt(5) == 0) { transports[1 - i].receive(now, datagram); }
                 }
             }
-            if (!delayed.isEmpty() && random.nextInt(30) == 0) { // some of it to whom it was not sent to, which is as good as made up
+            if (!delayed.isEmpty() && random.nextInt(30) == 0) { // some go to the wrong receiver, like forged datagrams
                 transports[random.nextInt(2)].receive(now, delayed.get(random.nextInt(delayed.size())));
             }
         }
         List<String> deliveredToB = delivered.get(1).stream().map(one -> one.substring(3)).toList();
         assertThat(delivered.get(1)).allMatch(one -> one.startsWith("11:")).doesNotHaveDuplicates();
         int lastBeforeRestart = sentBeforeRestart;
-        // What was queued when it began anew goes to one life or the other; what was sent after it was known goes to the new one.
+        // What was queued at the restart goes to either incarnation; what was sent after the restart was noticed goes to the new one.
         assertThat(deliveredToB).allMatch(one -> Integer.parseInt(one.substring(1)) > 0);
-        assertThat(sentAfterRestart.stream().filter(one -> Integer.parseInt(one.substring(1)) > lastBeforeRestart + 40).toList()).allMatch(deliveredToB::contains);
+        assertThat(sentAfterRestart.stream().filter(one -> Integer.parseInt(one.substring(1)) > lastBeforeRestart + 40).toList())
+                .allMatch(deliveredToB::contains);
         assertThat(transports[0].unacknowledgedCount()).isZero();
     }
 
     @Test
     void tableStaysBoundedWithAHundredThousandOpenUnits() {
         int[] ended = new int[1];
-        UnitTable table = new UnitTable("n0", 7, new UnitTable.Limits(100_000, 1_000_000, 30_000, 1000), new Unit.Rules(16, 100), new Unit.Listener() {
+        UnitTable table = new UnitTable("n0", 7, new UnitTable.Limits(100_000, 1_000_000, 30_000, 1000), new Unit.Rules(16, 100),
+                new Unit.Listener() {
             @Override
-            public void onGrant(Unit unit, Ticket ticket, int grant) { }
+            public void onGrant(Unit unit, Ticket ticket, int grantNumber) { }
 
             @Override
-            public void onRefuse(Unit unit, Ticket ticket, Refusal why, long figure) { }
+            public void onRefuse(Unit unit, Ticket ticket, Refusal reason, long detail) { }
 
             @Override
             public void onQueued(Unit unit, Ticket ticket) { }
@@ -183,8 +193,8 @@
             public void onEnded(Unit unit) { ended[0]++; }
         });
         for (int i = 0; i < 100_000; i++) { assertThat(table.open(i * 0.01, i, Mode.UNIT)).isNotNull(); }
-        assertThat(table.open(1000.5, 1, Mode.UNIT)).isNotNull(); // the longest silent one gave way
-        assertThat(table.open(900, 1, Mode.UNIT)).isNull(); // none has been silent for a second
+        assertThat(table.open(1000.5, 1, Mode.UNIT)).isNotNull(); // the longest idle one was abandoned
+        assertThat(table.open(900, 1, Mode.UNIT)).isNull(); // none has been idle for a second
         for (int i = 0; i < 300_000; i++) { table.open(2000 + i * 0.02, i, Mode.UNIT); }
         assertThat(table.size()).isLessThanOrEqualTo(100_000);
         assertThat(ended[0]).isEqualTo(table.counts.opened - table.size());
@@ -194,14 +204,15 @@
 
     @Test
     void everyStateOfASmallPairKeepsTheRules() {
-        UnitsModel.Result single = UnitsModel.explore(Mode.UNIT, Mode.SINGLE, UnitsModel.Fault.NONE, 1, UnitsModel.Omission.NOTHING, 1_000_000);
+        UnitsModel.Result single = UnitsModel.explore(Mode.UNIT, Mode.SINGLE, UnitsModel.Fault.NONE, 1, UnitsModel.Omission.NOTHING,
+                1_000_000);
         assertThat(single.breachPath()).isNull();
         assertThat(single.states()).isGreaterThan(50_000);
     }
 
     @ParameterizedTest
     @EnumSource(value = UnitsModel.Fault.class, names = "NONE", mode = EnumSource.Mode.EXCLUDE)
-    void nearestStatesAfterAFaultKeepTheRules(UnitsModel.Fault fault) { // all of them are more than a test has time for
+    void nearestStatesAfterAFaultKeepTheRules(UnitsModel.Fault fault) { // visiting all states takes longer than a test may
         List<String> breach = UnitsModel.explore(Mode.UNIT, Mode.SINGLE, fault, 1, UnitsModel.Omission.NOTHING, 60_000).breachPath();
         assertThat(breach == null || breach.get(breach.size() - 1).contains("more than")).as(String.valueOf(breach)).isTrue();
     }
