--- a/src/main/java/yardusher/view/Entry.java
+++ b/src/main/java/yardusher/view/Entry.java
@@ -2,23 +2,23 @@
 
 import yardusher.view.View.State;
 
-/** What is held of one name. Changed by its {@link Roster} alone, but for the notes of who told what when. */
+/** The stored state of one member name. Only its {@link MemberTable} changes it, except for the gossip bookkeeping at the end. */
 final class Entry {
     final String name;
-    final long place;                                // on the ring of all members
+    final long place;                                // its position on the ring, a hash of the name
     Who who;
     long life;
     long born;
     long incarnation;
     State state;
-    double sinceMs;                                  // when it came into this state, here
+    double sinceMs;                                  // when it entered this state, on the local clock
     int[] accusers = News.NOBODY;
 
-    int told;                                        // how often this news was passed on
-    long queued;                                     // the last time it was put in line
-    long heldDigest;                                 // of its whole picture, as it last said
+    int told;                                        // how many times the current update was gossiped
+    long queued;                                     // number of its item in the gossip queue; 0 if not queued
+    long heldDigest;                                 // digest of its whole view, as it last reported
     double heldAtMs = Double.NEGATIVE_INFINITY;
-    double correctedMs = Double.NEGATIVE_INFINITY;   // when it was last told what is held of it
+    double correctedMs = Double.NEGATIVE_INFINITY;   // when it was last sent the record held of it here
 
     Entry(String name, long place) {
         this.name = name;
--- a/src/main/java/yardusher/view/Health.java
+++ b/src/main/java/yardusher/view/Health.java
@@ -1,10 +1,11 @@
 package yardusher.view;
 
 /**
- * How far this process trusts its own ears and its own clock: 0 for fully. The ears' score grows when the helpers of a failed
- * probe are silent too, and when others found this one silent: then it probes more slowly and waits longer for answers
- * (Lifeguard). The clock's grows when timers come late: then also its suspicions last longer. Each answered probe
- * brings both down. Danger: silent helpers must not lengthen suspicion, else the small side of a cut takes long to see it.
+ * The local health score of Lifeguard: how far this process may be at fault itself, 0 for fully healthy. The receive score grows
+ * when the helpers of a failed probe are silent too, and when others suspected this member: probes are then sent more slowly and
+ * wait longer for answers. The clock score grows when timers fire late: suspicions then last longer as well. Each answered
+ * probe lowers both. Silent helpers must not lengthen suspicions: with that, the smaller side of a network partition
+ * did not settle on its new view within 15 s.
  */
 final class Health {
     private static final int WORST_EARS = 3;
@@ -23,9 +24,9 @@
 
     int score() { return Math.max(ears, clock); }
 
-    /** By which rounds and waits of probes are longer. */
+    /** Returns the factor by which probe rounds and probe timeouts are longer. */
     double slower() { return 1 + score(); }
 
-    /** By which suspicions last longer. */
+    /** Returns the factor by which suspicions last longer. */
     double patience() { return 1 + clock; }
 }
--- a/src/main/java/yardusher/view/Membership.java
+++ b/src/main/java/yardusher/view/Membership.java
@@ -14,42 +14,43 @@
 import yardusher.view.View.State;
 
 /**
- * One ingress's part in the view: SWIM with Lifeguard's corrections, watchers on a ring as Rapid has them, and tables compared
- * by digests. Without I/O, clock or thread: it is told the time in ms with each call, and says when it wants to be called
- * next. Times may stand still or jump forward (the process was stopped), never go back. docs/design/view.md has the reasons.
+ * The membership protocol of one ingress: SWIM with the Lifeguard extensions, fixed observers on a ring as in Rapid, and anti-entropy by
+ * comparing table digests. It does no I/O and has no clock or thread: each call passes the current time in ms, and
+ * {@link #nextTickMs} says when {@link #tick} is due. Times may stand still or jump forward (the process was stopped), but never
+ * go back. docs/design/view.md explains the design.
  */
 public final class Membership {
-    /** What it does to the world. */
+    /** The protocol's outputs: datagrams, errors and member changes. */
     public interface World {
         void send(InetSocketAddress to, byte[] body);
 
-        /** Something an operator should know. */
+        /** Reports a condition that an operator should know about. */
         void wrong(ViewError error);
 
-        /** What is held of a member has changed; for who watches the watchers. */
+        /** The stored record of a member has changed; used by the checkers of the lab. */
         default void held(String name, long life, long incarnation, State state) { }
     }
 
-    /** Where this ingress stands. */
+    /** The state of this ingress in the protocol. */
     public enum Phase {
-        /** It asks the seeds whether it may take part; it sees itself alone, or what it has heard. */
+        /** Asks seeds for admission; its view holds itself and whatever it has heard so far. */
         JOINING,
-        /** It takes part. */
+        /** Takes part as a member. */
         IN,
-        /** Another process holds its name; it looks on, and asks again at a slow rate. */
+        /** Another process holds its name; it only observes, and repeats its join request at a slow rate. */
         TAKEN,
-        /** It has said that it leaves, and is silent. */
+        /** Has announced its departure and sends nothing more. */
         LEFT
     }
 
-    /** Weaknesses for tests of the checker; none in the program. */
+    /** Deliberate defects with which tests prove that the checkers detect them; never set in production. */
     public enum Flaw { NO_REFUTATION, NO_HELPERS, LEFT_COME_BACK, NO_HEALTH, NO_ASKING_THE_GONE }
 
     private static final class Probe {
         final Entry target;
         final long life;
         final int number;
-        double againAt;                              // the next step: a second ping, then others are asked
+        double againAt;                              // next step: a second ping, then indirect probes by helpers
         double askAt;
         double failAt;
         boolean asked;
@@ -78,14 +79,15 @@
     }
 
     private static final int HELPERS = 3;
-    private static final int WATCHERS = 4;           // alive, on the ring before a member; the first probes it each round, all once it is suspected
+    /** ALIVE predecessors on the ring that observe a member: the first probes it each round, all of them once it is suspected. */
+    private static final int WATCHERS = 4;
     private static final int FANOUT = 3;
     private static final int MOST_FAVOURS = 256;
-    private static final int MOST_PAGES = 8;         // datagrams in answer to one SYNC or JOIN
-    private static final double LATE_MS = 30;        // a timer that comes later says that this process did not run
-    private static final double HEARD_MS = 5000;     // what counts as heard lately
+    private static final int MOST_PAGES = 8;         // datagrams sent in reply to one SYNC or JOIN
+    private static final double LATE_MS = 30;        // a timer that fires later than this shows that the process was not running
+    private static final double HEARD_MS = 5000;     // how long a member's reported digest counts as recent
     private static final double GONE_EVERY_MS = 1000;
-    private static final double ASKS_OF_ONE = 4;     // a second, from all members together
+    private static final double ASKS_OF_ONE = 4;     // pings of one GONE member, from all members together
     private static final double SEED_EVERY_MS = 5000;
     private static final int SEEDS_AT_ONCE = 3;
     private static final double SYNC_EVERY_MS = 1000;
@@ -113,8 +115,8 @@
     private long born;
     private long incarnation;
     private Phase phase = Phase.JOINING;
-    private Entry own;                               // in the roster; the holder's while the name is taken
-    private long claimant;                           // the last life that was said to claim this name
+    private Entry own;                               // the table's entry for this name; the holder's while the name is taken
+    private long claimant;                           // instance whose claim to this name was last reported; 0 for none
 
     private final List<Probe> probes = new ArrayList<>();
     private final Map<Integer, Favour> favours = new LinkedHashMap<>();
@@ -123,7 +125,7 @@
     private int number;
     private int joinNumber;
     private int joins;
-    private int alone;                               // how often seeds were asked while nobody else was known
+    private int alone;                               // consecutive seed probes sent while no other member was known
     private double enteredMs;
     private double dueAt = Double.POSITIVE_INFINITY;
     private double roundAt = Double.POSITIVE_INFINITY;
@@ -132,7 +134,7 @@
     private double seedAt = Double.POSITIVE_INFINITY;
     private double joinAt = Double.POSITIVE_INFINITY;
     private double forgetAt = Double.POSITIVE_INFINITY;
-    private double syncFrom;                         // the next comparison of tables not before
+    private double syncFrom;                         // earliest time of the next table comparison
 
     private View.Picture picture;
     private long pictureOf = -1;
@@ -164,17 +166,17 @@
         gossipMs = roundMs / 3;
     }
 
-    /** With one of the flaws, and shared names; for the lab. */
+    /** Creates a member with the given flaw and with interned identities; for the lab. */
     public static Membership flawed(ViewSettings settings, String name, String hall, InetSocketAddress at, long seed, double now, World world,
             UnaryOperator<Object> known, Flaw flaw) {
         return new Membership(settings, new Who(name, hall, at), seed, now, world, who -> (Who) known.apply(who), flaw);
     }
 
-    /** Begins; {@code at} is where the others reach this one. */
+    /** Starts the protocol; {@code at} is the address at which the other members reach this one. */
     public void start(double now, InetSocketAddress at) {
         self = new Who(self.name(), self.hall(), at);
         life = random.nextLong();
-        // A hint alone: whoever is known under this name is gone above, whatever the clock says.
+        // The clock only gives a first value: on joining, the incarnation is raised above any that the others know for this name.
         incarnation = born = Math.max(1, Math.min((long) (now / 1000), Roster.MOST_INCARNATION / 2));
         roster.set(news(State.ALIVE), now);
         own = roster.get(self.name());
@@ -187,10 +189,10 @@
 
     private News news(State state) { return new News(self, life, born, incarnation, state, News.NOBODY, 0); }
 
-    /** When {@link #tick} has to be called at the latest. */
+    /** Returns the time by which {@link #tick} has to be called. */
     public double next() { return dueAt; }
 
-    /** Does what is due. */
+    /** Runs all timers that are due. */
     public void tick(double now) {
         if (phase == Phase.LEFT || now < dueAt) { return; }
         double behind = now - dueAt;
@@ -228,7 +230,7 @@
         return Math.min(next, settled.next(now));
     }
 
-    /** Danger: this process did not run for so long, so it has heard nobody. What waits for others waits as much longer. */
+    /** Extends all pending timeouts by the time in which this process did not run: it could not have received any answer meanwhile. */
     private void slept(double ms) {
         late++;
         if (ms > roundMs / 2) { health.lateness(); }
@@ -238,7 +240,7 @@
             probe.failAt += ms;
         }
         for (Favour favour : favours.values()) { favour.until += ms; }
-        // After a long sleep what was said meanwhile waits in the socket, and is heard before anybody is given up.
+        // After a long pause one more round: datagrams queued in the socket must be read before any suspect is declared gone.
         for (Entry entry : roster.suspects()) { entry.sinceMs += ms > roundMs / 2 ? ms + roundMs : ms; }
     }
 
@@ -252,7 +254,7 @@
         roundAt = now + roundMs * health.slower() * (0.95 + 0.1 * random.nextDouble());
         int there = roster.there().size();
         if (there < 2) { return; }
-        for (int i = 0; i < there; i++) {            // the next of the shuffled row who is there
+        for (int i = 0; i < there; i++) {            // the next active member in the shuffled order
             if (orderAt >= order.size()) {
                 order.clear();
                 order.addAll(roster.there());
@@ -268,7 +270,7 @@
         watch(now);
     }
 
-    /** Probes who is next on the ring, and on past those that may be dead. */
+    /** Probes the next member on the ring, and continues past members that are suspected. */
     private void watch(double now) {
         int there = roster.there().size();
         for (int steps = 1; steps < Math.min(WATCHERS + 1, there); steps++) {
@@ -290,7 +292,7 @@
 
     private void ping(Entry target, int probe, double now) {
         Wire.Writer out = writer(Wire.Type.PING).probe(probe, target.life);
-        // Whoever is suspected or held to be gone hears so at once, and can say that it is not so.
+        // The target of a suspicion or of a GONE record learns of it at once and can refute it.
         if (target.state != State.ALIVE) { out.add(target.news(now)); }
         write(target.who.at(), fill(out, now));
     }
@@ -302,7 +304,7 @@
         }
         if (probe.againAt <= now) {
             probe.againAt = Double.POSITIVE_INFINITY;
-            ping(probe.target, probe.number, now);   // one lost datagram is no reason to bother others
+            ping(probe.target, probe.number, now);   // a single lost datagram should not trigger indirect probes
         }
         if (!probe.asked && probe.askAt <= now) {
             probe.asked = true;
@@ -320,11 +322,11 @@
         if (roster.accuse(probe.target, (int) own.place, now)) {
             accused++;
             rumours.add(probe.target, 0);
-            watch(now);                              // a hall that dies leaves gaps on the ring
+            watch(now);                              // a failed data hall takes several neighbours on the ring at once
         }
     }
 
-    /** So many members at random, neither this one nor that one; fewer where there are not so many. */
+    /** Picks up to {@code count} random active members other than this one and {@code but}. */
     private List<Entry> some(int count, Entry but) {
         List<Entry> there = roster.there();
         List<Entry> some = new ArrayList<>(count);
@@ -342,7 +344,7 @@
         if (goneAt == Double.POSITIVE_INFINITY) { goneAt = now + GONE_EVERY_MS * random.nextDouble(); }
     }
 
-    /** The gone are asked for, each a few times a second by all members together. */
+    /** Pings GONE members, so that each is pinged a few times a second by all members together. */
     private void askGone(double now) {
         List<Entry> gone = roster.gone();
         goneAt = gone.isEmpty() || phase != Phase.IN ? Double.POSITIVE_INFINITY : now + GONE_EVERY_MS * (0.5 + random.nextDouble());
@@ -350,9 +352,9 @@
         if (random.nextDouble() * roster.there().size() < ASKS_OF_ONE * gone.size()) { ping(gone.get(random.nextInt(gone.size())), 0, now); }
     }
 
-    /** A seed that is not held to be there is asked for as long as this process runs. */
+    /** Pings seeds that are not in the view, for as long as this process runs. */
     private void askSeed(double now) {
-        alone = roster.there().size() > 1 ? 0 : alone + 1;    // admitted by a seed that knew nobody, or cut off
+        alone = roster.there().size() > 1 ? 0 : alone + 1;    // admitted by a seed that knew nobody, or partitioned
         seedAt = now + (alone == 0 ? SEED_EVERY_MS : backoff(alone)) * (0.5 + random.nextDouble());
         List<InetSocketAddress> silent = seeds().stream().filter(at -> roster.there().stream().noneMatch(one -> one.who.at().equals(at))).toList();
         if (flaw == Flaw.NO_ASKING_THE_GONE) { return; }
@@ -361,7 +363,7 @@
         for (InetSocketAddress seed : asked.subList(0, Math.min(SEEDS_AT_ONCE, asked.size()))) { write(seed, fill(writer(Wire.Type.PING).probe(0, 0), now)); }
     }
 
-    // ---- news
+    // ---- gossip and updates
 
     private int limit() { return 3 * (int) Math.ceil(Math.log(roster.there().size() + 1.0)) + 3; }
 
@@ -391,7 +393,7 @@
         rumours.add(own, 0);
     }
 
-    /** Takes what is told of another, or of this one. */
+    /** Applies a received update about another member or about this one. */
     private Roster.Taken take(News news, double now) {
         if (news.who().name().equals(self.name())) {
             ofSelf(news, now);
@@ -409,7 +411,7 @@
         return taken;
     }
 
-    /** Whether this is one of the few who look for themselves once that one is suspected: those before it on the ring who may be there. */
+    /** Whether this ingress is one of the observers that probe the suspect themselves: its closest predecessors on the ring. */
     private boolean watches(Entry suspect) {
         int alive = 0;
         for (int steps = 1; steps <= 4 * WATCHERS && alive < WATCHERS; steps++) {
@@ -425,7 +427,7 @@
         return roster.take(news, now);
     }
 
-    /** Somebody says something of this name. */
+    /** Applies an update about this ingress's own name. */
     private void ofSelf(News news, double now) {
         if (phase == Phase.TAKEN) {
             Entry before = own;
@@ -442,7 +444,7 @@
             return;
         }
         if (news.life() == life) {
-            if (news.state() == State.LEFT) {        // final for this life, whoever said so: another one begins
+            if (news.state() == State.LEFT) {        // LEFT is final for an instance, so a new one starts
                 life = random.nextLong();
                 incarnation = born = Math.max(incarnation, news.incarnation()) + 1;
                 announce(now);
@@ -475,7 +477,7 @@
         }
     }
 
-    /** A later life of this name takes part: this one does not any more. */
+    /** Gives the name up to a later instance that takes part. */
     private void yieldTo(News later, double now) {
         world.wrong(new ViewError.Replaced(self.name(), text(later.who().at()), later.incarnation()));
         phase = Phase.TAKEN;
@@ -502,7 +504,7 @@
         joins++;
         joinAt = now + (phase == Phase.TAKEN ? JOIN_MOST_MS : backoff(joins)) * (0.6 + 0.8 * random.nextDouble());
         List<InetSocketAddress> seeds = new ArrayList<>(seeds());
-        // Whoever is known by now may be asked as well, where no seed answers.
+        // Members learned of meanwhile are asked too, in case no seed answers.
         for (Entry one : some(2, own)) { seeds.add(one.who.at()); }
         if (seeds.isEmpty()) { return; }
         if (phase == Phase.JOINING && joins == 12) {
@@ -515,7 +517,7 @@
 
     private static double backoff(int tries) { return Math.min(JOIN_MOST_MS, JOIN_LEAST_MS * Math.pow(1.25, Math.min(tries, 30))); }
 
-    /** Takes part, above whatever was known of the name. */
+    /** Becomes a member, with an incarnation greater than {@code above}, the highest known for the name. */
     private void enter(double now, long above) {
         if (above >= incarnation) { incarnation = above + 1; }
         born = incarnation;
@@ -539,12 +541,12 @@
         if (held != null && held == own && phase == Phase.IN) {
             claimed(m.from(), m.number());
         } else if (held != null && held.isThere() && held.life != m.from().life()) {
-            // Is it still there? The holder of the name may say so itself; else its silence, or another at its address, frees the name.
+            // The holder of the name can object itself; otherwise its silence, or another process at its address, frees the name.
             write(held.who.at(), writer(Wire.Type.CLAIMED).probe(m.number(), m.from().life()).one(m.from()));
             if (phase == Phase.IN) { probe(held, now); }
         }
         if (m.table() != roster.bucketsDigest()) { pages(m.from().who().at(), null, now); }
-        if (phase == Phase.JOINING && joinAt > now + JOIN_LEAST_MS) { joinAt = now + JOIN_LEAST_MS * random.nextDouble(); } // somebody is there
+        if (phase == Phase.JOINING && joinAt > now + JOIN_LEAST_MS) { joinAt = now + JOIN_LEAST_MS * random.nextDouble(); } // a peer responds
     }
 
     private void claimed(News by, int claim) {
@@ -566,7 +568,7 @@
 
     private void ping(Who at, long itsLife, double now) { write(at.at(), fill(writer(Wire.Type.PING).probe(0, itsLife), now)); }
 
-    /** Who holds the name says so itself. */
+    /** Handles the objection of the process that holds this name. */
     private void objected(Wire.Message m, double now) {
         if (phase != Phase.JOINING && phase != Phase.TAKEN || m.life() != life || !m.from().who().name().equals(self.name())) { return; }
         taken(m.from());
@@ -575,7 +577,7 @@
         joinAt = now + JOIN_MOST_MS * (0.8 + 0.4 * random.nextDouble());
     }
 
-    // ---- tables
+    // ---- table synchronisation
 
     private void pages(InetSocketAddress to, long[] theirs, double now) {
         long[] ours = roster.buckets();
@@ -583,7 +585,7 @@
         int pages = 0;
         boolean some = false;
         List<Entry> all = new ArrayList<>(roster.all());
-        Collections.rotate(all, random.nextInt(all.size() + 1)); // a table too long for one answer comes by several
+        Collections.rotate(all, random.nextInt(all.size() + 1)); // a random start, so that repeated replies cover a table too long for one
         for (Entry entry : all) {
             int bucket = Roster.bucket(entry.name);
             if (theirs != null && theirs[bucket] == ours[bucket] || entry == own && phase != Phase.IN) { continue; }
@@ -601,14 +603,14 @@
     private void compare(InetSocketAddress with, double now) {
         if (now < syncFrom || phase != Phase.IN) { return; }
         boolean calm = now - roster.changedMs() > SYNC_STILL_MS && rumours.size() < 32;
-        if (!calm && now - syncFrom < 2 * SYNC_EVERY_MS) { return; } // what differs may be on its way
+        if (!calm && now - syncFrom < 2 * SYNC_EVERY_MS) { return; } // the difference may still be in flight as gossip
         syncFrom = now + SYNC_EVERY_MS * (0.5 + random.nextDouble());
         write(with, writer(Wire.Type.SYNC).buckets(roster.buckets(), true));
     }
 
-    // ---- what comes
+    // ---- received messages
 
-    /** A body came, from wherever. */
+    /** Handles the body of a received datagram, from any sender. */
     public void heard(double now, byte[] body) {
         if (phase == Phase.LEFT) { return; }
         Wire.Message m;
@@ -618,15 +620,15 @@
             spoilt++;
             return;
         }
-        if (m.from().life() == life && m.from().who().name().equals(self.name())) { return; } // its own, come back
+        if (m.from().life() == life && m.from().who().name().equals(self.name())) { return; } // its own datagram, looped back
         Entry contradicted = m.taking() ? speaker(m, now) : null;
         for (News one : m.news()) { take(one, now); }
-        if (phase == Phase.JOINING && m.taking() && joinAt > now + JOIN_LEAST_MS) { joinAt = now + JOIN_LEAST_MS * random.nextDouble(); } // somebody is there
+        if (phase == Phase.JOINING && m.taking() && joinAt > now + JOIN_LEAST_MS) { joinAt = now + JOIN_LEAST_MS * random.nextDouble(); } // a peer responds
         if (phase != Phase.LEFT) { answer(m, contradicted, now); }
         dueAt = Math.min(dueAt, nextDue(now));
     }
 
-    /** Takes the speaker's own word of itself; gives what is held against it. */
+    /** Applies the sender's record of itself; returns the stored entry where it contradicts that record, else null. */
     private Entry speaker(Wire.Message m, double now) {
         Roster.Taken taken = take(m.from(), now);
         Entry entry = roster.get(m.from().who().name());
@@ -684,7 +686,7 @@
             if (m.from().life() == probe.life) {
                 answered(probe);
             } else if (m.from().who().equals(probe.target.who) && probe.target.life == probe.life && probe.target.isThere()) {
-                probes.remove(probe);                // its very address answers as another process: that life is over
+                probes.remove(probe);                // another process answers at its address, so that instance has ended
                 lose(probe.target, now, "replaced at its address");
             }
             return;
@@ -723,9 +725,9 @@
         world.send(to, body);
     }
 
-    // ---- the end
+    // ---- leaving
 
-    /** Says that it leaves, to as many as it takes for all to hear of it, and is silent from now on. */
+    /** Announces LEFT to enough members for gossip to reach all, and sends nothing more. */
     public void leave(double now) {
         if (phase == Phase.IN) {
             roster.set(news(State.LEFT), now);
@@ -739,37 +741,37 @@
         dueAt = Double.POSITIVE_INFINITY;
     }
 
-    // ---- what can be seen
+    // ---- state for readers
 
     public Phase phase() { return phase; }
 
-    /** The number that this process has drawn. */
+    /** Returns the random id that this process has drawn. */
     public long life() { return life; }
 
     public void follow(Consumer<View.Change> follower) { settled.follow(follower); }
 
-    /** This ingress as the others see it; GONE while another holds its name. */
+    /** Returns this ingress as the others see it; GONE while another process holds its name. */
     public View.Member self() {
         return new View.Member(self.name(), self.hall(), self.at(), incarnation,
                 phase == Phase.LEFT ? State.LEFT : phase == Phase.TAKEN ? State.GONE : State.ALIVE);
     }
 
-    /** What is held of a name; null where nothing is. */
+    /** Returns the member of that name in any state; null for an unknown name. */
     public View.Member member(String name) {
         Entry entry = roster.get(name);
         return entry == null ? null : entry.member();
     }
 
-    /** The life of the process that holds a name, as it is known here; 0 for an unknown name. */
+    /** Returns the instance id of the process known to hold a name; 0 for an unknown name. */
     public long life(String name) {
         Entry entry = roster.get(name);
         return entry == null ? 0 : entry.life;
     }
 
-    /** Of name, address and process of all who are there. */
+    /** Returns the digest over name, address and instance of all active members. */
     public long digest() { return roster.digest(); }
 
-    /** When that last changed here. */
+    /** Returns the time at which {@link #digest} last changed here. */
     public double changedMs() { return roster.changedMs(); }
 
     public int size() { return roster.there().size(); }
@@ -791,17 +793,17 @@
         return picture;
     }
 
-    /** All that is remembered, for the lab: name, life, incarnation and state of each. */
+    /** Visits every remembered member in any state; for the lab. */
     public void each(Seen seen) {
         for (Entry entry : roster.all()) { seen.seen(entry.name, entry.life, entry.incarnation, entry.state); }
     }
 
-    /** One that is remembered. */
+    /** Receives one remembered member. */
     public interface Seen {
         void seen(String name, long life, long incarnation, State state);
     }
 
-    /** Lines for an operator, each ended: a head, then a member a line. */
+    /** Returns the report of the call {@code members}: a header line, then a line for each member. */
     public String report(double now) {
         View.Picture all = picture(now);
         StringBuilder out = new StringBuilder(256);
@@ -821,7 +823,7 @@
         return out.toString();
     }
 
-    /** Names and values for the counters line. */
+    /** Returns {@code name=value} pairs for the counters line. */
     public String line() {
         long all = 0;
         for (long one : sent) { all += one; }
--- a/src/main/java/yardusher/view/Roster.java
+++ b/src/main/java/yardusher/view/Roster.java
@@ -11,31 +11,32 @@
 import yardusher.view.View.State;
 
 /**
- * All members that are known, and the one rule by which news of them is taken or not. The rule is an order: a later life goes
- * before an earlier one, within a life a higher incarnation before a lower one, within an incarnation LEFT before GONE before
- * SUSPECT before ALIVE. So whoever has heard the same news in any order holds the same. A name's incarnation never
- * falls here, and what LEFT or was replaced by a later life is never there again. The gone are bounded in number and time.
+ * The table of all known members, and the rule that decides whether an update is applied. Updates of a name are ordered: a later
+ * instance supersedes an earlier one; within an instance a higher incarnation supersedes a lower one; within an incarnation
+ * LEFT supersedes GONE, GONE supersedes SUSPECT, and SUSPECT supersedes ALIVE. So tables that received the same updates are equal,
+ * whatever the order of arrival. A name's incarnation never decreases here, and an instance that LEFT or was replaced by a
+ * later one never becomes active again. GONE and LEFT members are bounded in number and age.
  */
 final class Roster {
-    /** What became of news. */
+    /** The result of merging an update. */
     enum Taken {
-        /** It said nothing new. */
+        /** The update contains nothing new. */
         KNOWN,
-        /** It is held now, and worth passing on. */
+        /** The update was applied and should be gossiped. */
         NEW,
-        /** What is held here goes before it; whom it is about has not heard that yet. */
+        /** The stored record supersedes the update; the member concerned has not heard of that record yet. */
         OUTDATED,
-        /** It is not to be believed. */
+        /** The update is not plausible, or the table is full. */
         REFUSED
     }
 
-    /** Buckets of the digests by which two tables are compared. */
+    /** Number of buckets by whose digests two tables are compared. */
     static final int BUCKETS = 64;
-    /** Incarnations begin with a second of Unix time and go up by ones. Danger: what is above is made up, and nobody could go above it. */
+    /** Incarnations start at Unix time in seconds and go up by ones. One above this bound is forged, and nobody could supersede it. */
     static final long MOST_INCARNATION = 1L << 40;
-    /** A known name's incarnation goes up by no more at once: a process that restarts with its clock a century ahead still fits. */
+    /** Largest accepted step of a known name's incarnation; a process that restarts with its clock a century ahead is still within it. */
     static final long MOST_JUMP = 1L << 32;
-    /** Names at the most; news of others is refused. */
+    /** Maximum number of names; updates of further names are refused. */
     static final int MOST_MEMBERS = 10_000;
     private static final int LEAST_REMEMBERED = 256;
     private static final int MOST_ACCUSERS = 4;
@@ -44,8 +45,8 @@
     private final double rememberMs;
     private final Membership.World world;
     private final Map<String, Entry> all = new HashMap<>();
-    private final List<Entry> ring = new ArrayList<>();       // who is there, by place
-    private final List<Entry> gone = new ArrayList<>();       // in no order
+    private final List<Entry> ring = new ArrayList<>();       // active members by ring position
+    private final List<Entry> gone = new ArrayList<>();       // unordered
     private final List<Entry> suspects = new ArrayList<>();
     private final long[] buckets = new long[BUCKETS];
     private long digest;
@@ -67,7 +68,7 @@
 
     Collection<Entry> all() { return all.values(); }
 
-    /** Who is ALIVE or SUSPECT, in the order of the ring. Not to be changed. */
+    /** Returns the ALIVE and SUSPECT members in ring order. Callers must not modify the list. */
     List<Entry> there() { return ring; }
 
     List<Entry> gone() { return gone; }
@@ -76,16 +77,16 @@
 
     int left() { return left; }
 
-    /** Of name, address and life of who is there. */
+    /** Returns the digest over name, address and instance of the active members. */
     long digest() { return digest; }
 
-    /** When that last changed. */
+    /** Returns the time at which {@link #digest} last changed. */
     double changedMs() { return changedMs; }
 
-    /** Goes up with each change of any member. */
+    /** Returns a number that grows with each change of any entry. */
     long version() { return version; }
 
-    /** Of all that is remembered, by bucket. */
+    /** Returns the digest of each bucket, over all entries in any state. */
     long[] buckets() { return buckets.clone(); }
 
     long bucketsDigest() {
@@ -99,10 +100,10 @@
 
     static int bucket(String name) { return (int) (hash(name) >>> 58); }
 
-    /** Where a name stands on the ring, the same at all members. */
+    /** Returns the position of a name on the ring, the same at all members. */
     static long hash(String name) { return LongHashFunction.xx3().hashChars(name); }
 
-    /** Takes news of another member, or of this one's own name where another life holds it. */
+    /** Merges an update of another member, or of this ingress's own name while another instance holds it. */
     Taken take(News news, double now) {
         Entry held = all.get(news.who().name());
         if (news.incarnation() > MOST_INCARNATION || held != null && news.incarnation() > held.incarnation + MOST_JUMP) { return Taken.REFUSED; }
@@ -117,7 +118,7 @@
             put(held, news, now);
             return Taken.NEW;
         }
-        if (held.state == State.LEFT || news.state() == State.LEFT) { // who left has left, whatever is said of it beside
+        if (held.state == State.LEFT || news.state() == State.LEFT) { // LEFT is final for an instance, whatever the incarnation
             long incarnation = Math.max(held.incarnation, news.incarnation());
             if (held.state == State.LEFT && incarnation == held.incarnation) { return news.state() == State.LEFT ? Taken.KNOWN : Taken.OUTDATED; }
             put(held, new News(news.who(), news.life(), news.born(), incarnation, State.LEFT, News.NOBODY, news.ageS()), now);
@@ -135,7 +136,7 @@
         return Taken.NEW;
     }
 
-    /** One more found it silent. Whether that is news. */
+    /** Records that one more member found this one silent; whether that changes the entry. */
     boolean accuse(Entry entry, int accuser, double now) {
         if (entry.state == State.SUSPECT) { return confirm(entry, new int[] {accuser}); }
         if (entry.state != State.ALIVE) { return false; }
@@ -155,19 +156,19 @@
         return more;
     }
 
-    /** It was silent for as long as suspicion lasts. */
+    /** Marks as GONE a member whose suspicion has expired, or whose process is known to have ended. */
     void lose(Entry entry, double now) {
         News news = entry.news(now);
         put(entry, new News(news.who(), news.life(), news.born(), news.incarnation(), State.GONE, News.NOBODY, 0), now);
     }
 
-    /** This ingress itself is there, or leaves, or gives its name up; no rule is asked. */
+    /** Stores a record of this ingress's own name without applying the merge rule: it joins, leaves or gives the name up. */
     void set(News self, double now) {
         Entry held = all.get(self.who().name());
         put(held != null ? held : new Entry(self.who().name(), hash(self.who().name())), self, now);
     }
 
-    /** Nothing is held of that name any more. */
+    /** Removes the entry. */
     void drop(Entry entry, double now) {
         if (entry.isThere()) { changedMs = now; }
         out(entry);
@@ -232,19 +233,19 @@
         return -from - 1;
     }
 
-    /** Who stands so many steps after one who is there; before it where they are negative. The ring is closed. */
+    /** Returns the active member {@code steps} positions after the entry, or before it if negative; the ring wraps around. */
     Entry after(Entry entry, int steps) {
         int at = index(entry);
         int size = ring.size();
         return ring.get(Math.floorMod(at >= 0 ? at + steps : -at - 1 + steps - 1, size));
     }
 
-    /** Not the incarnation: who was suspected and said that it is there is still the same process, and the picture the same. */
+    /** Leaves the incarnation out: a member that refuted a suspicion is still the same process, and the view is unchanged. */
     private static long seen(Entry entry) {
         return mix(mix(mix(entry.place, address(entry.who.at())), entry.born), entry.life);
     }
 
-    /** SUSPECT counts as ALIVE: suspicion ends by itself, and tables that differ in it need not be compared. */
+    /** SUSPECT counts as ALIVE: a suspicion ends by itself, so tables that differ only in it need no synchronisation. */
     private static long sum(Entry entry) {
         return mix(mix(mix(entry.place, entry.life), entry.incarnation), entry.isThere() ? 1 : entry.state.ordinal());
     }
@@ -257,7 +258,7 @@
         return x ^ (x >>> 31);
     }
 
-    /** Forgets the gone whose time is over, and the longest gone where there are too many. */
+    /** Removes inactive entries that have expired, and the oldest ones beyond the maximum number. */
     void forget(double now) {
         int room = Math.max(LEAST_REMEMBERED, 4 * mostThere);
         List<Entry> away = null;
--- a/src/main/java/yardusher/view/Rumours.java
+++ b/src/main/java/yardusher/view/Rumours.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** News that is still passed on: what was told the fewest times goes first, and what was told often enough goes out of the line. */
+/** The queue of updates that are still gossiped: least transmitted first; an update is dropped after enough transmissions. */
 final class Rumours {
     private record Waiting(Entry entry, long queued) { }
 
@@ -16,7 +16,7 @@
 
     int size() { return size; }
 
-    /** Puts a member's news in line as if it had been told so many times. */
+    /** Queues the entry's update as if it had been transmitted that many times already. */
     void add(Entry entry, int told) {
         if (entry.queued == 0) { size++; }
         entry.told = told;
@@ -24,7 +24,7 @@
         line(told).add(new Waiting(entry, entry.queued));
     }
 
-    /** Its news is told no further. */
+    /** Stops gossiping the entry's update. */
     void remove(Entry entry) {
         if (entry.queued != 0) { size--; }
         entry.queued = 0;
@@ -35,17 +35,20 @@
         return byTold.get(told);
     }
 
-    /** The news that goes next; {@code most} tellings end it. Null for none. It has to be told: it counts as told now. */
+    /**
+     * Takes the next update and counts it as transmitted, so the caller has to send it; null if there is none.
+     * An update is dropped after {@code most} transmissions; items queued after the mark {@code before} are left.
+     */
     Entry next(int most, long before) {
         for (int told = 0; told < byTold.size(); told++) {
             ArrayDeque<Waiting> line = byTold.get(told);
             for (Waiting first; (first = line.peek()) != null;) {
                 Entry entry = first.entry();
                 if (entry.queued != first.queued() || entry.told != told) {
-                    line.poll();                     // newer news of it stands elsewhere
+                    line.poll();                     // superseded by a newer item of this entry
                     continue;
                 }
-                if (entry.queued > before) { break; } // it is in this datagram already
+                if (entry.queued > before) { break; } // already in this datagram
                 line.poll();
                 if (told + 1 >= most) { remove(entry); } else { add(entry, told + 1); }
                 return entry;
@@ -54,6 +57,6 @@
         return null;
     }
 
-    /** What {@link #next} is given so that no news comes twice into one datagram. */
+    /** Returns the mark with which {@link #next} puts no update twice into one datagram. */
     long mark() { return queued; }
 }
--- a/src/main/java/yardusher/view/Settled.java
+++ b/src/main/java/yardusher/view/Settled.java
@@ -9,12 +9,13 @@
 import java.util.function.DoubleFunction;
 
 /**
- * When the picture is told on: once it has stood still for so long and nobody in it is suspected by two or more, so that a
- * hall that dies is one change; and whatever it does, no later than {@code mostMs} after it began to change.
+ * Reports changes of the view to listeners in batches: once the view has been stable for the settling time and no member is suspected
+ * by two or more others, so that the failure of a data hall is one change; but at most {@code maxDelayMs} after the first
+ * unreported change.
  */
 final class Settled {
     private static final double LEAST_MOST_MS = 3000;
-    private static final int SERIOUS = 2;            // accusers: one alone may have lost its datagrams
+    private static final int SERIOUS = 2;            // a single accuser may merely have lost datagrams
 
     private record Told(View.Member member, long life) { }
 
@@ -24,7 +25,7 @@
     private final List<Consumer<View.Change>> followers = new ArrayList<>();
     private Map<String, Told> told = new HashMap<>();
     private long toldDigest;
-    private double sinceMs = Double.POSITIVE_INFINITY;       // of the first change that was not told
+    private double sinceMs = Double.POSITIVE_INFINITY;       // time of the first unreported change
 
     Settled(Roster roster, double stillMs) {
         this.roster = roster;
@@ -34,7 +35,7 @@
 
     void follow(Consumer<View.Change> follower) { followers.add(follower); }
 
-    /** When it has to be looked at again; infinity where all is told. */
+    /** Returns when {@link #notifyIfSettled} is due; infinity if everything is reported. */
     double next(double now) {
         if (roster.digest() == toldDigest) {
             sinceMs = Double.POSITIVE_INFINITY;
@@ -45,7 +46,7 @@
         return roster.suspects().stream().anyMatch(one -> one.accusers.length >= SERIOUS) ? last : Math.min(last, roster.changedMs() + stillMs);
     }
 
-    /** Tells what has settled, if it has. */
+    /** Reports the change to the listeners if the view has settled. */
     void look(double now, DoubleFunction<View.Picture> picture) {
         if (next(now) > now) { return; }
         toldDigest = roster.digest();
@@ -63,7 +64,7 @@
         }
         for (Told one : told.values()) { gone.add(one.member); }
         told = next;
-        if (came.isEmpty() && gone.isEmpty()) { return; }    // refuted, or back again before it was told
+        if (came.isEmpty() && gone.isEmpty()) { return; }    // refuted, or back before it was reported
         came.sort(Comparator.comparing(View.Member::name));
         gone.sort(Comparator.comparing(View.Member::name));
         View.Change change = new View.Change(picture.apply(now), List.copyOf(came), List.copyOf(gone));
--- a/src/main/java/yardusher/view/Suspicion.java
+++ b/src/main/java/yardusher/view/Suspicion.java
@@ -1,9 +1,9 @@
 package yardusher.view;
 
 /**
- * How long a silent member has, to be heard again, before it is gone. Least: {@code suspicion} rounds of probes, more with the
- * logarithm of the installation's size above a hundred. Without anyone's confirmation three times that; each independent
- * one brings it down, and three bring it to the least (Lifeguard).
+ * How long a suspected member has to refute the suspicion before it is declared GONE. The minimum is {@code suspicionRounds} probe
+ * rounds, scaled by the logarithm of the fleet's size above a hundred members. Without confirmations it is three times the
+ * minimum; each independent confirmation shortens it, and three bring it down to the minimum (Lifeguard).
  */
 final class Suspicion {
     private static final int CONFIRMATIONS = 3;
@@ -11,7 +11,10 @@
 
     private Suspicion() { }
 
-    /** In ms; {@code accusers} found it silent, of so many that are there; {@code factor} is the asker's own health's. */
+    /**
+     * Returns the duration in ms. {@code accusers}: members that found it silent, out of {@code activeMembers};
+     * {@code factor}: from this member's own health.
+     */
     static double lasts(double roundMs, int suspicion, int there, int accusers, double factor) {
         double least = suspicion * roundMs * Math.max(1, Math.log10(Math.max(1, there)) / 2) * factor;
         int wanted = Math.min(CONFIRMATIONS, there - 2);
--- a/src/main/java/yardusher/view/View.java
+++ b/src/main/java/yardusher/view/View.java
@@ -5,45 +5,45 @@
 import java.util.function.Consumer;
 
 /**
- * Which ingresses of the installation this one holds to be there. Every ingress keeps a view of its own; nobody leads, no
- * majority is asked, and no two views are promised to be the same at any instant. In turns only.
+ * The membership view: which ingresses of the installation this one considers active. Every ingress keeps its own view by gossip,
+ * without a leader or a quorum, and two views may differ at any instant. To be used on the event loop only.
  */
 public interface View {
-    /** What is held of a member. GONE: silent for longer than suspicion lasts; LEFT: it said so. */
+    /** The state of a member. GONE: it stayed silent until its suspicion expired; LEFT: it announced its departure. */
     enum State { ALIVE, SUSPECT, GONE, LEFT }
 
     /**
-     * A member as it is seen here. {@code incarnation} only grows over the lives of a name; {@code hall} is its zone's
-     * name; {@code at} is its address in the mesh.
+     * A member as seen by this ingress. {@code incarnation} only grows over the successive processes of a name; {@code hall} is the
+     * name of its zone (data hall); {@code address} is its address in the mesh.
      */
     record Member(String name, String hall, InetSocketAddress at, long incarnation, State state) { }
 
     /**
-     * All members that are ALIVE or SUSPECT, this one among them, in the order of their names. {@code digest} is the same
-     * where names, addresses and processes are (a process that was suspected and said that it is there has a higher incarnation and
-     * is the same); {@code stillSinceMs} is when it last changed here, on the clock of the
-     * loop; {@code same} of the {@code asked} members heard of lately hold this digest.
+     * All ALIVE and SUSPECT members, including this one, sorted by name. Digests are equal where names, addresses and processes
+     * are equal (a process that refuted a suspicion has a higher incarnation but is the same process). {@code unchangedSinceMs} is
+     * when the digest last changed here, on the event loop's clock. {@code agreeing} of the {@code polled} members that were
+     * heard from recently report the same digest.
      */
     record Picture(List<Member> members, long digest, double stillSinceMs, int same, int asked) { }
 
-    /** What changed between two settled pictures, in one batch. */
+    /** The difference between two settled snapshots, as one batch. */
     record Change(Picture now, List<Member> came, List<Member> gone) { }
 
-    /** This ingress as the others see it. */
+    /** Returns this ingress as the others see it. */
     Member self();
 
-    /** The picture at this moment, settled or not. */
+    /** Returns the current snapshot, settled or not. */
     Picture picture();
 
-    /** A member of any state that is remembered; null for an unknown name. */
+    /** Returns a remembered member in any state; null for an unknown name. */
     Member member(String name);
 
     /**
-     * The process that holds a name, by the number that it drew at its start: it differs between two lives of a name, and stays
-     * where an incarnation went up because the member was suspected. 0 for an unknown name.
+     * Returns the id that the process holding a name drew at its start. It differs between two processes of one name, and stays the
+     * same when the incarnation goes up to refute a suspicion. 0 for an unknown name.
      */
     default long life(String name) { return 0; }
 
-    /** Told of each change after it has settled; never a promise that others see the same. */
+    /** Adds a listener for settled changes; other ingresses need not see the same change. */
     void follow(Consumer<Change> follower);
 }
--- a/src/main/java/yardusher/view/ViewSettings.java
+++ b/src/main/java/yardusher/view/ViewSettings.java
@@ -8,11 +8,12 @@
 import yardusher.net.Sockets;
 
 /**
- * What deploy/yardusher.toml says in its table {@code view}. {@code listen} is the port of the mesh, {@code advertise} where the
- * others reach it, null for the port itself; {@code installation} is the same at all ingresses of one; {@code seeds} are where a
- * few of them are found at the start. {@code probeMs} is one round of probes, {@code suspicion} the least rounds that a silent
- * member has to be heard again in, {@code rememberS} how long the gone are remembered and asked for, {@code settleMs} how
- * long a picture has to stand still before it is told on; {@code hall} is this one's, null for its zone's name.
+ * The table {@code view} of deploy/yardusher.toml. {@code listen} is the address of the mesh's socket; {@code advertise} is the
+ * address at which the others reach it, null for the socket's own; {@code installation} is the same at all ingresses of an
+ * installation; {@code seeds} are addresses of a few of them, used to join. {@code probeMs} is the length of a probe round;
+ * {@code suspicionRounds} the minimum number of rounds that a silent member has to refute a suspicion; {@code rememberS} how long GONE
+ * members are remembered and probed; {@code settleMs} how long the view has to be stable before a change is reported;
+ * {@code hall} is the data hall of this ingress, null for its zone's name.
  */
 public record ViewSettings(InetSocketAddress listen, InetSocketAddress advertise, String installation, List<InetSocketAddress> seeds,
         int probeMs, int suspicion, int rememberS, int settleMs, String hall) {
@@ -23,12 +24,12 @@
     private static final int SETTLE_MS = 300;
     private static final int MOST_SEEDS = 64;
 
-    /** With the defaults for all else. */
+    /** Creates settings with defaults for everything else. */
     public ViewSettings(InetSocketAddress listen, String installation, List<InetSocketAddress> seeds) {
         this(listen, null, installation, seeds, PROBE_MS, SUSPICION, REMEMBER_S, SETTLE_MS, null);
     }
 
-    /** Reads the table; a {@link ConfigError} names the key and what is allowed. Null where it is left out. */
+    /** Reads the table, null if it is absent; a {@link ConfigError} names the key and the allowed values. */
     public static ViewSettings of(Toml file) {
         Toml table = file.table("view");
         if (table == null) { return null; }
@@ -38,11 +39,11 @@
         String hall = table.text("hall", null);
         if (hall != null && !Wire.isHall(hall)) { throw bad("hall", "1 to " + Wire.MOST_HALL + " visible characters"); }
         List<InetSocketAddress> seeds = table.texts("seeds").stream().map(text -> address("seeds", text)).toList();
-        if (seeds.size() > MOST_SEEDS) { throw bad("seeds", MOST_SEEDS + " addresses at the most"); }
+        if (seeds.size() > MOST_SEEDS) { throw bad("seeds", MOST_SEEDS + " addresses at most"); }
         String advertise = table.text("advertise", null);
         InetSocketAddress listen = address("listen", table.text("listen"));
         if (advertise == null && listen.getAddress().isAnyLocalAddress()) {
-            throw bad("advertise", "an address that the others reach, since view.listen names none");
+            throw bad("advertise", "an address at which the others reach this ingress, since view.listen is a wildcard");
         }
         return new ViewSettings(listen, advertise == null ? null : address("advertise", advertise), installation, seeds,
                 table.whole("probe_ms", PROBE_MS, 50, 60_000), table.whole("suspicion", SUSPICION, 2, 100), table.whole("remember_s", REMEMBER_S, 1, 86_400),
@@ -53,8 +54,8 @@
         try {
             InetSocketAddress at = Sockets.address(text);
             if (key.equals("listen") || at.getPort() != 0 && !at.getAddress().isAnyLocalAddress()) { return at; }
-        } catch (ConfigError e) { /* told below, with the key */ }
-        throw bad(key, "an address in digits and a port, as 127.0.0.4:7946, not " + text);
+        } catch (ConfigError e) { /* reported below, with the key */ }
+        throw bad(key, "an address in digits and a port, such as 127.0.0.4:7946, not " + text);
     }
 
     private static ConfigError bad(String key, String allowed) { return new ConfigError.Value(null, "view." + key, allowed); }
--- a/src/main/java/yardusher/view/ViewSubsystem.java
+++ b/src/main/java/yardusher/view/ViewSubsystem.java
@@ -14,7 +14,7 @@
 import yardusher.settings.Settings;
 import yardusher.subsystem.Subsystem;
 
-/** The view in the program: it opens the mesh, gives each datagram and timer a turn, and leaves in order at the end. */
+/** Runs {@link Membership} on the event loop: opens the mesh, passes it datagrams and timers, and announces the departure on close. */
 public final class ViewSubsystem implements Subsystem, View {
     private final ViewSettings settings;
     private final EventLoop loop;
@@ -25,15 +25,15 @@
     private double timerAt = Double.POSITIVE_INFINITY;
     private boolean begun;
 
-    /** {@code hall}: the name of this ingress's zone, which the settings may override. Loads and opens nothing yet. */
+    /** {@code hall}: the name of this ingress's zone, unless the settings override it. Opens no socket; {@link #start} does. */
     public ViewSubsystem(ViewSettings settings, String name, String hall, long seed, EventLoop loop, Events events) {
-        if (!Wire.isName(name)) { throw new ConfigError.Value(null, "name", "1 to 64 letters, digits, dots, underscores or dashes where the view is on, not " + name); }
+        if (!Wire.isName(name)) { throw new ConfigError.Value(null, "name", "1 to 64 letters, digits, dots, underscores or dashes if the view is enabled, not " + name); }
         this.settings = settings;
         this.loop = loop;
         this.events = events;
         mesh = new DatagramMesh(settings.listen(), settings.installation(), loop);
         String stands = settings.hall() != null ? settings.hall() : Wire.isHall(hall) ? hall : "-";
-        // Two processes of one configuration have one seed; what they draw has to differ all the same.
+        // Two processes with the same configuration have the same seed, but must draw different random numbers.
         membership = new Membership(settings, name, stands, settings.listen(), seed ^ System.nanoTime() ^ ProcessHandle.current().pid() << 40, loop.now(), new World());
         membership.follow(this::tell);
     }
@@ -100,7 +100,7 @@
     @Override
     public String report(String call) { return call.equals("members") ? membership.report(loop.now()) : null; }
 
-    /** Until here others may count on it: what it held is handed over before. */
+    /** Leaves last: other subsystems have handed over their state by now, and peers could rely on this member until here. */
     @Override
     public void close() {
         if (begun) { membership.leave(loop.now()); }
--- a/src/main/java/yardusher/view/Who.java
+++ b/src/main/java/yardusher/view/Who.java
@@ -2,5 +2,5 @@
 
 import java.net.InetSocketAddress;
 
-/** What an ingress is called, the hall it stands in, and where the others reach it. */
+/** Name, data hall and mesh address of an ingress. */
 record Who(String name, String hall, InetSocketAddress at) { }
--- a/src/main/java/yardusher/view/Wire.java
+++ b/src/main/java/yardusher/view/Wire.java
@@ -13,33 +13,34 @@
 import yardusher.mesh.Mesh;
 
 /**
- * The bodies of the view's datagrams. Each begins with its type, who speaks and the digests of what that one holds; then
- * what the type needs; then news, as many as fit. Whole numbers are bare or in groups of seven bits, texts have their length before.
+ * Encodes and decodes the bodies of the view's datagrams. Each starts with the type, the sender's record and the digests of the
+ * sender's state; then come the fields of the type; then as many updates as fit. Integers have a fixed width or are varints of
+ * seven bits a byte; strings are preceded by their length.
  */
 final class Wire {
-    /** What a datagram asks or tells. */
+    /** The message types; encoded by ordinal. */
     enum Type {
-        /** Are you there, and of that life? */
+        /** Asks whether the receiver is alive, and is the given instance. */
         PING,
-        /** I am. */
+        /** Answers a PING. */
         ACK,
-        /** Ask that one for me. */
+        /** Asks a helper to ping a member on the sender's behalf. */
         ASK,
-        /** It answered me. */
+        /** The helper's report that the member answered. */
         HEARD,
-        /** It did not answer me yet, but I am here myself. */
+        /** The helper's report that the member has not answered yet; it shows that the helper itself is alive. */
         UNHEARD,
-        /** News alone. */
+        /** Carries updates only. */
         GOSSIP,
-        /** These are the digests of my table; tell me where yours differs. */
+        /** Carries the sender's bucket digests and asks for the entries of buckets that differ. */
         SYNC,
-        /** I would like to take part under this name. */
+        /** Asks for admission under the sender's name. */
         JOIN,
-        /** You may, or this is who holds the name. */
+        /** Answers a JOIN, with the record held of the name, if any. */
         WELCOME,
-        /** Somebody else would like to have your name. */
+        /** Tells the holder of a name that another process claims it. */
         CLAIMED,
-        /** I hold that name, and I am here. */
+        /** The holder's objection to a claim of its name. */
         MINE
     }
 
@@ -50,16 +51,16 @@
     private static final int MOST_ACCUSERS = 4;
 
     /**
-     * One datagram. {@code taking}: the speaker takes part, else it only would like to. {@code number} is of the probe or the
-     * claim; {@code life} is the probed one's, 0 for any; {@code one} is whom it is about, or null; {@code buckets} are a SYNC's;
-     * {@code again} says that a SYNC wants one in return.
+     * One decoded datagram. {@code participating}: whether the sender is a member, rather than still joining. {@code sequence} is
+     * that of the probe or the claim; {@code instanceId} is that of the probed process, 0 for any; {@code subject} is the member
+     * it is about, or null; {@code buckets} are the digests of a SYNC; {@code replyRequested}: whether a SYNC asks for one in return.
      */
     record Message(Type type, News from, boolean taking, long digest, long table, int number, long life, News one, long[] buckets,
             boolean again, List<News> news) { }
 
     private final UnaryOperator<Who> known;
 
-    /** {@code known} may give an equal one that is there already. */
+    /** {@code interner} may replace a decoded identity by an equal existing one. */
     Wire(UnaryOperator<Who> known) { this.known = known; }
 
     static boolean isName(String name) {
@@ -75,7 +76,7 @@
         return !hall.isEmpty() && hall.length() <= MOST_HALL && hall.chars().allMatch(c -> c > ' ' && c <= '~');
     }
 
-    /** Writes one datagram; news is added to it as long as it fits. */
+    /** Encodes one datagram; updates are appended while they fit. */
     static final class Writer {
         private final ByteBuffer out = ByteBuffer.allocate(Mesh.MOST_BODY);
 
@@ -102,14 +103,14 @@
             return this;
         }
 
-        /** Whether it fitted. */
+        /** Appends the update if it fits; whether it did. */
         boolean add(News news) {
             if (out.remaining() < size(news)) { return false; }
             put(out, news);
             return true;
         }
 
-        /** Whether the longest news surely fits. */
+        /** Whether that many bytes are left. */
         boolean hasRoom(int bytes) { return out.remaining() >= bytes; }
 
         byte[] body() { return java.util.Arrays.copyOf(out.array(), out.position()); }
@@ -147,7 +148,7 @@
         out.put((byte) rest);
     }
 
-    /** Reads a datagram; a {@link ViewError.Message} says what is wrong with it. */
+    /** Decodes a datagram; throws a {@link ViewError.Message} that says what is wrong with it. */
     Message read(byte[] body) {
         try {
             ByteBuffer in = ByteBuffer.wrap(body);
@@ -172,7 +173,7 @@
                     number = in.getInt();
                     life = in.getLong();
                     one = in.get() == 0 ? null : news(in);
-                    if (one == null && type != Type.WELCOME) { throw new ViewError.Message(null, "names nobody"); }
+                    if (one == null && type != Type.WELCOME) { throw new ViewError.Message(null, "names no member"); }
                 }
                 case SYNC -> {
                     buckets = new long[Roster.BUCKETS];
@@ -192,8 +193,8 @@
     private News news(ByteBuffer in) {
         String name = text(in);
         String hall = text(in);
-        if (!isName(name)) { throw new ViewError.Message(null, "a name that cannot be"); }
-        if (!isHall(hall)) { throw new ViewError.Message(null, "a hall that cannot be"); }
+        if (!isName(name)) { throw new ViewError.Message(null, "invalid name"); }
+        if (!isHall(hall)) { throw new ViewError.Message(null, "invalid hall"); }
         int length = in.get();
         if (length != 4 && length != 16) { throw new ViewError.Message(null, "an address of " + length + " bytes"); }
         byte[] address = new byte[length];
@@ -202,16 +203,16 @@
         Who who;
         try {
             InetAddress at = InetAddress.getByAddress(address);
-            if (port == 0 || at.isAnyLocalAddress() || at.isMulticastAddress()) { throw new ViewError.Message(null, "an address that cannot be"); }
+            if (port == 0 || at.isAnyLocalAddress() || at.isMulticastAddress()) { throw new ViewError.Message(null, "invalid address"); }
             who = known.apply(new Who(name, hall, new InetSocketAddress(at, port)));
         } catch (UnknownHostException e) {
-            throw new ViewError.Message(null, "an address that cannot be");
+            throw new ViewError.Message(null, "invalid address");
         }
         long life = in.getLong();
         long born = whole(in);
         long incarnation = born + whole(in);
         int state = in.get();
-        if (born < 0 || incarnation < born) { throw new ViewError.Message(null, "an incarnation that cannot be"); }
+        if (born < 0 || incarnation < born) { throw new ViewError.Message(null, "invalid incarnation"); }
         if (state < 0 || state >= STATES.length) { throw new ViewError.Message(null, "unknown state " + state); }
         int[] accusers = News.NOBODY;
         long age = 0;
@@ -239,6 +240,6 @@
             value |= (long) (next & 127) << shift;
             if (next >= 0) { return value; }
         }
-        throw new ViewError.Message(null, "a whole number that is too long");
+        throw new ViewError.Message(null, "integer longer than 63 bits");
     }
 }
