--- a/src/main/java/yardusher/rates/Met.java
+++ b/src/main/java/yardusher/rates/Met.java
@@ -1,7 +1,8 @@
 package yardusher.rates;
 
 /**
- * What this ingress, which a customer's reports meet at, was told of it: a sum that fades, and since when. Times in ms.
+ * The demand of one customer as estimated by its aggregator, the ingress that receives its reports: an exponentially decaying sum of
+ * reported units. Times are in ms.
  */
 final class Met {
     final long customer;
@@ -24,7 +25,7 @@
 
     private double faded(double now, double horizonMs) { return sum * Math.exp((at - now) / horizonMs); }
 
-    /** Units a second; 0 while too little of the horizon has passed to tell. */
+    /** Returns the demand in units a second; 0 during the first half horizon, when there is too little history. */
     double perS(double now, double horizonMs) {
         double passed = now - since;
         return passed < horizonMs / 2 ? 0 : faded(now, horizonMs) / horizonMs * 1000 / -Math.expm1(-passed / horizonMs);
--- a/src/main/java/yardusher/rates/RateSettings.java
+++ b/src/main/java/yardusher/rates/RateSettings.java
@@ -4,14 +4,14 @@
 import yardusher.file.Toml;
 
 /**
- * What deploy/yardusher.toml says in its table {@code rates}. {@code bytesPerS}: sent for rates in a second, with the heads of the
- * datagrams; {@code from}: ingresses of the narrowest set whose counts are told as rates in place of rows; {@code horizonS}: seconds over which what
- * a customer is asked is taken together, at the least.
+ * The table {@code rates} of deploy/yardusher.toml. {@code bytesPerS} is the sending budget in bytes a second, including datagram
+ * headers. {@code minSetSize} is the smallest number of ingresses in a customer's set from which its demand is shared as rates instead
+ * of counts. {@code horizonS} is the minimum averaging time of demand, in seconds.
  */
 public record RateSettings(int bytesPerS, int from, int horizonS) {
     private static final Set<String> KEYS = Set.of("bytes_per_s", "from", "horizon_s");
 
-    /** Reads the table; a {@link yardusher.error.ConfigError} names the key and what is allowed. Null where it is left out. */
+    /** Reads the table, null if it is absent; a {@link yardusher.error.ConfigError} names the key and the allowed values. */
     public static RateSettings of(Toml file) {
         Toml table = file.table("rates");
         if (table == null) { return null; }
--- a/src/main/java/yardusher/rates/RateText.java
+++ b/src/main/java/yardusher/rates/RateText.java
@@ -3,17 +3,20 @@
 import java.nio.ByteBuffer;
 
 /**
- * The messages of rates as they are spelled: one byte for the kind, then items of equal length. Reading gives nothing for what
- * is cut short, too long or of no kind.
+ * Encodes and decodes the messages of {@link Rates}: one byte for the kind, then items of equal length. {@link Rates#receive} rejects
+ * bodies of an unknown kind or of a length that does not fit.
  */
 final class RateText {
-    /** REPORTS: units asked, to a customer's meeting ingress. RATES: what customers are asked at all ingresses. ASK: for a slice of them. TABLE: that slice. */
+    /**
+     * REPORTS: demand of customers, sent to their aggregators. RATES: fleet-wide demand of customers. SLICE_REQUEST: asks for a slice
+     * of the known rates. SLICE: that slice. Encoded by ordinal.
+     */
     enum Kind { REPORTS, RATES, ASK, TABLE }
 
     static final int REPORT_BYTES = 8;
     static final int RATE_BYTES = 9;
     static final int MOST_AGE_MS = 6_553_500;
-    private static final double UNITS_STEP = 0.0005; // reported units go as a logarithm of two bytes: 0.05% apart
+    private static final double UNITS_STEP = 0.0005; // units are reported as a two-byte logarithm, in steps of 0.05%
     private static final double LEAST_UNITS = 1e-4;
     private static final double RATIO_STEP = 0.04;
     private static final double AGE_STEP_MS = 100;
@@ -22,7 +25,7 @@
 
     static ByteBuffer begin(Kind kind, int most) { return ByteBuffer.allocate(most).put((byte) kind.ordinal()); }
 
-    /** Null for none of ours. */
+    /** Reads the kind; null for an empty body or an unknown kind. */
     static Kind kind(ByteBuffer in) {
         int kind = in.hasRemaining() ? in.get() : -1;
         return kind >= 0 && kind < Kind.values().length ? Kind.values()[kind] : null;
@@ -32,14 +35,14 @@
 
     private static long customer(ByteBuffer in) { return (in.get() & 0xffL) << 32 | in.getInt() & 0xffffffffL; }
 
-    /** Units above 0; what is told is within 0.03% of them, between 1e-4 and 1.7e10. */
+    /** Writes a report of positive units; the encoding is accurate to 0.03% between 1e-4 and 1.7e10 units. */
     static void report(ByteBuffer out, long customer, int plan, double units) {
         customer(out, customer);
         long steps = Math.round(Math.log(units / LEAST_UNITS) / UNITS_STEP);
         out.put((byte) plan).putShort((short) Math.max(0, Math.min(0xffff, steps)));
     }
 
-    /** A report as read. */
+    /** A decoded report. */
     record Report(long customer, int plan, double units) { }
 
     static Report report(ByteBuffer in) {
@@ -48,14 +51,17 @@
         return new Report(customer, plan, LEAST_UNITS * Math.exp(UNITS_STEP * (in.getShort() & 0xffff)));
     }
 
-    /** {@code ratio}: of the quota, 0 for a customer that asks no more than that. An age is rounded up, so that a copy is never newer. */
+    /**
+     * Writes a rate. {@code ratio}: demand relative to the quota, 0 for a customer within its quota. The age is rounded up, so that a
+     * copy is never newer than its original.
+     */
     static void rate(ByteBuffer out, long customer, int plan, double ratio, double ageMs) {
         customer(out, customer);
         int steps = ratio <= 0 ? 0 : (int) Math.max(1, Math.min(255, Math.round(Math.log(ratio) / RATIO_STEP)));
         out.put((byte) plan).put((byte) steps).putShort((short) Math.min(0xffff, Math.ceil(Math.max(0, ageMs) / AGE_STEP_MS)));
     }
 
-    /** A rate as read. */
+    /** A decoded rate. */
     record Rate(long customer, int plan, double ratio, double ageMs) { }
 
     static Rate rate(ByteBuffer in) {
--- a/src/main/java/yardusher/rates/Rates.java
+++ b/src/main/java/yardusher/rates/Rates.java
@@ -12,44 +12,46 @@
 import java.util.SplittableRandom;
 
 /**
- * What customers with wide sets are asked for at all ingresses together, told by need within a budget of bytes: docs/design/rates.md.
- * A try is reported by chance, one of so many units as the customer's quota gives by its root, to the one ingress that all draw alike
- * for it; that one works out what the customer is asked, and where it is more than its quota tells so to random others, who pass it on.
- * Counts, times and bytes only: no clock, no socket. Times are ms that never go back; members are any numbers that differ.
+ * Estimates the fleet-wide demand of customers whose sets span many ingresses, within a byte budget: docs/design/rates.md.
+ * Each ingress reports a random sample of the demand, with a probability inverse to the root of the customer's quota, to the
+ * customer's aggregator, which all ingresses choose alike by rendezvous hashing. The aggregator estimates the demand and, where it
+ * exceeds the quota, gossips it to random members. The class has no clock and no socket. Times are in ms and never go back;
+ * members are identified by arbitrary distinct numbers.
  */
 public final class Rates {
-    /** The world outside: what is sent may be lost. */
+    /** Sends messages to other members; they may be lost. */
     public interface World {
         void send(long member, byte[] body);
     }
 
     /**
-     * {@code bytesPerS}: sent in a second, each message with {@code headBytes} more, of {@code mostBody} bytes at most; {@code quotasPerS}: units a
-     * second by plan, 0 for a plan that has no quota; {@code horizonMs}: over which what a customer is asked is taken together, at the least.
+     * {@code bytesPerS}: sending budget in bytes a second, in which each message counts {@code headerBytes} beyond its body of at most
+     * {@code maxBodyBytes}; {@code quotasPerS}: units a second by plan, 0 for a plan without a quota; {@code horizonMs}: minimum
+     * averaging time of demand.
      */
     public record Terms(double bytesPerS, int headBytes, int mostBody, double[] quotasPerS, double horizonMs) { }
 
     public static final double TICK_MS = 200;
-    private static final double REPORTS = 0.45;      // of the bytes; the rest is for rates
-    private static final double BURST = 2;           // seconds of either that may be saved up
+    private static final double REPORTS = 0.45;      // share of the byte budget; the rest is for rates
+    private static final double BURST = 2;           // how many seconds' worth of either budget can accumulate
     private static final double SECOND = 1000;
-    private static final double ENOUGH = 16;         // reports in a horizon of a customer that asks its quota
-    private static final double MOST_HORIZON_MS = 90_000; // but where more is set
-    private static final double OVER = 1.15;         // of the quota: told from then on
-    private static final double UNDER = 1;           // told no more
-    // Danger: who lets in a little less than a quota finds it with room at each refusal; a little more costs just that.
-    private static final double LESS = 0.88;         // of what was worked out
-    // Danger: rates of the largest that are told anew by mere chance, and take all bytes from the others.
-    private static final double CHANGED = 0.3;       // by which a rate has changed, as a logarithm
-    private static final double APART = 1.5;         // horizons between two words on one customer
-    private static final double APART_OFF = 0.5;     // where the second tells it off
-    private static final double NEWER_MS = 1000;     // what is newer by less is the same, late on its way
+    private static final double ENOUGH = 16;         // reports within the horizon from a customer that uses exactly its quota
+    private static final double MOST_HORIZON_MS = 90_000; // unless the settings ask for more
+    private static final double OVER = 1.15;         // ratio to the quota from which a customer is announced
+    private static final double UNDER = 1;           // ratio to the quota below which it is withdrawn
+    // Admitting slightly less than the quota would refuse requests although the quota has room; slightly more costs only the excess.
+    private static final double LESS = 0.88;         // applied to the announced ratio
+    // Without a threshold, random variation of the largest rates would announce them again and again, and use up all bytes.
+    private static final double CHANGED = 0.3;       // logarithmic change of a rate from which it is announced again
+    private static final double APART = 1.5;         // horizons between two announcements of one customer
+    private static final double APART_OFF = 0.5;     // the same where the second one withdraws it
+    private static final double NEWER_MS = 1000;     // a smaller difference in age is the same announcement, delayed in transit
     private static final double REFRESH_MS = 150_000;
-    private static final double LIFE_MS = 360_000;   // of a word
-    private static final int FANOUT = 2;             // that each passes a new word on to
-    private static final double GATHER_MS = 1000;    // words wait so long to share a message
-    private static final int SLICES = 64;            // of the table, that a new ingress asks for
-    private static final double ASK_MS = 60_000;     // what has not come by then comes with the others' words
+    private static final double LIFE_MS = 360_000;   // of an announcement
+    private static final int FANOUT = 2;             // transmissions of a new announcement by each ingress
+    private static final double GATHER_MS = 1000;    // announcements wait this long to share a message
+    private static final int SLICES = 64;            // slices in which a new ingress requests the known rates
+    private static final double ASK_MS = 60_000;     // slices still missing then are learned by gossip
     private static final int MOST_TOLD = 65_536;
     private static final int MOST_MET = 16_384;
     private static final double FIRST_SCALE = 1;
@@ -58,24 +60,24 @@
     private final long self;
     private final World world;
     private final SplittableRandom random;
-    private final double[] roots;                    // of the quotas
+    private final double[] roots;                    // square roots of the quotas, by plan
     private final int mostRates;
     private long[] members;
-    private final Map<Long, ByteBuffer> boxes = new HashMap<>(); // reports by who they go to; emptied each tick
+    private final Map<Long, ByteBuffer> boxes = new HashMap<>(); // pending reports by aggregator; sent each tick
     private final Map<Long, Met> met = new HashMap<>();
     private final Map<Long, Told> told = new HashMap<>();
-    private final LinkedHashSet<Told> waiting = new LinkedHashSet<>(); // to be passed on
-    private final ArrayDeque<Told> round = new ArrayDeque<>();   // all, by turns
-    private double scale = FIRST_SCALE;              // units at a quota of 1 that one report stands for
+    private final LinkedHashSet<Told> waiting = new LinkedHashSet<>(); // to be gossiped
+    private final ArrayDeque<Told> round = new ArrayDeque<>();   // all known rates, in round-robin order
+    private double scale = FIRST_SCALE;              // units that one report stands for at a quota of 1
     private double tickedAt, secondAt, sentAt;
-    private double seen, usual = -1;                 // units by the root of their quotas, in this second and usually
-    private double reportBytes, rateBytes;           // earned
-    private double begunAt = Double.NaN;             // since there was somebody to ask
-    private final boolean[] slices = new boolean[SLICES]; // that came
-    private int slice;                               // asked for last
+    private double seen, usual = -1;                 // units divided by the roots of their quotas: in this period, and smoothed
+    private double reportBytes, rateBytes;           // unspent budgets
+    private double begunAt = Double.NaN;             // when there was first another member to ask; NaN before
+    private final boolean[] slices = new boolean[SLICES]; // slices that were received
+    private int slice;                               // the slice requested last
     private long sent, sentBytes, sentReports, sentRates, unsentReports, heardReports, heardRates, strays, malformed, full;
 
-    /** Begins to ask the others for what they know as soon as it has members. */
+    /** Requests the rates known to the others as soon as there are other members. */
     public Rates(Terms terms, long self, long seed, double now, World world) {
         this.terms = terms;
         this.self = self;
@@ -87,13 +89,13 @@
         tickedAt = secondAt = sentAt = now;
     }
 
-    /** Who is there now, in any order, this one among them or not. What other ingresses now meet is theirs. */
+    /** Sets the active members, in any order, with or without this one. Drops the estimates of customers that now have another aggregator. */
     public void members(long[] now) {
         members = now.clone();
         met.values().removeIf(one -> meeting(one.customer) != self);
     }
 
-    /** The ingress at which a customer's reports meet: the same at all who have the same members. */
+    /** Returns the customer's aggregator by rendezvous hashing: the same at all ingresses with the same members. */
     long meeting(long customer) {
         long best = self, bestDrawn = Long.MIN_VALUE;
         for (long member : members) {
@@ -114,7 +116,7 @@
 
     private boolean knows(int plan) { return plan >= 0 && plan < roots.length && roots[plan] > 0; }
 
-    /** A customer with a wide set was asked for here, whatever becomes of it. */
+    /** Records a request of a customer with a wide set, whether it is admitted or not. */
     public void asked(double now, long customer, int plan, double units) {
         if (!knows(plan) || units <= 0) { return; }
         seen += units / roots[plan];
@@ -138,7 +140,7 @@
         sentReports++;
     }
 
-    /** Units a second that a customer is asked at all ingresses, where that is more than its quota; else, or where nothing is known, 0. */
+    /** Returns a customer's fleet-wide demand in units a second if it exceeds its quota; 0 if it does not, or is unknown. */
     public double askedPerS(double now, long customer, int plan) {
         Told one = told.get(customer);
         double ratio = one == null || one.plan != plan || now - one.originAt > LIFE_MS ? 0 : LESS * one.ratio;
@@ -159,7 +161,7 @@
         one.add(now, units, horizonMs(plan));
     }
 
-    /** A message of another ingress; what is none of ours is counted and dropped. */
+    /** Handles a message of another ingress; malformed ones are counted and dropped. */
     public void heard(double now, long from, byte[] body) {
         ByteBuffer in = ByteBuffer.wrap(body);
         RateText.Kind kind = RateText.kind(in);
@@ -182,7 +184,7 @@
 
     private void report(double now, RateText.Report r) {
         heardReports++;
-        if (meeting(r.customer()) != self) {         // its sender sees other members: one that knows a part alone must not speak for all
+        if (meeting(r.customer()) != self) {         // sent by an ingress with another view: a partial sum must not be announced as the fleet's
             strays++;
             return;
         }
@@ -219,7 +221,7 @@
         }
     }
 
-    /** Out of the same bytes as all words; who is not answered asks another. */
+    /** Answers from the budget for rates; a requester without an answer asks another member. */
     private void answer(double now, long to, int asked) {
         if (rateBytes <= 0) { return; }
         List<Told> some = new ArrayList<>();
@@ -233,7 +235,7 @@
         send(to, out);
     }
 
-    /** A new ingress asks others at random for all that they know, a slice at a time. */
+    /** Requests the known rates from random members, one slice at a time, after the start of this ingress. */
     private void ask(double now) {
         if (members.length > 1 && Double.isNaN(begunAt)) { begunAt = now; }
         if (!(now - begunAt < ASK_MS) || rateBytes <= 0) { return; }
@@ -258,7 +260,7 @@
         world.send(to, body);
     }
 
-    /** Called each {@link #TICK_MS}, or later. */
+    /** To be called every {@link #TICK_INTERVAL_MS}, or later. */
     public void tick(double now) {
         double passed = Math.max(0, now - tickedAt) / SECOND, bytes = terms.bytesPerS();
         tickedAt = now;
@@ -275,7 +277,7 @@
         passOn(now);
     }
 
-    /** A member at random that is not this one; this one where it is alone. */
+    /** Returns a random member other than this one, or this one if it is alone. */
     private long other() {
         for (int i = 0; i < 8; i++) {
             long one = members.length == 0 ? self : members[random.nextInt(members.length)];
@@ -284,7 +286,7 @@
         return self;
     }
 
-    /** So many units one report stands for that the budget holds. */
+    /** Sets how many units one report stands for, so that the reports stay within their budget. */
     private void rescale(double seconds) {
         double now = seen / seconds;
         seen = 0;
@@ -309,7 +311,7 @@
         }
     }
 
-    /** New words first, those that keep out most and wait longest; then some of all by turns, so that what was lost is healed. */
+    /** Gossips new announcements first, by priority and waiting time; then others in round-robin order, to repair losses. */
     private void passOn(double now) {
         long to = other();
         int room = (int) Math.min(mostRates, Math.floor((rateBytes - terms.headBytes() - 1) / RateText.RATE_BYTES));
@@ -326,7 +328,7 @@
         }
         for (int n = Math.min(round.size(), room - count); n > 0; n--) {
             Told one = round.poll();
-            if (now - one.originAt > LIFE_MS) {      // nobody says it any more
+            if (now - one.originAt > LIFE_MS) {      // its aggregator no longer announces it
                 told.remove(one.customer);
                 waiting.remove(one);
                 continue;
@@ -342,10 +344,10 @@
         send(to, out);
     }
 
-    /** Customers known to ask for more than their quota. */
+    /** Returns the number of customers known to exceed their quota. */
     public int listed() { return (int) told.values().stream().filter(one -> one.ratio > 0).count(); }
 
-    /** Names and values for the counters line. */
+    /** Returns {@code name=value} pairs for the counters line. */
     public String line() {
         return "rates_listed=" + listed() + " rates_met=" + met.size() + " rates_sent=" + sent + " rates_sent_bytes=" + sentBytes + " rates_reports=" + sentReports + " rates_unsent="
                 + unsentReports + " rates_told=" + sentRates + " rates_heard_reports=" + heardReports + " rates_heard=" + heardRates + " rates_strays=" + strays + " rates_malformed="
--- a/src/main/java/yardusher/rates/RatesSubsystem.java
+++ b/src/main/java/yardusher/rates/RatesSubsystem.java
@@ -16,12 +16,12 @@
 import yardusher.subsystem.Subsystem;
 import yardusher.view.View;
 
-/** Rates in the program: {@link Rates} with the mesh, the view's members, the loop's time and the module. */
+/** Connects {@link Rates} with the mesh, the membership view, the event loop's time and the decision module. */
 public final class RatesSubsystem implements Subsystem, Intake, Rates.World {
-    private static final int FRAME_BYTES = 28 + 15;  // of UDP and IP, and of the mesh
+    private static final int FRAME_BYTES = 28 + 15;  // headers of UDP and IP, and of the mesh
 
     private final RateSettings settings;
-    private final Map<Long, InetSocketAddress> addresses = new HashMap<>(); // of the members, by a hash of their names
+    private final Map<Long, InetSocketAddress> addresses = new HashMap<>(); // of the members, by the hash of their names
     private EventLoop loop;
     private Ingress ingress;
     private Intake inner;
@@ -41,7 +41,7 @@
         ingress = site.ingress();
         mesh = site.mesh();
         double[] quotas = site.settings().plans().stream().mapToDouble(Api.Plan::ratePerS).toArray();
-        // Two lives of one name have one seed; what they draw has to differ all the same.
+        // A restarted process of the same name has the same seed, but must draw different random numbers.
         rates = new Rates(new Rates.Terms(settings.bytesPerS(), FRAME_BYTES, Mesh.MOST_BODY, quotas, 1000.0 * settings.horizonS()), id(site.name()), site.seed() ^ System.nanoTime(), loop.now(), this);
         return this;
     }
@@ -65,7 +65,7 @@
 
     static long id(String name) { return LongHashFunction.xx3().hashChars(name); }
 
-    /** Who sent from there, or 0, which is nobody's number: an answer to it goes nowhere. */
+    /** Returns the id of the member with that address, or 0, which no member has: a reply to it is not sent. */
     private long number(InetSocketAddress from) {
         for (Map.Entry<Long, InetSocketAddress> one : addresses.entrySet()) {
             if (one.getValue().equals(from)) { return one.getKey(); }
--- a/src/main/java/yardusher/rates/Told.java
+++ b/src/main/java/yardusher/rates/Told.java
@@ -1,14 +1,14 @@
 package yardusher.rates;
 
-/** What is known of a customer here: what it is asked of its quota at all ingresses, and by when that was worked out. */
+/** The fleet-wide demand of a customer as known here, relative to its quota, and when its aggregator computed it. */
 final class Told {
     final long customer;
     int plan;
-    double ratio;                                    // 0: no more than its quota
-    double originAt;                                 // on this ingress's clock, ms
-    double weight;                                   // what knowing it keeps out
-    double waitsSince;                               // since when it is to be passed on
-    int left;                                        // times that it is still to be passed on
+    double ratio;                                    // 0: within its quota
+    double originAt;                                 // on the clock of this ingress
+    double weight;                                   // sending order: the root of the demand beyond the quota
+    double waitsSince;                               // since when it waits to be gossiped
+    int left;                                        // remaining transmissions
 
     Told(long customer) { this.customer = customer; }
 }
