--- a/lab/src/yardusher/lab/view/ViewChecker.java
+++ b/lab/src/yardusher/lab/view/ViewChecker.java
@@ -10,15 +10,15 @@
 import yardusher.view.View.State;
 
 /**
- * The rules of the view, over what each observer came to hold and when. Nobody who runs is held to be gone, but in and shortly
- * after trouble that the run has told of; an incarnation never falls; who left or was replaced is never there again; and once
- * all is calm everyone holds the same, which is what is true.
+ * Checks the rules of the membership view against every change of every observer's table. A running member is not held GONE, except
+ * during and shortly after a fault that the run has declared; an incarnation never decreases; an instance that left or was
+ * replaced never becomes active again; and once all faults have ended, all observers agree and match the processes that run.
  */
 final class ViewChecker {
-    /** What an observer holds of one name. */
+    /** An observer's record of one name. */
     record Held(long life, long incarnation, State state) { }
 
-    /** One change at an observer, by number. */
+    /** One change in the table of an observer, which is identified by number. */
     record Change(double atMs, int observer, String name, Held held) { }
 
     private record Trouble(double fromMs, double toMs) { }
@@ -27,7 +27,7 @@
 
     private final double graceMs;
     private final Map<Integer, Map<String, Held>> holds = new HashMap<>();
-    private final Map<Integer, Map<String, Set<Long>>> over = new HashMap<>();  // lives that left or were replaced, by observer and name
+    private final Map<Integer, Map<String, Set<Long>>> over = new HashMap<>();  // instances that left or were replaced, by observer and name
     private final Map<Integer, String> names = new HashMap<>();
     private final Map<Long, Double> ended = new HashMap<>();
     private final Map<String, List<Trouble>> troubles = new HashMap<>();
@@ -36,10 +36,10 @@
     private final List<String> breaches = new ArrayList<>();
     private long changes;
 
-    /** {@code graceMs}: for how long after its trouble somebody may still be held to be gone. */
+    /** {@code graceMs}: how long after its fault a member may still be held GONE. */
     ViewChecker(double graceMs) { this.graceMs = graceMs; }
 
-    /** Takes a change in. */
+    /** Records a change and checks it. */
     void held(double atMs, int observer, String name, long life, long incarnation, State state) {
         changes++;
         Held now = new Held(life, incarnation, state);
@@ -49,7 +49,7 @@
         if (before != null && incarnation < before.incarnation()) {
             breach(atMs, observer, name + " fell from incarnation " + before.incarnation() + " to " + incarnation);
         }
-        if (there && dead.contains(life)) { breach(atMs, observer, name + " is there again in a life that left or was replaced"); }
+        if (there && dead.contains(life)) { breach(atMs, observer, name + " is active again in an instance that left or was replaced"); }
         if (before != null && before.life() != life) { dead.add(before.life()); }
         if (state == State.LEFT) { dead.add(life); }
         Change change = new Change(atMs, observer, name, now);
@@ -57,16 +57,19 @@
         if (state == State.SUSPECT && (before == null || before.state() == State.ALIVE)) { accused.add(change); }
     }
 
-    /** That observer is the process of that name: in its own trouble, and when it reads what came meanwhile, it may be wrong. */
+    /** Sets the name of an observer's own process: during its own faults, and while it reads the datagrams queued meanwhile, it may be wrong. */
     void observer(int observer, String name) { names.put(observer, name); }
 
-    /** The process of that life ended, for whatever cause. */
+    /** Records that the process with that instance id ended, for any reason. */
     void ended(double atMs, long life) { ended.putIfAbsent(life, atMs); }
 
-    /** That name's process could not be heard, or could not hear, for longer than is promised to be borne. */
+    /** Records that the process of that name could not send or receive for longer than the view promises to tolerate. */
     void trouble(String name, double fromMs, double toMs) { troubles.computeIfAbsent(name, none -> new ArrayList<>()).add(new Trouble(fromMs, toMs)); }
 
-    /** {@code truth}: the life of each name that runs and takes part; {@code observers}: who of them holds what, and the digest. */
+    /**
+     * Checks agreement after all faults have ended. {@code truth}: the instance id of each running member by name;
+     * {@code digests}: the view digest of each observer.
+     */
     void calm(double atMs, Map<String, Long> truth, Map<Integer, Long> digests, Collection<Integer> observers) {
         Set<Long> different = new HashSet<>();
         for (int observer : observers) {
@@ -75,28 +78,28 @@
             for (Map.Entry<String, Long> one : truth.entrySet()) {
                 Held of = held.get(one.getKey());
                 if (of == null || of.state() != State.ALIVE) {
-                    breach(atMs, observer, one.getKey() + " runs and is held " + (of == null ? "unknown" : of.state()));
+                    breach(atMs, observer, one.getKey() + " runs but is recorded as " + (of == null ? "unknown" : of.state()));
                 } else if (of.life() != one.getValue()) {
-                    breach(atMs, observer, one.getKey() + " is held in another life than runs");
+                    breach(atMs, observer, one.getKey() + " is recorded with another instance than the one that runs");
                 }
             }
             for (Map.Entry<String, Held> one : held.entrySet()) {
                 State state = one.getValue().state();
                 if ((state == State.ALIVE || state == State.SUSPECT) && !truth.containsKey(one.getKey())) {
-                    breach(atMs, observer, one.getKey() + " is held " + state + " and does not run");
+                    breach(atMs, observer, one.getKey() + " is recorded as " + state + " but does not run");
                 }
             }
         }
-        if (different.size() > 1) { breach(atMs, -1, different.size() + " different digests in calm"); }
+        if (different.size() > 1) { breach(atMs, -1, different.size() + " different digests after all faults ended"); }
     }
 
-    /** Those who were held to be gone and ran, without trouble that excuses it. */
+    /** Returns the changes in which a running member was declared GONE without a fault that excuses it. */
     List<Change> falselyLost() {
         return lost.stream().filter(one -> one.atMs() < ended.getOrDefault(one.held().life(), Double.POSITIVE_INFINITY)
                 && !excused(one.name(), one.atMs()) && !excused(names.get(one.observer()), one.atMs())).toList();
     }
 
-    /** Those who were suspected and ran, however short. */
+    /** Returns the changes in which a running member was suspected, however briefly. */
     List<Change> falselyAccused() {
         return accused.stream().filter(one -> one.atMs() < ended.getOrDefault(one.held().life(), Double.POSITIVE_INFINITY)).toList();
     }
@@ -105,7 +108,7 @@
         return troubles.getOrDefault(name, List.of()).stream().anyMatch(one -> one.fromMs() <= atMs && atMs <= one.toMs() + graceMs);
     }
 
-    /** When each observer came to hold that life to be gone. */
+    /** Returns when each observer declared that instance GONE. */
     Map<Integer, Double> lostAt(long life) {
         Map<Integer, Double> at = new HashMap<>();
         for (Change change : lost) {
@@ -120,11 +123,11 @@
         if (breaches.size() < MOST_TOLD) { breaches.add(String.format(java.util.Locale.ROOT, "%.0f ms, observer %d: %s", atMs, observer, what)); }
     }
 
-    /** All breaches, the wrongly lost among them; a few of each. */
+    /** Returns the violations, false GONE declarations included; at most {@link #MAX_REPORTED} of each kind. */
     List<String> breaches() {
         List<String> all = new ArrayList<>(breaches);
         for (Change one : falselyLost().stream().limit(MOST_TOLD).toList()) {
-            all.add(String.format(java.util.Locale.ROOT, "%.0f ms, observer %d: %s runs and is held to be gone", one.atMs(), one.observer(), one.name()));
+            all.add(String.format(java.util.Locale.ROOT, "%.0f ms, observer %d: %s runs but was declared GONE", one.atMs(), one.observer(), one.name()));
         }
         return all;
     }
--- a/lab/src/yardusher/lab/view/ViewFleet.java
+++ b/lab/src/yardusher/lab/view/ViewFleet.java
@@ -13,15 +13,15 @@
 import yardusher.view.View;
 import yardusher.view.ViewSettings;
 
-/** Members of one view on a {@link ViewNet}: they start, die, leave, come again. What each comes to hold goes to a checker. */
+/** Members of one installation on a {@link ViewNet} that are started, killed, stopped and restarted; their table changes go to a checker. */
 final class ViewFleet {
-    /** One life of one process. */
+    /** One process, from its start to its end. */
     final class Life implements ViewNet.Process, Membership.World {
-        final int number;                            // of this life, over all
+        final int number;                            // of this process, over the whole run
         final int place;
         final String name;
         final double beganMs;
-        private final double clockMs;                // what its clock is off by
+        private final double clockMs;                // offset of its clock
         final Membership membership;
         final List<String> told = new ArrayList<>();
         final List<View.Change> batches = new ArrayList<>();
@@ -67,9 +67,9 @@
     final ViewNet net;
     final ViewSettings settings;
     private final long seed;
-    private final ViewChecker checker;               // null where nothing is checked
+    private final ViewChecker checker;               // null if nothing is checked
     private final Membership.Flaw flaw;
-    private final Map<Integer, Life> running = new LinkedHashMap<>();  // by place
+    private final Map<Integer, Life> running = new LinkedHashMap<>();  // by node
     private final Map<Object, Object> whos = new HashMap<>();
     private final UnaryOperator<Object> known = who -> {
         Object before = whos.putIfAbsent(who, who);
@@ -77,7 +77,7 @@
     };
     private int lives;
 
-    /** {@code seeds}: the first so many places. */
+    /** {@code seeds}: how many of the first nodes are seeds. */
     ViewFleet(ViewNet net, long seed, int seeds, ViewChecker checker, Membership.Flaw flaw) {
         this.net = net;
         this.seed = seed;
@@ -92,7 +92,7 @@
 
     Life start(int place) { return start(place, name(place), 0); }
 
-    /** Under another name than the place's, or with a clock that is off. */
+    /** Starts a process with the given name and clock offset. */
     Life start(int place, String name, double clockMs) {
         Life life = new Life(lives++, place, name, "hall-" + (char) ('a' + place % 3), clockMs, flaw);
         running.put(place, life);
@@ -122,7 +122,7 @@
 
     List<Life> taking() { return running().stream().filter(life -> life.membership.phase() == Membership.Phase.IN).toList(); }
 
-    /** Whether all who run and take part hold the same picture of so many. */
+    /** Whether all running members hold the same view of that many members. */
     boolean isSettled(int size) {
         long digest = 0;
         boolean first = true;
@@ -135,7 +135,7 @@
         return true;
     }
 
-    /** Goes on until exactly one process of each of these names takes part and all of those hold the same picture of so many. */
+    /** Runs until exactly one process of each name is a member and all have the same view; returns the time it took, or -1. */
     double awaitSettledOf(java.util.Set<String> names, double mostMs) {
         double from = net.now();
         for (;;) {
@@ -147,7 +147,7 @@
         }
     }
 
-    /** Goes on until all are settled on so many, looking each 10 ms; the time it took, or -1 after {@code mostMs}. */
+    /** Runs until all agree on that many members, checking every 10 ms; returns the time it took, or -1 after {@code timeoutMs}. */
     double awaitSettled(int size, double mostMs) {
         double from = net.now();
         while (!isSettled(size)) {
@@ -157,7 +157,7 @@
         return net.now() - from;
     }
 
-    /** Asks the checker to compare what is with what is held. */
+    /** Lets the checker compare the running processes with the views. */
     void calm() {
         Map<String, Long> truth = new HashMap<>();
         Map<Integer, Long> digests = new HashMap<>();
@@ -168,7 +168,7 @@
         checker.calm(net.now(), truth, digests, digests.keySet());
     }
 
-    /** Starts so many at one moment and waits until all know all; the time it took, or -1. */
+    /** Starts that many members at once and waits until all know all; returns the time it took, or -1. */
     double begin(int size, double mostMs) {
         for (int i = 0; i < size; i++) { net.place(); }
         for (int i = 0; i < size; i++) { start(i); }
--- a/lab/src/yardusher/lab/view/ViewGroup.java
+++ b/lab/src/yardusher/lab/view/ViewGroup.java
@@ -24,30 +24,31 @@
 import yardusher.resp.Value;
 
 /**
- * A {@link Group} whose processes keep a view, through the relay {@code view}. What each holds is asked at its second address;
- * since each tells for how long its picture has stood still, times are exact to the millisecond however seldom one asks.
+ * A {@link Group} of processes with the membership view enabled, connected through the relay {@code view}. Their views are read at the
+ * admin address. Since each reports for how long its view has been unchanged, times are exact to the millisecond however rarely
+ * they are polled.
  */
 final class ViewGroup implements AutoCloseable {
     static final String PORT = "view";
     private static final int ASK_MS = 4000;
     private static final int ASKERS = 8;
 
-    /** What one process holds. {@code changedMs}: Unix time at which its picture last changed. */
+    /** The view of one process. {@code changedAtMs}: Unix time at which it last changed. */
     record Held(int by, String phase, int there, String digest, double changedMs, int same, int asked, int health, Map<String, String> states,
             Map<String, Long> incarnations, String text) { }
 
     final Group group;
     private final ExecutorService askers = Executors.newFixedThreadPool(ASKERS, work -> {
-        Thread thread = new Thread(work, "asker");
+        Thread thread = new Thread(work, "view-poller");
         thread.setDaemon(true);
         return thread;
     });
     private final IntFunction<String> names;
 
-    /** {@code seeds}: the first so many are every process's seeds; {@code relayed}: through the relay, else straight. */
+    /** {@code seeds}: how many of the first processes are seeds; {@code relayed}: whether datagrams go through the relay. */
     ViewGroup(Path folder, int size, long seed, int seeds, boolean relayed) throws IOException { this(folder, size, seed, seeds, relayed, i -> "n" + i); }
 
-    /** With names of the processes; two may have the same. */
+    /** With the given names of processes, which need not be distinct. */
     ViewGroup(Path folder, int size, long seed, int seeds, boolean relayed, IntFunction<String> names) throws IOException {
         this.names = names;
         group = new Group(folder, size, seed);
@@ -68,7 +69,7 @@
 
     Set<Integer> all() { return Set.copyOf(IntStream.range(0, group.size()).boxed().toList()); }
 
-    /** Starts some, so many at one moment, and waits for each to take clients. */
+    /** Starts processes, {@code atOnce} at a time, and waits until each accepts clients. */
     void start(Collection<Integer> some, int atOnce) throws IOException, InterruptedException {
         List<Integer> waiting = new ArrayList<>();
         for (int i : some) {
@@ -82,7 +83,7 @@
         for (int one : waiting) { group.awaitReady(one, 120_000); }
     }
 
-    /** What a call at a process's second address answers; null where it does not. */
+    /** Returns the reply to a call at a process's admin address; null if it does not answer. */
     String call(int i, String word) {
         try (Socket socket = new Socket()) {
             socket.connect(group.admin(i), ASK_MS);
@@ -94,7 +95,7 @@
         }
     }
 
-    /** What a process holds; null where it does not answer. */
+    /** Returns the view of a process; null if it does not answer. */
     Held held(int i) {
         double before = Group.now();
         String text = call(i, "members");
@@ -121,7 +122,7 @@
         return cells;
     }
 
-    /** What each of these holds; null for those that do not answer. */
+    /** Returns the view of each process; null for those that do not answer. */
     List<Held> look(Collection<Integer> some) throws InterruptedException {
         List<Future<Held>> asked = new ArrayList<>();
         for (int i : some) { asked.add(askers.submit(() -> held(i))); }
@@ -136,12 +137,12 @@
         return held;
     }
 
-    /** Whether all of these take part and hold the same picture of so many. */
+    /** Whether all of these are members and have the same view of that many members. */
     static boolean isSettled(List<Held> held, int size) {
         return held.stream().allMatch(one -> one != null && one.phase().equals("in") && one.there() == size && one.digest().equals(held.get(0).digest()));
     }
 
-    /** Waits until all of these hold the same picture of so many, and gives what they hold; null after {@code mostMs}. */
+    /** Waits until all of these have the same view of that many members, and returns their views; null after {@code timeoutMs}. */
     List<Held> awaitSettled(Collection<Integer> some, int size, double mostMs) throws InterruptedException {
         double until = Group.now() + mostMs;
         for (;;) {
@@ -152,12 +153,12 @@
         }
     }
 
-    /** When the last of them came to hold what it holds, after a moment. */
+    /** Returns how long after {@code from} the last of them changed its view. */
     static double last(List<Held> held, double from) { return held == null ? -1 : held.stream().mapToDouble(Held::changedMs).max().orElse(from) - from; }
 
     static double first(List<Held> held, double from) { return held == null ? -1 : held.stream().mapToDouble(Held::changedMs).min().orElse(from) - from; }
 
-    /** The counters of a process; empty where it does not answer. */
+    /** Returns the counters of a process; empty if it does not answer. */
     Map<String, Long> counters(int i) {
         Map<String, Long> counters = new HashMap<>();
         String line;
@@ -174,10 +175,10 @@
 
     long sum(Collection<Integer> some, String name) { return some.stream().mapToLong(i -> counters(i).getOrDefault(name, 0L)).sum(); }
 
-    /** CPU time of a process so far, in ms. */
+    /** Returns the CPU time used by a process so far, in ms. */
     double cpuMs(int i) { return group.process(i).info().totalCpuDuration().map(one -> one.toNanos() / 1e6).orElse(0.0); }
 
-    /** Resident memory of a process, in kB. */
+    /** Returns the resident memory of a process, in kB. */
     long residentKb(int i) throws IOException {
         for (String line : Files.readAllLines(Path.of("/proc/" + group.process(i).pid() + "/status"))) {
             if (line.startsWith("VmRSS:")) { return Long.parseLong(line.replaceAll("[^0-9]", "")); }
--- a/lab/src/yardusher/lab/view/ViewHeartbeats.java
+++ b/lab/src/yardusher/lab/view/ViewHeartbeats.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * The plain way, to compare with: every member sends a heartbeat to every other, from a list that it was given, and holds
- * whoever was silent for a fixed time to be gone until it is heard again. No helpers, no news, no incarnations.
+ * The baseline for comparison: every member sends a heartbeat to every other on a fixed list, and considers a member gone after a fixed
+ * timeout, until it is heard from again. There are no indirect probes, no gossip and no incarnations.
  */
 final class ViewHeartbeats implements ViewNet.Process {
     static final double EVERY_MS = 300;
@@ -15,7 +15,7 @@
     private final int self;
     private final List<Integer> all;
     private final double[] heardAt;
-    final double[] goneAt;                           // infinity for who is there
+    final double[] goneAt;                           // infinity for members considered alive
     private double nextBeat;
     private double nextLook;
     long lost;
--- a/lab/src/yardusher/lab/view/ViewMeasure.java
+++ b/lab/src/yardusher/lab/view/ViewMeasure.java
@@ -7,11 +7,11 @@
 import java.util.stream.IntStream;
 
 /**
- * Figures of the view on scripted time: {@code times MEMBERS SEEDS LOSS}, {@code noise MEMBERS SEEDS LOSS MINUTES}, and the same
- * of the plain way, {@code plain MEMBERS SEEDS LOSS MINUTES}. Times are p50, p99 and the most, in ms.
+ * Measures the view in simulated time: {@code times MEMBERS SEEDS LOSS} for latencies, {@code noise MEMBERS SEEDS LOSS MINUTES} for
+ * false suspicions, and {@code plain MEMBERS SEEDS LOSS MINUTES} for both with plain heartbeats. Times are p50, p99 and maximum, in ms.
  */
 public final class ViewMeasure {
-    private static final double STARVED = 0.1;       // of the members
+    private static final double STARVED = 0.1;       // share of the members
     private static final double MOST_MS = 120_000;
 
     private ViewMeasure() { }
@@ -24,7 +24,7 @@
             case "times" -> times(members, seeds, loss, args.length > 4 && args[4].equals("nosplit"));
             case "noise" -> noise(members, seeds, loss, Double.parseDouble(args[4]));
             case "plain" -> plain(members, seeds, loss, Double.parseDouble(args[4]));
-            default -> throw new IllegalArgumentException("times, noise or plain");
+            default -> throw new IllegalArgumentException("unknown mode, expected times, noise or plain");
         }
     }
 
@@ -83,8 +83,8 @@
             net.until(net.now() + 4000);
             batches += (double) (batches(fleet) - before) / fleet.running().size() / seeds;
         }
-        System.out.printf(Locale.ROOT, "%d members, loss %.0f%%, %d seeds, p50 / p99 / most in ms: all join at once %s; kill to first %s, to all %s; one joins %s; heal %s;"
-                + " a third dies %s, told in %.2f batches; calm: %.1f datagrams and %.0f bytes a second and member%n", members, loss * 100, seeds, spread(joined), spread(first),
+        System.out.printf(Locale.ROOT, "%d members, loss %.0f%%, %d seeds, p50 / p99 / max in ms: all join at once %s; kill to first %s, to all %s; one joins %s; heal %s;"
+                + " a third fails %s, reported in %.2f changes; idle: %.1f datagrams and %.0f bytes a second and member%n", members, loss * 100, seeds, spread(joined), spread(first),
                 spread(all), spread(one), spread(healed), spread(hall), batches, sent, bytes);
     }
 
--- a/lab/src/yardusher/lab/view/ViewNet.java
+++ b/lab/src/yardusher/lab/view/ViewNet.java
@@ -12,13 +12,12 @@
 import java.util.function.Consumer;
 
 /**
- * A network on scripted time: datagrams between numbered places, with loss, delay, doubling, ways cut, and processes that
- * stand still. It stands above the mesh, whose checksum makes of a spoilt datagram a lost one. All that happens follows from a
- * seed. A process that stands still keeps what comes to it, up to a bound, and when it goes on its timers go before its
- * datagrams, as in the program.
+ * A deterministic simulation of a network: datagrams between numbered nodes with loss, delay, duplication, cut links and paused
+ * processes, all determined by a seed. It works above the mesh, whose checksum turns a corrupted datagram into a lost one. Datagrams
+ * to a paused process are buffered up to a limit; when it resumes, its timers fire before it reads them, as in the ingress.
  */
 final class ViewNet {
-    /** A process of any kind. */
+    /** A process on the network. */
     interface Process {
         void heard(double now, byte[] body);
 
@@ -31,7 +30,7 @@
         final double at;
         final long order;
         final int to;
-        final byte[] body;                           // null for a timer or a deed
+        final byte[] body;                           // null for a timer or an action
         final Consumer<Double> deed;
 
         Event(double at, long order, int to, byte[] body, Consumer<Double> deed) {
@@ -49,12 +48,12 @@
         }
     }
 
-    /** What a place has to bear. */
+    /** A node, with its process and its faults. */
     private static final class Place {
         Process process;
         double timerAt = Double.POSITIVE_INFINITY;
         boolean stopped;
-        double share = 1;                            // of each 100 ms that it runs
+        double share = 1;                            // part of each 100 ms in which it runs
         List<byte[]> waiting = new ArrayList<>();
         boolean queued;
         int side;
@@ -63,7 +62,7 @@
         long heard;
     }
 
-    private static final int MOST_WAITING = 2000;    // a socket's buffer
+    private static final int MOST_WAITING = 2000;    // datagrams in a socket's receive buffer
     private static final double SLICE_MS = 100;
 
     private final Random random;
@@ -89,7 +88,7 @@
 
     Random random() { return random; }
 
-    /** One more place, with nobody there yet. */
+    /** Adds a node without a process; returns its number. */
     int place() {
         int number = places.size();
         places.add(new Place());
@@ -105,7 +104,7 @@
         }
     }
 
-    /** From now on this process is there; null for none: what comes is lost. */
+    /** Sets the process of a node; null for none, so that datagrams to it are lost. */
     void put(int place, Process process) {
         Place at = places.get(place);
         at.process = process;
@@ -126,7 +125,7 @@
         spreadMs = spread;
     }
 
-    /** So many come this much later than the rest. */
+    /** Delays that share of datagrams by an additional {@code ms}. */
     void late(double share, double ms) {
         lateShare = share;
         lateMs = ms;
@@ -154,7 +153,7 @@
         run(place);
     }
 
-    /** It runs for this share of each 100 ms alone. */
+    /** Lets the process run only for this share of each 100 ms. */
     void starve(int place, double share) { places.get(place).share = share; }
 
     boolean isStopped(int place) { return places.get(place).stopped; }
@@ -168,7 +167,7 @@
     void send(int from, InetSocketAddress to, byte[] body) {
         Place source = places.get(from);
         source.sent++;
-        source.sentBytes += body.length + 43;        // the mesh's head, UDP and IP
+        source.sentBytes += body.length + 43;        // headers of the mesh, UDP and IP
         Integer number = numbers.get(to);
         if (number == null || random.nextDouble() < loss || cutWays.contains((long) from << 32 | number)
                 || source.side != places.get(number).side) { return; }
@@ -179,10 +178,10 @@
         }
     }
 
-    /** Delivers what nobody sent. */
+    /** Delivers a forged datagram. */
     void inject(int to, byte[] body) { events.add(new Event(now, order++, to, body, null)); }
 
-    /** Does something at a time. */
+    /** Schedules an action. */
     void at(double time, Runnable deed) { events.add(new Event(time, order++, -1, null, at -> deed.run())); }
 
     private void arm(int place) {
@@ -193,7 +192,7 @@
         if (next < Double.POSITIVE_INFINITY) { events.add(new Event(next, order++, place, null, null)); }
     }
 
-    /** When a starved process runs next. */
+    /** Returns when a CPU-starved process next runs. */
     private double slice(Place at, int place) {
         if (at.share >= 1) { return now; }
         double phase = (now + place * 17) % SLICE_MS;
@@ -227,7 +226,7 @@
         }
     }
 
-    /** Goes on until then. */
+    /** Runs the simulation until that time. */
     void until(double time) {
         while (!events.isEmpty() && events.peek().at <= time) {
             Event event = events.poll();
--- a/lab/src/yardusher/lab/view/ViewReal.java
+++ b/lab/src/yardusher/lab/view/ViewReal.java
@@ -17,17 +17,17 @@
 import yardusher.lab.Seeds;
 
 /**
- * The hard cases of the view by real processes. {@code FOLDER FIRST COUNT SIZE CASE ...} plays each case for each seed and
- * tells a line for each: breaches of its rules, and the times that were measured. Without a case, all but the long ones.
+ * Fault scenarios of the view with real processes. {@code FOLDER FIRST COUNT SIZE CASE ...} runs each scenario for each seed and
+ * prints a line for each: violated rules and measured times. Without a scenario it runs all but the long ones.
  */
 public final class ViewReal {
     private static final double JOIN_MS = 60_000;
     private static final double SETTLE_MS = 30_000;
-    /** Longer than any suspicion. */
+    /** Longer than any suspicion lasts. */
     private static final long PAST_MS = 8000;
     private static final int SEEDS = 3;
 
-    /** A case: breaches go to {@code found}, figures to {@code note}. */
+    /** A scenario: violations are added to {@code found}, figures to {@code note}. */
     private interface Case {
         void play(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception;
     }
@@ -71,11 +71,11 @@
         System.exit(broken == 0 ? 0 : 1);
     }
 
-    /** Plays a case; the breaches. */
+    /** Runs a scenario; returns the violations. */
     public static List<String> play(Path folder, String name, int size, long seed, StringBuilder note) throws Exception {
         List<String> found = new ArrayList<>();
         Case one = CASES.containsKey(name) ? CASES.get(name) : LONG.get(name);
-        if (one == null) { throw new IllegalArgumentException("no case " + name + "; there are " + CASES.keySet() + " " + LONG.keySet()); }
+        if (one == null) { throw new IllegalArgumentException("unknown case " + name + ", expected one of " + CASES.keySet() + " " + LONG.keySet()); }
         one.play(folder, size, seed, found, note);
         return found;
     }
@@ -96,7 +96,7 @@
         ViewGroup view = new ViewGroup(folder, size, seed, Math.min(SEEDS, size), true);
         try {
             view.start(view.all(), 10);
-            if (view.awaitSettled(view.all(), size, JOIN_MS) == null) { throw new IllegalStateException("did not settle at the start; see " + folder); }
+            if (view.awaitSettled(view.all(), size, JOIN_MS) == null) { throw new IllegalStateException("the views did not settle after the start; see " + folder); }
             return view;
         } catch (IOException | RuntimeException | InterruptedException e) {
             view.close();
@@ -104,19 +104,19 @@
         }
     }
 
-    /** Whoever runs is there, and those who do not are not. */
+    /** Waits until the views hold exactly the running processes; records the times. */
     private static List<ViewGroup.Held> settles(ViewGroup view, Set<Integer> run, double from, String what, List<String> found, StringBuilder note)
             throws InterruptedException {
         List<ViewGroup.Held> held = view.awaitSettled(run, run.size(), SETTLE_MS);
         if (held == null) {
-            found.add(what + ": not settled after " + SETTLE_MS + " ms: " + view.look(run).stream().map(one -> one == null ? "silent" : one.by() + ":" + one.there()).toList());
+            found.add(what + ": views not settled after " + SETTLE_MS + " ms: " + view.look(run).stream().map(one -> one == null ? "silent" : one.by() + ":" + one.there()).toList());
             return null;
         }
         Set<String> names = run.stream().map(view::name).collect(Collectors.toSet());
         for (ViewGroup.Held one : held) {
             Set<String> there = one.states().entrySet().stream().filter(state -> state.getValue().equals("alive") || state.getValue().equals("suspect"))
                     .map(Map.Entry::getKey).collect(Collectors.toSet());
-            if (!there.equals(names)) { found.add(what + ": n" + one.by() + " holds " + there.size() + " to be there"); }
+            if (!there.equals(names)) { found.add(what + ": n" + one.by() + " has " + there.size() + " active members"); }
         }
         note.append(String.format(java.util.Locale.ROOT, "%s first %.0f all %.0f ms; ", what, ViewGroup.first(held, from), ViewGroup.last(held, from)));
         return held;
@@ -131,10 +131,10 @@
             for (int i : whom) { view.group.signal(i, "-KILL"); }
             settles(view, rest, from, "killed " + whom.size(), found, note);
             Thread.sleep(1500);
-            // A hall that dies is one change to who follows.
+            // Listeners should see the failure of a hall as one change.
             for (int i : rest) {
                 long told = Files.readAllLines(view.group.log(i)).stream().filter(line -> line.contains("view: settled") && !line.contains("gone=-")).count();
-                if (told > 1 && whom.size() > 1) { note.append("n").append(i).append(" was told in ").append(told).append(" batches; "); }
+                if (told > 1 && whom.size() > 1) { note.append("n").append(i).append(" reported ").append(told).append(" changes; "); }
             }
         }
     }
@@ -147,8 +147,8 @@
                 view.group.resume(i);
                 Thread.sleep(1500);
             }
-            if (lost(view, view.all()) != 0) { found.add("a stop of 700 ms was taken for an end"); }
-            settles(view, view.all(), Group.now(), "awake", found, new StringBuilder());
+            if (lost(view, view.all()) != 0) { found.add("a pause of 700 ms led to a GONE declaration"); }
+            settles(view, view.all(), Group.now(), "resumed", found, new StringBuilder());
             note.append("suspected ").append(view.sum(view.all(), "view_accused")).append(" times; ");
         }
     }
@@ -158,12 +158,12 @@
             int one = size / 2;
             double from = Group.now();
             view.group.pause(one);
-            settles(view, but(view.all(), Set.of(one)), from, "stopped", found, note);
+            settles(view, but(view.all(), Set.of(one)), from, "paused", found, note);
             Thread.sleep(PAST_MS);
             from = Group.now();
             view.group.resume(one);
-            settles(view, view.all(), from, "woken", found, note);
-            if (lost(view, List.of(one)) != 0) { found.add("the woken one took others to be gone"); }
+            settles(view, view.all(), from, "resumed", found, note);
+            if (lost(view, List.of(one)) != 0) { found.add("the resumed process declared others gone"); }
         }
     }
 
@@ -175,21 +175,21 @@
             Thread.sleep(10_000);
             for (int i : hungry) { view.group.feed(i); }
             long accused = view.sum(hungry, "view_accused");
-            if (lost(view, view.all()) != 0) { found.add("under starvation " + lost(view, view.all()) + " times a member that runs was taken to be gone"); }
-            note.append("the starved accused ").append(accused).append(", the others ").append(view.sum(but(view.all(), hungry), "view_accused")).append("; ");
-            settles(view, view.all(), Group.now(), "fed", found, new StringBuilder());
+            if (lost(view, view.all()) != 0) { found.add("under CPU starvation running members were declared gone " + lost(view, view.all()) + " times"); }
+            note.append("suspicions raised by the starved ").append(accused).append(", by the others ").append(view.sum(but(view.all(), hungry), "view_accused")).append("; ");
+            settles(view, view.all(), Group.now(), "starvation ended", found, new StringBuilder());
         }
     }
 
     private static void oneWay(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
         try (ViewGroup view = started(folder, size, seed, note)) {
             Random random = new Random(seed);
-            for (int n = 0; n < size; n++) {         // each hears one other no more
+            for (int n = 0; n < size; n++) {         // each link from n to one other member is cut
                 int to = random.nextInt(size);
                 if (to != n) { view.relay().way(n, to).cut(true); }
             }
             Thread.sleep(8000);
-            if (lost(view, view.all()) != 0) { found.add("a way cut in one direction made a member gone"); }
+            if (lost(view, view.all()) != 0) { found.add("a link cut in one direction led to a GONE declaration"); }
             note.append("suspected ").append(view.sum(view.all(), "view_accused")).append("; ");
             view.relay().heal();
             settles(view, view.all(), Group.now(), "healed", found, new StringBuilder());
@@ -206,19 +206,19 @@
                 Thread.sleep(1000);
             }
             view.relay().heal();
-            settles(view, view.all(), Group.now(), "still", found, note);
+            settles(view, view.all(), Group.now(), "stable", found, note);
             note.append("lost ").append(lost(view, view.all())).append(", refuted ").append(view.sum(view.all(), "view_refuted")).append("; ");
         }
     }
 
     private static void split(Path folder, int size, long seed, int sides, long ms, List<String> found, StringBuilder note) throws Exception {
-        // One process comes on the first side, one is killed on the last.
+        // During the partition one process starts and one is killed.
         int late = size - 1;
         ViewGroup view = new ViewGroup(folder, size, seed, Math.min(SEEDS, size), true);
         try (view) {
             Set<Integer> begun = but(view.all(), Set.of(late));
             view.start(begun, 10);
-            if (view.awaitSettled(begun, begun.size(), JOIN_MS) == null) { throw new IllegalStateException("did not settle at the start"); }
+            if (view.awaitSettled(begun, begun.size(), JOIN_MS) == null) { throw new IllegalStateException("the views did not settle after the start"); }
             List<List<Integer>> parts = new ArrayList<>();
             for (int side = 0; side < sides; side++) { parts.add(new ArrayList<>()); }
             for (int i = 0; i < size; i++) { parts.get(i % sides).add(i); }
@@ -233,7 +233,7 @@
             Thread.sleep(Math.max(0, (long) (from + ms - Group.now())));
             for (List<Integer> part : parts) {
                 Set<Integer> there = but(Set.copyOf(part), Set.of(dead));
-                if (view.awaitSettled(there, there.size(), 5000) == null) { found.add("a side did not settle by itself"); }
+                if (view.awaitSettled(there, there.size(), 5000) == null) { found.add("one side of the partition did not settle"); }
             }
             from = Group.now();
             view.relay().heal();
@@ -246,18 +246,18 @@
         try (ViewGroup view = new ViewGroup(folder, size, seed, Math.min(SEEDS, size - 1), true, i -> "n" + (i == other ? 1 : i))) {
             Set<Integer> right = but(view.all(), Set.of(other));
             view.start(right, 10);
-            if (view.awaitSettled(right, right.size(), JOIN_MS) == null) { throw new IllegalStateException("did not settle at the start"); }
+            if (view.awaitSettled(right, right.size(), JOIN_MS) == null) { throw new IllegalStateException("the views did not settle after the start"); }
             view.start(List.of(other), 1);
             Thread.sleep(4000);
-            settles(view, right, Group.now(), "claimed", found, new StringBuilder());
-            if (lost(view, right) != 0) { found.add("the first holder of the name was taken to be gone"); }
+            settles(view, right, Group.now(), "name claimed", found, new StringBuilder());
+            if (lost(view, right) != 0) { found.add("the first holder of the name was declared gone"); }
             ViewGroup.Held held = view.held(other);
             if (held == null || !held.phase().equals("taken")) { found.add("the second claimant is " + (held == null ? "silent" : held.phase())); }
-            if (!said(view, other, "VIEW_NAME_TAKEN")) { found.add("the second claimant does not say so"); }
-            if (!said(view, 1, "VIEW_NAME_TAKEN")) { found.add("the first claimant does not say so"); }
-            view.group.kill(1);                      // now the name is free
+            if (!said(view, other, "VIEW_NAME_TAKEN")) { found.add("the second claimant did not log VIEW_NAME_TAKEN"); }
+            if (!said(view, 1, "VIEW_NAME_TAKEN")) { found.add("the first claimant did not log VIEW_NAME_TAKEN"); }
+            view.group.kill(1);                      // this frees the name
             double from = Group.now();
-            settles(view, but(view.all(), Set.of(1)), from, "taken over", found, note);
+            settles(view, but(view.all(), Set.of(1)), from, "name taken over", found, note);
         }
     }
 
@@ -275,7 +275,7 @@
             view.group.awaitReady(one, 60_000);
             note.append(String.format(java.util.Locale.ROOT, "serves after %.0f; ", Group.now() - from));
             List<ViewGroup.Held> held = settles(view, view.all(), from, "restarted", found, note);
-            if (held != null && held.stream().anyMatch(each -> each.incarnations().get(view.name(one)) <= before)) { found.add("the new life is not above the old"); }
+            if (held != null && held.stream().anyMatch(each -> each.incarnations().get(view.name(one)) <= before)) { found.add("the incarnation did not grow over the restart"); }
         }
     }
 
@@ -285,8 +285,8 @@
             view.group.terminate(one, 20_000);
             double from = Group.now();
             List<ViewGroup.Held> held = settles(view, but(view.all(), Set.of(one)), from, "left", found, note);
-            if (held != null && held.stream().anyMatch(each -> !"left".equals(each.states().get(view.name(one))))) { found.add("who left is not held to have left"); }
-            if (lost(view, but(view.all(), Set.of(one))) != 0) { found.add("who left was taken to be gone"); }
+            if (held != null && held.stream().anyMatch(each -> !"left".equals(each.states().get(view.name(one))))) { found.add("the member that left is not recorded as LEFT"); }
+            if (lost(view, but(view.all(), Set.of(one))) != 0) { found.add("the member that left was declared gone"); }
         }
     }
 
@@ -301,17 +301,17 @@
             if (held != null && held.stream().anyMatch(each -> before.entrySet().stream().anyMatch(old -> each.incarnations().get(old.getKey()) <= old.getValue()))) {
                 found.add("an incarnation did not grow");
             }
-            if (lost(view, view.all()) != 0) { found.add("somebody was taken to be gone in a roll"); }
+            if (lost(view, view.all()) != 0) { found.add("a member was declared gone during a rolling restart"); }
         }
     }
 
-    /** All but the seeds come at once through one seed, which dies meanwhile. */
+    /** All but the seeds join at once through one seed, which is killed meanwhile. */
     private static void join(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
         try (ViewGroup view = new ViewGroup(folder, size, seed, Math.min(SEEDS, size), true)) {
             Set<Integer> seeds = Set.of(0, 1, 2);
             view.start(seeds, 3);
             Set<Integer> others = but(view.all(), seeds);
-            for (int i : others) { view.relay().way(i, 1).cut(true); } // of the three one is heard, until it dies
+            for (int i : others) { view.relay().way(i, 1).cut(true); } // only seed 0 answers them, until it is killed
             for (int i : others) { view.relay().way(i, 2).cut(true); }
             double from = Group.now();
             for (int i : others) { view.group.launch(i); }
@@ -355,14 +355,14 @@
             settles(view, view.all(), Group.now(), "healed", found, new StringBuilder());
             note.append("lost ").append(lost(view, view.all())).append(", foreign ").append(view.sum(view.all(), "mesh_foreign")).append(", spoilt ")
                     .append(view.sum(view.all(), "mesh_spoilt")).append(", suspected ").append(view.sum(view.all(), "view_accused")).append("; ");
-            if (lost(view, view.all()) != 0) { found.add("a member that runs was taken to be gone under loss of 20%"); }
+            if (lost(view, view.all()) != 0) { found.add("a running member was declared gone at 20% loss"); }
             for (int i = 0; i < size; i++) {
                 if (Files.readString(view.group.log(i)).contains("Exception")) { found.add("n" + i + " threw an exception"); }
             }
         }
     }
 
-    /** What the view costs in calm: the same processes with it and without it. */
+    /** Measures the cost of the idle view: the same processes with and without it. */
     private static void cost(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
         for (boolean on : new boolean[] {false, true}) {
             try (ViewGroup view = new ViewGroup(folder.resolve(on ? "on" : "off"), size, seed, Math.min(SEEDS, size), false)) {
@@ -387,15 +387,15 @@
         }
     }
 
-    /** No seed is there: all serve, and find one another once it comes. */
+    /** Starts without any seed: all serve, and find one another once the seed starts. */
     private static void noSeed(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
         try (ViewGroup view = new ViewGroup(folder, size, seed, 1, true)) {
             Set<Integer> others = but(view.all(), Set.of(0));
             view.start(others, 10);
-            if (view.look(others).stream().anyMatch(one -> one == null || one.there() != 1)) { found.add("somebody is not alone without a seed"); }
+            if (view.look(others).stream().anyMatch(one -> one == null || one.there() != 1)) { found.add("a process knows another one without any seed"); }
             double from = Group.now();
             view.start(List.of(0), 1);
-            settles(view, view.all(), from, "seed back", found, note);
+            settles(view, view.all(), from, "seed started", found, note);
         }
     }
 }
--- a/lab/src/yardusher/lab/view/ViewRun.java
+++ b/lab/src/yardusher/lab/view/ViewRun.java
@@ -10,16 +10,16 @@
 import yardusher.view.Membership;
 
 /**
- * One view on scripted time under faults that follow from a seed: what is borne without a false word ({@code bounds}), and what
- * is only healed from ({@code hard}). {@code MODE FIRST COUNT [MEMBERS [FLAW]]}; exits 1 where a seed broke a rule. A seed is
- * played again by its number; {@code -Dlab.say=true} tells what was done when.
+ * Runs a simulated fleet under faults determined by a seed: faults that must not cause false GONE declarations ({@code bounds}), and
+ * faults from which the view only has to recover ({@code hard}). {@code MODE FIRST COUNT [MEMBERS [FLAW]]}; exits 1 if a seed
+ * violated a rule. A seed replays the same run; {@code -Dlab.say=true} prints each fault and its time.
  */
 public final class ViewRun {
-    /** The longest pause after which nobody is held to be gone, at the defaults and with up to 10% of datagrams lost. */
+    /** The longest pause that must not lead to a GONE declaration, at default settings and with up to 10% of datagrams lost. */
     public static final int PAUSE_MS = Integer.getInteger("lab.pause", 1000);
-    /** Of all datagrams. */
+    /** Maximum share of lost datagrams. */
     public static final double LOSS = 0.10;
-    /** Of each 100 ms, what a starved process runs. */
+    /** Share of each 100 ms in which a CPU-starved process runs. */
     public static final double SHARE = 0.3;
     private static final double PLAY_MS = 40_000;
     private static final double HEAL_MS = 20_000;
@@ -27,14 +27,14 @@
     private static final int SEEDS = 3;
     private static final boolean SAYS = Boolean.getBoolean("lab.say");
 
-    /** What came of a seed. */
+    /** The result of a seed. */
     public record Outcome(List<String> breaches, double healedMs, int members, int accused, int falselyLost, long changes) { }
 
     private final Random random;
     private final ViewNet net;
     private final ViewChecker checker = new ViewChecker(GRACE_MS);
     private final ViewFleet fleet;
-    private final Set<Integer> strangers = new HashSet<>(); // places of processes under a name of others
+    private final Set<Integer> strangers = new HashSet<>(); // nodes of processes that use another member's name
     private final Map<ViewFleet.Life, ViewFleet.Life> doubles = new HashMap<>();
     private final double from;
     private final int members;
@@ -70,13 +70,13 @@
                 System.out.printf("seed %d, %d members: BREACH %s%n", first + i, outcome.members(), outcome.breaches().subList(0, Math.min(5, outcome.breaches().size())));
             }
         }
-        System.out.printf("%s: %d seeds, %d with a breach%s; settled in calm p50 %.0f p99 %.0f most %.0f ms (seed %d); %d changes seen, %d suspected for nothing%n", args[0], count,
+        System.out.printf("%s: %d seeds, %d with a breach%s; settled after the faults p50 %.0f p99 %.0f max %.0f ms (seed %d); %d changes, %d false suspicions%n", args[0], count,
                 broken.size(), broken.isEmpty() ? "" : " " + broken, ViewFleet.percentile(healed, 0.5), ViewFleet.percentile(healed, 0.99),
                 ViewFleet.percentile(healed, 1), first + slowest, changes, accused);
         System.exit(broken.isEmpty() ? 0 : 1);
     }
 
-    /** Plays a seed; {@code members} 0 draws their number. */
+    /** Runs a seed; the number of members is drawn if {@code members} is 0. */
     public static Outcome play(long seed, boolean hard, int members, Membership.Flaw flaw) {
         return new ViewRun(seed, members, flaw).play(hard);
     }
@@ -91,7 +91,7 @@
         net.twice(0.05);
         net.late(0.01, 2000);
         double joined = fleet.begin(members, 15_000);
-        if (joined < 0) { say("not joined"); }
+        if (joined < 0) { say("not all joined"); }
         for (int i = 0; i < members; i++) {
             if (random.nextInt(10) == 0) { net.starve(i, SHARE); }
         }
@@ -109,16 +109,16 @@
             net.starve(i, 1);
             net.wake(i);
         }
-        // Whoever began while no seed was there finds the others once one is back.
+        // Processes that started while no seed was up find the others once a seed is back.
         if (fleet.at(0) == null && fleet.at(1) == null && fleet.at(2) == null) { back(0, 0); }
-        say("calm");
+        say("all faults ended");
         Set<String> names = new HashSet<>();
         for (ViewFleet.Life life : fleet.running()) { names.add(life.name); }
         double healed = fleet.awaitSettledOf(names, HEAL_MS);
         net.until(net.now() + 5000);
         List<String> breaches = new ArrayList<>();
         if (healed < 0) {
-            breaches.add("not settled " + HEAL_MS + " ms after all was healed: " + fleet.running().stream().map(life -> life.place + " " + life.name + " "
+            breaches.add("views not settled " + HEAL_MS + " ms after all faults ended: " + fleet.running().stream().map(life -> life.place + " " + life.name + " "
                     + life.membership.phase() + " " + life.membership.size()).toList());
         }
         fleet.calm();
@@ -126,13 +126,13 @@
         doubles.forEach((first, second) -> {
             if (!first.over && !second.over && !first.told.contains("VIEW_NAME_TAKEN") && !second.told.contains("VIEW_NAME_TAKEN")
                     && !first.told.contains("VIEW_REPLACED") && !second.told.contains("VIEW_REPLACED")) {
-                breaches.add("nobody was told that " + first.name + " is taken twice");
+                breaches.add("nobody reported that two processes use the name " + first.name);
             }
         });
         return new Outcome(breaches, healed, members, checker.falselyAccused().size(), checker.falselyLost().size(), checker.changes());
     }
 
-    /** What is borne without a false word. */
+    /** Injects a fault that must not cause a false GONE declaration. */
     private void mild(int place) {
         ViewFleet.Life life = fleet.at(place);
         switch (random.nextInt(5)) {
@@ -140,7 +140,7 @@
                 if (life == null) { back(place, 0); } else if (fleet.running().size() > members / 2 && !net.isStopped(place)) {
                     say("kill " + place);
                     fleet.kill(place);
-                    if (random.nextBoolean()) { back(place, 0); } // within the same probe
+                    if (random.nextBoolean()) { back(place, 0); } // restarted within the same probe round
                 }
             }
             case 1 -> {
@@ -157,7 +157,7 @@
     }
 
     private void back(int place, double clockMs) {
-        say("start " + place + (clockMs == 0 ? "" : " with its clock off by " + clockMs));
+        say("start " + place + (clockMs == 0 ? "" : " with clock offset " + clockMs));
         fleet.start(place, ViewFleet.name(place), clockMs);
     }
 
@@ -169,14 +169,14 @@
         net.at(net.now() + ms, () -> net.wake(place));
     }
 
-    /** What is healed from. */
+    /** Injects a fault that may cause false declarations but has to heal. */
     private void hard(int place) {
         double now = net.now();
         double ms = 1000 + random.nextDouble() * 9000;
         switch (random.nextInt(8)) {
             case 0 -> {
                 int sides = 2 + random.nextInt(2);
-                say("split in " + sides + " for " + ms);
+                say("partition into " + sides + " for " + ms);
                 for (int i = 0; i < members; i++) {
                     net.side(i, random.nextInt(sides));
                     checker.trouble(ViewFleet.name(i), now, now + ms);
@@ -192,18 +192,18 @@
                 net.at(now + ms, () -> net.cut(place, other, false));
             }
             case 2 -> {
-                say("deaf " + place + " for " + ms);
+                say("nothing reaches " + place + " for " + ms);
                 checker.trouble(ViewFleet.name(place), now, now + ms);
                 for (int i = 0; i < members; i++) {
                     int other = i;
                     net.cut(other, place, true);
                     net.at(now + ms, () -> net.cut(other, place, false));
                 }
-                // Who hears nobody takes all others to be gone, and that is what it has to think.
+                // A member that receives nothing rightly considers all others gone.
                 for (int i = 0; i < members; i++) { checker.trouble(ViewFleet.name(i), now, now + ms); }
             }
             case 3 -> {
-                say("flapping " + place);
+                say("flapping links of " + place);
                 checker.trouble(ViewFleet.name(place), now, now + 10_000);
                 for (int i = 0; i < members; i++) { checker.trouble(ViewFleet.name(i), now, now + 10_000); }
                 for (int second = 0; second < 10; second++) {
@@ -232,11 +232,11 @@
                     strangers.add(stranger);
                     say(stranger + " takes the name of " + place);
                     doubles.put(life, fleet.start(stranger, life.name, random.nextBoolean() ? -1e9 : 0));
-                    checker.trouble(life.name, now, Double.POSITIVE_INFINITY); // one of the two, and the other
+                    checker.trouble(life.name, now, Double.POSITIVE_INFINITY); // either of the two may be held GONE
                 }
             }
             default -> {
-                say("made-up bytes for " + place);
+                say("random datagrams to " + place);
                 for (int i = 0; i < 50; i++) {
                     byte[] body = new byte[random.nextInt(1200)];
                     random.nextBytes(body);
--- a/src/test/java/yardusher/lab/view/ViewTest.java
+++ b/src/test/java/yardusher/lab/view/ViewTest.java
@@ -13,7 +13,7 @@
 import yardusher.view.Membership;
 import yardusher.view.View.State;
 
-/** The view on scripted time, its checker, and the short ones of the hard cases by real processes. */
+/** The membership view in simulated time, its checker, and the short fault scenarios with real processes. */
 class ViewTest {
     private static final int NAMED = 20;
 
@@ -39,7 +39,7 @@
         assertThat(caught).isTrue();
     }
 
-    /** One way between two is cut and nothing else: with helpers nobody is suspected, without them somebody is. */
+    /** Only one link is cut, in one direction: with indirect probes nobody is suspected, without them somebody is. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aWayCutInOneDirectionIsGoneRound(boolean helpers) {
@@ -53,7 +53,7 @@
         assertThat(checker.falselyLost()).isEmpty();
     }
 
-    /** Who was stopped while it waited for answers accuses nobody when it wakes; one that trusts its clock does. */
+    /** A process that was paused while it waited for answers must suspect nobody when it resumes; without the health score it does. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void whoWasStoppedDoesNotAccuseTheHealthy(boolean health) {
@@ -61,7 +61,7 @@
         for (long seed = 1; seed <= 10; seed++) {
             ViewChecker checker = new ViewChecker(0);
             ViewFleet fleet = fleet(seed, 20, checker, health ? null : Membership.Flaw.NO_HEALTH);
-            fleet.net.delay(20, 20);                 // so that answers are on their way when it stops
+            fleet.net.delay(20, 20);                 // so that answers are in flight when it is paused
             fleet.net.until(fleet.net.now() + 3000);
             ViewFleet.Life stopped = fleet.at(5);
             for (int i = 0; i < 10; i++) {
@@ -81,7 +81,7 @@
         fleet.net.until(fleet.net.now() + 1000);
         long before = fleet.at(0).membership.member("n4").incarnation();
         fleet.kill(4);
-        fleet.start(4, "n4", -1.6e12);               // it believes that it is 1973
+        fleet.start(4, "n4", -1.6e12);               // its clock says 1973
         assertThat(fleet.awaitSettled(5, 10_000)).isBetween(0.0, 2000.0);
         assertThat(fleet.at(0).membership.member("n4").incarnation()).isGreaterThan(before);
     }
@@ -97,7 +97,7 @@
         assertThat(second.told).contains("VIEW_NAME_TAKEN");
         assertThat(holder.told).contains("VIEW_NAME_TAKEN");
         assertThat(checker.falselyLost()).isEmpty();
-        fleet.kill(2);                               // its name is free now
+        fleet.kill(2);                               // this frees the name
         fleet.net.until(fleet.net.now() + 10_000);
         assertThat(second.membership.phase()).isEqualTo(Membership.Phase.IN);
         assertThat(fleet.isSettled(6)).isTrue();
@@ -128,8 +128,8 @@
         checker.held(6, 1, "b", 8, 3, State.ALIVE);
         checker.held(7, 2, "c", 3, 1, State.GONE);
         checker.calm(10, Map.of("c", 3L, "d", 4L), Map.of(1, 11L, 2, 12L), List.of(1, 2));
-        assertThat(String.join("\n", checker.breaches())).contains("a fell from", "a is there again", "b is there again", "c runs and is held to be gone",
-                "c runs and is held unknown", "d runs and is held unknown", "b is held ALIVE and does not run", "2 different digests");
+        assertThat(String.join("\n", checker.breaches())).contains("a fell from", "a is active again", "b is active again", "c runs but was declared GONE",
+                "c runs but is recorded as unknown", "d runs but is recorded as unknown", "b is recorded as ALIVE but does not run", "2 different digests");
         ViewChecker excused = new ViewChecker(100);
         excused.trouble("c", 0, 5);
         excused.held(100, 2, "c", 3, 1, State.GONE);
