--- a/lab/src/yardusher/lab/rates/RatesGroupRun.java
+++ b/lab/src/yardusher/lab/rates/RatesGroupRun.java
@@ -15,15 +15,15 @@
 import yardusher.lab.Terminals;
 
 /**
- * Rates at real processes under faults by seed: customers whose sets are all ingresses, some of whom ask for three times their quota through all alike.
- * Some seconds after all is healed those are held to about their quota, though each ingress alone would let all of it in, and those who ask
- * little are let in.
+ * Runs rates with real processes under faults determined by a seed. The customers' sets are all ingresses, and some demand three times
+ * their quota, spread evenly. Some seconds after all faults have ended, these are limited to about their quota, although each ingress
+ * alone would admit all of their requests, and customers with low demand are admitted.
  */
 public final class RatesGroupRun {
-    /** What an ingress is given beside its view. FLAWED: rates whose words nobody else believes, for who wants to see the check fail. */
+    /** The rates settings of an ingress. FLAWED: a horizon so long that no customer is announced in time, to see the check fail. */
     enum Build { RATES, FLAWED }
 
-    private static final double QUOTA_PER_S = 7.2;   // of the plan "plus" in the tests' configuration
+    private static final double QUOTA_PER_S = 7.2;   // quota of the plan "plus" in the test configuration
     private static final int HEAVY = 4;
     private static final int CALM = 8;
     private static final double HEAVY_TIMES = 3;
@@ -37,7 +37,7 @@
 
     private RatesGroupRun() { }
 
-    /** {@code FOLDER FIRST COUNT [PROCESSES [MS]]}: traffic with faults for so long, then calm. */
+    /** {@code FOLDER FIRST COUNT [PROCESSES [MS]]}: traffic with faults for that time, then without. */
     public static void main(String[] args) throws Exception {
         int processes = args.length > 3 ? Integer.parseInt(args[3]) : 5;
         long ms = args.length > 4 ? Long.parseLong(args[4]) : 4000;
@@ -59,7 +59,7 @@
             group.start();
             Faults faults = new Faults(group, seed, EnumSet.of(Faults.Kind.KILL, Faults.Kind.TERM, Faults.Kind.PAUSE, Faults.Kind.CUT_ONE, Faults.Kind.CUT_ONE_WAY, Faults.Kind.SPLIT,
                     Faults.Kind.LOSS, Faults.Kind.MESS), 3 + processes, ms, ms / 20, ms / 3);
-            Set<Integer> troubled = new HashSet<>(); // whose terminals may wait in vain
+            Set<Integer> troubled = new HashSet<>(); // processes whose terminals may get no answer
             for (Faults.Fault fault : faults.schedule()) {
                 if (Set.of(Faults.Kind.KILL, Faults.Kind.TERM, Faults.Kind.PAUSE).contains(fault.kind())) { troubled.addAll(fault.at()); }
             }
@@ -88,7 +88,7 @@
         });
     }
 
-    /** What each customer was let in between two times, of its quota; and how much of the calm ones' tries was refused. */
+    /** Checks the admitted share of each heavy customer's quota between two times, and the refused share of the light customers' requests. */
     static List<String> check(List<Terminals.Try> tries, double from, double to, StringBuilder note) {
         List<String> found = new ArrayList<>();
         double[] let = new double[HEAVY];
@@ -107,15 +107,15 @@
             }
         }
         double seconds = (to - from) / 1000;
-        note.append("let in");
+        note.append("admitted");
         for (int i = 0; i < HEAVY; i++) {
             double times = let[i] / seconds / QUOTA_PER_S;
             note.append(String.format(" %.2f of %.2f", times, asked[i] / seconds / QUOTA_PER_S));
-            if (asked[i] / seconds < 2 * QUOTA_PER_S) { found.add("not enough was asked to tell: " + asked[i] + " in " + seconds + " s"); }
-            if (times < LEAST || times > MOST) { found.add(String.format("customer %d was let in %.2f times its quota", i, times)); }
+            if (asked[i] / seconds < 2 * QUOTA_PER_S) { found.add("too little demand to judge: " + asked[i] + " in " + seconds + " s"); }
+            if (times < LEAST || times > MOST) { found.add(String.format("customer %d was admitted %.2f times its quota", i, times)); }
         }
-        note.append(String.format(", calm refused %.0f of %.0f", refused, calm));
-        if (refused > CALM_REFUSED * calm) { found.add(String.format("%.0f of %.0f tries of customers who ask little were refused", refused, calm)); }
+        note.append(String.format(", light customers refused %.0f of %.0f", refused, calm));
+        if (refused > CALM_REFUSED * calm) { found.add(String.format("%.0f of %.0f requests of customers with low demand were refused", refused, calm)); }
         return found;
     }
 }
--- a/lab/src/yardusher/lab/rates/RatesRun.java
+++ b/lab/src/yardusher/lab/rates/RatesRun.java
@@ -13,26 +13,27 @@
 import yardusher.rates.Rates;
 
 /**
- * A fleet on scripted time, by seed: the decision module of each ingress with {@link Rates} beside it, and tenants of Zipf's law with wide
- * sets, of whom some ask for nearly all of their quota, some for several times it, and some do so in spikes. Beside it decides a policy that
- * sees what was let in, all of it, a quarter of a second late. Times are ms. A trouble begins at {@link #WARM_MS}, and what is counted begins there too.
+ * Simulates a fleet, by seed: the decision module and {@link Rates} of each ingress, and tenants with wide sets whose demand follows
+ * Zipf's law. Some use nearly all of their quota, some demand several times it, and some do so in spikes. The results are
+ * compared with a reference policy that sees everything admitted, a quarter of a second late. Times are in ms. The fault begins at
+ * {@link #WARM_UP_MS}, and so does counting.
  *
- * <p>{@code RatesRun SIZE TROUBLE SEED ...}, a size of {@link #size}; one line a seed.
+ * <p>{@code RatesRun SIZE FAULT SEED ...}, with a size of {@link #size}; prints one line for each seed.
  */
 public final class RatesRun {
-    /** ZONE: an eighth of the ingresses is gone. RESTART: a tenth begins anew. APART: two halves do not hear each other. */
+    /** ZONE: an eighth of the ingresses fails. RESTART: a tenth restarts. APART: a network partition into two halves. */
     enum Trouble { NONE, ZONE, LOSS, RESTART, APART }
 
-    /** {@code wide}: whether rates speak for the sets; else the module's own messages do. */
+    /** {@code wide}: whether demand of wide sets is shared as rates, rather than by the decision module's own messages. */
     record Case(int ingresses, int tenants, double triesPerS, Trouble trouble, double loss, double bytesPerS, boolean wide, double seconds, long seed) { }
 
     static final double WARM_MS = 150_000;
     private static final int PLANS = 18;
     private static final double LEAST_RATE = 0.25, WINDOW_S = 2, MOST_UNITS = 4, OVER_COST = 0.8, PEER_PRICE = 0.02, INTAKE_PER_S = 60;
-    private static final double NOTICED_MS = 5000;   // until views agree on who is gone
-    private static final double LATE_MS = 250;       // what the policy beside it does not see yet
+    private static final double NOTICED_MS = 5000;   // until the views agree on who is gone
+    private static final double LATE_MS = 250;       // delay of what the reference policy sees
     private static final int HEAD_BYTES = 43, MOST_BODY = 1200, SERVERS = 8;
-    /** What is promised; with few tenants one of them is a part of all that counts, and wrong by chance. */
+    /** The promised bounds; with few tenants a single one weighs in the totals, and its errors are random. */
     private static final double MOST_EXCESS = 0.1, MOST_ROOMY = 0.04, MOST_ROOMY_OF_FEW = 0.06, MOST_BYTES = 1.02, MOST_LET = 1.3;
     private static final int FEW = 10_000;
     private static final double[] UNITS = {2, 4};
@@ -46,16 +47,16 @@
         final int plan, first, spread;
         final Plan terms;
         final double triesPerS;
-        final double spike;                          // times that, for a while
+        final double spike;                          // factor of the demand during a spike
         final boolean heavy;
         double spikeUntil;
         double level, ideal, late, at;
-        double askedUnits, letUnits;                 // while counted
+        double askedUnits, letUnits;                 // during the counted time
         final ArrayDeque<Take> unseen = new ArrayDeque<>();
 
         Tenant(long id, double wanted) {
             this.id = id;
-            double kind = random.nextDouble();       // full, heavy, calm, and calm with spikes
+            double kind = random.nextDouble();       // near its quota, heavy, light, and light with spikes
             double asks = kind < 0.17 ? 0.8 + 0.25 * random.nextDouble() : kind < 0.27 ? 2.6 + 1.7 * random.nextDouble() : 0.15 + 0.35 * random.nextDouble();
             heavy = kind >= 0.17 && kind < 0.27;
             double perTry = 2.5, quota = wanted * perTry / asks;
@@ -105,9 +106,9 @@
     private double now;
     private long order, ids, current;
     private boolean sent, counts, apart;
-    /** Of what is counted, in units: let in inside the quotas and beyond, the same of the late policy, and what one that saw all would let in. */
+    /** Counted units: admitted within and beyond the quotas, beyond them by the reference policy, and admitted by an ideal policy. */
     double inside, beyond, lateBeyond, ideal;
-    /** Tries: all, refused though they fitted, and refused with half of the quota or more unused. */
+    /** Counted requests: all, refused although the quota had room, and refused with half of the quota or more unused. */
     long tries, refusedFitting, refusedRoomy;
     private long bytes;
 
@@ -247,13 +248,13 @@
         }
     }
 
-    /** The worst of all customers that ask more than their quota, as a part of what their quota gives in the time counted, at most so many. */
+    /** Returns the largest ratio of admitted units to quota over customers whose quota is at least {@code minUnits} in the counted time. */
     double worstLet(double leastUnits) {
         return tenants.stream().filter(t -> t.terms.ratePerS() * of.seconds >= leastUnits)
                 .mapToDouble(t -> t.letUnits / (t.terms.burst() + t.terms.ratePerS() * of.seconds)).max().orElse(0);
     }
 
-    /** What heavy customers were let in, of what their quotas give. */
+    /** Returns the units admitted of heavy customers, relative to their quotas. */
     double heavyLet() {
         double let = 0, given = 0;
         for (Tenant t : tenants) {
@@ -275,14 +276,14 @@
 
     double bytesPerS() { return bytes / of.seconds / of.ingresses; }
 
-    /** What does not hold of what docs/design/rates.md promises, a line each. */
+    /** Returns the violations of the bounds in docs/design/rates.md, one line each. */
     List<String> breaches() {
         List<String> found = new ArrayList<>();
-        if (excess() > lateExcess() + MOST_EXCESS) { found.add(String.format(Locale.ROOT, "excess %.3f, with sight of a quarter of a second ago %.3f", excess(), lateExcess())); }
-        if (roomyRefused() > (of.tenants < FEW ? MOST_ROOMY_OF_FEW : MOST_ROOMY)) { found.add(String.format(Locale.ROOT, "%.3f of the tries refused with half of the quota unused", roomyRefused())); }
+        if (excess() > lateExcess() + MOST_EXCESS) { found.add(String.format(Locale.ROOT, "excess %.3f, of the reference policy %.3f", excess(), lateExcess())); }
+        if (roomyRefused() > (of.tenants < FEW ? MOST_ROOMY_OF_FEW : MOST_ROOMY)) { found.add(String.format(Locale.ROOT, "%.3f of the requests refused with half of the quota unused", roomyRefused())); }
         if (bytesPerS() > of.bytesPerS * MOST_BYTES) { found.add(String.format(Locale.ROOT, "%.0f bytes a second", bytesPerS())); }
         double bound = (of.trouble == Trouble.APART ? 2 : 1) * MOST_LET;
-        if (heavyLet() > bound) { found.add(String.format(Locale.ROOT, "customers far over their quota were let in %.2f times it, %.2f are promised", heavyLet(), bound)); }
+        if (heavyLet() > bound) { found.add(String.format(Locale.ROOT, "customers far over their quota were admitted %.2f times it, the bound is %.2f", heavyLet(), bound)); }
         return found;
     }
 
@@ -305,14 +306,14 @@
                 fittingRefused(), roomyRefused(), heavyLet(), worstLet(200), Arrays.stream(rates).filter(one -> one != null).mapToInt(Rates::listed).average().orElse(0));
     }
 
-    /** Sizes by name: the target, a quarter, a tenth of it, each with the target's tenants and tries for an ingress. */
+    /** Returns a case by the name of its size; each has as many tenants and requests for an ingress as the target size. */
     static Case size(String name, Trouble trouble, boolean wide, long seed) {
         int ingresses = switch (name) {
             case "target" -> 850;
             case "quarter" -> 212;
             case "tenth" -> 85;
             case "small" -> 30;
-            default -> throw new IllegalArgumentException("target, quarter, tenth or small, not " + name);
+            default -> throw new IllegalArgumentException("unknown size, expected target, quarter, tenth or small: " + name);
         };
         return new Case(ingresses, ingresses * 38_000 / 850, ingresses * 81_000.0 / 850, trouble, trouble == Trouble.LOSS ? 0.1 : 0.01, 1200, wide, 30, seed);
     }
--- a/src/test/java/yardusher/lab/rates/RatesRunTest.java
+++ b/src/test/java/yardusher/lab/rates/RatesRunTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import yardusher.lab.Terminals;
 
-/** Rates on scripted time at a small size and at real processes; the checks are shown to fail. */
+/** Rates in simulated time at a small size and with real processes; the checks are shown to fail. */
 @Timeout(value = 150, unit = TimeUnit.SECONDS)
 class RatesRunTest {
     @TempDir
@@ -27,7 +27,7 @@
         assertThat(run.breaches()).as("java -cp target/classes:target/test-classes yardusher.lab.rates.RatesRun small " + trouble + " 1").isEmpty();
     }
 
-    /** The check can fail: where no message arrives, customers far over their quota are let in by each ingress as if it were alone. */
+    /** The check can fail: if no message arrives, each ingress admits customers far over their quota as if it were alone. */
     @Test
     void whereNothingIsHeardTheCheckSaysSo() {
         RatesRun.Case all = RatesRun.size("small", RatesRun.Trouble.NONE, true, 1);
@@ -41,13 +41,13 @@
                 .as("java -Dlab.jar=target/yardusher.jar -cp target/test-classes:target/yardusher.jar yardusher.lab.rates.RatesGroupRun FOLDER 60 1 3 3000").isEmpty();
     }
 
-    /** The check of real processes can fail, by hand-made histories: all let in, too little let in, calm ones refused. */
+    /** The check of real processes can fail, with synthetic histories: too much admitted, too little admitted, light customers refused. */
     @Test
     void theCheckOfRealProcessesCanFail() {
         assertThat(RatesGroupRun.check(tries(7.2, 0), 0, 10_000, new StringBuilder())).isEmpty();
         assertThat(RatesGroupRun.check(tries(20, 0), 0, 10_000, new StringBuilder())).hasSize(4).allMatch(line -> line.contains("times its quota"));
         assertThat(RatesGroupRun.check(tries(1, 0), 0, 10_000, new StringBuilder())).hasSize(4).allMatch(line -> line.contains("times its quota"));
-        assertThat(RatesGroupRun.check(tries(7.2, 10), 0, 10_000, new StringBuilder())).singleElement().asString().contains("ask little");
+        assertThat(RatesGroupRun.check(tries(7.2, 10), 0, 10_000, new StringBuilder())).singleElement().asString().contains("low demand");
     }
 
     private static List<Terminals.Try> tries(double letPerS, int calmRefused) {
