--- a/src/test/java/yardusher/rates/RatesNet.java
+++ b/src/test/java/yardusher/rates/RatesNet.java
@@ -4,7 +4,7 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
-/** Some {@link Rates} on scripted time with messages between them that take a while and may be lost, by seed. Times in ms. */
+/** A simulated network of {@link Rates} instances whose messages are delayed and may be lost, by seed. Times are in ms. */
 final class RatesNet {
     static final double[] QUOTAS = {0, 4, 20, 1000};
     static final int HEAD = 43, MOST = 1200;
@@ -44,7 +44,7 @@
         });
     }
 
-    /** All see who is there. */
+    /** Gives the active members to all. */
     void view() {
         long[] there = java.util.stream.LongStream.range(0, all.length).filter(i -> !gone[(int) i]).toArray();
         for (int i = 0; i < all.length; i++) {
@@ -63,7 +63,7 @@
 
     void at(double time, Runnable work) { due.add(new Due(time, order++, work)); }
 
-    /** Tries of two units for a customer at all ingresses alike, from now until then. */
+    /** Schedules requests of two units for a customer at random ingresses until {@code untilMs}. */
     void demand(long customer, int plan, double unitsPerS, double untilMs) {
         double next = now - Math.log(1 - random.nextDouble()) * 2000 / unitsPerS;
         if (next > untilMs) { return; }
@@ -85,7 +85,7 @@
         return this;
     }
 
-    /** At how many ingresses that are there a customer is known to be asked more than its quota. */
+    /** Returns how many running ingresses know that the customer exceeds its quota. */
     long knownAt(long customer, int plan) {
         long count = 0;
         for (int i = 0; i < all.length; i++) { count += !gone[i] && all[i].askedPerS(now, customer, plan) > 0 ? 1 : 0; }
--- a/src/test/java/yardusher/rates/RatesTest.java
+++ b/src/test/java/yardusher/rates/RatesTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** What customers are asked at all ingresses, on scripted time. */
+/** Estimation and gossip of fleet-wide demand, in simulated time. */
 class RatesTest {
     private static final long HEAVY = 0x1_2345_6789L, CALM = 77;
     private static final int PLAN = 2;               // 20 units a second
@@ -41,13 +41,13 @@
         assertThat(net.run(250_000).knownAt(HEAVY, PLAN)).isZero();
     }
 
-    /** Guards against copies that look newer at each hop, and so are told for ever. */
+    /** Guards against copies that look newer at each hop and so are gossiped for ever. */
     @Test
     void whatNobodyWorksOutAnyMoreEnds() {
         RatesNet net = heavy(5, 0).run(100_000);
         int meets = (int) net.all[0].meeting(HEAVY);
-        net.gone[meets] = true;                      // and the others do not notice: their reports go nowhere
-        assertThat(net.run(300_000).knownAt(HEAVY, PLAN)).as("a word of before").isPositive();
+        net.gone[meets] = true;                      // the others do not notice, so their reports are lost
+        assertThat(net.run(300_000).knownAt(HEAVY, PLAN)).as("an announcement from before").isPositive();
         assertThat(net.run(600_000).knownAt(HEAVY, PLAN)).isZero();
     }
 
@@ -75,7 +75,7 @@
         assertThat(net.all[fresh].askedPerS(net.now, HEAVY, PLAN)).isPositive();
     }
 
-    /** Whatever is asked: many customers far over their quotas, some with huge ones, all at once. */
+    /** Many customers far over their quotas at once, some of them with very large quotas. */
     @Property(tries = 10)
     void bytesStayWithinTheBudget(@ForAll @LongRange(min = 0, max = 1 << 30) long seed, @ForAll @IntRange(min = 300, max = 3000) int bytesPerS) {
         RatesNet net = new RatesNet(8, bytesPerS, seed);
@@ -83,7 +83,7 @@
         net.run(60_000);
         double saved = 2.0 * bytesPerS + 2 * (RatesNet.HEAD + RatesNet.MOST);
         assertThat(net.bytes / 8.0).isLessThanOrEqualTo(60.0 * bytesPerS + saved);
-        assertThat(net.bytes / 8.0).as("and are used").isGreaterThan(20.0 * bytesPerS);
+        assertThat(net.bytes / 8.0).as("the budget is used").isGreaterThan(20.0 * bytesPerS);
     }
 
     @Property
@@ -111,7 +111,7 @@
         assertThat(rate.ageMs()).as("rounded up").isBetween((double) ageMs, ageMs + 100.0);
     }
 
-    /** What one report stands for is, in the mean, what was asked: also where tries are far smaller or larger than that. */
+    /** The units of the sampled reports add up to the demand on average, even if requests are far smaller or larger than one report's units. */
     @Test
     void reportsStandForAllThatIsAsked() {
         List<Double> told = new ArrayList<>();
@@ -132,7 +132,7 @@
             if (now % 200 == 0) { rates.tick(now); }
         }
         assertThat(told.stream().mapToDouble(Double::doubleValue).sum()).isBetween(asked * 0.97, asked * 1.03);
-        assertThat(told).as("one for many tries").hasSizeLessThan(40_000);
+        assertThat(told).as("one report for many requests").hasSizeLessThan(40_000);
     }
 
     @Test
@@ -152,7 +152,7 @@
         rates.tick(500_000);
     }
 
-    /** Guards against an ingress that gets a part of the reports by mistake, and tells off whom the right one tells of. */
+    /** Guards against an ingress that receives part of the reports by mistake and withdraws what the right aggregator announced. */
     @Test
     void whoIsNotTheMeetingIngressSaysNothingOfACustomer() {
         List<byte[]> said = new ArrayList<>();
@@ -170,10 +170,10 @@
         assertThat(said).allMatch(body -> body[0] == RateText.Kind.ASK.ordinal());
     }
 
-    /** Where members differ for a while, and where nobody is seen at all, nothing breaks and what is asked here counts here. */
+    /** Without any known member, an ingress aggregates its own reports and sends nothing. */
     @Test
     void aloneItMeetsItsOwnReports() {
-        Rates rates = new Rates(new Rates.Terms(1200, 43, 1200, RatesNet.QUOTAS, 20_000), 1, 2, 0, (to, out) -> { throw new AssertionError("nobody is there"); });
+        Rates rates = new Rates(new Rates.Terms(1200, 43, 1200, RatesNet.QUOTAS, 20_000), 1, 2, 0, (to, out) -> { throw new AssertionError("there is no other member"); });
         rates.members(new long[0]);
         for (double now = 0; now < 60_000; now += 20) {
             rates.asked(now, HEAVY, PLAN, 2);
--- a/src/test/java/yardusher/view/RosterTest.java
+++ b/src/test/java/yardusher/view/RosterTest.java
@@ -15,11 +15,11 @@
 import yardusher.error.ViewError;
 import yardusher.view.View.State;
 
-/** The rule by which news is taken, and the bounds of what is remembered. */
+/** Merging of updates, expiry of entries, digests, suspicion time-outs and change notification. */
 class RosterTest {
     private static final Membership.World NOBODY = new Membership.World() {
         @Override
-        public void send(InetSocketAddress to, byte[] body) { throw new AssertionError("a roster sends nothing"); }
+        public void send(InetSocketAddress to, byte[] body) { throw new AssertionError("a member table sends nothing"); }
 
         @Override
         public void wrong(ViewError error) { throw new AssertionError(error); }
@@ -35,7 +35,7 @@
     private static List<News> some(Random random, int count) {
         List<News> some = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            long life = 1 + random.nextInt(3);       // a later life is born above the earlier ones' incarnations
+            long life = 1 + random.nextInt(3);       // a later instance starts above the incarnations of earlier ones
             long born = life * 10;
             some.add(news("n" + random.nextInt(3), life, born, born + random.nextInt(5), State.values()[random.nextInt(4)]));
         }
@@ -98,7 +98,7 @@
         Roster roster = roster();
         for (int i = 0; i < 1000; i++) { roster.take(news("n" + i, 1, 5, 5, State.GONE), i); }
         roster.forget(1000);
-        assertThat(roster.gone()).hasSize(256);      // the longest gone went
+        assertThat(roster.gone()).hasSize(256);      // the oldest were dropped
         assertThat(roster.get("n999")).isNotNull();
         assertThat(roster.get("n1")).isNull();
         roster.forget(600_900);
@@ -132,7 +132,7 @@
         assertThat(Suspicion.lasts(300, 4, 100, 4, 1)).isEqualTo(1200);
         assertThat(Suspicion.lasts(300, 4, 100, 4, 3)).isEqualTo(3600);
         assertThat(Suspicion.lasts(300, 4, 10_000, 4, 1)).isEqualTo(2400);
-        assertThat(Suspicion.lasts(300, 4, 2, 1, 1)).isEqualTo(1200); // there is nobody to confirm
+        assertThat(Suspicion.lasts(300, 4, 2, 1, 1)).isEqualTo(1200); // no other member could confirm
     }
 
     @Test
--- a/src/test/java/yardusher/view/ViewSettingsTest.java
+++ b/src/test/java/yardusher/view/ViewSettingsTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import yardusher.settings.Settings;
 
-/** The table view of our settings. */
+/** The table {@code view} of the settings file. */
 class ViewSettingsTest {
     private static final String GOOD = "[view]\nlisten = \"127.0.0.1:7946\"\ninstallation = \"site\"\nseeds = [\"127.0.0.2:7946\"]\n";
     @TempDir
--- a/src/test/java/yardusher/view/WireTest.java
+++ b/src/test/java/yardusher/view/WireTest.java
@@ -16,7 +16,7 @@
 import yardusher.mesh.Mesh;
 import yardusher.view.View.State;
 
-/** Datagrams of the view: whole, cut, foreign and made up; and what a member makes of them. */
+/** Encoding of the view's datagrams, and how a member handles valid, truncated, corrupted and forged ones. */
 class WireTest {
     private static final Wire WIRE = new Wire(UnaryOperator.identity());
 
