--- a/lab/src/yardusher/lab/scale/HollowIngress.java
+++ b/lab/src/yardusher/lab/scale/HollowIngress.java
@@ -38,7 +38,7 @@
  * An ingress without clients' and backends' sockets: the program's own core with its decision module, its own view, and both
  * their messages over datagrams at an address of its own. docs/lab.md lists what it leaves out. In turns of its process's loop only.
  */
-final class HollowIngress implements Neighbours, Membership.World, Rates.World {
+final class HollowIngress implements Neighbours, Membership.Environment, Rates.Transport {
     /** Bytes of IP's and UDP's heads, counted with each datagram. */
     static final int HEADS = 28;
     private static final int MOST_PEER_BYTES = 256;
@@ -125,8 +125,8 @@
         }
         if (sizes.ratesBytesPerS() > 0) {
             double[] quotas = settings.plans().stream().mapToDouble(Api.Plan::ratePerS).toArray();
-            rates = new Rates(new Rates.Terms(sizes.ratesBytesPerS(), HEADS + FRAME, Mesh.MOST_BODY, quotas, RATES_HORIZON_MS), id(Configs.name(number)), own + 2, loop.now(), this);
-            membership.follow(change -> members(change.now()));
+            rates = new Rates(new Rates.Parameters(sizes.ratesBytesPerS(), HEADS + FRAME, Mesh.MOST_BODY, quotas, RATES_HORIZON_MS), id(Configs.name(number)), own + 2, loop.now(), this);
+            membership.subscribe(change -> members(change.snapshot()));
             core.tell(new Api.Wide(Configs.RATES_FROM));
         } else {
             rates = null;
@@ -135,16 +135,16 @@
 
     private static long id(String name) { return LongHashFunction.xx3().hashChars(name); }
 
-    private void members(View.Picture picture) {
+    private void members(View.Snapshot picture) {
         addresses.clear();
-        picture.members().forEach(one -> addresses.put(id(one.name()), one.at()));
-        rates.members(addresses.keySet().stream().mapToLong(Long::longValue).toArray());
+        picture.members().forEach(one -> addresses.put(id(one.name()), one.address()));
+        rates.updateMembers(addresses.keySet().stream().mapToLong(Long::longValue).toArray());
     }
 
     private void tickRates() {
         if (vanished) { return; }
         rates.tick(loop.now());
-        loop.deadlines().at(loop.now() + Rates.TICK_MS, this::tickRates);
+        loop.deadlines().at(loop.now() + Rates.TICK_INTERVAL_MS, this::tickRates);
     }
 
     /** Its settings, as those that were decoded for another of the same run. */
@@ -163,7 +163,7 @@
             joined = true;
             arm();
         });
-        if (rates != null) { loop.deadlines().at(loop.now() + number % Rates.TICK_MS, this::tickRates); }
+        if (rates != null) { loop.deadlines().at(loop.now() + number % Rates.TICK_INTERVAL_MS, this::tickRates); }
     }
 
     private DatagramChannel opened(Selector selector, int port) throws IOException {
@@ -201,8 +201,8 @@
     /** A client's request has come. */
     void take(int tenant, int plan, int first, int spread, int units, double waitMs, Api.Binding only) {
         if (rates != null && spread >= Configs.RATES_FROM) {
-            rates.asked(loop.now(), Demand.customer(tenant), plan, units);
-            double perS = rates.askedPerS(loop.now(), Demand.customer(tenant), plan);
+            rates.recordDemand(loop.now(), Demand.customer(tenant), plan, units);
+            double perS = rates.overQuotaDemandPerS(loop.now(), Demand.customer(tenant), plan);
             if (perS > 0) { core.tell(new Api.Asked(Demand.customer(tenant), plan, perS)); }
         }
         core.take(new Order(0, plan, Demand.customer(tenant), units, first, spread, waitMs, CARGO, new Terminal() {
@@ -288,15 +288,15 @@
         in.get(body);
         if (!joined || !ours || sum != sum(kind, body)) { return; }
         if (kind == Mesh.Kind.RATES.ordinal() && rates != null) {
-            rates.heard(loop.now(), addresses.entrySet().stream().filter(one -> one.getValue().equals(from)).mapToLong(Map.Entry::getKey).findFirst().orElse(0), body);
+            rates.receive(loop.now(), addresses.entrySet().stream().filter(one -> one.getValue().equals(from)).mapToLong(Map.Entry::getKey).findFirst().orElse(0), body);
         }
         if (kind != Mesh.Kind.VIEW.ordinal()) { return; }
-        membership.heard(loop.now(), body);
+        membership.receive(loop.now(), body);
         arm();
     }
 
     private void arm() {
-        double at = membership.next();
+        double at = membership.nextTickMs();
         if (at == timerAt) { return; }
         loop.deadlines().cancel(timer);
         timerAt = at;
@@ -309,5 +309,5 @@
     }
 
     @Override
-    public void wrong(ViewError error) { }
+    public void reportError(ViewError error) { }
 }
--- a/lab/src/yardusher/units/UnitsWorld.java
+++ b/lab/src/yardusher/units/UnitsWorld.java
@@ -410,19 +410,19 @@
                     (there ? came : gone).add(told(i));
                 }
             }
-            if ((!came.isEmpty() || !gone.isEmpty()) && follower != null) { loop.turn(() -> follower.accept(new Change(picture(), came, gone))); }
+            if ((!came.isEmpty() || !gone.isEmpty()) && follower != null) { loop.turn(() -> follower.accept(new Change(snapshot(), came, gone))); }
         }
 
         @Override
         public Member self() { return told(index); }
 
         @Override
-        public Picture picture() {
+        public Snapshot snapshot() {
             List<Member> there = new ArrayList<>();
             for (int i = 0; i < size; i++) {
                 if (told(i).state() == State.ALIVE) { there.add(told(i)); }
             }
-            return new Picture(there, 0, 0, 0, 0);
+            return new Snapshot(there, 0, 0, 0, 0);
         }
 
         @Override
@@ -434,7 +434,7 @@
         }
 
         @Override
-        public void follow(Consumer<Change> by) { follower = by; }
+        public void subscribe(Consumer<Change> by) { follower = by; }
 
         // Events.
 
--- a/src/main/java/yardusher/parts/PartsSubsystem.java
+++ b/src/main/java/yardusher/parts/PartsSubsystem.java
@@ -79,7 +79,7 @@
         joined.pool().allow(this);
         joined.table().follow(() -> loop.afterwards(this::listed)); // once the module has the list
         joined.mesh().hear(Mesh.Kind.PARTS, this::heard);
-        if (joined.view() != null) { joined.view().follow(change -> members(change.now())); }
+        if (joined.view() != null) { joined.view().subscribe(change -> members(change.snapshot())); }
         listed();
     }
 
@@ -133,7 +133,7 @@
         claimState = "claimed";
         site.events().info("parts: claimed", "life", claim.life(), "remembers", claim.remembers(), "in_order", claim.wasClean());
         trusted = claim.remembers();
-        if (site.view() != null) { members(site.view().picture()); }
+        if (site.view() != null) { members(site.view().snapshot()); }
         Guest was = guest;
         guest = null;
         listed();
@@ -149,10 +149,10 @@
         soon();
     }
 
-    private void members(View.Picture picture) {
+    private void members(View.Snapshot picture) {
         if (negotiator == null) { return; }
         String own = site.view().self().name();
-        negotiator.members(picture.members().stream().filter(one -> !one.name().equals(own)).map(View.Member::at).toList());
+        negotiator.members(picture.members().stream().filter(one -> !one.name().equals(own)).map(View.Member::address).toList());
     }
 
     /** The service table changed, or its numbers did. */
--- a/src/main/java/yardusher/rates/RateSettings.java
+++ b/src/main/java/yardusher/rates/RateSettings.java
@@ -8,7 +8,7 @@
  * headers. {@code minSetSize} is the smallest number of ingresses in a customer's set from which its demand is shared as rates instead
  * of counts. {@code horizonS} is the minimum averaging time of demand, in seconds.
  */
-public record RateSettings(int bytesPerS, int from, int horizonS) {
+public record RateSettings(int bytesPerS, int minSetSize, int horizonS) {
     private static final Set<String> KEYS = Set.of("bytes_per_s", "from", "horizon_s");
 
     /** Reads the table, null if it is absent; a {@link yardusher.error.ConfigError} names the key and the allowed values. */
--- a/src/main/java/yardusher/units/UnitsIntake.java
+++ b/src/main/java/yardusher/units/UnitsIntake.java
@@ -105,8 +105,8 @@
             post.heard(loop.now(), body);
             pulseBy(loop.now() + TICK_MS);
         });
-        place.view.follow(this::changed);
-        for (View.Member member : place.view.picture().members()) { greet(member); }
+        place.view.subscribe(this::changed);
+        for (View.Member member : place.view.snapshot().members()) { greet(member); }
         pulseBy(loop.now() + SLOW_MS);
     }
 
@@ -331,7 +331,7 @@
             searches.put(asked.unit.life(), found);
             byte[] message = new Message.Where(asked.unit.home(), asked.unit.life()).bytes();
             double until = loop.now() + settings.askMs();
-            for (View.Member member : at.view.picture().members()) {
+            for (View.Member member : at.view.snapshot().members()) {
                 if (!member.name().equals(at.self)) { post.send(loop.now(), member.name(), message, until); }
             }
             long life = asked.unit.life();
@@ -606,7 +606,7 @@
     @Override
     public void transmit(String to, byte[] datagram) {
         View.Member member = at.view.member(to);
-        if (member != null && datagram.length <= Mesh.MOST_BODY) { at.mesh.send(member.at(), Mesh.Kind.UNITS, datagram); }
+        if (member != null && datagram.length <= Mesh.MOST_BODY) { at.mesh.send(member.address(), Mesh.Kind.UNITS, datagram); }
     }
 
     @Override
@@ -731,7 +731,7 @@
     /** The next ingress by name that is well; null where there is none. */
     private String heir() {
         List<String> names = new ArrayList<>();
-        for (View.Member member : at.view.picture().members()) {
+        for (View.Member member : at.view.snapshot().members()) {
             if (member.state() == View.State.ALIVE && !member.name().equals(at.self)) { names.add(member.name()); }
         }
         return names.stream().filter(name -> name.compareTo(at.self) > 0).findFirst().orElse(names.isEmpty() ? null : names.get(0));
@@ -768,7 +768,7 @@
             }
             for (Message.Moved one : told.values()) {
                 moves.put(one.life(), one);
-                for (View.Member member : at.view.picture().members()) {
+                for (View.Member member : at.view.snapshot().members()) {
                     if (!member.name().equals(at.self)) { post.send(now, member.name(), one.bytes(), now + settings.handOverMs()); }
                 }
             }
@@ -795,9 +795,9 @@
     }
 
     private void changed(View.Change change) {
-        change.came().forEach(this::greet);
+        change.joined().forEach(this::greet);
         Set<String> out = new HashSet<>();
-        for (View.Member member : change.gone()) {
+        for (View.Member member : change.departed()) {
             out.add(member.name());
             if (member.state() == View.State.LEFT) { post.forget(member.name()); }
         }
--- a/src/main/java/yardusher/view/Health.java
+++ b/src/main/java/yardusher/view/LocalHealth.java
@@ -7,26 +7,26 @@
  * probe lowers both. Silent helpers must not lengthen suspicions: with that, the smaller side of a network partition
  * did not settle on its new view within 15 s.
  */
-final class Health {
-    private static final int WORST_EARS = 3;
-    private static final int WORST_CLOCK = 8;
-    private int ears;
-    private int clock;
+final class LocalHealth {
+    private static final int MAX_RECEIVE_SCORE = 3;
+    private static final int MAX_CLOCK_SCORE = 8;
+    private int receiveScore;
+    private int clockScore;
 
-    void silence(int by) { ears = Math.min(WORST_EARS, ears + by); }
+    void recordSilence(int silentPeers) { receiveScore = Math.min(MAX_RECEIVE_SCORE, receiveScore + silentPeers); }
 
-    void lateness() { clock = Math.min(WORST_CLOCK, clock + 1); }
+    void recordLateTimer() { clockScore = Math.min(MAX_CLOCK_SCORE, clockScore + 1); }
 
-    void better() {
-        ears = Math.max(0, ears - 1);
-        clock = Math.max(0, clock - 1);
+    void recordAnswer() {
+        receiveScore = Math.max(0, receiveScore - 1);
+        clockScore = Math.max(0, clockScore - 1);
     }
 
-    int score() { return Math.max(ears, clock); }
+    int score() { return Math.max(receiveScore, clockScore); }
 
     /** Returns the factor by which probe rounds and probe timeouts are longer. */
-    double slower() { return 1 + score(); }
+    double probeFactor() { return 1 + score(); }
 
     /** Returns the factor by which suspicions last longer. */
-    double patience() { return 1 + clock; }
+    double suspicionFactor() { return 1 + clockScore; }
 }
--- a/src/main/java/yardusher/view/View.java
+++ b/src/main/java/yardusher/view/View.java
@@ -16,7 +16,7 @@
      * A member as seen by this ingress. {@code incarnation} only grows over the successive processes of a name; {@code hall} is the
      * name of its zone (data hall); {@code address} is its address in the mesh.
      */
-    record Member(String name, String hall, InetSocketAddress at, long incarnation, State state) { }
+    record Member(String name, String hall, InetSocketAddress address, long incarnation, State state) { }
 
     /**
      * All ALIVE and SUSPECT members, including this one, sorted by name. Digests are equal where names, addresses and processes
@@ -24,16 +24,16 @@
      * when the digest last changed here, on the event loop's clock. {@code agreeing} of the {@code polled} members that were
      * heard from recently report the same digest.
      */
-    record Picture(List<Member> members, long digest, double stillSinceMs, int same, int asked) { }
+    record Snapshot(List<Member> members, long digest, double unchangedSinceMs, int agreeing, int polled) { }
 
     /** The difference between two settled snapshots, as one batch. */
-    record Change(Picture now, List<Member> came, List<Member> gone) { }
+    record Change(Snapshot snapshot, List<Member> joined, List<Member> departed) { }
 
     /** Returns this ingress as the others see it. */
     Member self();
 
     /** Returns the current snapshot, settled or not. */
-    Picture picture();
+    Snapshot snapshot();
 
     /** Returns a remembered member in any state; null for an unknown name. */
     Member member(String name);
@@ -42,8 +42,8 @@
      * Returns the id that the process holding a name drew at its start. It differs between two processes of one name, and stays the
      * same when the incarnation goes up to refute a suspicion. 0 for an unknown name.
      */
-    default long life(String name) { return 0; }
+    default long instanceId(String name) { return 0; }
 
     /** Adds a listener for settled changes; other ingresses need not see the same change. */
-    void follow(Consumer<Change> follower);
+    void subscribe(Consumer<Change> listener);
 }
