--- a/src/main/java/yardusher/disk/Folder.java
+++ b/src/main/java/yardusher/disk/Folder.java
@@ -39,7 +39,7 @@
         return new Folder(path, null);
     }
 
-    /** Opens a folder to write in it, makes it where it is not there, and locks it. The message is a few plain words without the path; {@link ProcessView} where another writes. */
+    /** Opens a folder to write in it, makes it where it is not there, and locks it. The message is a few plain words without the path; {@link Held} where another writes. */
     public static Folder writing(Path path, String who) throws IOException {
         FileChannel channel;
         try {
--- a/src/main/java/yardusher/register/Node.java
+++ b/src/main/java/yardusher/register/Node.java
@@ -41,7 +41,7 @@
 
 /**
  * One member's part of the register: the consensus library, its store, and the member's own copy. It knows no network
- * and no thread: messages go to {@link Transport}, and work runs where the executor says, a task at a time.
+ * and no thread: messages go to {@link World}, and work runs where the executor says, a task at a time.
  */
 public final class Node {
     /** Heartbeats without a word of the leader, after which another may be chosen. */
