--- a/lab/src/yardusher/lab/rates/RatesRun.java
+++ b/lab/src/yardusher/lab/rates/RatesRun.java
@@ -18,7 +18,7 @@
  * compared with a reference policy that sees everything admitted, a quarter of a second late. Times are in ms. The fault begins at
  * {@link #WARM_UP_MS}, and so does counting.
  *
- * <p>{@code RatesRun SIZE FAULT SEED ...}, with a size of {@link #size}; prints one line for each seed.
+ * <p>{@code RatesRun SIZE FAULT SEED ...}, with a size of {@link #sizedCase}; prints one line for each seed.
  */
 public final class RatesRun {
     /** ZONE: an eighth of the ingresses fails. RESTART: a tenth restarts. APART: a network partition into two halves. */
@@ -30,8 +30,8 @@
     static final double WARM_UP_MS = 150_000;
     private static final int PLANS = 18;
     private static final double MIN_RATE_PER_S = 0.25, WINDOW_S = 2, MAX_UNITS = 4, OVER_COST = 0.8, PEER_PRICE = 0.02, INTAKE_PER_S = 60;
-    private static final double DETECTION_MS = 5000;   // until the views agree on who is gone
-    private static final double REFERENCE_DELAY_MS = 250;       // delay of what the reference policy sees
+    private static final double DETECTION_MS = 5000; // until the views agree on who is gone
+    private static final double REFERENCE_DELAY_MS = 250; // delay of what the reference policy sees
     private static final int HEADER_BYTES = 43, MAX_BODY_BYTES = 1200, SERVERS = 8;
     /** The promised bounds; with few tenants a single one weighs in the totals, and its errors are random. */
     private static final double MAX_EXCESS = 0.1, MAX_ROOMY_REFUSED = 0.04, MAX_ROOMY_REFUSED_OF_FEW = 0.06, MAX_BYTES_RATIO = 1.02, MAX_HEAVY_ADMITTED = 1.3;
@@ -47,11 +47,11 @@
         final int plan, first, spread;
         final Plan planTerms;
         final double requestsPerS;
-        final double spikeFactor;                          // factor of the demand during a spike
+        final double spikeFactor;                    // factor of the demand during a spike
         final boolean heavy;
         double spikeUntilMs;
         double level, idealLevel, referenceLevel, refilledAtMs;
-        double demandedUnits, admittedUnits;                 // during the counted time
+        double demandedUnits, admittedUnits;         // during the counted time
         final ArrayDeque<Admission> unseenAdmissions = new ArrayDeque<>();
 
         Tenant(long id, double wantedRequestsPerS) {
@@ -303,7 +303,7 @@
         return String.format(Locale.ROOT, "{\"ingresses\":%d,\"tenants\":%d,\"tries_per_s\":%.0f,\"trouble\":\"%s\",\"loss\":%.2f,\"wide\":%b,\"bytes_per_s\":%.0f,\"seed\":%d,\"seconds\":%.0f,"
                 + "\"sent_bytes_per_s\":%.0f,\"inside\":%.4f,\"excess\":%.4f,\"late_excess\":%.4f,\"refused_fitting\":%.4f,\"refused_roomy\":%.4f,\"heavy_let\":%.3f,\"worst_let\":%.2f,"
                 + "\"listed\":%.0f}", setup.ingresses, setup.tenants, requests / setup.seconds, setup.fault, setup.loss, setup.wide, setup.bytesPerS, setup.seed, setup.seconds, bytesPerS(), withinQuota / idealAdmitted, excess(), referenceExcess(),
-                fittingRefusedShare(), roomyRefusedShare(), heavyAdmittedRatio(), worstAdmittedRatio(200), Arrays.stream(rates).filter(one -> one != null).mapToInt(Rates::overQuotaCount).average().orElse(0));
+                fittingRefusedShare(), roomyRefusedShare(), heavyAdmittedRatio(), worstAdmittedRatio(200), Arrays.stream(rates).filter(rate -> rate != null).mapToInt(Rates::overQuotaCount).average().orElse(0));
     }
 
     /** Returns a case by the name of its size; each has as many tenants and requests for an ingress as the target size. */
--- a/lab/src/yardusher/lab/view/ViewChecker.java
+++ b/lab/src/yardusher/lab/view/ViewChecker.java
@@ -27,7 +27,7 @@
 
     private final double graceMs;
     private final Map<Integer, Map<String, TableRecord>> tables = new HashMap<>();
-    private final Map<Integer, Map<String, Set<Long>>> endedInstances = new HashMap<>();  // instances that left or were replaced, by observer and name
+    private final Map<Integer, Map<String, Set<Long>>> endedInstances = new HashMap<>(); // instances that left or were replaced, by observer and name
     private final Map<Integer, String> observerNames = new HashMap<>();
     private final Map<Long, Double> endedAtMs = new HashMap<>();
     private final Map<String, List<FaultPeriod>> faults = new HashMap<>();
@@ -75,18 +75,18 @@
         for (int observer : observers) {
             distinctDigests.add(digests.get(observer));
             Map<String, TableRecord> table = tables.getOrDefault(observer, Map.of());
-            for (Map.Entry<String, Long> one : truth.entrySet()) {
-                TableRecord record = table.get(one.getKey());
+            for (Map.Entry<String, Long> expected : truth.entrySet()) {
+                TableRecord record = table.get(expected.getKey());
                 if (record == null || record.state() != State.ALIVE) {
-                    addBreach(atMs, observer, one.getKey() + " runs but is recorded as " + (record == null ? "unknown" : record.state()));
-                } else if (record.instanceId() != one.getValue()) {
-                    addBreach(atMs, observer, one.getKey() + " is recorded with another instance than the one that runs");
+                    addBreach(atMs, observer, expected.getKey() + " runs but is recorded as " + (record == null ? "unknown" : record.state()));
+                } else if (record.instanceId() != expected.getValue()) {
+                    addBreach(atMs, observer, expected.getKey() + " is recorded with another instance than the one that runs");
                 }
             }
-            for (Map.Entry<String, TableRecord> one : table.entrySet()) {
-                State state = one.getValue().state();
-                if ((state == State.ALIVE || state == State.SUSPECT) && !truth.containsKey(one.getKey())) {
-                    addBreach(atMs, observer, one.getKey() + " is recorded as " + state + " but does not run");
+            for (Map.Entry<String, TableRecord> recorded : table.entrySet()) {
+                State state = recorded.getValue().state();
+                if ((state == State.ALIVE || state == State.SUSPECT) && !truth.containsKey(recorded.getKey())) {
+                    addBreach(atMs, observer, recorded.getKey() + " is recorded as " + state + " but does not run");
                 }
             }
         }
@@ -95,17 +95,17 @@
 
     /** Returns the changes in which a running member was declared GONE without a fault that excuses it. */
     List<Change> falseGone() {
-        return goneDeclarations.stream().filter(one -> one.atMs() < endedAtMs.getOrDefault(one.record().instanceId(), Double.POSITIVE_INFINITY)
-                && !isExcused(one.name(), one.atMs()) && !isExcused(observerNames.get(one.observer()), one.atMs())).toList();
+        return goneDeclarations.stream().filter(change -> change.atMs() < endedAtMs.getOrDefault(change.record().instanceId(), Double.POSITIVE_INFINITY)
+                && !isExcused(change.name(), change.atMs()) && !isExcused(observerNames.get(change.observer()), change.atMs())).toList();
     }
 
     /** Returns the changes in which a running member was suspected, however briefly. */
     List<Change> falseSuspicions() {
-        return suspicions.stream().filter(one -> one.atMs() < endedAtMs.getOrDefault(one.record().instanceId(), Double.POSITIVE_INFINITY)).toList();
+        return suspicions.stream().filter(change -> change.atMs() < endedAtMs.getOrDefault(change.record().instanceId(), Double.POSITIVE_INFINITY)).toList();
     }
 
     private boolean isExcused(String name, double atMs) {
-        return faults.getOrDefault(name, List.of()).stream().anyMatch(one -> one.fromMs() <= atMs && atMs <= one.toMs() + graceMs);
+        return faults.getOrDefault(name, List.of()).stream().anyMatch(period -> period.fromMs() <= atMs && atMs <= period.toMs() + graceMs);
     }
 
     /** Returns when each observer declared that instance GONE. */
@@ -126,8 +126,8 @@
     /** Returns the violations, false GONE declarations included; at most {@link #MAX_REPORTED} of each kind. */
     List<String> breaches() {
         List<String> all = new ArrayList<>(breaches);
-        for (Change one : falseGone().stream().limit(MAX_REPORTED).toList()) {
-            all.add(String.format(java.util.Locale.ROOT, "%.0f ms, observer %d: %s runs but was declared GONE", one.atMs(), one.observer(), one.name()));
+        for (Change change : falseGone().stream().limit(MAX_REPORTED).toList()) {
+            all.add(String.format(java.util.Locale.ROOT, "%.0f ms, observer %d: %s runs but was declared GONE", change.atMs(), change.observer(), change.name()));
         }
         return all;
     }
--- a/lab/src/yardusher/lab/view/ViewFleet.java
+++ b/lab/src/yardusher/lab/view/ViewFleet.java
@@ -21,7 +21,7 @@
         final int node;
         final String name;
         final double startedAtMs;
-        private final double clockOffsetMs;                // offset of its clock
+        private final double clockOffsetMs;          // offset of its clock
         final Membership membership;
         final List<String> errorCodes = new ArrayList<>();
         final List<View.Change> changes = new ArrayList<>();
@@ -69,11 +69,11 @@
     private final long seed;
     private final ViewChecker checker;               // null if nothing is checked
     private final Membership.Flaw flaw;
-    private final Map<Integer, Instance> running = new LinkedHashMap<>();  // by node
+    private final Map<Integer, Instance> running = new LinkedHashMap<>(); // by node
     private final Map<Object, Object> identities = new HashMap<>();
-    private final UnaryOperator<Object> interner = who -> {
-        Object before = identities.putIfAbsent(who, who);
-        return before == null ? who : before;
+    private final UnaryOperator<Object> interner = identity -> {
+        Object existing = identities.putIfAbsent(identity, identity);
+        return existing == null ? identity : existing;
     };
     private int instanceCount;
 
@@ -120,7 +120,7 @@
 
     List<Instance> running() { return List.copyOf(running.values()); }
 
-    List<Instance> participants() { return running().stream().filter(life -> life.membership.phase() == Membership.Phase.IN).toList(); }
+    List<Instance> participants() { return running().stream().filter(instance -> instance.membership.phase() == Membership.Phase.IN).toList(); }
 
     /** Whether all running members hold the same view of that many members. */
     boolean isSettled(int size) {
@@ -140,8 +140,8 @@
         double startMs = net.now();
         for (;;) {
             List<Instance> participants = participants();
-            if (participants.size() == names.size() && participants.stream().allMatch(life -> life.membership.size() == names.size()
-                    && life.membership.digest() == participants.get(0).membership.digest())) { return net.now() - startMs; }
+            if (participants.size() == names.size() && participants.stream().allMatch(instance -> instance.membership.size() == names.size()
+                    && instance.membership.digest() == participants.get(0).membership.digest())) { return net.now() - startMs; }
             if (net.now() - startMs > timeoutMs) { return -1; }
             net.runUntil(net.now() + 10);
         }
--- a/lab/src/yardusher/lab/view/ViewGroup.java
+++ b/lab/src/yardusher/lab/view/ViewGroup.java
@@ -104,9 +104,9 @@
         Map<String, String> header = parseFields(text.lines().findFirst().orElse(""));
         Map<String, String> states = new TreeMap<>();
         Map<String, Long> incarnations = new HashMap<>();
-        text.lines().filter(line -> line.startsWith("member ")).map(ViewGroup::parseFields).forEach(one -> {
-            states.put(one.get("name"), one.get("state"));
-            incarnations.put(one.get("name"), Long.parseLong(one.get("incarnation")));
+        text.lines().filter(line -> line.startsWith("member ")).map(ViewGroup::parseFields).forEach(fields -> {
+            states.put(fields.get("name"), fields.get("state"));
+            incarnations.put(fields.get("name"), Long.parseLong(fields.get("incarnation")));
         });
         return new ProcessView(i, header.get("phase"), Integer.parseInt(header.get("there")), header.get("digest"),
                 (before + after) / 2 - Double.parseDouble(header.get("still_ms")), Integer.parseInt(header.get("same")), Integer.parseInt(header.get("asked")),
@@ -139,7 +139,7 @@
 
     /** Whether all of these are members and have the same view of that many members. */
     static boolean isSettled(List<ProcessView> views, int size) {
-        return views.stream().allMatch(one -> one != null && one.phase().equals("in") && one.activeCount() == size && one.digest().equals(views.get(0).digest()));
+        return views.stream().allMatch(view -> view != null && view.phase().equals("in") && view.activeCount() == size && view.digest().equals(views.get(0).digest()));
     }
 
     /** Waits until all of these have the same view of that many members, and returns their views; null after {@code timeoutMs}. */
@@ -153,7 +153,7 @@
         }
     }
 
-    /** Returns how long after {@code from} the last of them changed its view. */
+    /** Returns how long after {@code startMs} the last of them changed its view. */
     static double lastChangeAfter(List<ProcessView> views, double startMs) { return views == null ? -1 : views.stream().mapToDouble(ProcessView::changedAtMs).max().orElse(startMs) - startMs; }
 
     static double firstChangeAfter(List<ProcessView> views, double startMs) { return views == null ? -1 : views.stream().mapToDouble(ProcessView::changedAtMs).min().orElse(startMs) - startMs; }
@@ -176,7 +176,7 @@
     long sumOfCounter(Collection<Integer> processes, String name) { return processes.stream().mapToLong(i -> counters(i).getOrDefault(name, 0L)).sum(); }
 
     /** Returns the CPU time used by a process so far, in ms. */
-    double cpuMs(int i) { return group.process(i).info().totalCpuDuration().map(one -> one.toNanos() / 1e6).orElse(0.0); }
+    double cpuMs(int i) { return group.process(i).info().totalCpuDuration().map(duration -> duration.toNanos() / 1e6).orElse(0.0); }
 
     /** Returns the resident memory of a process, in kB. */
     long residentKb(int i) throws IOException {
--- a/lab/src/yardusher/lab/view/ViewHeartbeats.java
+++ b/lab/src/yardusher/lab/view/ViewHeartbeats.java
@@ -15,7 +15,7 @@
     private final int self;
     private final List<Integer> nodes;
     private final double[] lastHeardMs;
-    final double[] goneAtMs;                           // infinity for members considered alive
+    final double[] goneAtMs;                         // infinity for members considered alive
     private double nextHeartbeatMs;
     private double nextCheckMs;
     long goneDeclarations;
--- a/lab/src/yardusher/lab/view/ViewMeasure.java
+++ b/lab/src/yardusher/lab/view/ViewMeasure.java
@@ -11,7 +11,7 @@
  * false suspicions, and {@code plain MEMBERS SEEDS LOSS MINUTES} for both with plain heartbeats. Times are p50, p99 and maximum, in ms.
  */
 public final class ViewMeasure {
-    private static final double STARVED_SHARE = 0.1;       // share of the members
+    private static final double STARVED_SHARE = 0.1; // share of the members
     private static final double TIMEOUT_MS = 120_000;
 
     private ViewMeasure() { }
@@ -63,7 +63,7 @@
                 fleet.kill(dead);
                 double settled = fleet.awaitSettled(members - 1, TIMEOUT_MS);
                 all.add(settled);
-                first.add(fleet.running().stream().mapToDouble(life -> life.membership.changedAtMs()).min().orElse(from) - from);
+                first.add(fleet.running().stream().mapToDouble(instance -> instance.membership.changedAtMs()).min().orElse(from) - from);
                 net.runUntil(net.now() + 1000);
                 from = net.now();
                 fleet.start(dead);
@@ -88,7 +88,7 @@
                 percentiles(all), percentiles(rejoined), percentiles(healed), percentiles(hallFailed), changesReported, sent, bytes);
     }
 
-    private static long changeCount(ViewFleet fleet) { return fleet.running().stream().filter(life -> life.node % 3 != 1 || life.node == 1).mapToLong(life -> life.changes.size()).sum(); }
+    private static long changeCount(ViewFleet fleet) { return fleet.running().stream().filter(instance -> instance.node % 3 != 1 || instance.node == 1).mapToLong(instance -> instance.changes.size()).sum(); }
 
     private static void noise(int members, int seeds, double loss, double minutes) {
         long suspicionsRaised = 0;
@@ -141,9 +141,9 @@
             for (int i = 0; i < members * STARVED_SHARE; i++) { net.starve(i * 10 % members, ViewRun.STARVED_CPU_SHARE); }
             net.runUntil(net.now() + 5000);
             net.resetCounters();
-            long before = processes.stream().mapToLong(one -> one.goneDeclarations).sum();
+            long before = processes.stream().mapToLong(process -> process.goneDeclarations).sum();
             net.runUntil(net.now() + minutes * 60_000);
-            gone += processes.stream().mapToLong(one -> one.goneDeclarations).sum() - before;
+            gone += processes.stream().mapToLong(process -> process.goneDeclarations).sum() - before;
             for (int i = 0; i < members; i++) {
                 sent += net.sent(i) / (minutes * 60) / members / seeds;
                 bytes += net.sentBytes(i) / (minutes * 60) / members / seeds;
@@ -152,7 +152,7 @@
             int dead = members / 2;
             net.setProcess(dead, null);
             net.runUntil(from + 10_000);
-            double[] delays = processes.stream().filter(one -> one != processes.get(dead)).mapToDouble(one -> one.goneAtMs[dead] - from).toArray();
+            double[] delays = processes.stream().filter(process -> process != processes.get(dead)).mapToDouble(process -> process.goneAtMs[dead] - from).toArray();
             first.add(Arrays.stream(delays).min().orElse(-1));
             all.add(Arrays.stream(delays).max().orElse(-1));
         }
--- a/lab/src/yardusher/lab/view/ViewNet.java
+++ b/lab/src/yardusher/lab/view/ViewNet.java
@@ -53,7 +53,7 @@
         Process process;
         double timerAtMs = Double.POSITIVE_INFINITY;
         boolean paused;
-        double cpuShare = 1;                            // part of each 100 ms in which it runs
+        double cpuShare = 1;                         // part of each 100 ms in which it runs
         List<byte[]> receiveQueue = new ArrayList<>();
         boolean resumeScheduled;
         int partition;
@@ -62,7 +62,7 @@
         long received;
     }
 
-    private static final int MAX_QUEUED = 2000;    // datagrams in a socket's receive buffer
+    private static final int MAX_QUEUED = 2000;      // datagrams in a socket's receive buffer
     private static final double SLICE_MS = 100;
 
     private final Random random;
@@ -141,7 +141,7 @@
     void heal() {
         lossShare = duplicateShare = delayedShare = 0;
         cutLinks.clear();
-        nodes.forEach(place -> place.partition = 0);
+        nodes.forEach(node -> node.partition = 0);
     }
 
     void pause(int node) { nodes.get(node).paused = true; }
@@ -162,7 +162,7 @@
 
     long sentBytes(int node) { return nodes.get(node).sentBytes; }
 
-    void resetCounters() { nodes.forEach(place -> place.sent = place.sentBytes = place.received = 0); }
+    void resetCounters() { nodes.forEach(node -> node.sent = node.sentBytes = node.received = 0); }
 
     void send(int from, InetSocketAddress to, byte[] body) {
         Node source = nodes.get(from);
--- a/lab/src/yardusher/lab/view/ViewReal.java
+++ b/lab/src/yardusher/lab/view/ViewReal.java
@@ -392,7 +392,7 @@
         try (ViewGroup view = new ViewGroup(folder, size, seed, 1, true)) {
             Set<Integer> others = without(view.all(), Set.of(0));
             view.start(others, 10);
-            if (view.observeAll(others).stream().anyMatch(one -> one == null || one.activeCount() != 1)) { found.add("a process knows another one without any seed"); }
+            if (view.observeAll(others).stream().anyMatch(processView -> processView == null || processView.activeCount() != 1)) { found.add("a process knows another one without any seed"); }
             double from = Group.now();
             view.start(List.of(0), 1);
             checkSettled(view, view.all(), from, "seed started", found, note);
--- a/lab/src/yardusher/lab/view/ViewRun.java
+++ b/lab/src/yardusher/lab/view/ViewRun.java
@@ -56,14 +56,14 @@
         Membership.Flaw flaw = args.length > 4 ? Membership.Flaw.valueOf(args[4]) : null;
         List<Long> broken = new ArrayList<>();
         double[] healed = new double[count];
-        long accused = 0;
+        long falseSuspicions = 0;
         long changes = 0;
         int slowest = 0;
         for (int i = 0; i < count; i++) {
             Outcome outcome = play(first + i, hard, members, flaw);
             healed[i] = outcome.healedMs();
             slowest = healed[i] > healed[slowest] ? i : slowest;
-            accused += outcome.falseSuspicions();
+            falseSuspicions += outcome.falseSuspicions();
             changes += outcome.changes();
             if (!outcome.breaches().isEmpty()) {
                 broken.add(first + i);
@@ -72,7 +72,7 @@
         }
         System.out.printf("%s: %d seeds, %d with a breach%s; settled after the faults p50 %.0f p99 %.0f max %.0f ms (seed %d); %d changes, %d false suspicions%n", args[0], count,
                 broken.size(), broken.isEmpty() ? "" : " " + broken, ViewFleet.percentile(healed, 0.5), ViewFleet.percentile(healed, 0.99),
-                ViewFleet.percentile(healed, 1), first + slowest, changes, accused);
+                ViewFleet.percentile(healed, 1), first + slowest, changes, falseSuspicions);
         System.exit(broken.isEmpty() ? 0 : 1);
     }
 
@@ -99,8 +99,8 @@
         log(members + " members, loss " + loss);
         while (net.now() < until) {
             net.runUntil(net.now() + 200 + random.nextDouble() * 2000);
-            int place = random.nextInt(members);
-            if (hard && random.nextInt(2) == 0) { injectSevere(place); } else { injectTolerated(place); }
+            int node = random.nextInt(members);
+            if (hard && random.nextInt(2) == 0) { injectSevere(node); } else { injectTolerated(node); }
         }
         net.runUntil(net.now() + 1);
         faultsEnded = true;
@@ -113,20 +113,20 @@
         if (fleet.instanceAt(0) == null && fleet.instanceAt(1) == null && fleet.instanceAt(2) == null) { restart(0, 0); }
         log("all faults ended");
         Set<String> names = new HashSet<>();
-        for (ViewFleet.Instance life : fleet.running()) { names.add(life.name); }
+        for (ViewFleet.Instance instance : fleet.running()) { names.add(instance.name); }
         double healed = fleet.awaitSettledNames(names, HEAL_TIMEOUT_MS);
         net.runUntil(net.now() + 5000);
         List<String> breaches = new ArrayList<>();
         if (healed < 0) {
-            breaches.add("views not settled " + HEAL_TIMEOUT_MS + " ms after all faults ended: " + fleet.running().stream().map(life -> life.node + " " + life.name + " "
-                    + life.membership.phase() + " " + life.membership.size()).toList());
+            breaches.add("views not settled " + HEAL_TIMEOUT_MS + " ms after all faults ended: " + fleet.running().stream().map(instance -> instance.node + " " + instance.name + " "
+                    + instance.membership.phase() + " " + instance.membership.size()).toList());
         }
         fleet.checkAgreement();
         breaches.addAll(checker.breaches());
         duplicates.forEach((first, second) -> {
             if (!first.ended && !second.ended && !first.errorCodes.contains("VIEW_NAME_TAKEN") && !second.errorCodes.contains("VIEW_NAME_TAKEN")
                     && !first.errorCodes.contains("VIEW_REPLACED") && !second.errorCodes.contains("VIEW_REPLACED")) {
-                breaches.add("nobody reported that two processes use the name " + first.name);
+                breaches.add("nobody reported that " + first.name + " is used by two processes");
             }
         });
         return new Outcome(breaches, healed, members, checker.falseSuspicions().size(), checker.falseGone().size(), checker.changeCount());
--- a/src/main/java/yardusher/rates/KnownRate.java
+++ b/src/main/java/yardusher/rates/KnownRate.java
@@ -5,10 +5,10 @@
     final long customer;
     int plan;
     double ratio;                                    // 0: within its quota
-    double computedAtMs;                                 // on the clock of this ingress
-    double priority;                                   // sending order: the root of the demand beyond the quota
+    double computedAtMs;                             // on the clock of this ingress
+    double priority;                                 // sending order: the root of the demand beyond the quota
     double queuedAtMs;                               // since when it waits to be gossiped
-    int remainingSends;                                        // remaining transmissions
+    int remainingSends;                              // remaining transmissions
 
     KnownRate(long customer) { this.customer = customer; }
 }
--- a/src/main/java/yardusher/rates/Rates.java
+++ b/src/main/java/yardusher/rates/Rates.java
@@ -32,26 +32,26 @@
     public record Parameters(double bytesPerS, int headerBytes, int maxBodyBytes, double[] quotasPerS, double horizonMs) { }
 
     public static final double TICK_INTERVAL_MS = 200;
-    private static final double REPORT_BUDGET_SHARE = 0.45;      // share of the byte budget; the rest is for rates
-    private static final double BUDGET_BURST_S = 2;           // how many seconds' worth of either budget can accumulate
+    private static final double REPORT_BUDGET_SHARE = 0.45; // share of the byte budget; the rest is for rates
+    private static final double BUDGET_BURST_S = 2;  // how many seconds' worth of either budget can accumulate
     private static final double MS_PER_S = 1000;
-    private static final double REPORTS_PER_HORIZON = 16;         // reports within the horizon from a customer that uses exactly its quota
+    private static final double REPORTS_PER_HORIZON = 16; // reports within the horizon from a customer that uses exactly its quota
     private static final double MAX_HORIZON_MS = 90_000; // unless the settings ask for more
-    private static final double ANNOUNCE_RATIO = 1.15;         // ratio to the quota from which a customer is announced
-    private static final double WITHDRAW_RATIO = 1;           // ratio to the quota below which it is withdrawn
+    private static final double ANNOUNCE_RATIO = 1.15; // ratio to the quota from which a customer is announced
+    private static final double WITHDRAW_RATIO = 1;  // ratio to the quota below which it is withdrawn
     // Admitting slightly less than the quota would refuse requests although the quota has room; slightly more costs only the excess.
-    private static final double RATIO_DISCOUNT = 0.88;         // applied to the announced ratio
+    private static final double RATIO_DISCOUNT = 0.88; // applied to the announced ratio
     // Without a threshold, random variation of the largest rates would announce them again and again, and use up all bytes.
-    private static final double MIN_LOG_CHANGE = 0.3;       // logarithmic change of a rate from which it is announced again
-    private static final double ANNOUNCE_SPACING = 1.5;         // horizons between two announcements of one customer
-    private static final double WITHDRAW_SPACING = 0.5;     // the same where the second one withdraws it
-    private static final double MIN_AGE_DIFFERENCE_MS = 1000;     // a smaller difference in age is the same announcement, delayed in transit
+    private static final double MIN_LOG_CHANGE = 0.3; // logarithmic change of a rate from which it is announced again
+    private static final double ANNOUNCE_SPACING = 1.5; // horizons between two announcements of one customer
+    private static final double WITHDRAW_SPACING = 0.5; // the same where the second one withdraws it
+    private static final double MIN_AGE_DIFFERENCE_MS = 1000; // a smaller difference in age is the same announcement, delayed in transit
     private static final double REFRESH_INTERVAL_MS = 150_000;
-    private static final double RATE_TTL_MS = 360_000;   // of an announcement
-    private static final int GOSSIP_FANOUT = 2;             // transmissions of a new announcement by each ingress
-    private static final double BATCHING_DELAY_MS = 1000;    // announcements wait this long to share a message
-    private static final int TABLE_SLICES = 64;            // slices in which a new ingress requests the known rates
-    private static final double INITIAL_SYNC_MS = 60_000;     // slices still missing then are learned by gossip
+    private static final double RATE_TTL_MS = 360_000; // of an announcement
+    private static final int GOSSIP_FANOUT = 2;      // transmissions of a new announcement by each ingress
+    private static final double BATCHING_DELAY_MS = 1000; // announcements wait this long to share a message
+    private static final int TABLE_SLICES = 64;      // slices in which a new ingress requests the known rates
+    private static final double INITIAL_SYNC_MS = 60_000; // slices still missing then are learned by gossip
     private static final int MAX_KNOWN_RATES = 65_536;
     private static final int MAX_ESTIMATES = 16_384;
     private static final double INITIAL_REPORT_SCALE = 1;
@@ -60,21 +60,21 @@
     private final long selfId;
     private final Transport transport;
     private final SplittableRandom random;
-    private final double[] quotaRoots;                    // square roots of the quotas, by plan
+    private final double[] quotaRoots;               // square roots of the quotas, by plan
     private final int maxRatesPerMessage;
     private long[] members;
     private final Map<Long, ByteBuffer> reportBuffers = new HashMap<>(); // pending reports by aggregator; sent each tick
     private final Map<Long, DemandEstimate> estimates = new HashMap<>();
     private final Map<Long, KnownRate> knownRates = new HashMap<>();
     private final LinkedHashSet<KnownRate> pendingRates = new LinkedHashSet<>(); // to be gossiped
-    private final ArrayDeque<KnownRate> rotation = new ArrayDeque<>();   // all known rates, in round-robin order
-    private double reportScale = INITIAL_REPORT_SCALE;              // units that one report stands for at a quota of 1
+    private final ArrayDeque<KnownRate> rotation = new ArrayDeque<>(); // all known rates, in round-robin order
+    private double reportScale = INITIAL_REPORT_SCALE; // units that one report stands for at a quota of 1
     private double lastTickMs, lastRescaleMs, lastRatesSentMs;
-    private double periodDemand, smoothedDemand = -1;                 // units divided by the roots of their quotas: in this period, and smoothed
-    private double reportBudgetBytes, rateBudgetBytes;           // unspent budgets
-    private double syncStartedMs = Double.NaN;             // when there was first another member to ask; NaN before
+    private double periodDemand, smoothedDemand = -1; // units divided by the roots of their quotas: in this period, and smoothed
+    private double reportBudgetBytes, rateBudgetBytes; // unspent budgets
+    private double syncStartedMs = Double.NaN;       // when there was first another member to ask; NaN before
     private final boolean[] receivedSlices = new boolean[TABLE_SLICES]; // slices that were received
-    private int lastRequestedSlice;                               // the slice requested last
+    private int lastRequestedSlice;                  // the slice requested last
     private long sentMessages, sentBytes, sentReports, sentRates, unsentReports, receivedReports, receivedRates, misroutedReports, malformed, droppedWhenFull;
 
     /** Requests the rates known to the others as soon as there are other members. */
@@ -92,7 +92,7 @@
     /** Sets the active members, in any order, with or without this one. Drops the estimates of customers that now have another aggregator. */
     public void updateMembers(long[] active) {
         members = active.clone();
-        estimates.values().removeIf(one -> aggregatorOf(one.customer) != selfId);
+        estimates.values().removeIf(estimate -> aggregatorOf(estimate.customer) != selfId);
     }
 
     /** Returns the customer's aggregator by rendezvous hashing: the same at all ingresses with the same members. */
@@ -184,7 +184,7 @@
 
     private void receiveReport(double now, RateCodec.Report report) {
         receivedReports++;
-        if (aggregatorOf(report.customer()) != selfId) {         // sent by an ingress with another view: a partial sum must not be announced as the fleet's
+        if (aggregatorOf(report.customer()) != selfId) { // sent by an ingress with another view: a partial sum must not be announced as the fleet's
             misroutedReports++;
             return;
         }
@@ -328,7 +328,7 @@
         }
         for (int remaining = Math.min(rotation.size(), capacity - count); remaining > 0; remaining--) {
             KnownRate rate = rotation.poll();
-            if (now - rate.computedAtMs > RATE_TTL_MS) {      // its aggregator no longer announces it
+            if (now - rate.computedAtMs > RATE_TTL_MS) { // its aggregator no longer announces it
                 knownRates.remove(rate.customer);
                 pendingRates.remove(rate);
                 continue;
@@ -345,7 +345,7 @@
     }
 
     /** Returns the number of customers known to exceed their quota. */
-    public int overQuotaCount() { return (int) knownRates.values().stream().filter(one -> one.ratio > 0).count(); }
+    public int overQuotaCount() { return (int) knownRates.values().stream().filter(rate -> rate.ratio > 0).count(); }
 
     /** Returns {@code name=value} pairs for the counters line. */
     public String counters() {
--- a/src/main/java/yardusher/rates/RatesSubsystem.java
+++ b/src/main/java/yardusher/rates/RatesSubsystem.java
@@ -18,7 +18,7 @@
 
 /** Connects {@link Rates} with the mesh, the membership view, the event loop's time and the decision module. */
 public final class RatesSubsystem implements Subsystem, Intake, Rates.Transport {
-    private static final int HEADER_BYTES = 28 + 15;  // headers of UDP and IP, and of the mesh
+    private static final int HEADER_BYTES = 28 + 15; // headers of UDP and IP, and of the mesh
 
     private final RateSettings settings;
     private final Map<Long, InetSocketAddress> addresses = new HashMap<>(); // of the members, by the hash of their names
@@ -75,7 +75,7 @@
 
     private void updateMembers(View.Snapshot snapshot) {
         addresses.clear();
-        snapshot.members().forEach(one -> addresses.put(memberId(one.name()), one.address()));
+        snapshot.members().forEach(member -> addresses.put(memberId(member.name()), member.address()));
         rates.updateMembers(addresses.keySet().stream().mapToLong(Long::longValue).toArray());
     }
 
--- a/src/main/java/yardusher/view/ChangeNotifier.java
+++ b/src/main/java/yardusher/view/ChangeNotifier.java
@@ -15,7 +15,7 @@
  */
 final class ChangeNotifier {
     private static final double MIN_MAX_DELAY_MS = 3000;
-    private static final int CONFIRMING_ACCUSERS = 2;            // a single accuser may merely have lost datagrams
+    private static final int CONFIRMING_ACCUSERS = 2; // a single accuser may merely have lost datagrams
 
     private record ReportedMember(View.Member member, long instanceId) { }
 
@@ -25,7 +25,7 @@
     private final List<Consumer<View.Change>> listeners = new ArrayList<>();
     private Map<String, ReportedMember> reported = new HashMap<>();
     private long reportedDigest;
-    private double unreportedSinceMs = Double.POSITIVE_INFINITY;       // time of the first unreported change
+    private double unreportedSinceMs = Double.POSITIVE_INFINITY; // time of the first unreported change
 
     ChangeNotifier(MemberTable table, double settleMs) {
         this.table = table;
@@ -43,7 +43,7 @@
         }
         if (unreportedSinceMs == Double.POSITIVE_INFINITY) { unreportedSinceMs = Math.max(table.changedAtMs(), now - maxDelayMs); }
         double deadlineMs = unreportedSinceMs + maxDelayMs;
-        return table.suspects().stream().anyMatch(one -> one.accusers.length >= CONFIRMING_ACCUSERS) ? deadlineMs : Math.min(deadlineMs, table.changedAtMs() + settleMs);
+        return table.suspects().stream().anyMatch(suspect -> suspect.accusers.length >= CONFIRMING_ACCUSERS) ? deadlineMs : Math.min(deadlineMs, table.changedAtMs() + settleMs);
     }
 
     /** Reports the change to the listeners if the view has settled. */
@@ -64,7 +64,7 @@
         }
         for (ReportedMember member : reported.values()) { departed.add(member.member); }
         reported = current;
-        if (joined.isEmpty() && departed.isEmpty()) { return; }    // refuted, or back before it was reported
+        if (joined.isEmpty() && departed.isEmpty()) { return; } // refuted, or back before it was reported
         joined.sort(Comparator.comparing(View.Member::name));
         departed.sort(Comparator.comparing(View.Member::name));
         View.Change change = new View.Change(snapshotAt.apply(now), List.copyOf(joined), List.copyOf(departed));
--- a/src/main/java/yardusher/view/GossipQueue.java
+++ b/src/main/java/yardusher/view/GossipQueue.java
@@ -37,7 +37,7 @@
 
     /**
      * Takes the next update and counts it as transmitted, so the caller has to send it; null if there is none.
-     * An update is dropped after {@code most} transmissions; items queued after the mark {@code before} are left.
+     * An update is dropped after {@code maxTransmissions} transmissions; items queued after the mark {@code mark} are left.
      */
     MemberEntry next(int maxTransmissions, long mark) {
         for (int transmissions = 0; transmissions < byTransmissions.size(); transmissions++) {
@@ -45,7 +45,7 @@
             for (QueueItem item; (item = queue.peek()) != null;) {
                 MemberEntry entry = item.entry();
                 if (entry.queueNumber != item.queueNumber() || entry.transmissions != transmissions) {
-                    queue.poll();                     // superseded by a newer item of this entry
+                    queue.poll();                    // superseded by a newer item of this entry
                     continue;
                 }
                 if (entry.queueNumber > mark) { break; } // already in this datagram
--- a/src/main/java/yardusher/view/MemberTable.java
+++ b/src/main/java/yardusher/view/MemberTable.java
@@ -45,8 +45,8 @@
     private final double rememberMs;
     private final Membership.Environment environment;
     private final Map<String, MemberEntry> entries = new HashMap<>();
-    private final List<MemberEntry> activeRing = new ArrayList<>();       // active members by ring position
-    private final List<MemberEntry> gone = new ArrayList<>();       // unordered
+    private final List<MemberEntry> activeRing = new ArrayList<>(); // active members by ring position
+    private final List<MemberEntry> gone = new ArrayList<>(); // unordered
     private final List<MemberEntry> suspects = new ArrayList<>();
     private final long[] bucketDigests = new long[BUCKETS];
     private long digest;
@@ -148,7 +148,7 @@
     private static boolean addAccusers(MemberEntry held, int[] accusers) {
         boolean changed = false;
         for (int accuser : accusers) {
-            if (held.accusers.length >= MAX_ACCUSERS || Arrays.stream(held.accusers).anyMatch(one -> one == accuser)) { continue; }
+            if (held.accusers.length >= MAX_ACCUSERS || Arrays.stream(held.accusers).anyMatch(known -> known == accuser)) { continue; }
             held.accusers = Arrays.copyOf(held.accusers, held.accusers.length + 1);
             held.accusers[held.accusers.length - 1] = accuser;
             changed = true;
--- a/src/main/java/yardusher/view/Membership.java
+++ b/src/main/java/yardusher/view/Membership.java
@@ -50,7 +50,7 @@
         final MemberEntry target;
         final long instanceId;
         final int sequence;
-        double retryAtMs;                              // next step: a second ping, then indirect probes by helpers
+        double retryAtMs;                            // next step: a second ping, then indirect probes by helpers
         double indirectAtMs;
         double failAtMs;
         boolean indirectSent;
@@ -83,11 +83,11 @@
     private static final int OBSERVERS_PER_MEMBER = 4;
     private static final int GOSSIP_FANOUT = 3;
     private static final int MAX_RELAYED_PROBES = 256;
-    private static final int MAX_TABLE_DATAGRAMS = 8;         // datagrams sent in reply to one SYNC or JOIN
-    private static final double LATE_TIMER_MS = 30;        // a timer that fires later than this shows that the process was not running
-    private static final double RECENT_REPORT_MS = 5000;     // how long a member's reported digest counts as recent
+    private static final int MAX_TABLE_DATAGRAMS = 8; // datagrams sent in reply to one SYNC or JOIN
+    private static final double LATE_TIMER_MS = 30;  // a timer that fires later than this shows that the process was not running
+    private static final double RECENT_REPORT_MS = 5000; // how long a member's reported digest counts as recent
     private static final double GONE_PING_INTERVAL_MS = 1000;
-    private static final double GONE_PINGS_PER_S = 4;     // pings of one GONE member, from all members together
+    private static final double GONE_PINGS_PER_S = 4; // pings of one GONE member, from all members together
     private static final double SEED_PING_INTERVAL_MS = 5000;
     private static final int MAX_SEEDS_PER_PING = 3;
     private static final double SYNC_INTERVAL_MS = 1000;
@@ -115,8 +115,8 @@
     private long firstIncarnation;
     private long incarnation;
     private Phase phase = Phase.JOINING;
-    private MemberEntry ownEntry;                               // the table's entry for this name; the holder's while the name is taken
-    private long claimantId;                           // instance whose claim to this name was last reported; 0 for none
+    private MemberEntry ownEntry;                    // the table's entry for this name; the holder's while the name is taken
+    private long claimantId;                         // instance whose claim to this name was last reported; 0 for none
 
     private final List<Probe> probes = new ArrayList<>();
     private final Map<Integer, RelayedProbe> relayedProbes = new LinkedHashMap<>();
@@ -125,7 +125,7 @@
     private int lastSequence;
     private int joinSequence;
     private int joinAttempts;
-    private int aloneAttempts;                               // consecutive seed probes sent while no other member was known
+    private int aloneAttempts;                       // consecutive seed probes sent while no other member was known
     private double enteredAtMs;
     private double nextTickMs = Double.POSITIVE_INFINITY;
     private double nextRoundMs = Double.POSITIVE_INFINITY;
@@ -134,7 +134,7 @@
     private double nextSeedPingMs = Double.POSITIVE_INFINITY;
     private double nextJoinMs = Double.POSITIVE_INFINITY;
     private double nextExpiryMs = Double.POSITIVE_INFINITY;
-    private double syncAllowedAtMs;                         // earliest time of the next table comparison
+    private double syncAllowedAtMs;                  // earliest time of the next table comparison
 
     private View.Snapshot snapshot;
     private long snapshotVersion = -1;
@@ -169,10 +169,10 @@
     /** Creates a member with the given flaw and with interned identities; for the lab. */
     public static Membership withFlaw(ViewSettings settings, String name, String hall, InetSocketAddress address, long seed, double now, Environment environment,
             UnaryOperator<Object> interner, Flaw flaw) {
-        return new Membership(settings, new MemberIdentity(name, hall, address), seed, now, environment, who -> (MemberIdentity) interner.apply(who), flaw);
+        return new Membership(settings, new MemberIdentity(name, hall, address), seed, now, environment, identity -> (MemberIdentity) interner.apply(identity), flaw);
     }
 
-    /** Starts the protocol; {@code at} is the address at which the other members reach this one. */
+    /** Starts the protocol; {@code address} is the one at which the other members reach this one. */
     public void start(double now, InetSocketAddress address) {
         self = new MemberIdentity(self.name(), self.hall(), address);
         instanceId = random.nextLong();
@@ -185,7 +185,7 @@
         nextTickMs = computeNextTickMs(now);
     }
 
-    private List<InetSocketAddress> otherSeeds() { return settings.seeds().stream().filter(one -> !one.equals(self.address())).toList(); }
+    private List<InetSocketAddress> otherSeeds() { return settings.seeds().stream().filter(seed -> !seed.equals(self.address())).toList(); }
 
     private MemberUpdate ownUpdate(State state) { return new MemberUpdate(self, instanceId, firstIncarnation, incarnation, state, MemberUpdate.NO_ACCUSERS, 0); }
 
@@ -254,7 +254,7 @@
         nextRoundMs = now + roundMs * health.probeFactor() * (0.95 + 0.1 * random.nextDouble());
         int activeCount = table.active().size();
         if (activeCount < 2) { return; }
-        for (int i = 0; i < activeCount; i++) {            // the next active member in the shuffled order
+        for (int i = 0; i < activeCount; i++) {      // the next active member in the shuffled order
             if (probeOrderIndex >= probeOrder.size()) {
                 probeOrder.clear();
                 probeOrder.addAll(table.active());
@@ -281,7 +281,7 @@
     }
 
     private void startProbe(MemberEntry target, double now) {
-        if (target == ownEntry || probes.stream().anyMatch(one -> one.target == target)) { return; }
+        if (target == ownEntry || probes.stream().anyMatch(probe -> probe.target == target)) { return; }
         Probe probe = new Probe(target, ++lastSequence);
         probe.retryAtMs = now + roundMs * 0.3 * health.probeFactor();
         probe.indirectAtMs = now + roundMs * 0.5 * health.probeFactor();
@@ -304,7 +304,7 @@
         }
         if (probe.retryAtMs <= now) {
             probe.retryAtMs = Double.POSITIVE_INFINITY;
-            sendPing(probe.target, probe.sequence, now);   // a single lost datagram should not trigger indirect probes
+            sendPing(probe.target, probe.sequence, now); // a single lost datagram should not trigger indirect probes
         }
         if (!probe.indirectSent && probe.indirectAtMs <= now) {
             probe.indirectSent = true;
@@ -322,11 +322,11 @@
         if (table.addAccuser(probe.target, (int) ownEntry.ringPosition, now)) {
             suspicionsRaised++;
             gossipQueue.add(probe.target, 0);
-            probeSuccessors(now);                              // a failed data hall takes several neighbours on the ring at once
+            probeSuccessors(now);                    // a failed data hall takes several neighbours on the ring at once
         }
     }
 
-    /** Picks up to {@code count} random active members other than this one and {@code but}. */
+    /** Picks up to {@code count} random active members other than this one and {@code excluded}. */
     private List<MemberEntry> randomMembers(int count, MemberEntry excluded) {
         List<MemberEntry> active = table.active();
         List<MemberEntry> picked = new ArrayList<>(count);
@@ -354,9 +354,9 @@
 
     /** Pings seeds that are not in the view, for as long as this process runs. */
     private void pingSeeds(double now) {
-        aloneAttempts = table.active().size() > 1 ? 0 : aloneAttempts + 1;    // admitted by a seed that knew nobody, or partitioned
+        aloneAttempts = table.active().size() > 1 ? 0 : aloneAttempts + 1; // admitted by a seed that knew nobody, or partitioned
         nextSeedPingMs = now + (aloneAttempts == 0 ? SEED_PING_INTERVAL_MS : joinBackoffMs(aloneAttempts)) * (0.5 + random.nextDouble());
-        List<InetSocketAddress> absentSeeds = otherSeeds().stream().filter(at -> table.active().stream().noneMatch(one -> one.identity.address().equals(at))).toList();
+        List<InetSocketAddress> absentSeeds = otherSeeds().stream().filter(seed -> table.active().stream().noneMatch(member -> member.identity.address().equals(seed))).toList();
         if (flaw == Flaw.NO_ASKING_THE_GONE) { return; }
         List<InetSocketAddress> targets = new ArrayList<>(absentSeeds);
         Collections.shuffle(targets, random);
@@ -444,7 +444,7 @@
             return;
         }
         if (update.instanceId() == instanceId) {
-            if (update.state() == State.LEFT) {        // LEFT is final for an instance, so a new one starts
+            if (update.state() == State.LEFT) {      // LEFT is final for an instance, so a new one starts
                 instanceId = random.nextLong();
                 incarnation = firstIncarnation = Math.max(incarnation, update.incarnation()) + 1;
                 announceSelf(now);
@@ -748,7 +748,8 @@
     /** Returns the random id that this process has drawn. */
     public long instanceId() { return instanceId; }
 
-    public void subscribe(Consumer<View.Change> follower) { changeNotifier.subscribe(follower); }
+    /** Adds a listener for settled changes. */
+    public void subscribe(Consumer<View.Change> listener) { changeNotifier.subscribe(listener); }
 
     /** Returns this ingress as the others see it; GONE while another process holds its name. */
     public View.Member self() {
@@ -774,8 +775,10 @@
     /** Returns the time at which {@link #digest} last changed here. */
     public double changedAtMs() { return table.changedAtMs(); }
 
+    /** Returns the number of active members. */
     public int size() { return table.active().size(); }
 
+    /** Returns the current snapshot; reuses an unchanged one for a short time. */
     public View.Snapshot snapshot(double now) {
         if (snapshot != null && snapshotVersion == table.version() && now - snapshotAtMs < SNAPSHOT_REUSE_MS) { return snapshot; }
         List<View.Member> members = snapshot != null && snapshotVersion == table.version() ? snapshot.members()
@@ -815,7 +818,7 @@
         } else if (claimantId != 0) {
             out.append("claimed name=").append(self.name()).append(" by=life-").append(Long.toHexString(claimantId)).append('\n');
         }
-        for (MemberEntry entry : table.entries().stream().sorted(Comparator.comparing((MemberEntry one) -> one.name)).toList()) {
+        for (MemberEntry entry : table.entries().stream().sorted(Comparator.comparing((MemberEntry member) -> member.name)).toList()) {
             out.append(String.format(java.util.Locale.ROOT, "member name=%s hall=%s at=%s state=%s incarnation=%d life=%x for_s=%.1f%s%n", entry.name, entry.identity.hall(),
                     formatAddress(entry.identity.address()), entry.state.name().toLowerCase(java.util.Locale.ROOT), entry.incarnation, entry.instanceId, Math.max(0, now - entry.stateSinceMs) / 1000,
                     entry == ownEntry && phase != Phase.TAKEN ? " self=yes" : ""));
--- a/src/test/java/yardusher/lab/view/ViewTest.java
+++ b/src/test/java/yardusher/lab/view/ViewTest.java
@@ -61,7 +61,7 @@
         for (long seed = 1; seed <= 10; seed++) {
             ViewChecker checker = new ViewChecker(0);
             ViewFleet fleet = fleet(seed, 20, checker, health ? null : Membership.Flaw.NO_HEALTH);
-            fleet.net.setDelay(20, 20);                 // so that answers are in flight when it is paused
+            fleet.net.setDelay(20, 20);              // so that answers are in flight when it is paused
             fleet.net.runUntil(fleet.net.now() + 3000);
             ViewFleet.Instance stopped = fleet.instanceAt(5);
             for (int i = 0; i < 10; i++) {
--- a/src/test/java/yardusher/rates/RatesTest.java
+++ b/src/test/java/yardusher/rates/RatesTest.java
@@ -46,7 +46,7 @@
     void ratesExpireWithoutTheirAggregator() {
         RatesNet net = netWithHeavyCustomer(5, 0).run(100_000);
         int aggregator = (int) net.all[0].aggregatorOf(HEAVY);
-        net.gone[aggregator] = true;                      // the others do not notice, so their reports are lost
+        net.gone[aggregator] = true;                 // the others do not notice, so their reports are lost
         assertThat(net.run(300_000).knownAt(HEAVY, PLAN)).as("an announcement from before").isPositive();
         assertThat(net.run(600_000).knownAt(HEAVY, PLAN)).isZero();
     }
