--- a/lab/src/yardusher/lab/rates/RatesRun.java
+++ b/lab/src/yardusher/lab/rates/RatesRun.java
@@ -146,9 +146,9 @@
         modules[i].on(now, new ServerList(ListKind.CACHED, servers));
         if (!setup.wide) { return; }
         modules[i].on(now, new Wide(2));
-        Rates one = new Rates(new Rates.Parameters(setup.bytesPerS, HEADER_BYTES, MAX_BODY_BYTES, quotas, 20_000), i, random.nextLong(), now, (to, body) -> deliver(i, (int) to, body));
-        rates[i] = one;
-        one.updateMembers(membersSeenBy(i));
+        Rates ingressRates = new Rates(new Rates.Parameters(setup.bytesPerS, HEADER_BYTES, MAX_BODY_BYTES, quotas, 20_000), i, random.nextLong(), now, (to, body) -> deliver(i, (int) to, body));
+        rates[i] = ingressRates;
+        ingressRates.updateMembers(membersSeenBy(i));
         schedule(now + Rates.TICK_INTERVAL_MS * random.nextDouble(), () -> tick(i, generation));
     }
 
--- a/lab/src/yardusher/lab/view/ViewMeasure.java
+++ b/lab/src/yardusher/lab/view/ViewMeasure.java
@@ -148,11 +148,11 @@
                 sent += net.sent(i) / (minutes * 60) / members / seeds;
                 bytes += net.sentBytes(i) / (minutes * 60) / members / seeds;
             }
-            double from = net.now();
+            double killedAtMs = net.now();
             int dead = members / 2;
             net.setProcess(dead, null);
-            net.runUntil(from + 10_000);
-            double[] delays = processes.stream().filter(process -> process != processes.get(dead)).mapToDouble(process -> process.goneAtMs[dead] - from).toArray();
+            net.runUntil(killedAtMs + 10_000);
+            double[] delays = processes.stream().filter(process -> process != processes.get(dead)).mapToDouble(process -> process.goneAtMs[dead] - killedAtMs).toArray();
             first.add(Arrays.stream(delays).min().orElse(-1));
             all.add(Arrays.stream(delays).max().orElse(-1));
         }
--- a/lab/src/yardusher/lab/view/ViewReal.java
+++ b/lab/src/yardusher/lab/view/ViewReal.java
@@ -155,15 +155,15 @@
 
     private static void longPause(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
         try (ViewGroup view = startSettled(folder, size, seed, note)) {
-            int one = size / 2;
+            int process = size / 2;
             double from = Group.now();
-            view.group.pause(one);
-            checkSettled(view, without(view.all(), Set.of(one)), from, "paused", found, note);
+            view.group.pause(process);
+            checkSettled(view, without(view.all(), Set.of(process)), from, "paused", found, note);
             Thread.sleep(BEYOND_SUSPICION_MS);
             from = Group.now();
-            view.group.resume(one);
+            view.group.resume(process);
             checkSettled(view, view.all(), from, "resumed", found, note);
-            if (goneDeclarations(view, List.of(one)) != 0) { found.add("the resumed process declared others gone"); }
+            if (goneDeclarations(view, List.of(process)) != 0) { found.add("the resumed process declared others gone"); }
         }
     }
 
@@ -244,13 +244,13 @@
     private static void duplicateName(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
         int other = size - 1;
         try (ViewGroup view = new ViewGroup(folder, size, seed, Math.min(SEEDS, size - 1), true, i -> "n" + (i == other ? 1 : i))) {
-            Set<Integer> right = without(view.all(), Set.of(other));
-            view.start(right, 10);
-            if (view.awaitSettled(right, right.size(), JOIN_TIMEOUT_MS) == null) { throw new IllegalStateException("the views did not settle after the start"); }
+            Set<Integer> otherNodes = without(view.all(), Set.of(other));
+            view.start(otherNodes, 10);
+            if (view.awaitSettled(otherNodes, otherNodes.size(), JOIN_TIMEOUT_MS) == null) { throw new IllegalStateException("the views did not settle after the start"); }
             view.start(List.of(other), 1);
             Thread.sleep(4000);
-            checkSettled(view, right, Group.now(), "name claimed", found, new StringBuilder());
-            if (goneDeclarations(view, right) != 0) { found.add("the first holder of the name was declared gone"); }
+            checkSettled(view, otherNodes, Group.now(), "name claimed", found, new StringBuilder());
+            if (goneDeclarations(view, otherNodes) != 0) { found.add("the first holder of the name was declared gone"); }
             ViewGroup.ProcessView held = view.observe(other);
             if (held == null || !held.phase().equals("taken")) { found.add("the second claimant is " + (held == null ? "silent" : held.phase())); }
             if (!hasLogged(view, other, "VIEW_NAME_TAKEN")) { found.add("the second claimant did not log VIEW_NAME_TAKEN"); }
@@ -267,26 +267,26 @@
 
     private static void quickRestart(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
         try (ViewGroup view = startSettled(folder, size, seed, note)) {
-            int one = size / 2;
-            long before = view.observe(0).incarnations().get(view.name(one));
+            int process = size / 2;
+            long before = view.observe(0).incarnations().get(view.name(process));
             double from = Group.now();
-            view.group.kill(one);
-            view.group.launch(one);
-            view.group.awaitReady(one, 60_000);
+            view.group.kill(process);
+            view.group.launch(process);
+            view.group.awaitReady(process, 60_000);
             note.append(String.format(java.util.Locale.ROOT, "serves after %.0f; ", Group.now() - from));
-            List<ViewGroup.ProcessView> held = checkSettled(view, view.all(), from, "restarted", found, note);
-            if (held != null && held.stream().anyMatch(each -> each.incarnations().get(view.name(one)) <= before)) { found.add("the incarnation did not grow over the restart"); }
+            List<ViewGroup.ProcessView> views = checkSettled(view, view.all(), from, "restarted", found, note);
+            if (views != null && views.stream().anyMatch(each -> each.incarnations().get(view.name(process)) <= before)) { found.add("the incarnation did not grow over the restart"); }
         }
     }
 
     private static void leave(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
         try (ViewGroup view = startSettled(folder, size, seed, note)) {
-            int one = size / 2;
-            view.group.terminate(one, 20_000);
+            int process = size / 2;
+            view.group.terminate(process, 20_000);
             double from = Group.now();
-            List<ViewGroup.ProcessView> held = checkSettled(view, without(view.all(), Set.of(one)), from, "left", found, note);
-            if (held != null && held.stream().anyMatch(each -> !"left".equals(each.states().get(view.name(one))))) { found.add("the member that left is not recorded as LEFT"); }
-            if (goneDeclarations(view, without(view.all(), Set.of(one))) != 0) { found.add("the member that left was declared gone"); }
+            List<ViewGroup.ProcessView> views = checkSettled(view, without(view.all(), Set.of(process)), from, "left", found, note);
+            if (views != null && views.stream().anyMatch(each -> !"left".equals(each.states().get(view.name(process))))) { found.add("the member that left is not recorded as LEFT"); }
+            if (goneDeclarations(view, without(view.all(), Set.of(process))) != 0) { found.add("the member that left was declared gone"); }
         }
     }
 
@@ -297,8 +297,8 @@
                 view.group.terminate(i, 20_000);
                 view.group.restart(i);
             }
-            List<ViewGroup.ProcessView> held = checkSettled(view, view.all(), Group.now(), "rolled", found, note);
-            if (held != null && held.stream().anyMatch(each -> before.entrySet().stream().anyMatch(old -> each.incarnations().get(old.getKey()) <= old.getValue()))) {
+            List<ViewGroup.ProcessView> views = checkSettled(view, view.all(), Group.now(), "rolled", found, note);
+            if (views != null && views.stream().anyMatch(each -> before.entrySet().stream().anyMatch(old -> each.incarnations().get(old.getKey()) <= old.getValue()))) {
                 found.add("an incarnation did not grow");
             }
             if (goneDeclarations(view, view.all()) != 0) { found.add("a member was declared gone during a rolling restart"); }
@@ -320,8 +320,8 @@
             view.relay().heal();
             for (int i : others) { view.group.awaitReady(i, 120_000); }
             double up = Group.now();
-            List<ViewGroup.ProcessView> held = checkSettled(view, without(view.all(), Set.of(0)), from, "joined", found, note);
-            note.append(String.format(java.util.Locale.ROOT, "all serve after %.0f ms, settled %.0f ms after that; ", up - from, held == null ? -1 : ViewGroup.lastChangeAfter(held, up)));
+            List<ViewGroup.ProcessView> views = checkSettled(view, without(view.all(), Set.of(0)), from, "joined", found, note);
+            note.append(String.format(java.util.Locale.ROOT, "all serve after %.0f ms, settled %.0f ms after that; ", up - from, views == null ? -1 : ViewGroup.lastChangeAfter(views, up)));
         }
     }
 
