--- a/lab/src/yardusher/lab/rates/RatesGroupRun.java
+++ b/lab/src/yardusher/lab/rates/RatesGroupRun.java
@@ -41,14 +41,16 @@
     public static void main(String[] args) throws Exception {
         int processes = args.length > 3 ? Integer.parseInt(args[3]) : 5;
         long ms = args.length > 4 ? Long.parseLong(args[4]) : 4000;
-        System.exit(Seeds.run(RatesGroupRun.class, args, (folder, seed, note) -> play(folder, seed, processes, ms, Variant.RATES, note)) == 0 ? 0 : 1);
+        System.exit(Seeds.run(RatesGroupRun.class, args, (folder, seed, note) -> play(folder, seed, processes, ms, Variant.RATES,
+                note)) == 0 ? 0 : 1);
     }
 
     private static String settings(Group group, int i, Variant variant) {
         StringBuilder seeds = new StringBuilder();
         for (int j = 0; j < Math.min(3, group.size()); j++) { seeds.append(j == 0 ? "" : ", ").append('"').append(Programs.text(group.relayed(j, "view"))).append('"'); }
         return "[view]\nlisten = \"" + Programs.text(group.port(i, "view")) + "\"\nadvertise = \"" + Programs.text(group.relayed(i, "view"))
-                + "\"\ninstallation = \"lab\"\nseeds = [" + seeds + "]\n[rates]\nfrom = 2\nhorizon_s = " + (variant == Variant.FLAWED ? 600 : 4) + "\n";
+                + "\"\ninstallation = \"lab\"\nseeds = [" + seeds + "]\n[rates]\nfrom = 2\nhorizon_s = "
+                + (variant == Variant.FLAWED ? 600 : 4) + "\n";
     }
 
     static List<String> play(Path folder, long seed, int processes, long ms, Variant variant, StringBuilder note) throws Exception {
@@ -65,7 +67,8 @@
             }
             double startMs;
             double endMs;
-            try (Terminals.Load heavy = load(group, 8, HEAVY_CUSTOMERS, HEAVY_DEMAND_RATIO * QUOTA_PER_S, 1000); Terminals.Load light = load(group, 2, LIGHT_CUSTOMERS, LIGHT_DEMAND_PER_S, 2000)) {
+            try (Terminals.Load heavy = load(group, 8, HEAVY_CUSTOMERS, HEAVY_DEMAND_RATIO * QUOTA_PER_S, 1000);
+                    Terminals.Load light = load(group, 2, LIGHT_CUSTOMERS, LIGHT_DEMAND_PER_S, 2000)) {
                 faults.play();
                 Thread.sleep(LEARNING_MS);
                 startMs = Chronicle.now();
@@ -84,11 +87,12 @@
     private static Terminals.Load load(Group group, int terminals, int customers, double perS, long firstCustomer) {
         return group.terminals().load(terminals, customers * perS, 1, (terminal, number) -> {
             long customer = firstCustomer + (number * terminals + terminal) % customers;
-            return new Terminals.Command("CALL.GET", customer, group.terminals().newId(), "c=lookup,t=plus,d=" + REQUEST_DEADLINE_MS + ",units=1,spread=" + group.size() + ",first=0", null);
+            return new Terminals.Command("CALL.GET", customer, group.terminals().newId(),
+                    "c=lookup,t=plus,d=" + REQUEST_DEADLINE_MS + ",units=1,spread=" + group.size() + ",first=0", null);
         });
     }
 
-    /** Checks the admitted share of each heavy customer's quota between two times, and the refused share of the light customers' requests. */
+    /** Checks, between two times, how much of its quota each heavy customer was admitted, and how many light requests were refused. */
     static List<String> check(List<Terminals.Try> requests, double startMs, double endMs, StringBuilder note) {
         List<String> found = new ArrayList<>();
         double[] admitted = new double[HEAVY_CUSTOMERS];
@@ -111,11 +115,17 @@
         for (int i = 0; i < HEAVY_CUSTOMERS; i++) {
             double ratio = admitted[i] / seconds / QUOTA_PER_S;
             note.append(String.format(" %.2f of %.2f", ratio, demanded[i] / seconds / QUOTA_PER_S));
-            if (demanded[i] / seconds < 2 * QUOTA_PER_S) { found.add("too little demand to judge: " + demanded[i] + " in " + seconds + " s"); }
-            if (ratio < MIN_ADMITTED_RATIO || ratio > MAX_ADMITTED_RATIO) { found.add(String.format("customer %d was admitted %.2f times its quota", i, ratio)); }
+            if (demanded[i] / seconds < 2 * QUOTA_PER_S) {
+                found.add("too little demand to judge: " + demanded[i] + " in " + seconds + " s");
+            }
+            if (ratio < MIN_ADMITTED_RATIO || ratio > MAX_ADMITTED_RATIO) {
+                found.add(String.format("customer %d was admitted %.2f times its quota", i, ratio));
+            }
         }
         note.append(String.format(", light customers refused %.0f of %.0f", refused, light));
-        if (refused > MAX_LIGHT_REFUSED_SHARE * light) { found.add(String.format("%.0f of %.0f requests of customers with low demand were refused", refused, light)); }
+        if (refused > MAX_LIGHT_REFUSED_SHARE * light) {
+            found.add(String.format("%.0f of %.0f requests of customers with low demand were refused", refused, light));
+        }
         return found;
     }
 }
--- a/lab/src/yardusher/lab/rates/RatesRun.java
+++ b/lab/src/yardusher/lab/rates/RatesRun.java
@@ -25,7 +25,8 @@
     enum Fault { NONE, ZONE, LOSS, RESTART, APART }
 
     /** {@code wide}: whether demand of wide sets is shared as rates, rather than by the decision module's own messages. */
-    record Case(int ingresses, int tenants, double requestsPerS, Fault fault, double loss, double bytesPerS, boolean wide, double seconds, long seed) { }
+    record Case(int ingresses, int tenants, double requestsPerS, Fault fault, double loss, double bytesPerS, boolean wide, double seconds,
+            long seed) { }
 
     static final double WARM_UP_MS = 150_000;
     private static final int PLANS = 18;
@@ -34,7 +35,8 @@
     private static final double REFERENCE_DELAY_MS = 250; // delay of what the reference policy sees
     private static final int HEADER_BYTES = 43, MAX_BODY_BYTES = 1200, SERVERS = 8;
     /** The promised bounds; with few tenants a single one weighs in the totals, and its errors are random. */
-    private static final double MAX_EXCESS = 0.1, MAX_ROOMY_REFUSED = 0.04, MAX_ROOMY_REFUSED_OF_FEW = 0.06, MAX_BYTES_RATIO = 1.02, MAX_HEAVY_ADMITTED = 1.3;
+    private static final double MAX_EXCESS = 0.1, MAX_ROOMY_REFUSED = 0.04, MAX_ROOMY_REFUSED_OF_FEW = 0.06, MAX_BYTES_RATIO = 1.02,
+            MAX_HEAVY_ADMITTED = 1.3;
     private static final int FEW_TENANTS = 10_000;
     private static final double[] REQUEST_UNITS = {2, 4};
 
@@ -57,7 +59,8 @@
         Tenant(long id, double wantedRequestsPerS) {
             this.id = id;
             double kind = random.nextDouble();       // near its quota, heavy, light, and light with spikes
-            double demandRatio = kind < 0.17 ? 0.8 + 0.25 * random.nextDouble() : kind < 0.27 ? 2.6 + 1.7 * random.nextDouble() : 0.15 + 0.35 * random.nextDouble();
+            double demandRatio = kind < 0.17 ? 0.8 + 0.25 * random.nextDouble() : kind < 0.27 ? 2.6 + 1.7 * random.nextDouble()
+                    : 0.15 + 0.35 * random.nextDouble();
             heavy = kind >= 0.17 && kind < 0.27;
             double unitsPerRequest = 2.5, quota = wantedRequestsPerS * unitsPerRequest / demandRatio;
             plan = (int) Math.max(0, Math.min(PLANS - 1, Math.round(Math.log(quota / MIN_RATE_PER_S) / Math.log(2))));
@@ -94,7 +97,8 @@
 
     private final Case setup;
     private final SplittableRandom random;
-    private final PriorityQueue<ScheduledAction> queue = new PriorityQueue<>(Comparator.comparingDouble(ScheduledAction::atMs).thenComparingLong(ScheduledAction::sequence));
+    private final PriorityQueue<ScheduledAction> queue = new PriorityQueue<>(Comparator.comparingDouble(ScheduledAction::atMs)
+            .thenComparingLong(ScheduledAction::sequence));
     private final List<Plan> plans = new ArrayList<>();
     private final Policy[] modules;
     private final Rates[] rates;
@@ -140,13 +144,16 @@
 
     private void startIngress(int i) {
         int generation = ++generations[i];
-        Settings settings = new Settings(i, setup.ingresses, 0, 1, List.of(new RequestClass(1000, 2500, 1, 0, Effect.IDEMPOTENT, Group.ALL, 0, false)), plans,
-                new Limits(1, true, true, 1000), new Rules(0.25, 10_000, 3, 1000, 10_000), List.of(), false, INTAKE_PER_S, MAX_UNITS, 0, PEER_PRICE);
+        Settings settings = new Settings(i, setup.ingresses, 0, 1,
+                List.of(new RequestClass(1000, 2500, 1, 0, Effect.IDEMPOTENT, Group.ALL, 0, false)), plans,
+                new Limits(1, true, true, 1000), new Rules(0.25, 10_000, 3, 1000, 10_000), List.of(), false, INTAKE_PER_S, MAX_UNITS, 0,
+                PEER_PRICE);
         modules[i] = new Policy(settings, random.nextLong(), now, action -> perform(i, generation, action));
         modules[i].on(now, new ServerList(ListKind.CACHED, servers));
         if (!setup.wide) { return; }
         modules[i].on(now, new Wide(2));
-        Rates ingressRates = new Rates(new Rates.Parameters(setup.bytesPerS, HEADER_BYTES, MAX_BODY_BYTES, quotas, 20_000), i, random.nextLong(), now, (to, body) -> deliver(i, (int) to, body));
+        Rates ingressRates = new Rates(new Rates.Parameters(setup.bytesPerS, HEADER_BYTES, MAX_BODY_BYTES, quotas, 20_000), i,
+                random.nextLong(), now, (to, body) -> deliver(i, (int) to, body));
         rates[i] = ingressRates;
         ingressRates.updateMembers(membersSeenBy(i));
         schedule(now + Rates.TICK_INTERVAL_MS * random.nextDouble(), () -> tick(i, generation));
@@ -187,7 +194,8 @@
             });
         } else if (action instanceof Send send) {
             currentSent |= send.id() == currentRequestId;
-            schedule(now + 20, () -> dispatch(ingress, generation, new AttemptDone(send.id(), 0, send.server(), Outcome.SERVED, 20, true, 0, null)));
+            schedule(now + 20, () -> dispatch(ingress, generation,
+                    new AttemptDone(send.id(), 0, send.server(), Outcome.SERVED, 20, true, 0, null)));
         }
     }
 
@@ -279,11 +287,18 @@
     /** Returns the violations of the bounds in docs/design/rates.md, one line each. */
     List<String> breaches() {
         List<String> found = new ArrayList<>();
-        if (excess() > referenceExcess() + MAX_EXCESS) { found.add(String.format(Locale.ROOT, "excess %.3f, of the reference policy %.3f", excess(), referenceExcess())); }
-        if (roomyRefusedShare() > (setup.tenants < FEW_TENANTS ? MAX_ROOMY_REFUSED_OF_FEW : MAX_ROOMY_REFUSED)) { found.add(String.format(Locale.ROOT, "%.3f of the requests refused with half of the quota unused", roomyRefusedShare())); }
+        if (excess() > referenceExcess() + MAX_EXCESS) {
+            found.add(String.format(Locale.ROOT, "excess %.3f, of the reference policy %.3f", excess(), referenceExcess()));
+        }
+        if (roomyRefusedShare() > (setup.tenants < FEW_TENANTS ? MAX_ROOMY_REFUSED_OF_FEW : MAX_ROOMY_REFUSED)) {
+            found.add(String.format(Locale.ROOT, "%.3f of the requests refused with half of the quota unused", roomyRefusedShare()));
+        }
         if (bytesPerS() > setup.bytesPerS * MAX_BYTES_RATIO) { found.add(String.format(Locale.ROOT, "%.0f bytes a second", bytesPerS())); }
         double bound = (setup.fault == Fault.APART ? 2 : 1) * MAX_HEAVY_ADMITTED;
-        if (heavyAdmittedRatio() > bound) { found.add(String.format(Locale.ROOT, "customers far over their quota were admitted %.2f times it, the bound is %.2f", heavyAdmittedRatio(), bound)); }
+        if (heavyAdmittedRatio() > bound) {
+            found.add(String.format(Locale.ROOT, "customers far over their quota were admitted %.2f times it, the bound is %.2f",
+                    heavyAdmittedRatio(), bound));
+        }
         return found;
     }
 
@@ -302,8 +317,10 @@
     public String toString() {
         return String.format(Locale.ROOT, "{\"ingresses\":%d,\"tenants\":%d,\"tries_per_s\":%.0f,\"trouble\":\"%s\",\"loss\":%.2f,\"wide\":%b,\"bytes_per_s\":%.0f,\"seed\":%d,\"seconds\":%.0f,"
                 + "\"sent_bytes_per_s\":%.0f,\"inside\":%.4f,\"excess\":%.4f,\"late_excess\":%.4f,\"refused_fitting\":%.4f,\"refused_roomy\":%.4f,\"heavy_let\":%.3f,\"worst_let\":%.2f,"
-                + "\"listed\":%.0f}", setup.ingresses, setup.tenants, requests / setup.seconds, setup.fault, setup.loss, setup.wide, setup.bytesPerS, setup.seed, setup.seconds, bytesPerS(), withinQuota / idealAdmitted, excess(), referenceExcess(),
-                fittingRefusedShare(), roomyRefusedShare(), heavyAdmittedRatio(), worstAdmittedRatio(200), Arrays.stream(rates).filter(rate -> rate != null).mapToInt(Rates::overQuotaCount).average().orElse(0));
+                + "\"listed\":%.0f}", setup.ingresses, setup.tenants, requests / setup.seconds, setup.fault, setup.loss, setup.wide,
+                setup.bytesPerS, setup.seed, setup.seconds, bytesPerS(), withinQuota / idealAdmitted, excess(), referenceExcess(),
+                fittingRefusedShare(), roomyRefusedShare(), heavyAdmittedRatio(), worstAdmittedRatio(200),
+                Arrays.stream(rates).filter(rate -> rate != null).mapToInt(Rates::overQuotaCount).average().orElse(0));
     }
 
     /** Returns a case by the name of its size; each has as many tenants and requests for an ingress as the target size. */
@@ -315,7 +332,8 @@
             case "small" -> 30;
             default -> throw new IllegalArgumentException("unknown size, expected target, quarter, tenth or small: " + name);
         };
-        return new Case(ingresses, ingresses * 38_000 / 850, ingresses * 81_000.0 / 850, fault, fault == Fault.LOSS ? 0.1 : 0.01, 1200, wide, 30, seed);
+        return new Case(ingresses, ingresses * 38_000 / 850, ingresses * 81_000.0 / 850, fault,
+                fault == Fault.LOSS ? 0.1 : 0.01, 1200, wide, 30, seed);
     }
 
     public static void main(String[] args) {
--- a/lab/src/yardusher/lab/view/ViewChecker.java
+++ b/lab/src/yardusher/lab/view/ViewChecker.java
@@ -27,7 +27,8 @@
 
     private final double graceMs;
     private final Map<Integer, Map<String, TableRecord>> tables = new HashMap<>();
-    private final Map<Integer, Map<String, Set<Long>>> endedInstances = new HashMap<>(); // instances that left or were replaced, by observer and name
+    // instances that left or were replaced, by observer and name
+    private final Map<Integer, Map<String, Set<Long>>> endedInstances = new HashMap<>();
     private final Map<Integer, String> observerNames = new HashMap<>();
     private final Map<Long, Double> endedAtMs = new HashMap<>();
     private final Map<String, List<FaultPeriod>> faults = new HashMap<>();
@@ -49,22 +50,28 @@
         if (previous != null && incarnation < previous.incarnation()) {
             addBreach(atMs, observer, name + " fell from incarnation " + previous.incarnation() + " to " + incarnation);
         }
-        if (active && ended.contains(instanceId)) { addBreach(atMs, observer, name + " is active again in an instance that left or was replaced"); }
+        if (active && ended.contains(instanceId)) {
+            addBreach(atMs, observer, name + " is active again in an instance that left or was replaced");
+        }
         if (previous != null && previous.instanceId() != instanceId) { ended.add(previous.instanceId()); }
         if (state == State.LEFT) { ended.add(instanceId); }
         Change change = new Change(atMs, observer, name, record);
-        if (state == State.GONE && (previous == null || previous.state() != State.GONE || previous.instanceId() != instanceId)) { goneDeclarations.add(change); }
+        if (state == State.GONE && (previous == null || previous.state() != State.GONE || previous.instanceId() != instanceId)) {
+            goneDeclarations.add(change);
+        }
         if (state == State.SUSPECT && (previous == null || previous.state() == State.ALIVE)) { suspicions.add(change); }
     }
 
-    /** Sets the name of an observer's own process: during its own faults, and while it reads the datagrams queued meanwhile, it may be wrong. */
+    /** Sets the name of an observer's own process; during its own faults and the grace time after them its view may be wrong. */
     void setObserverName(int observer, String name) { observerNames.put(observer, name); }
 
     /** Records that the process with that instance id ended, for any reason. */
     void recordEnd(double atMs, long instanceId) { endedAtMs.putIfAbsent(instanceId, atMs); }
 
     /** Records that the process of that name could not send or receive for longer than the view promises to tolerate. */
-    void recordFault(String name, double fromMs, double toMs) { faults.computeIfAbsent(name, none -> new ArrayList<>()).add(new FaultPeriod(fromMs, toMs)); }
+    void recordFault(String name, double fromMs, double toMs) {
+        faults.computeIfAbsent(name, none -> new ArrayList<>()).add(new FaultPeriod(fromMs, toMs));
+    }
 
     /**
      * Checks agreement after all faults have ended. {@code truth}: the instance id of each running member by name;
@@ -78,7 +85,8 @@
             for (Map.Entry<String, Long> expected : truth.entrySet()) {
                 TableRecord record = table.get(expected.getKey());
                 if (record == null || record.state() != State.ALIVE) {
-                    addBreach(atMs, observer, expected.getKey() + " runs but is recorded as " + (record == null ? "unknown" : record.state()));
+                    addBreach(atMs, observer, expected.getKey() + " runs but is recorded as "
+                            + (record == null ? "unknown" : record.state()));
                 } else if (record.instanceId() != expected.getValue()) {
                     addBreach(atMs, observer, expected.getKey() + " is recorded with another instance than the one that runs");
                 }
@@ -95,13 +103,15 @@
 
     /** Returns the changes in which a running member was declared GONE without a fault that excuses it. */
     List<Change> falseGone() {
-        return goneDeclarations.stream().filter(change -> change.atMs() < endedAtMs.getOrDefault(change.record().instanceId(), Double.POSITIVE_INFINITY)
+        return goneDeclarations.stream().filter(change -> change.atMs() < endedAtMs.getOrDefault(change.record().instanceId(),
+                Double.POSITIVE_INFINITY)
                 && !isExcused(change.name(), change.atMs()) && !isExcused(observerNames.get(change.observer()), change.atMs())).toList();
     }
 
     /** Returns the changes in which a running member was suspected, however briefly. */
     List<Change> falseSuspicions() {
-        return suspicions.stream().filter(change -> change.atMs() < endedAtMs.getOrDefault(change.record().instanceId(), Double.POSITIVE_INFINITY)).toList();
+        return suspicions.stream().filter(change -> change.atMs() < endedAtMs.getOrDefault(change.record().instanceId(),
+                Double.POSITIVE_INFINITY)).toList();
     }
 
     private boolean isExcused(String name, double atMs) {
@@ -120,14 +130,17 @@
     long changeCount() { return changeCount; }
 
     private void addBreach(double atMs, int observer, String what) {
-        if (breaches.size() < MAX_REPORTED) { breaches.add(String.format(java.util.Locale.ROOT, "%.0f ms, observer %d: %s", atMs, observer, what)); }
+        if (breaches.size() < MAX_REPORTED) {
+            breaches.add(String.format(java.util.Locale.ROOT, "%.0f ms, observer %d: %s", atMs, observer, what));
+        }
     }
 
     /** Returns the violations, false GONE declarations included; at most {@link #MAX_REPORTED} of each kind. */
     List<String> breaches() {
         List<String> all = new ArrayList<>(breaches);
         for (Change change : falseGone().stream().limit(MAX_REPORTED).toList()) {
-            all.add(String.format(java.util.Locale.ROOT, "%.0f ms, observer %d: %s runs but was declared GONE", change.atMs(), change.observer(), change.name()));
+            all.add(String.format(java.util.Locale.ROOT, "%.0f ms, observer %d: %s runs but was declared GONE", change.atMs(),
+                    change.observer(), change.name()));
         }
         return all;
     }
--- a/lab/src/yardusher/lab/view/ViewFleet.java
+++ b/lab/src/yardusher/lab/view/ViewFleet.java
@@ -13,7 +13,7 @@
 import yardusher.view.View;
 import yardusher.view.ViewSettings;
 
-/** Members of one installation on a {@link ViewNet} that are started, killed, stopped and restarted; their table changes go to a checker. */
+/** Members on a {@link ViewNet} that are started, killed, stopped and restarted; their table changes go to a checker. */
 final class ViewFleet {
     /** One process, from its start to its end. */
     final class Instance implements ViewNet.Process, Membership.Environment {
@@ -34,7 +34,8 @@
             this.clockOffsetMs = clockOffsetMs;
             if (checker != null) { checker.setObserverName(number, name); }
             startedAtMs = net.now();
-            membership = Membership.withFlaw(settings, name, hall, ViewNet.address(node), seed * 7919 + number, localTime(net.now()), this, interner, flaw);
+            membership = Membership.withFlaw(settings, name, hall, ViewNet.address(node), seed * 7919 + number, localTime(net.now()), this,
+                    interner, flaw);
             membership.subscribe(changes::add);
             membership.start(localTime(net.now()), ViewNet.address(node));
         }
@@ -120,7 +121,9 @@
 
     List<Instance> running() { return List.copyOf(running.values()); }
 
-    List<Instance> participants() { return running().stream().filter(instance -> instance.membership.phase() == Membership.Phase.IN).toList(); }
+    List<Instance> participants() {
+        return running().stream().filter(instance -> instance.membership.phase() == Membership.Phase.IN).toList();
+    }
 
     /** Whether all running members hold the same view of that many members. */
     boolean isSettled(int size) {
@@ -128,7 +131,8 @@
         boolean first = true;
         for (Instance instance : running.values()) {
             if (net.isPaused(instance.node)) { continue; }
-            if (instance.membership.phase() != Membership.Phase.IN || instance.membership.size() != size || !first && instance.membership.digest() != digest) { return false; }
+            if (instance.membership.phase() != Membership.Phase.IN || instance.membership.size() != size
+                    || !first && instance.membership.digest() != digest) { return false; }
             digest = instance.membership.digest();
             first = false;
         }
--- a/lab/src/yardusher/lab/view/ViewGroup.java
+++ b/lab/src/yardusher/lab/view/ViewGroup.java
@@ -34,7 +34,8 @@
     private static final int POLL_THREADS = 8;
 
     /** The view of one process. {@code changedAtMs}: Unix time at which it last changed. */
-    record ProcessView(int process, String phase, int activeCount, String digest, double changedAtMs, int agreeing, int polled, int health, Map<String, String> states,
+    record ProcessView(int process, String phase, int activeCount, String digest, double changedAtMs, int agreeing, int polled, int health,
+            Map<String, String> states,
             Map<String, Long> incarnations, String text) { }
 
     final Group group;
@@ -54,7 +55,8 @@
         group = new Group(folder, size, seed);
         List<String> seedAddresses = new ArrayList<>();
         for (int i = 0; i < seeds; i++) { seedAddresses.add('"' + format(meshAddress(i, relayed)) + '"'); }
-        group.settings(i -> "[view]\nlisten = \"" + format(group.port(i, PORT)) + "\"\nadvertise = \"" + format(meshAddress(i, relayed)) + "\"\ninstallation = \"lab\"\nseeds = "
+        group.settings(i -> "[view]\nlisten = \"" + format(group.port(i, PORT)) + "\"\nadvertise = \"" + format(meshAddress(i, relayed))
+                + "\"\ninstallation = \"lab\"\nseeds = "
                 + seedAddresses + "\nhall = \"hall-" + (char) ('a' + i % 3) + "\"\n");
         group.configuration((i, json) -> json.replace("\"name\": \"n" + i + "\"", "\"name\": \"" + names.apply(i) + "\""));
     }
@@ -109,7 +111,8 @@
             incarnations.put(fields.get("name"), Long.parseLong(fields.get("incarnation")));
         });
         return new ProcessView(i, header.get("phase"), Integer.parseInt(header.get("there")), header.get("digest"),
-                (before + after) / 2 - Double.parseDouble(header.get("still_ms")), Integer.parseInt(header.get("same")), Integer.parseInt(header.get("asked")),
+                (before + after) / 2 - Double.parseDouble(header.get("still_ms")), Integer.parseInt(header.get("same")),
+                Integer.parseInt(header.get("asked")),
                 Integer.parseInt(header.get("health")), states, incarnations, text);
     }
 
@@ -139,7 +142,8 @@
 
     /** Whether all of these are members and have the same view of that many members. */
     static boolean isSettled(List<ProcessView> views, int size) {
-        return views.stream().allMatch(view -> view != null && view.phase().equals("in") && view.activeCount() == size && view.digest().equals(views.get(0).digest()));
+        return views.stream().allMatch(view -> view != null && view.phase().equals("in") && view.activeCount() == size
+                && view.digest().equals(views.get(0).digest()));
     }
 
     /** Waits until all of these have the same view of that many members, and returns their views; null after {@code timeoutMs}. */
@@ -154,9 +158,13 @@
     }
 
     /** Returns how long after {@code startMs} the last of them changed its view. */
-    static double lastChangeAfter(List<ProcessView> views, double startMs) { return views == null ? -1 : views.stream().mapToDouble(ProcessView::changedAtMs).max().orElse(startMs) - startMs; }
+    static double lastChangeAfter(List<ProcessView> views, double startMs) {
+        return views == null ? -1 : views.stream().mapToDouble(ProcessView::changedAtMs).max().orElse(startMs) - startMs;
+    }
 
-    static double firstChangeAfter(List<ProcessView> views, double startMs) { return views == null ? -1 : views.stream().mapToDouble(ProcessView::changedAtMs).min().orElse(startMs) - startMs; }
+    static double firstChangeAfter(List<ProcessView> views, double startMs) {
+        return views == null ? -1 : views.stream().mapToDouble(ProcessView::changedAtMs).min().orElse(startMs) - startMs;
+    }
 
     /** Returns the counters of a process; empty if it does not answer. */
     Map<String, Long> counters(int i) {
@@ -173,7 +181,9 @@
         return counters;
     }
 
-    long sumOfCounter(Collection<Integer> processes, String name) { return processes.stream().mapToLong(i -> counters(i).getOrDefault(name, 0L)).sum(); }
+    long sumOfCounter(Collection<Integer> processes, String name) {
+        return processes.stream().mapToLong(i -> counters(i).getOrDefault(name, 0L)).sum();
+    }
 
     /** Returns the CPU time used by a process so far, in ms. */
     double cpuMs(int i) { return group.process(i).info().totalCpuDuration().map(duration -> duration.toNanos() / 1e6).orElse(0.0); }
--- a/lab/src/yardusher/lab/view/ViewMeasure.java
+++ b/lab/src/yardusher/lab/view/ViewMeasure.java
@@ -83,12 +83,17 @@
             net.runUntil(net.now() + 4000);
             changesReported += (double) (changeCount(fleet) - before) / fleet.running().size() / seeds;
         }
-        System.out.printf(Locale.ROOT, "%d members, loss %.0f%%, %d seeds, p50 / p99 / max in ms: all join at once %s; kill to first %s, to all %s; one joins %s; heal %s;"
-                + " a third fails %s, reported in %.2f changes; idle: %.1f datagrams and %.0f bytes a second and member%n", members, loss * 100, seeds, percentiles(joined), percentiles(first),
+        System.out.printf(Locale.ROOT,
+                "%d members, loss %.0f%%, %d seeds, p50 / p99 / max in ms: all join at once %s; kill to first %s, to all %s; one joins %s; heal %s;"
+                + " a third fails %s, reported in %.2f changes; idle: %.1f datagrams and %.0f bytes a second and member%n", members,
+                loss * 100, seeds, percentiles(joined), percentiles(first),
                 percentiles(all), percentiles(rejoined), percentiles(healed), percentiles(hallFailed), changesReported, sent, bytes);
     }
 
-    private static long changeCount(ViewFleet fleet) { return fleet.running().stream().filter(instance -> instance.node % 3 != 1 || instance.node == 1).mapToLong(instance -> instance.changes.size()).sum(); }
+    private static long changeCount(ViewFleet fleet) {
+        return fleet.running().stream().filter(instance -> instance.node % 3 != 1 || instance.node == 1)
+                .mapToLong(instance -> instance.changes.size()).sum();
+    }
 
     private static void noise(int members, int seeds, double loss, double minutes) {
         long suspicionsRaised = 0;
@@ -116,11 +121,13 @@
         }
         double hours = seeds * minutes / 60;
         System.out.printf(Locale.ROOT, "%d members, loss %.0f%%, a tenth runs %.0f%% of the time, %.1f hours: %.0f suspicions raised an hour, %.1f false \"gone\" an hour (over all observers);"
-                + " %.1f datagrams and %.0f bytes a second and member%n", members, loss * 100, ViewRun.STARVED_CPU_SHARE * 100, hours, suspicionsRaised / hours, gone / hours, sent, bytes);
+                + " %.1f datagrams and %.0f bytes a second and member%n", members, loss * 100, ViewRun.STARVED_CPU_SHARE * 100, hours,
+                suspicionsRaised / hours, gone / hours, sent, bytes);
     }
 
     private static long suspicions(ViewFleet fleet) {
-        return fleet.running().stream().mapToLong(life -> Long.parseLong(life.membership.counters().replaceAll(".*view_accused=([0-9]+).*", "$1"))).sum();
+        return fleet.running().stream().mapToLong(life -> Long.parseLong(life.membership.counters().replaceAll(".*view_accused=([0-9]+).*",
+                "$1"))).sum();
     }
 
     private static void heartbeats(int members, int seeds, double loss, double minutes) {
@@ -152,12 +159,14 @@
             int dead = members / 2;
             net.setProcess(dead, null);
             net.runUntil(killedAtMs + 10_000);
-            double[] delays = processes.stream().filter(process -> process != processes.get(dead)).mapToDouble(process -> process.goneAtMs[dead] - killedAtMs).toArray();
+            double[] delays = processes.stream().filter(process -> process != processes.get(dead))
+                    .mapToDouble(process -> process.goneAtMs[dead] - killedAtMs).toArray();
             first.add(Arrays.stream(delays).min().orElse(-1));
             all.add(Arrays.stream(delays).max().orElse(-1));
         }
         double hours = seeds * minutes / 60;
         System.out.printf(Locale.ROOT, "plain, %d members, loss %.0f%%, a tenth runs %.0f%% of the time, %.1f hours: %.1f false \"gone\" an hour (over all observers); kill to first %s, to all %s;"
-                + " %.1f datagrams and %.0f bytes a second and member%n", members, loss * 100, ViewRun.STARVED_CPU_SHARE * 100, hours, gone / hours, percentiles(first), percentiles(all), sent, bytes);
+                + " %.1f datagrams and %.0f bytes a second and member%n", members, loss * 100, ViewRun.STARVED_CPU_SHARE * 100, hours,
+                gone / hours, percentiles(first), percentiles(all), sent, bytes);
     }
 }
--- a/lab/src/yardusher/lab/view/ViewNet.java
+++ b/lab/src/yardusher/lab/view/ViewNet.java
@@ -98,7 +98,8 @@
 
     static InetSocketAddress address(int node) {
         try {
-            return new InetSocketAddress(InetAddress.getByAddress(new byte[] {10, (byte) (node >> 16), (byte) (node >> 8), (byte) node}), 7946);
+            return new InetSocketAddress(InetAddress.getByAddress(new byte[] {10, (byte) (node >> 16), (byte) (node >> 8), (byte) node}),
+                    7946);
         } catch (UnknownHostException e) {
             throw new IllegalStateException(e);
         }
@@ -173,7 +174,8 @@
                 || source.partition != nodes.get(number).partition) { return; }
         int copies = duplicateShare > 0 && random.nextDouble() < duplicateShare ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            double delayMs = minDelayMs + delayRangeMs * random.nextDouble() + (delayedShare > 0 && random.nextDouble() < delayedShare ? extraDelayMs : 0);
+            double delayMs = minDelayMs + delayRangeMs * random.nextDouble()
+                    + (delayedShare > 0 && random.nextDouble() < delayedShare ? extraDelayMs : 0);
             events.add(new Event(now + delayMs, lastSequence++, number, body, null));
         }
     }
--- a/lab/src/yardusher/lab/view/ViewReal.java
+++ b/lab/src/yardusher/lab/view/ViewReal.java
@@ -37,7 +37,8 @@
 
     static {
         SCENARIOS.put("one-killed", (folder, size, seed, found, note) -> crash(folder, size, seed, Set.of(size / 2), found, note));
-        SCENARIOS.put("three-at-once", (folder, size, seed, found, note) -> crash(folder, size, seed, Set.of(1, size / 2, size - 1), found, note));
+        SCENARIOS.put("three-at-once", (folder, size, seed, found, note) -> crash(folder, size, seed, Set.of(1, size / 2, size - 1), found,
+                note));
         SCENARIOS.put("hall", (folder, size, seed, found, note) -> crash(folder, size, seed, hallMembers(size), found, note));
         SCENARIOS.put("short-stop", ViewReal::shortPause);
         SCENARIOS.put("long-stop", ViewReal::longPause);
@@ -75,7 +76,10 @@
     public static List<String> play(Path folder, String name, int size, long seed, StringBuilder note) throws Exception {
         List<String> found = new ArrayList<>();
         Scenario scenario = SCENARIOS.containsKey(name) ? SCENARIOS.get(name) : LONG_SCENARIOS.get(name);
-        if (scenario == null) { throw new IllegalArgumentException("unknown case " + name + ", expected one of " + SCENARIOS.keySet() + " " + LONG_SCENARIOS.keySet()); }
+        if (scenario == null) {
+            throw new IllegalArgumentException("unknown case " + name + ", expected one of " + SCENARIOS.keySet() + " "
+                    + LONG_SCENARIOS.keySet());
+        }
         scenario.run(folder, size, seed, found, note);
         return found;
     }
@@ -96,7 +100,9 @@
         ViewGroup view = new ViewGroup(folder, size, seed, Math.min(SEEDS, size), true);
         try {
             view.start(view.all(), 10);
-            if (view.awaitSettled(view.all(), size, JOIN_TIMEOUT_MS) == null) { throw new IllegalStateException("the views did not settle after the start; see " + folder); }
+            if (view.awaitSettled(view.all(), size, JOIN_TIMEOUT_MS) == null) {
+                throw new IllegalStateException("the views did not settle after the start; see " + folder);
+            }
             return view;
         } catch (IOException | RuntimeException | InterruptedException e) {
             view.close();
@@ -105,26 +111,33 @@
     }
 
     /** Waits until the views hold exactly the running processes; records the times. */
-    private static List<ViewGroup.ProcessView> checkSettled(ViewGroup view, Set<Integer> running, double startMs, String what, List<String> found, StringBuilder note)
+    private static List<ViewGroup.ProcessView> checkSettled(ViewGroup view, Set<Integer> running, double startMs, String what,
+            List<String> found, StringBuilder note)
             throws InterruptedException {
         List<ViewGroup.ProcessView> views = view.awaitSettled(running, running.size(), SETTLE_TIMEOUT_MS);
         if (views == null) {
-            found.add(what + ": views not settled after " + SETTLE_TIMEOUT_MS + " ms: " + view.observeAll(running).stream().map(processView -> processView == null ? "silent" : processView.process() + ":" + processView.activeCount()).toList());
+            found.add(what + ": views not settled after " + SETTLE_TIMEOUT_MS + " ms: " + view.observeAll(running).stream()
+                    .map(processView -> processView == null ? "silent" : processView.process() + ":" + processView.activeCount()).toList());
             return null;
         }
         Set<String> names = running.stream().map(view::name).collect(Collectors.toSet());
         for (ViewGroup.ProcessView processView : views) {
-            Set<String> active = processView.states().entrySet().stream().filter(state -> state.getValue().equals("alive") || state.getValue().equals("suspect"))
+            Set<String> active = processView.states().entrySet().stream()
+                    .filter(state -> state.getValue().equals("alive") || state.getValue().equals("suspect"))
                     .map(Map.Entry::getKey).collect(Collectors.toSet());
             if (!active.equals(names)) { found.add(what + ": n" + processView.process() + " has " + active.size() + " active members"); }
         }
-        note.append(String.format(java.util.Locale.ROOT, "%s first %.0f all %.0f ms; ", what, ViewGroup.firstChangeAfter(views, startMs), ViewGroup.lastChangeAfter(views, startMs)));
+        note.append(String.format(java.util.Locale.ROOT, "%s first %.0f all %.0f ms; ", what, ViewGroup.firstChangeAfter(views, startMs),
+                ViewGroup.lastChangeAfter(views, startMs)));
         return views;
     }
 
-    private static long goneDeclarations(ViewGroup view, Collection<Integer> processes) { return view.sumOfCounter(processes, "view_lost"); }
+    private static long goneDeclarations(ViewGroup view, Collection<Integer> processes) {
+        return view.sumOfCounter(processes, "view_lost");
+    }
 
-    private static void crash(Path folder, int size, long seed, Set<Integer> victims, List<String> found, StringBuilder note) throws Exception {
+    private static void crash(Path folder, int size, long seed, Set<Integer> victims, List<String> found,
+            StringBuilder note) throws Exception {
         try (ViewGroup view = startSettled(folder, size, seed, note)) {
             Set<Integer> rest = without(view.all(), victims);
             double startMs = Group.now();
@@ -133,8 +146,11 @@
             Thread.sleep(1500);
             // Listeners should see the failure of a hall as one change.
             for (int i : rest) {
-                long changes = Files.readAllLines(view.group.log(i)).stream().filter(line -> line.contains("view: settled") && !line.contains("gone=-")).count();
-                if (changes > 1 && victims.size() > 1) { note.append("n").append(i).append(" reported ").append(changes).append(" changes; "); }
+                long changes = Files.readAllLines(view.group.log(i)).stream()
+                        .filter(line -> line.contains("view: settled") && !line.contains("gone=-")).count();
+                if (changes > 1 && victims.size() > 1) {
+                    note.append("n").append(i).append(" reported ").append(changes).append(" changes; ");
+                }
             }
         }
     }
@@ -175,8 +191,11 @@
             Thread.sleep(10_000);
             for (int i : starved) { view.group.feed(i); }
             long accused = view.sumOfCounter(starved, "view_accused");
-            if (goneDeclarations(view, view.all()) != 0) { found.add("under CPU starvation running members were declared gone " + goneDeclarations(view, view.all()) + " times"); }
-            note.append("suspicions raised by the starved ").append(accused).append(", by the others ").append(view.sumOfCounter(without(view.all(), starved), "view_accused")).append("; ");
+            if (goneDeclarations(view, view.all()) != 0) {
+                found.add("under CPU starvation running members were declared gone " + goneDeclarations(view, view.all()) + " times");
+            }
+            note.append("suspicions raised by the starved ").append(accused).append(", by the others ")
+                    .append(view.sumOfCounter(without(view.all(), starved), "view_accused")).append("; ");
             checkSettled(view, view.all(), Group.now(), "starvation ended", found, new StringBuilder());
         }
     }
@@ -207,18 +226,22 @@
             }
             view.relay().heal();
             checkSettled(view, view.all(), Group.now(), "stable", found, note);
-            note.append("lost ").append(goneDeclarations(view, view.all())).append(", refuted ").append(view.sumOfCounter(view.all(), "view_refuted")).append("; ");
+            note.append("lost ").append(goneDeclarations(view, view.all())).append(", refuted ")
+                    .append(view.sumOfCounter(view.all(), "view_refuted")).append("; ");
         }
     }
 
-    private static void partition(Path folder, int size, long seed, int sides, long ms, List<String> found, StringBuilder note) throws Exception {
+    private static void partition(Path folder, int size, long seed, int sides, long ms, List<String> found,
+            StringBuilder note) throws Exception {
         // During the partition one process starts and one is killed.
         int late = size - 1;
         ViewGroup view = new ViewGroup(folder, size, seed, Math.min(SEEDS, size), true);
         try (view) {
             Set<Integer> begun = without(view.all(), Set.of(late));
             view.start(begun, 10);
-            if (view.awaitSettled(begun, begun.size(), JOIN_TIMEOUT_MS) == null) { throw new IllegalStateException("the views did not settle after the start"); }
+            if (view.awaitSettled(begun, begun.size(), JOIN_TIMEOUT_MS) == null) {
+                throw new IllegalStateException("the views did not settle after the start");
+            }
             List<List<Integer>> parts = new ArrayList<>();
             for (int side = 0; side < sides; side++) { parts.add(new ArrayList<>()); }
             for (int i = 0; i < size; i++) { parts.get(i % sides).add(i); }
@@ -246,7 +269,9 @@
         try (ViewGroup view = new ViewGroup(folder, size, seed, Math.min(SEEDS, size - 1), true, i -> "n" + (i == other ? 1 : i))) {
             Set<Integer> otherNodes = without(view.all(), Set.of(other));
             view.start(otherNodes, 10);
-            if (view.awaitSettled(otherNodes, otherNodes.size(), JOIN_TIMEOUT_MS) == null) { throw new IllegalStateException("the views did not settle after the start"); }
+            if (view.awaitSettled(otherNodes, otherNodes.size(), JOIN_TIMEOUT_MS) == null) {
+                throw new IllegalStateException("the views did not settle after the start");
+            }
             view.start(List.of(other), 1);
             Thread.sleep(4000);
             checkSettled(view, otherNodes, Group.now(), "name claimed", found, new StringBuilder());
@@ -275,7 +300,9 @@
             view.group.awaitReady(process, 60_000);
             note.append(String.format(java.util.Locale.ROOT, "serves after %.0f; ", Group.now() - from));
             List<ViewGroup.ProcessView> views = checkSettled(view, view.all(), from, "restarted", found, note);
-            if (views != null && views.stream().anyMatch(each -> each.incarnations().get(view.name(process)) <= before)) { found.add("the incarnation did not grow over the restart"); }
+            if (views != null && views.stream().anyMatch(each -> each.incarnations().get(view.name(process)) <= before)) {
+                found.add("the incarnation did not grow over the restart");
+            }
         }
     }
 
@@ -285,7 +312,9 @@
             view.group.terminate(process, 20_000);
             double from = Group.now();
             List<ViewGroup.ProcessView> views = checkSettled(view, without(view.all(), Set.of(process)), from, "left", found, note);
-            if (views != null && views.stream().anyMatch(each -> !"left".equals(each.states().get(view.name(process))))) { found.add("the member that left is not recorded as LEFT"); }
+            if (views != null && views.stream().anyMatch(each -> !"left".equals(each.states().get(view.name(process))))) {
+                found.add("the member that left is not recorded as LEFT");
+            }
             if (goneDeclarations(view, without(view.all(), Set.of(process))) != 0) { found.add("the member that left was declared gone"); }
         }
     }
@@ -298,7 +327,8 @@
                 view.group.restart(i);
             }
             List<ViewGroup.ProcessView> views = checkSettled(view, view.all(), Group.now(), "rolled", found, note);
-            if (views != null && views.stream().anyMatch(each -> before.entrySet().stream().anyMatch(old -> each.incarnations().get(old.getKey()) <= old.getValue()))) {
+            if (views != null && views.stream().anyMatch(each -> before.entrySet().stream()
+                    .anyMatch(old -> each.incarnations().get(old.getKey()) <= old.getValue()))) {
                 found.add("an incarnation did not grow");
             }
             if (goneDeclarations(view, view.all()) != 0) { found.add("a member was declared gone during a rolling restart"); }
@@ -321,7 +351,8 @@
             for (int i : others) { view.group.awaitReady(i, 120_000); }
             double up = Group.now();
             List<ViewGroup.ProcessView> views = checkSettled(view, without(view.all(), Set.of(0)), from, "joined", found, note);
-            note.append(String.format(java.util.Locale.ROOT, "all serve after %.0f ms, settled %.0f ms after that; ", up - from, views == null ? -1 : ViewGroup.lastChangeAfter(views, up)));
+            note.append(String.format(java.util.Locale.ROOT, "all serve after %.0f ms, settled %.0f ms after that; ", up - from,
+                    views == null ? -1 : ViewGroup.lastChangeAfter(views, up)));
         }
     }
 
@@ -353,8 +384,10 @@
             }
             view.relay().heal();
             checkSettled(view, view.all(), Group.now(), "healed", found, new StringBuilder());
-            note.append("lost ").append(goneDeclarations(view, view.all())).append(", foreign ").append(view.sumOfCounter(view.all(), "mesh_foreign")).append(", spoilt ")
-                    .append(view.sumOfCounter(view.all(), "mesh_spoilt")).append(", suspected ").append(view.sumOfCounter(view.all(), "view_accused")).append("; ");
+            note.append("lost ").append(goneDeclarations(view, view.all())).append(", foreign ")
+                    .append(view.sumOfCounter(view.all(), "mesh_foreign")).append(", spoilt ")
+                    .append(view.sumOfCounter(view.all(), "mesh_spoilt")).append(", suspected ")
+                    .append(view.sumOfCounter(view.all(), "view_accused")).append("; ");
             if (goneDeclarations(view, view.all()) != 0) { found.add("a running member was declared gone at 20% loss"); }
             for (int i = 0; i < size; i++) {
                 if (Files.readString(view.group.log(i)).contains("Exception")) { found.add("n" + i + " threw an exception"); }
@@ -392,7 +425,9 @@
         try (ViewGroup view = new ViewGroup(folder, size, seed, 1, true)) {
             Set<Integer> others = without(view.all(), Set.of(0));
             view.start(others, 10);
-            if (view.observeAll(others).stream().anyMatch(processView -> processView == null || processView.activeCount() != 1)) { found.add("a process knows another one without any seed"); }
+            if (view.observeAll(others).stream().anyMatch(processView -> processView == null || processView.activeCount() != 1)) {
+                found.add("a process knows another one without any seed");
+            }
             double from = Group.now();
             view.start(List.of(0), 1);
             checkSettled(view, view.all(), from, "seed started", found, note);
--- a/lab/src/yardusher/lab/view/ViewRun.java
+++ b/lab/src/yardusher/lab/view/ViewRun.java
@@ -118,13 +118,15 @@
         net.runUntil(net.now() + 5000);
         List<String> breaches = new ArrayList<>();
         if (healed < 0) {
-            breaches.add("views not settled " + HEAL_TIMEOUT_MS + " ms after all faults ended: " + fleet.running().stream().map(instance -> instance.node + " " + instance.name + " "
+            breaches.add("views not settled " + HEAL_TIMEOUT_MS + " ms after all faults ended: " + fleet.running().stream()
+                    .map(instance -> instance.node + " " + instance.name + " "
                     + instance.membership.phase() + " " + instance.membership.size()).toList());
         }
         fleet.checkAgreement();
         breaches.addAll(checker.breaches());
         duplicates.forEach((first, second) -> {
-            if (!first.ended && !second.ended && !first.errorCodes.contains("VIEW_NAME_TAKEN") && !second.errorCodes.contains("VIEW_NAME_TAKEN")
+            if (!first.ended && !second.ended && !first.errorCodes.contains("VIEW_NAME_TAKEN")
+                    && !second.errorCodes.contains("VIEW_NAME_TAKEN")
                     && !first.errorCodes.contains("VIEW_REPLACED") && !second.errorCodes.contains("VIEW_REPLACED")) {
                 breaches.add("nobody reported that " + first.name + " is used by two processes");
             }
--- a/src/main/java/yardusher/rates/Rates.java
+++ b/src/main/java/yardusher/rates/Rates.java
@@ -75,7 +75,8 @@
     private double syncStartedMs = Double.NaN;       // when there was first another member to ask; NaN before
     private final boolean[] receivedSlices = new boolean[TABLE_SLICES]; // slices that were received
     private int lastRequestedSlice;                  // the slice requested last
-    private long sentMessages, sentBytes, sentReports, sentRates, unsentReports, receivedReports, receivedRates, misroutedReports, malformed, droppedWhenFull;
+    private long sentMessages, sentBytes, sentReports, sentRates, unsentReports, receivedReports, receivedRates, misroutedReports,
+            malformed, droppedWhenFull;
 
     /** Requests the rates known to the others as soon as there are other members. */
     public Rates(Parameters parameters, long selfId, long seed, double now, Transport transport) {
@@ -89,7 +90,10 @@
         lastTickMs = lastRescaleMs = lastRatesSentMs = now;
     }
 
-    /** Sets the active members, in any order, with or without this one. Drops the estimates of customers that now have another aggregator. */
+    /**
+     * Sets the active members, in any order, with or without this one. Drops the estimates of customers that now have another
+     * aggregator.
+     */
     public void updateMembers(long[] active) {
         members = active.clone();
         estimates.values().removeIf(estimate -> aggregatorOf(estimate.customer) != selfId);
@@ -135,7 +139,9 @@
             return;
         }
         reportBudgetBytes -= costBytes;
-        if (buffer == null) { reportBuffers.put(aggregator, buffer = RateCodec.newMessage(RateCodec.Kind.REPORTS, parameters.maxBodyBytes())); }
+        if (buffer == null) {
+            reportBuffers.put(aggregator, buffer = RateCodec.newMessage(RateCodec.Kind.REPORTS, parameters.maxBodyBytes()));
+        }
         RateCodec.putReport(buffer, customer, plan, reportedUnits);
         sentReports++;
     }
@@ -147,7 +153,9 @@
         return ratio <= 1 ? 0 : ratio * parameters.quotasPerS()[plan];
     }
 
-    private double horizonMs(int plan) { return Math.max(parameters.horizonMs(), Math.min(MAX_HORIZON_MS, MS_PER_S * REPORTS_PER_HORIZON * reportScale / quotaRoots[plan])); }
+    private double horizonMs(int plan) {
+        return Math.max(parameters.horizonMs(), Math.min(MAX_HORIZON_MS, MS_PER_S * REPORTS_PER_HORIZON * reportScale / quotaRoots[plan]));
+    }
 
     private void addToEstimate(double now, long customer, int plan, double units) {
         DemandEstimate estimate = estimates.get(customer);
@@ -168,7 +176,8 @@
         boolean hasSlice = kind == RateCodec.Kind.SLICE_REQUEST || kind == RateCodec.Kind.SLICE;
         int slice = hasSlice && in.hasRemaining() ? in.get() & 0xff : hasSlice ? TABLE_SLICES : 0;
         int itemBytes = kind == RateCodec.Kind.REPORTS ? RateCodec.REPORT_BYTES : RateCodec.RATE_BYTES;
-        if (kind == null || slice >= TABLE_SLICES || (kind == RateCodec.Kind.SLICE_REQUEST ? in.hasRemaining() : in.remaining() % itemBytes != 0)) {
+        if (kind == null || slice >= TABLE_SLICES || (kind == RateCodec.Kind.SLICE_REQUEST ? in.hasRemaining()
+                : in.remaining() % itemBytes != 0)) {
             malformed++;
             return;
         }
@@ -178,13 +187,15 @@
         }
         if (kind == RateCodec.Kind.SLICE) { receivedSlices[slice] = true; }
         while (in.hasRemaining()) {
-            if (kind == RateCodec.Kind.REPORTS) { receiveReport(now, RateCodec.readReport(in)); } else { receiveRate(now, RateCodec.readRate(in), kind == RateCodec.Kind.RATES); }
+            if (kind == RateCodec.Kind.REPORTS) { receiveReport(now, RateCodec.readReport(in));
+                    } else { receiveRate(now, RateCodec.readRate(in), kind == RateCodec.Kind.RATES); }
         }
     }
 
     private void receiveReport(double now, RateCodec.Report report) {
         receivedReports++;
-        if (aggregatorOf(report.customer()) != selfId) { // sent by an ingress with another view: a partial sum must not be announced as the fleet's
+        // The sender has another view. It is dropped, since a partial sum must not be announced as the demand of the whole fleet.
+        if (aggregatorOf(report.customer()) != selfId) {
             misroutedReports++;
             return;
         }
@@ -251,7 +262,9 @@
 
     private static int sliceOf(long customer) { return (int) (mix(customer) & TABLE_SLICES - 1); }
 
-    private static void putRate(ByteBuffer out, double now, KnownRate rate) { RateCodec.putRate(out, rate.customer, rate.plan, rate.ratio, now - rate.computedAtMs); }
+    private static void putRate(ByteBuffer out, double now, KnownRate rate) {
+        RateCodec.putRate(out, rate.customer, rate.plan, rate.ratio, now - rate.computedAtMs);
+    }
 
     private void send(long to, ByteBuffer out) {
         byte[] body = Arrays.copyOf(out.array(), out.position());
@@ -264,8 +277,10 @@
     public void tick(double now) {
         double elapsedS = Math.max(0, now - lastTickMs) / MS_PER_S, bytesPerS = parameters.bytesPerS();
         lastTickMs = now;
-        reportBudgetBytes = Math.min(BUDGET_BURST_S * REPORT_BUDGET_SHARE * bytesPerS, reportBudgetBytes + REPORT_BUDGET_SHARE * bytesPerS * elapsedS);
-        rateBudgetBytes = Math.min(Math.max(BUDGET_BURST_S * (1 - REPORT_BUDGET_SHARE) * bytesPerS, parameters.headerBytes() + parameters.maxBodyBytes()), rateBudgetBytes + (1 - REPORT_BUDGET_SHARE) * bytesPerS * elapsedS);
+        reportBudgetBytes = Math.min(BUDGET_BURST_S * REPORT_BUDGET_SHARE * bytesPerS,
+                reportBudgetBytes + REPORT_BUDGET_SHARE * bytesPerS * elapsedS);
+        rateBudgetBytes = Math.min(Math.max(BUDGET_BURST_S * (1 - REPORT_BUDGET_SHARE) * bytesPerS,
+                parameters.headerBytes() + parameters.maxBodyBytes()), rateBudgetBytes + (1 - REPORT_BUDGET_SHARE) * bytesPerS * elapsedS);
         reportBuffers.forEach(this::send);
         reportBuffers.clear();
         if (now - lastRescaleMs >= MS_PER_S) {
@@ -305,17 +320,22 @@
             boolean listed = known != null && known.plan == estimate.plan && known.ratio > 0 && now - known.computedAtMs < RATE_TTL_MS;
             double ageMs = known == null ? Double.POSITIVE_INFINITY : now - known.computedAtMs;
             if (ageMs < horizonMs * (ratio < WITHDRAW_RATIO ? WITHDRAW_SPACING : ANNOUNCE_SPACING)) { continue; }
-            boolean changed = listed ? ratio < WITHDRAW_RATIO || Math.abs(Math.log(ratio / known.ratio)) > MIN_LOG_CHANGE : ratio > ANNOUNCE_RATIO;
+            boolean changed = listed ? ratio < WITHDRAW_RATIO || Math.abs(Math.log(ratio / known.ratio)) > MIN_LOG_CHANGE
+                    : ratio > ANNOUNCE_RATIO;
             boolean needsRefresh = listed && ageMs > REFRESH_INTERVAL_MS && pendingRates.size() < 2 * maxRatesPerMessage;
-            if (changed || needsRefresh) { updateKnownRate(now, estimate.customer, estimate.plan, ratio < WITHDRAW_RATIO ? 0 : Math.max(ratio, 1 + 1e-9), now, true); }
+            if (changed || needsRefresh) {
+                updateKnownRate(now, estimate.customer, estimate.plan, ratio < WITHDRAW_RATIO ? 0 : Math.max(ratio, 1 + 1e-9), now, true);
+            }
         }
     }
 
     /** Gossips new announcements first, by priority and waiting time; then others in round-robin order, to repair losses. */
     private void sendRates(double now) {
         long to = randomPeer();
-        int capacity = (int) Math.min(maxRatesPerMessage, Math.floor((rateBudgetBytes - parameters.headerBytes() - 1) / RateCodec.RATE_BYTES));
-        if (to == selfId || capacity < 1 || now - lastRatesSentMs < BATCHING_DELAY_MS && pendingRates.size() < capacity || knownRates.isEmpty()) { return; }
+        int capacity = (int) Math.min(maxRatesPerMessage,
+                Math.floor((rateBudgetBytes - parameters.headerBytes() - 1) / RateCodec.RATE_BYTES));
+        if (to == selfId || capacity < 1 || now - lastRatesSentMs < BATCHING_DELAY_MS && pendingRates.size() < capacity
+                || knownRates.isEmpty()) { return; }
         lastRatesSentMs = now;
         ByteBuffer out = RateCodec.newMessage(RateCodec.Kind.RATES, parameters.maxBodyBytes());
         List<KnownRate> byPriority = new ArrayList<>(pendingRates);
@@ -349,8 +369,10 @@
 
     /** Returns {@code name=value} pairs for the counters line. */
     public String counters() {
-        return "rates_listed=" + overQuotaCount() + " rates_met=" + estimates.size() + " rates_sent=" + sentMessages + " rates_sent_bytes=" + sentBytes + " rates_reports=" + sentReports + " rates_unsent="
-                + unsentReports + " rates_told=" + sentRates + " rates_heard_reports=" + receivedReports + " rates_heard=" + receivedRates + " rates_strays=" + misroutedReports + " rates_malformed="
+        return "rates_listed=" + overQuotaCount() + " rates_met=" + estimates.size() + " rates_sent=" + sentMessages + " rates_sent_bytes="
+                + sentBytes + " rates_reports=" + sentReports + " rates_unsent="
+                + unsentReports + " rates_told=" + sentRates + " rates_heard_reports=" + receivedReports + " rates_heard=" + receivedRates
+                + " rates_strays=" + misroutedReports + " rates_malformed="
                 + malformed + " rates_full=" + droppedWhenFull;
     }
 }
--- a/src/main/java/yardusher/rates/RatesSubsystem.java
+++ b/src/main/java/yardusher/rates/RatesSubsystem.java
@@ -42,7 +42,8 @@
         mesh = site.mesh();
         double[] quotas = site.settings().plans().stream().mapToDouble(Api.Plan::ratePerS).toArray();
         // A restarted process of the same name has the same seed, but must draw different random numbers.
-        rates = new Rates(new Rates.Parameters(settings.bytesPerS(), HEADER_BYTES, Mesh.MOST_BODY, quotas, 1000.0 * settings.horizonS()), memberId(site.name()), site.seed() ^ System.nanoTime(), loop.now(), this);
+        rates = new Rates(new Rates.Parameters(settings.bytesPerS(), HEADER_BYTES, Mesh.MOST_BODY, quotas, 1000.0 * settings.horizonS()),
+                memberId(site.name()), site.seed() ^ System.nanoTime(), loop.now(), this);
         return this;
     }
 
--- a/src/main/java/yardusher/view/ChangeNotifier.java
+++ b/src/main/java/yardusher/view/ChangeNotifier.java
@@ -43,7 +43,8 @@
         }
         if (unreportedSinceMs == Double.POSITIVE_INFINITY) { unreportedSinceMs = Math.max(table.changedAtMs(), now - maxDelayMs); }
         double deadlineMs = unreportedSinceMs + maxDelayMs;
-        return table.suspects().stream().anyMatch(suspect -> suspect.accusers.length >= CONFIRMING_ACCUSERS) ? deadlineMs : Math.min(deadlineMs, table.changedAtMs() + settleMs);
+        return table.suspects().stream().anyMatch(suspect -> suspect.accusers.length >= CONFIRMING_ACCUSERS) ? deadlineMs
+                : Math.min(deadlineMs, table.changedAtMs() + settleMs);
     }
 
     /** Reports the change to the listeners if the view has settled. */
--- a/src/main/java/yardusher/view/MemberTable.java
+++ b/src/main/java/yardusher/view/MemberTable.java
@@ -106,7 +106,9 @@
     /** Merges an update of another member, or of this ingress's own name while another instance holds it. */
     MergeResult merge(MemberUpdate update, double now) {
         MemberEntry held = entries.get(update.identity().name());
-        if (update.incarnation() > MAX_INCARNATION || held != null && update.incarnation() > held.incarnation + MAX_INCARNATION_STEP) { return MergeResult.REFUSED; }
+        if (update.incarnation() > MAX_INCARNATION || held != null && update.incarnation() > held.incarnation + MAX_INCARNATION_STEP) {
+            return MergeResult.REFUSED;
+        }
         if (!update.isActive() && update.ageS() * 1000.0 > rememberMs) { return MergeResult.KNOWN; }
         if (held == null) {
             if (entries.size() >= MAX_MEMBERS) { return MergeResult.REFUSED; }
@@ -114,14 +116,18 @@
             return MergeResult.NEW;
         }
         if (held.instanceId != update.instanceId()) {
-            if (!MemberUpdate.isLaterInstance(update.firstIncarnation(), update.instanceId(), held.firstIncarnation, held.instanceId) || update.incarnation() <= held.incarnation) { return MergeResult.OUTDATED; }
+            if (!MemberUpdate.isLaterInstance(update.firstIncarnation(), update.instanceId(), held.firstIncarnation, held.instanceId)
+                    || update.incarnation() <= held.incarnation) { return MergeResult.OUTDATED; }
             store(held, update, now);
             return MergeResult.NEW;
         }
         if (held.state == State.LEFT || update.state() == State.LEFT) { // LEFT is final for an instance, whatever the incarnation
             long incarnation = Math.max(held.incarnation, update.incarnation());
-            if (held.state == State.LEFT && incarnation == held.incarnation) { return update.state() == State.LEFT ? MergeResult.KNOWN : MergeResult.OUTDATED; }
-            store(held, new MemberUpdate(update.identity(), update.instanceId(), update.firstIncarnation(), incarnation, State.LEFT, MemberUpdate.NO_ACCUSERS, update.ageS()), now);
+            if (held.state == State.LEFT && incarnation == held.incarnation) {
+                return update.state() == State.LEFT ? MergeResult.KNOWN : MergeResult.OUTDATED;
+            }
+            store(held, new MemberUpdate(update.identity(), update.instanceId(), update.firstIncarnation(), incarnation, State.LEFT,
+                    MemberUpdate.NO_ACCUSERS, update.ageS()), now);
             return MergeResult.NEW;
         }
         if (update.incarnation() < held.incarnation) { return MergeResult.OUTDATED; }
@@ -129,7 +135,9 @@
             store(held, update, now);
             return MergeResult.NEW;
         }
-        if (update.state() == State.SUSPECT && held.state == State.SUSPECT) { return addAccusers(held, update.accusers()) ? MergeResult.NEW : MergeResult.KNOWN; }
+        if (update.state() == State.SUSPECT && held.state == State.SUSPECT) {
+            return addAccusers(held, update.accusers()) ? MergeResult.NEW : MergeResult.KNOWN;
+        }
         if (update.state().ordinal() == held.state.ordinal()) { return MergeResult.KNOWN; }
         if (update.state().ordinal() < held.state.ordinal()) { return MergeResult.OUTDATED; }
         store(held, update, now);
@@ -141,7 +149,8 @@
         if (entry.state == State.SUSPECT) { return addAccusers(entry, new int[] {accuser}); }
         if (entry.state != State.ALIVE) { return false; }
         MemberUpdate current = entry.toUpdate(now);
-        store(entry, new MemberUpdate(current.identity(), current.instanceId(), current.firstIncarnation(), current.incarnation(), State.SUSPECT, new int[] {accuser}, 0), now);
+        store(entry, new MemberUpdate(current.identity(), current.instanceId(), current.firstIncarnation(), current.incarnation(),
+                State.SUSPECT, new int[] {accuser}, 0), now);
         return true;
     }
 
@@ -159,7 +168,8 @@
     /** Marks as GONE a member whose suspicion has expired, or whose process is known to have ended. */
     void markGone(MemberEntry entry, double now) {
         MemberUpdate current = entry.toUpdate(now);
-        store(entry, new MemberUpdate(current.identity(), current.instanceId(), current.firstIncarnation(), current.incarnation(), State.GONE, MemberUpdate.NO_ACCUSERS, 0), now);
+        store(entry, new MemberUpdate(current.identity(), current.instanceId(), current.firstIncarnation(), current.incarnation(),
+                State.GONE, MemberUpdate.NO_ACCUSERS, 0), now);
     }
 
     /** Stores a record of this ingress's own name without applying the merge rule: it joins, leaves or gives the name up. */
@@ -226,7 +236,8 @@
         while (low <= high) {
             int mid = (low + high) >>> 1;
             MemberEntry other = activeRing.get(mid);
-            int comparison = other.ringPosition != entry.ringPosition ? Long.compare(other.ringPosition, entry.ringPosition) : other.name.compareTo(entry.name);
+            int comparison = other.ringPosition != entry.ringPosition ? Long.compare(other.ringPosition, entry.ringPosition)
+                    : other.name.compareTo(entry.name);
             if (comparison == 0) { return mid; }
             if (comparison < 0) { low = mid + 1; } else { high = mid - 1; }
         }
@@ -250,7 +261,9 @@
         return mix(mix(mix(entry.ringPosition, entry.instanceId), entry.incarnation), entry.isActive() ? 1 : entry.state.ordinal());
     }
 
-    private static long addressHash(InetSocketAddress address) { return Arrays.hashCode(address.getAddress().getAddress()) * 65_536L + address.getPort(); }
+    private static long addressHash(InetSocketAddress address) {
+        return Arrays.hashCode(address.getAddress().getAddress()) * 65_536L + address.getPort();
+    }
 
     private static long mix(long a, long b) {
         long x = (a ^ Long.rotateLeft(b, 32)) * 0x9e3779b97f4a7c15L + b;
--- a/src/main/java/yardusher/view/Membership.java
+++ b/src/main/java/yardusher/view/Membership.java
@@ -149,11 +149,13 @@
     private long refutations;
     private long lateTimers;
 
-    public Membership(ViewSettings settings, String name, String hall, InetSocketAddress address, long seed, double now, Environment environment) {
+    public Membership(ViewSettings settings, String name, String hall, InetSocketAddress address, long seed, double now,
+            Environment environment) {
         this(settings, new MemberIdentity(name, hall, address), seed, now, environment, UnaryOperator.identity(), null);
     }
 
-    Membership(ViewSettings settings, MemberIdentity self, long seed, double now, Environment environment, UnaryOperator<MemberIdentity> interner, Flaw flaw) {
+    Membership(ViewSettings settings, MemberIdentity self, long seed, double now, Environment environment,
+            UnaryOperator<MemberIdentity> interner, Flaw flaw) {
         this.settings = settings;
         this.self = self;
         this.environment = environment;
@@ -167,9 +169,11 @@
     }
 
     /** Creates a member with the given flaw and with interned identities; for the lab. */
-    public static Membership withFlaw(ViewSettings settings, String name, String hall, InetSocketAddress address, long seed, double now, Environment environment,
+    public static Membership withFlaw(ViewSettings settings, String name, String hall, InetSocketAddress address, long seed, double now,
+            Environment environment,
             UnaryOperator<Object> interner, Flaw flaw) {
-        return new Membership(settings, new MemberIdentity(name, hall, address), seed, now, environment, identity -> (MemberIdentity) interner.apply(identity), flaw);
+        return new Membership(settings, new MemberIdentity(name, hall, address), seed, now, environment,
+                identity -> (MemberIdentity) interner.apply(identity), flaw);
     }
 
     /** Starts the protocol; {@code address} is the one at which the other members reach this one. */
@@ -187,7 +191,9 @@
 
     private List<InetSocketAddress> otherSeeds() { return settings.seeds().stream().filter(seed -> !seed.equals(self.address())).toList(); }
 
-    private MemberUpdate ownUpdate(State state) { return new MemberUpdate(self, instanceId, firstIncarnation, incarnation, state, MemberUpdate.NO_ACCUSERS, 0); }
+    private MemberUpdate ownUpdate(State state) {
+        return new MemberUpdate(self, instanceId, firstIncarnation, incarnation, state, MemberUpdate.NO_ACCUSERS, 0);
+    }
 
     /** Returns the time by which {@link #tick} has to be called. */
     public double nextTickMs() { return nextTickMs; }
@@ -222,9 +228,14 @@
 
     private double computeNextTickMs(double now) {
         if (phase == Phase.LEFT) { return Double.POSITIVE_INFINITY; }
-        if (nextGossipMs == Double.POSITIVE_INFINITY && !gossipQueue.isEmpty() && phase == Phase.IN) { nextGossipMs = now + gossipMs * random.nextDouble(); }
-        double next = Math.min(Math.min(Math.min(nextRoundMs, nextGossipMs), Math.min(nextGonePingMs, nextSeedPingMs)), Math.min(nextJoinMs, nextExpiryMs));
-        for (Probe probe : probes) { next = Math.min(next, probe.indirectSent ? probe.failAtMs : Math.min(probe.indirectAtMs, probe.retryAtMs)); }
+        if (nextGossipMs == Double.POSITIVE_INFINITY && !gossipQueue.isEmpty() && phase == Phase.IN) {
+            nextGossipMs = now + gossipMs * random.nextDouble();
+        }
+        double next = Math.min(Math.min(Math.min(nextRoundMs, nextGossipMs), Math.min(nextGonePingMs, nextSeedPingMs)),
+                Math.min(nextJoinMs, nextExpiryMs));
+        for (Probe probe : probes) {
+            next = Math.min(next, probe.indirectSent ? probe.failAtMs : Math.min(probe.indirectAtMs, probe.retryAtMs));
+        }
         for (RelayedProbe relayed : relayedProbes.values()) { next = Math.min(next, relayed.expiresAtMs); }
         for (MemberEntry entry : table.suspects()) { next = Math.min(next, suspicionDeadlineMs(entry)); }
         return Math.min(next, changeNotifier.nextCheckMs(now));
@@ -245,7 +256,8 @@
     }
 
     private double suspicionDeadlineMs(MemberEntry suspect) {
-        return suspect.stateSinceMs + SuspicionTimeout.durationMs(roundMs, settings.suspicionRounds(), table.active().size(), suspect.accusers.length, health.suspicionFactor());
+        return suspect.stateSinceMs + SuspicionTimeout.durationMs(roundMs, settings.suspicionRounds(), table.active().size(),
+                suspect.accusers.length, health.suspicionFactor());
     }
 
     // ---- probes
@@ -312,7 +324,8 @@
             if (flaw != Flaw.NO_HELPERS) {
                 for (MemberEntry helper : randomMembers(HELPERS_PER_PROBE, probe.target)) {
                     probe.helpersAsked++;
-                    send(helper.identity.address(), newMessage(ViewCodec.Type.PING_REQUEST).probeFields(probe.sequence, probe.instanceId).subject(probe.target.toUpdate(now)));
+                    send(helper.identity.address(), newMessage(ViewCodec.Type.PING_REQUEST)
+                            .probeFields(probe.sequence, probe.instanceId).subject(probe.target.toUpdate(now)));
                 }
             }
         }
@@ -347,20 +360,26 @@
     /** Pings GONE members, so that each is pinged a few times a second by all members together. */
     private void pingGone(double now) {
         List<MemberEntry> gone = table.gone();
-        nextGonePingMs = gone.isEmpty() || phase != Phase.IN ? Double.POSITIVE_INFINITY : now + GONE_PING_INTERVAL_MS * (0.5 + random.nextDouble());
+        nextGonePingMs = gone.isEmpty() || phase != Phase.IN ? Double.POSITIVE_INFINITY
+                : now + GONE_PING_INTERVAL_MS * (0.5 + random.nextDouble());
         if (gone.isEmpty() || phase != Phase.IN || flaw == Flaw.NO_ASKING_THE_GONE) { return; }
-        if (random.nextDouble() * table.active().size() < GONE_PINGS_PER_S * gone.size()) { sendPing(gone.get(random.nextInt(gone.size())), 0, now); }
+        if (random.nextDouble() * table.active().size() < GONE_PINGS_PER_S * gone.size()) {
+            sendPing(gone.get(random.nextInt(gone.size())), 0, now);
+        }
     }
 
     /** Pings seeds that are not in the view, for as long as this process runs. */
     private void pingSeeds(double now) {
         aloneAttempts = table.active().size() > 1 ? 0 : aloneAttempts + 1; // admitted by a seed that knew nobody, or partitioned
         nextSeedPingMs = now + (aloneAttempts == 0 ? SEED_PING_INTERVAL_MS : joinBackoffMs(aloneAttempts)) * (0.5 + random.nextDouble());
-        List<InetSocketAddress> absentSeeds = otherSeeds().stream().filter(seed -> table.active().stream().noneMatch(member -> member.identity.address().equals(seed))).toList();
+        List<InetSocketAddress> absentSeeds = otherSeeds().stream()
+                .filter(seed -> table.active().stream().noneMatch(member -> member.identity.address().equals(seed))).toList();
         if (flaw == Flaw.NO_ASKING_THE_GONE) { return; }
         List<InetSocketAddress> targets = new ArrayList<>(absentSeeds);
         Collections.shuffle(targets, random);
-        for (InetSocketAddress seed : targets.subList(0, Math.min(MAX_SEEDS_PER_PING, targets.size()))) { send(seed, fillWithGossip(newMessage(ViewCodec.Type.PING).probeFields(0, 0), now)); }
+        for (InetSocketAddress seed : targets.subList(0, Math.min(MAX_SEEDS_PER_PING, targets.size()))) {
+            send(seed, fillWithGossip(newMessage(ViewCodec.Type.PING).probeFields(0, 0), now));
+        }
     }
 
     // ---- gossip and updates
@@ -401,13 +420,16 @@
         }
         MemberEntry existing = table.get(update.identity().name());
         State previousState = existing == null ? null : existing.state;
-        MemberTable.MergeResult result = flaw == Flaw.LEFT_COME_BACK && previousState == State.LEFT && update.isActive() ? mergeIgnoringDeparture(update, now) : table.merge(update, now);
+        MemberTable.MergeResult result = flaw == Flaw.LEFT_COME_BACK && previousState == State.LEFT && update.isActive()
+                ? mergeIgnoringDeparture(update, now) : table.merge(update, now);
         if (result == MemberTable.MergeResult.REFUSED) { refused++; }
         if (result != MemberTable.MergeResult.NEW) { return result; }
         MemberEntry entry = table.get(update.identity().name());
         gossipQueue.add(entry, now - enteredAtMs < NEWCOMER_MS && update.isActive() ? maxTransmissions() / 2 : 0);
         if (entry.state == State.SUSPECT && phase == Phase.IN && isObserverOf(entry)) { startProbe(entry, now); }
-        if (entry.state == State.GONE && nextGonePingMs == Double.POSITIVE_INFINITY) { nextGonePingMs = now + GONE_PING_INTERVAL_MS * random.nextDouble(); }
+        if (entry.state == State.GONE && nextGonePingMs == Double.POSITIVE_INFINITY) {
+            nextGonePingMs = now + GONE_PING_INTERVAL_MS * random.nextDouble();
+        }
         return result;
     }
 
@@ -508,14 +530,19 @@
         for (MemberEntry member : randomMembers(2, ownEntry)) { seeds.add(member.identity.address()); }
         if (seeds.isEmpty()) { return; }
         if (phase == Phase.JOINING && joinAttempts == 12) {
-            environment.reportError(new ViewError.NoSeed(String.join(" ", settings.seeds().stream().map(Membership::formatAddress).toList())));
+            environment.reportError(new ViewError.NoSeed(String.join(" ", settings.seeds().stream()
+                    .map(Membership::formatAddress).toList())));
         }
         joinSequence = ++lastSequence;
         Collections.shuffle(seeds, random);
-        for (InetSocketAddress seed : seeds.subList(0, Math.min(joinAttempts == 1 ? 1 : 2, seeds.size()))) { send(seed, newMessage(ViewCodec.Type.JOIN).probeFields(joinSequence, 0)); }
+        for (InetSocketAddress seed : seeds.subList(0, Math.min(joinAttempts == 1 ? 1 : 2, seeds.size()))) {
+            send(seed, newMessage(ViewCodec.Type.JOIN).probeFields(joinSequence, 0));
+        }
     }
 
-    private static double joinBackoffMs(int attempts) { return Math.min(MAX_JOIN_BACKOFF_MS, MIN_JOIN_BACKOFF_MS * Math.pow(1.25, Math.min(attempts, 30))); }
+    private static double joinBackoffMs(int attempts) {
+        return Math.min(MAX_JOIN_BACKOFF_MS, MIN_JOIN_BACKOFF_MS * Math.pow(1.25, Math.min(attempts, 30)));
+    }
 
     /** Becomes a member, with an incarnation greater than {@code above}, the highest known for the name. */
     private void becomeMember(double now, long above) {
@@ -537,16 +564,21 @@
     private void handleJoin(ViewCodec.Message message, double now) {
         MemberEntry held = table.get(message.sender().identity().name());
         if (held != null && held == ownEntry && phase == Phase.JOINING) { held = null; }
-        send(message.sender().identity().address(), newMessage(ViewCodec.Type.WELCOME).probeFields(message.sequence(), message.sender().instanceId()).subject(held == null ? null : held.toUpdate(now)));
+        send(message.sender().identity().address(), newMessage(ViewCodec.Type.WELCOME)
+                .probeFields(message.sequence(), message.sender().instanceId()).subject(held == null ? null : held.toUpdate(now)));
         if (held != null && held == ownEntry && phase == Phase.IN) {
             rejectClaim(message.sender(), message.sequence());
         } else if (held != null && held.isActive() && held.instanceId != message.sender().instanceId()) {
             // The holder of the name can object itself; otherwise its silence, or another process at its address, frees the name.
-            send(held.identity.address(), newMessage(ViewCodec.Type.NAME_CLAIMED).probeFields(message.sequence(), message.sender().instanceId()).subject(message.sender()));
+            send(held.identity.address(), newMessage(ViewCodec.Type.NAME_CLAIMED)
+                    .probeFields(message.sequence(), message.sender().instanceId()).subject(message.sender()));
             if (phase == Phase.IN) { startProbe(held, now); }
         }
         if (message.tableDigest() != table.tableDigest()) { sendTable(message.sender().identity().address(), null, now); }
-        if (phase == Phase.JOINING && nextJoinMs > now + MIN_JOIN_BACKOFF_MS) { nextJoinMs = now + MIN_JOIN_BACKOFF_MS * random.nextDouble(); } // a peer responds
+        // a peer responds
+        if (phase == Phase.JOINING && nextJoinMs > now + MIN_JOIN_BACKOFF_MS) {
+            nextJoinMs = now + MIN_JOIN_BACKOFF_MS * random.nextDouble();
+        }
     }
 
     private void rejectClaim(MemberUpdate claim, int sequence) {
@@ -556,21 +588,28 @@
     }
 
     private void handleWelcome(ViewCodec.Message message, double now) {
-        if (phase != Phase.JOINING && phase != Phase.TAKEN || message.sequence() != joinSequence || message.instanceId() != instanceId) { return; }
+        if (phase != Phase.JOINING && phase != Phase.TAKEN || message.sequence() != joinSequence || message.instanceId() != instanceId) {
+            return;
+        }
         MemberUpdate held = message.subject();
         if (held == null || held.instanceId() == instanceId || !held.isActive()) {
-            becomeMember(now, held == null || held.incarnation() > MemberTable.MAX_INCARNATION ? phase == Phase.TAKEN ? ownEntry.incarnation : 0 : held.incarnation());
+            becomeMember(now, held == null || held.incarnation() > MemberTable.MAX_INCARNATION
+                    ? phase == Phase.TAKEN ? ownEntry.incarnation : 0 : held.incarnation());
             sendPing(message.sender().identity(), message.sender().instanceId(), now);
         } else {
-            nextJoinMs = Math.min(nextJoinMs, now + (phase == Phase.TAKEN ? MAX_JOIN_BACKOFF_MS : roundMs) * (0.6 + 0.8 * random.nextDouble()));
+            nextJoinMs = Math.min(nextJoinMs,
+                    now + (phase == Phase.TAKEN ? MAX_JOIN_BACKOFF_MS : roundMs) * (0.6 + 0.8 * random.nextDouble()));
         }
     }
 
-    private void sendPing(MemberIdentity target, long targetInstanceId, double now) { send(target.address(), fillWithGossip(newMessage(ViewCodec.Type.PING).probeFields(0, targetInstanceId), now)); }
+    private void sendPing(MemberIdentity target, long targetInstanceId, double now) {
+        send(target.address(), fillWithGossip(newMessage(ViewCodec.Type.PING).probeFields(0, targetInstanceId), now));
+    }
 
     /** Handles the objection of the process that holds this name. */
     private void handleNameHeld(ViewCodec.Message message, double now) {
-        if (phase != Phase.JOINING && phase != Phase.TAKEN || message.instanceId() != instanceId || !message.sender().identity().name().equals(self.name())) { return; }
+        if (phase != Phase.JOINING && phase != Phase.TAKEN || message.instanceId() != instanceId
+                || !message.sender().identity().name().equals(self.name())) { return; }
         reportNameConflict(message.sender());
         phase = Phase.TAKEN;
         table.replace(message.sender(), now);
@@ -585,7 +624,8 @@
         int sentDatagrams = 0;
         boolean hasEntries = false;
         List<MemberEntry> entries = new ArrayList<>(table.entries());
-        Collections.rotate(entries, random.nextInt(entries.size() + 1)); // a random start, so that repeated replies cover a table too long for one
+        // a random start, so that repeated replies cover a table too long for one
+        Collections.rotate(entries, random.nextInt(entries.size() + 1));
         for (MemberEntry entry : entries) {
             int bucket = MemberTable.bucketOf(entry.name);
             if (theirDigests != null && theirDigests[bucket] == ourDigests[bucket] || entry == ownEntry && phase != Phase.IN) { continue; }
@@ -620,10 +660,14 @@
             malformed++;
             return;
         }
-        if (message.sender().instanceId() == instanceId && message.sender().identity().name().equals(self.name())) { return; } // its own datagram, looped back
+        // its own datagram, looped back
+        if (message.sender().instanceId() == instanceId && message.sender().identity().name().equals(self.name())) { return; }
         MemberEntry contradicted = message.participating() ? applySender(message, now) : null;
         for (MemberUpdate update : message.updates()) { applyUpdate(update, now); }
-        if (phase == Phase.JOINING && message.participating() && nextJoinMs > now + MIN_JOIN_BACKOFF_MS) { nextJoinMs = now + MIN_JOIN_BACKOFF_MS * random.nextDouble(); } // a peer responds
+        // a peer responds
+        if (phase == Phase.JOINING && message.participating() && nextJoinMs > now + MIN_JOIN_BACKOFF_MS) {
+            nextJoinMs = now + MIN_JOIN_BACKOFF_MS * random.nextDouble();
+        }
         if (phase != Phase.LEFT) { handleMessage(message, contradicted, now); }
         nextTickMs = Math.min(nextTickMs, computeNextTickMs(now));
     }
@@ -638,7 +682,8 @@
             entry.reportedAtMs = now;
             if (message.tableDigest() != table.tableDigest()) { requestSync(message.sender().identity().address(), now); }
         }
-        boolean contradicts = result == MemberTable.MergeResult.OUTDATED || result == MemberTable.MergeResult.KNOWN && entry.state != message.sender().state();
+        boolean contradicts = result == MemberTable.MergeResult.OUTDATED
+                || result == MemberTable.MergeResult.KNOWN && entry.state != message.sender().state();
         return contradicts ? entry : null;
     }
 
@@ -661,7 +706,9 @@
             case JOIN -> handleJoin(message, now);
             case WELCOME -> handleWelcome(message, now);
             case NAME_CLAIMED -> {
-                if (phase == Phase.IN && message.subject().identity().name().equals(self.name())) { rejectClaim(message.subject(), message.sequence()); }
+                if (phase == Phase.IN && message.subject().identity().name().equals(self.name())) {
+                    rejectClaim(message.subject(), message.sequence());
+                }
             }
             case NAME_HELD -> handleNameHeld(message, now);
             default -> { }
@@ -685,7 +732,8 @@
             if (probe.sequence != message.sequence()) { continue; }
             if (message.sender().instanceId() == probe.instanceId) {
                 completeProbe(probe);
-            } else if (message.sender().identity().equals(probe.target.identity) && probe.target.instanceId == probe.instanceId && probe.target.isActive()) {
+            } else if (message.sender().identity().equals(probe.target.identity) && probe.target.instanceId == probe.instanceId
+                    && probe.target.isActive()) {
                 probes.remove(probe);                // another process answers at its address, so that instance has ended
                 declareGone(probe.target, now, "replaced at its address");
             }
@@ -699,8 +747,11 @@
     }
 
     private void handlePingRequest(ViewCodec.Message message, double now) {
-        if (relayedProbes.size() >= MAX_RELAYED_PROBES || phase != Phase.IN || message.subject().identity().name().equals(self.name())) { return; }
-        relayedProbes.put(++lastSequence, new RelayedProbe(message.sender().identity().address(), message.sequence(), message.instanceId(), now + roundMs * 0.35));
+        if (relayedProbes.size() >= MAX_RELAYED_PROBES || phase != Phase.IN || message.subject().identity().name().equals(self.name())) {
+            return;
+        }
+        relayedProbes.put(++lastSequence, new RelayedProbe(message.sender().identity().address(), message.sequence(), message.instanceId(),
+                now + roundMs * 0.35));
         ViewCodec.Writer out = newMessage(ViewCodec.Type.PING).probeFields(lastSequence, message.instanceId());
         if (message.subject().state() != State.ALIVE) { out.addUpdate(message.subject()); }
         send(message.subject().identity().address(), out);
@@ -811,16 +862,21 @@
         View.Snapshot current = snapshot(now);
         StringBuilder out = new StringBuilder(256);
         out.append(String.format(java.util.Locale.ROOT, "view name=%s phase=%s there=%d suspect=%d gone=%d left=%d digest=%016x still_ms=%.0f same=%d asked=%d health=%d%n",
-                self.name(), phase.name().toLowerCase(java.util.Locale.ROOT), current.members().size(), table.suspects().size(), table.gone().size(),
-                table.leftCount(), current.digest(), now - current.unchangedSinceMs(), current.agreeing(), current.polled(), health.score()));
+                self.name(), phase.name().toLowerCase(java.util.Locale.ROOT), current.members().size(), table.suspects().size(),
+                table.gone().size(),
+                table.leftCount(), current.digest(), now - current.unchangedSinceMs(), current.agreeing(), current.polled(),
+                health.score()));
         if (phase == Phase.TAKEN) {
-            out.append("taken name=").append(self.name()).append(" by=").append(formatAddress(ownEntry.identity.address())).append(" incarnation=").append(ownEntry.incarnation).append('\n');
+            out.append("taken name=").append(self.name()).append(" by=").append(formatAddress(ownEntry.identity.address()))
+                    .append(" incarnation=").append(ownEntry.incarnation).append('\n');
         } else if (claimantId != 0) {
             out.append("claimed name=").append(self.name()).append(" by=life-").append(Long.toHexString(claimantId)).append('\n');
         }
         for (MemberEntry entry : table.entries().stream().sorted(Comparator.comparing((MemberEntry member) -> member.name)).toList()) {
-            out.append(String.format(java.util.Locale.ROOT, "member name=%s hall=%s at=%s state=%s incarnation=%d life=%x for_s=%.1f%s%n", entry.name, entry.identity.hall(),
-                    formatAddress(entry.identity.address()), entry.state.name().toLowerCase(java.util.Locale.ROOT), entry.incarnation, entry.instanceId, Math.max(0, now - entry.stateSinceMs) / 1000,
+            out.append(String.format(java.util.Locale.ROOT, "member name=%s hall=%s at=%s state=%s incarnation=%d life=%x for_s=%.1f%s%n",
+                    entry.name, entry.identity.hall(),
+                    formatAddress(entry.identity.address()), entry.state.name().toLowerCase(java.util.Locale.ROOT), entry.incarnation,
+                    entry.instanceId, Math.max(0, now - entry.stateSinceMs) / 1000,
                     entry == ownEntry && phase != Phase.TAKEN ? " self=yes" : ""));
         }
         return out.toString();
@@ -830,10 +886,14 @@
     public String counters() {
         long totalSent = 0;
         for (long count : sentByType) { totalSent += count; }
-        return "view_there=" + table.active().size() + " view_suspect=" + table.suspects().size() + " view_gone=" + table.gone().size() + " view_sent=" + totalSent
-                + " view_sent_bytes=" + sentBytes + " view_accused=" + suspicionsRaised + " view_lost=" + declaredGone + " view_refuted=" + refutations + " view_late=" + lateTimers
+        return "view_there=" + table.active().size() + " view_suspect=" + table.suspects().size() + " view_gone=" + table.gone().size()
+                + " view_sent=" + totalSent
+                + " view_sent_bytes=" + sentBytes + " view_accused=" + suspicionsRaised + " view_lost=" + declaredGone + " view_refuted="
+                + refutations + " view_late=" + lateTimers
                 + " view_health=" + health.score() + " view_spoilt=" + malformed + " view_refused=" + refused;
     }
 
-    private static String formatAddress(InetSocketAddress address) { return address.getAddress().getHostAddress() + ":" + address.getPort(); }
+    private static String formatAddress(InetSocketAddress address) {
+        return address.getAddress().getHostAddress() + ":" + address.getPort();
+    }
 }
--- a/src/main/java/yardusher/view/ViewCodec.java
+++ b/src/main/java/yardusher/view/ViewCodec.java
@@ -55,7 +55,8 @@
      * that of the probe or the claim; {@code instanceId} is that of the probed process, 0 for any; {@code subject} is the member
      * it is about, or null; {@code buckets} are the digests of a SYNC; {@code replyRequested}: whether a SYNC asks for one in return.
      */
-    record Message(Type type, MemberUpdate sender, boolean participating, long digest, long tableDigest, int sequence, long instanceId, MemberUpdate subject, long[] buckets,
+    record Message(Type type, MemberUpdate sender, boolean participating, long digest, long tableDigest, int sequence, long instanceId,
+            MemberUpdate subject, long[] buckets,
             boolean replyRequested, List<MemberUpdate> updates) { }
 
     private final UnaryOperator<MemberIdentity> interner;
@@ -184,7 +185,8 @@
             }
             List<MemberUpdate> updates = new ArrayList<>();
             while (in.hasRemaining()) { updates.add(readUpdate(in)); }
-            return new Message(type, sender, participating, digest, tableDigest, sequence, instanceId, subject, buckets, replyRequested, updates);
+            return new Message(type, sender, participating, digest, tableDigest, sequence, instanceId, subject, buckets, replyRequested,
+                    updates);
         } catch (BufferUnderflowException e) {
             throw new ViewError.Message(null, "ends early");
         }
@@ -203,7 +205,9 @@
         MemberIdentity identity;
         try {
             InetAddress inetAddress = InetAddress.getByAddress(addressBytes);
-            if (port == 0 || inetAddress.isAnyLocalAddress() || inetAddress.isMulticastAddress()) { throw new ViewError.Message(null, "invalid address"); }
+            if (port == 0 || inetAddress.isAnyLocalAddress() || inetAddress.isMulticastAddress()) {
+                throw new ViewError.Message(null, "invalid address");
+            }
             identity = interner.apply(new MemberIdentity(name, hall, new InetSocketAddress(inetAddress, port)));
         } catch (UnknownHostException e) {
             throw new ViewError.Message(null, "invalid address");
@@ -224,7 +228,8 @@
         } else if (STATES[stateOrdinal] != View.State.ALIVE) {
             age = readVarint(in);
         }
-        return new MemberUpdate(identity, instanceId, firstIncarnation, incarnation, STATES[stateOrdinal], accusers, (int) Math.max(0, Math.min(age, 1_000_000)));
+        return new MemberUpdate(identity, instanceId, firstIncarnation, incarnation, STATES[stateOrdinal], accusers,
+                (int) Math.max(0, Math.min(age, 1_000_000)));
     }
 
     private static String readText(ByteBuffer in) {
--- a/src/main/java/yardusher/view/ViewSettings.java
+++ b/src/main/java/yardusher/view/ViewSettings.java
@@ -37,7 +37,9 @@
         String installation = table.text("installation");
         if (!installation.matches("[!-~]{1,64}")) { throw invalidValue("installation", "1 to 64 visible characters"); }
         String hall = table.text("hall", null);
-        if (hall != null && !ViewCodec.isHall(hall)) { throw invalidValue("hall", "1 to " + ViewCodec.MAX_HALL_LENGTH + " visible characters"); }
+        if (hall != null && !ViewCodec.isHall(hall)) {
+            throw invalidValue("hall", "1 to " + ViewCodec.MAX_HALL_LENGTH + " visible characters");
+        }
         List<InetSocketAddress> seeds = table.texts("seeds").stream().map(text -> address("seeds", text)).toList();
         if (seeds.size() > MAX_SEEDS) { throw invalidValue("seeds", MAX_SEEDS + " addresses at most"); }
         String advertise = table.text("advertise", null);
@@ -46,7 +48,8 @@
             throw invalidValue("advertise", "an address at which the others reach this ingress, since view.listen is a wildcard");
         }
         return new ViewSettings(listen, advertise == null ? null : address("advertise", advertise), installation, seeds,
-                table.whole("probe_ms", DEFAULT_PROBE_MS, 50, 60_000), table.whole("suspicion", DEFAULT_SUSPICION_ROUNDS, 2, 100), table.whole("remember_s", DEFAULT_REMEMBER_S, 1, 86_400),
+                table.whole("probe_ms", DEFAULT_PROBE_MS, 50, 60_000), table.whole("suspicion", DEFAULT_SUSPICION_ROUNDS, 2, 100),
+                table.whole("remember_s", DEFAULT_REMEMBER_S, 1, 86_400),
                 table.whole("settle_ms", DEFAULT_SETTLE_MS, 0, 60_000), hall);
     }
 
--- a/src/main/java/yardusher/view/ViewSubsystem.java
+++ b/src/main/java/yardusher/view/ViewSubsystem.java
@@ -27,14 +27,18 @@
 
     /** {@code hall}: the name of this ingress's zone, unless the settings override it. Opens no socket; {@link #start} does. */
     public ViewSubsystem(ViewSettings settings, String name, String hall, long seed, EventLoop loop, Events events) {
-        if (!ViewCodec.isName(name)) { throw new ConfigError.Value(null, "name", "1 to 64 letters, digits, dots, underscores or dashes if the view is enabled, not " + name); }
+        if (!ViewCodec.isName(name)) {
+            throw new ConfigError.Value(null, "name", "1 to 64 letters, digits, dots, underscores or dashes if the view is enabled, not "
+                    + name);
+        }
         this.settings = settings;
         this.loop = loop;
         this.events = events;
         mesh = new DatagramMesh(settings.listen(), settings.installation(), loop);
         String effectiveHall = settings.hall() != null ? settings.hall() : ViewCodec.isHall(hall) ? hall : "-";
         // Two processes with the same configuration have the same seed, but must draw different random numbers.
-        membership = new Membership(settings, name, effectiveHall, settings.listen(), seed ^ System.nanoTime() ^ ProcessHandle.current().pid() << 40, loop.now(), new MembershipEnvironment());
+        membership = new Membership(settings, name, effectiveHall, settings.listen(),
+                seed ^ System.nanoTime() ^ ProcessHandle.current().pid() << 40, loop.now(), new MembershipEnvironment());
         membership.subscribe(this::logChange);
     }
 
@@ -47,7 +51,8 @@
     }
 
     private void logChange(Change change) {
-        events.info("view: settled", "there", change.snapshot().members().size(), "came", names(change.joined()), "gone", names(change.departed()),
+        events.info("view: settled", "there", change.snapshot().members().size(), "came", names(change.joined()), "gone",
+                names(change.departed()),
                 "digest", Long.toHexString(change.snapshot().digest()));
     }
 
--- a/src/test/java/yardusher/lab/rates/RatesRunTest.java
+++ b/src/test/java/yardusher/lab/rates/RatesRunTest.java
@@ -31,7 +31,8 @@
     @Test
     void checkFailsIfNoMessageArrives() {
         RatesRun.Case all = RatesRun.sizedCase("small", RatesRun.Fault.NONE, true, 1);
-        RatesRun run = new RatesRun(new RatesRun.Case(all.ingresses(), all.tenants(), all.requestsPerS(), all.fault(), 1, all.bytesPerS(), true, all.seconds(), 1)).run();
+        RatesRun run = new RatesRun(new RatesRun.Case(all.ingresses(), all.tenants(), all.requestsPerS(), all.fault(), 1, all.bytesPerS(),
+                true, all.seconds(), 1)).run();
         assertThat(run.breaches()).as(run.toString()).anyMatch(line -> line.contains("far over their quota"));
     }
 
@@ -45,17 +46,24 @@
     @Test
     void checkOfRealProcessesDetectsViolations() {
         assertThat(RatesGroupRun.check(requests(7.2, 0), 0, 10_000, new StringBuilder())).isEmpty();
-        assertThat(RatesGroupRun.check(requests(20, 0), 0, 10_000, new StringBuilder())).hasSize(4).allMatch(line -> line.contains("times its quota"));
-        assertThat(RatesGroupRun.check(requests(1, 0), 0, 10_000, new StringBuilder())).hasSize(4).allMatch(line -> line.contains("times its quota"));
-        assertThat(RatesGroupRun.check(requests(7.2, 10), 0, 10_000, new StringBuilder())).singleElement().asString().contains("low demand");
+        assertThat(RatesGroupRun.check(requests(20, 0), 0, 10_000, new StringBuilder())).hasSize(4)
+                .allMatch(line -> line.contains("times its quota"));
+        assertThat(RatesGroupRun.check(requests(1, 0), 0, 10_000, new StringBuilder())).hasSize(4)
+                .allMatch(line -> line.contains("times its quota"));
+        assertThat(RatesGroupRun.check(requests(7.2, 10), 0, 10_000,
+                new StringBuilder())).singleElement().asString().contains("low demand");
     }
 
     private static List<Terminals.Try> requests(double letPerS, int calmRefused) {
         List<Terminals.Try> tries = new ArrayList<>();
         for (int customer = 1000; customer < 1004; customer++) {
-            for (int i = 0; i < 216; i++) { tries.add(request(customer, i * 46, i < letPerS * 10 ? Terminals.End.SERVED : Terminals.End.REFUSED)); }
+            for (int i = 0; i < 216; i++) {
+                tries.add(request(customer, i * 46, i < letPerS * 10 ? Terminals.End.SERVED : Terminals.End.REFUSED));
+            }
+        }
+        for (int i = 0; i < 160; i++) {
+            tries.add(request(2000 + i % 8, i * 60, i < calmRefused ? Terminals.End.REFUSED : Terminals.End.SERVED));
         }
-        for (int i = 0; i < 160; i++) { tries.add(request(2000 + i % 8, i * 60, i < calmRefused ? Terminals.End.REFUSED : Terminals.End.SERVED)); }
         return tries;
     }
 
--- a/src/test/java/yardusher/lab/view/ViewTest.java
+++ b/src/test/java/yardusher/lab/view/ViewTest.java
@@ -70,7 +70,8 @@
                 fleet.net.resume(5);
                 fleet.net.runUntil(fleet.net.now() + 5000);
             }
-            accused += (int) checker.falseSuspicions().stream().filter(one -> one.observer() == stopped.number && !one.name().equals("n5")).count();
+            accused += (int) checker.falseSuspicions().stream()
+                    .filter(one -> one.observer() == stopped.number && !one.name().equals("n5")).count();
         }
         assertThat(accused == 0).as("accused %d", accused).isEqualTo(health);
     }
@@ -128,8 +129,10 @@
         checker.recordChange(6, 1, "b", 8, 3, State.ALIVE);
         checker.recordChange(7, 2, "c", 3, 1, State.GONE);
         checker.checkAgreement(10, Map.of("c", 3L, "d", 4L), Map.of(1, 11L, 2, 12L), List.of(1, 2));
-        assertThat(String.join("\n", checker.breaches())).contains("a fell from", "a is active again", "b is active again", "c runs but was declared GONE",
-                "c runs but is recorded as unknown", "d runs but is recorded as unknown", "b is recorded as ALIVE but does not run", "2 different digests");
+        assertThat(String.join("\n", checker.breaches())).contains("a fell from", "a is active again", "b is active again",
+                "c runs but was declared GONE",
+                "c runs but is recorded as unknown", "d runs but is recorded as unknown", "b is recorded as ALIVE but does not run",
+                "2 different digests");
         ViewChecker excused = new ViewChecker(100);
         excused.recordFault("c", 0, 5);
         excused.recordChange(100, 2, "c", 3, 1, State.GONE);
--- a/src/test/java/yardusher/rates/RatesNet.java
+++ b/src/test/java/yardusher/rates/RatesNet.java
@@ -14,7 +14,8 @@
     final Rates[] all;
     final boolean[] gone;
     final SplittableRandom random;
-    private final PriorityQueue<ScheduledAction> queue = new PriorityQueue<>(Comparator.comparingDouble(ScheduledAction::atMs).thenComparingLong(ScheduledAction::sequence));
+    private final PriorityQueue<ScheduledAction> queue = new PriorityQueue<>(Comparator.comparingDouble(ScheduledAction::atMs)
+            .thenComparingLong(ScheduledAction::sequence));
     private final double bytesPerS;
     double loss;
     double now;
@@ -31,7 +32,8 @@
     }
 
     void startIngress(int i) {
-        Rates one = new Rates(new Rates.Parameters(bytesPerS, HEADER_BYTES, MAX_BODY_BYTES, QUOTAS, 20_000), i, random.nextLong(), now, (to, body) -> deliver(i, (int) to, body));
+        Rates one = new Rates(new Rates.Parameters(bytesPerS, HEADER_BYTES, MAX_BODY_BYTES, QUOTAS, 20_000), i, random.nextLong(), now,
+                (to, body) -> deliver(i, (int) to, body));
         all[i] = one;
         tick(i, one);
     }
--- a/src/test/java/yardusher/rates/RatesTest.java
+++ b/src/test/java/yardusher/rates/RatesTest.java
@@ -30,7 +30,9 @@
         RatesNet net = netWithHeavyCustomer(seed, 0.1).run(120_000);
         assertThat(net.knownAt(HEAVY, PLAN)).isEqualTo(20);
         assertThat(net.knownAt(LIGHT, PLAN)).isZero();
-        for (Rates one : net.all) { assertThat(one.overQuotaDemandPerS(net.now, HEAVY, PLAN)).as("0.88 of 60, of which 54 arrive").isBetween(32.0, 70.0); }
+        for (Rates one : net.all) {
+            assertThat(one.overQuotaDemandPerS(net.now, HEAVY, PLAN)).as("0.88 of 60, of which 54 arrive").isBetween(32.0, 70.0);
+        }
     }
 
     @Test
@@ -77,7 +79,8 @@
 
     /** Many customers far over their quotas at once, some of them with very large quotas. */
     @Property(tries = 10)
-    void sentBytesStayWithinTheBudget(@ForAll @LongRange(min = 0, max = 1 << 30) long seed, @ForAll @IntRange(min = 300, max = 3000) int bytesPerS) {
+    void sentBytesStayWithinTheBudget(@ForAll @LongRange(min = 0, max = 1 << 30) long seed,
+            @ForAll @IntRange(min = 300, max = 3000) int bytesPerS) {
         RatesNet net = new RatesNet(8, bytesPerS, seed);
         for (int i = 0; i < 300; i++) { net.demand(1000 + i, 1 + i % 3, 30, 60_000); }
         net.run(60_000);
@@ -95,7 +98,8 @@
     }
 
     @Property
-    void encodedMessagesDecodeUnchanged(@ForAll @LongRange(min = 0, max = (1L << 33) - 1) long customer, @ForAll @IntRange(min = 0, max = 255) int plan,
+    void encodedMessagesDecodeUnchanged(@ForAll @LongRange(min = 0, max = (1L << 33) - 1) long customer,
+            @ForAll @IntRange(min = 0, max = 255) int plan,
             @ForAll @IntRange(min = 1, max = 1_000_000) int milli, @ForAll @IntRange(min = 0, max = RateCodec.MAX_AGE_MS) int ageMs) {
         java.nio.ByteBuffer out = RateCodec.newMessage(RateCodec.Kind.RATES, 100);
         RateCodec.putReport(out, customer, plan, milli / 1000.0);
@@ -111,7 +115,7 @@
         assertThat(rate.ageMs()).as("rounded up").isBetween((double) ageMs, ageMs + 100.0);
     }
 
-    /** The units of the sampled reports add up to the demand on average, even if requests are far smaller or larger than one report's units. */
+    /** Sampled reports add up to the demand on average, even if requests are far smaller or larger than one report's units. */
     @Test
     void sampledReportsAddUpToTheDemand() {
         List<Double> reported = new ArrayList<>();
@@ -173,7 +177,8 @@
     /** Without any known member, an ingress aggregates its own reports and sends nothing. */
     @Test
     void loneIngressAggregatesItsOwnReports() {
-        Rates rates = new Rates(new Rates.Parameters(1200, 43, 1200, RatesNet.QUOTAS, 20_000), 1, 2, 0, (to, out) -> { throw new AssertionError("there is no other member"); });
+        Rates rates = new Rates(new Rates.Parameters(1200, 43, 1200, RatesNet.QUOTAS, 20_000), 1, 2, 0,
+                (to, out) -> { throw new AssertionError("there is no other member"); });
         rates.updateMembers(new long[0]);
         for (double now = 0; now < 60_000; now += 20) {
             rates.recordDemand(now, HEAVY, PLAN, 2);
--- a/src/test/java/yardusher/view/MemberTableTest.java
+++ b/src/test/java/yardusher/view/MemberTableTest.java
@@ -28,7 +28,8 @@
     private static MemberTable newTable() { return new MemberTable("self", 600_000, 0, NO_ENVIRONMENT); }
 
     static MemberUpdate update(String name, long life, long born, long incarnation, State state) {
-        return new MemberUpdate(new MemberIdentity(name, "a", new InetSocketAddress("127.0.0.1", 1000 + (int) (life & 255))), life, born, incarnation, state,
+        return new MemberUpdate(new MemberIdentity(name, "a", new InetSocketAddress("127.0.0.1", 1000 + (int) (life & 255))), life, born,
+                incarnation, state,
                 state == State.SUSPECT ? new int[] {(int) life} : MemberUpdate.NO_ACCUSERS, 0);
     }
 
@@ -85,9 +86,11 @@
     @Test
     void implausibleIncarnationsAndExcessMembersAreRefused() {
         MemberTable roster = newTable();
-        assertThat(roster.merge(update("n1", 1, 5, MemberTable.MAX_INCARNATION + 1, State.ALIVE), 0)).isEqualTo(MemberTable.MergeResult.REFUSED);
+        assertThat(roster.merge(update("n1", 1, 5, MemberTable.MAX_INCARNATION + 1, State.ALIVE),
+                0)).isEqualTo(MemberTable.MergeResult.REFUSED);
         assertThat(roster.merge(update("n1", 1, 5, 5, State.ALIVE), 0)).isEqualTo(MemberTable.MergeResult.NEW);
-        assertThat(roster.merge(update("n1", 1, 5, 6 + MemberTable.MAX_INCARNATION_STEP, State.GONE), 0)).isEqualTo(MemberTable.MergeResult.REFUSED);
+        assertThat(roster.merge(update("n1", 1, 5, 6 + MemberTable.MAX_INCARNATION_STEP, State.GONE),
+                0)).isEqualTo(MemberTable.MergeResult.REFUSED);
         assertThat(roster.get("n1").state).isEqualTo(State.ALIVE);
         for (int i = 0; i < MemberTable.MAX_MEMBERS + 100; i++) { roster.merge(update("m" + i, 1, 5, 5, State.ALIVE), 0); }
         assertThat(roster.entries()).hasSize(MemberTable.MAX_MEMBERS);
--- a/src/test/java/yardusher/view/ViewCodecTest.java
+++ b/src/test/java/yardusher/view/ViewCodecTest.java
@@ -29,7 +29,8 @@
         random.nextBytes(address);
         address[0] = 10;
         try {
-            return new MemberUpdate(new MemberIdentity("n-" + random.nextInt(1000), "hall." + random.nextInt(5), new InetSocketAddress(java.net.InetAddress.getByAddress(address),
+            return new MemberUpdate(new MemberIdentity("n-" + random.nextInt(1000), "hall." + random.nextInt(5),
+                    new InetSocketAddress(java.net.InetAddress.getByAddress(address),
                     1 + random.nextInt(65_535))), random.nextLong(), born, born + random.nextInt(1000), state, accusers,
                     state == State.GONE || state == State.LEFT ? random.nextInt(600) : 0);
         } catch (java.net.UnknownHostException e) {
@@ -38,7 +39,8 @@
     }
 
     private static String describe(MemberUpdate news) {
-        return news.identity() + " " + news.instanceId() + " " + news.firstIncarnation() + " " + news.incarnation() + " " + news.state() + " " + Arrays.toString(news.accusers()) + " " + news.ageS();
+        return news.identity() + " " + news.instanceId() + " " + news.firstIncarnation() + " " + news.incarnation() + " " + news.state()
+                + " " + Arrays.toString(news.accusers()) + " " + news.ageS();
     }
 
     private static byte[] randomMessage(Random random, ViewCodec.Type type, List<MemberUpdate> updates) {
@@ -73,7 +75,9 @@
         double now = 1000;
         for (int i = 0; i < 50; i++) {
             byte[] corrupted = Arrays.copyOf(body, random.nextInt(body.length + 200));
-            for (int j = random.nextInt(4); j > 0 && corrupted.length > 0; j--) { corrupted[random.nextInt(corrupted.length)] = (byte) random.nextInt(); }
+            for (int j = random.nextInt(4); j > 0 && corrupted.length > 0; j--) {
+                corrupted[random.nextInt(corrupted.length)] = (byte) random.nextInt();
+            }
             member.receive(now, corrupted);
             now += random.nextInt(100);
             member.tick(now);
@@ -108,11 +112,13 @@
     void goneAboutSelfIsRefutedAndLeftAboutSelfStartsANewInstance() {
         Membership member = member();
         MemberUpdate other = MemberTableTest.update("n1", 9, 5, 5, State.ALIVE);
-        MemberUpdate self = new MemberUpdate(new MemberIdentity("self", "a", new InetSocketAddress("127.0.0.1", 7)), member.instanceId(), 1, member.self().incarnation() + 7, State.GONE, MemberUpdate.NO_ACCUSERS, 0);
+        MemberUpdate self = new MemberUpdate(new MemberIdentity("self", "a", new InetSocketAddress("127.0.0.1", 7)), member.instanceId(), 1,
+                member.self().incarnation() + 7, State.GONE, MemberUpdate.NO_ACCUSERS, 0);
         member.receive(1001, gossip(other, self));
         assertThat(member.self().incarnation()).isEqualTo(self.incarnation() + 1);
         long life = member.instanceId();
-        member.receive(1002, gossip(other, new MemberUpdate(self.identity(), life, 1, self.incarnation() + 1, State.LEFT, MemberUpdate.NO_ACCUSERS, 0)));
+        member.receive(1002, gossip(other, new MemberUpdate(self.identity(), life, 1, self.incarnation() + 1, State.LEFT,
+                MemberUpdate.NO_ACCUSERS, 0)));
         assertThat(member.self().state()).isEqualTo(State.ALIVE);
         assertThat(member.instanceId()).isNotEqualTo(life);
         assertThat(member.self().incarnation()).isEqualTo(self.incarnation() + 2);
@@ -123,7 +129,8 @@
         Membership member = member();
         long before = member.self().incarnation();
         MemberUpdate other = MemberTableTest.update("n1", 9, 5, 5, State.ALIVE);
-        MemberUpdate self = new MemberUpdate(new MemberIdentity("self", "a", new InetSocketAddress("127.0.0.1", 7)), member.instanceId(), 1, before + MemberTable.MAX_INCARNATION_STEP + 1, State.GONE, MemberUpdate.NO_ACCUSERS, 0);
+        MemberUpdate self = new MemberUpdate(new MemberIdentity("self", "a", new InetSocketAddress("127.0.0.1", 7)), member.instanceId(), 1,
+                before + MemberTable.MAX_INCARNATION_STEP + 1, State.GONE, MemberUpdate.NO_ACCUSERS, 0);
         member.receive(1001, gossip(other, self, MemberTableTest.update("n2", 1, 5, MemberTable.MAX_INCARNATION + 1, State.ALIVE)));
         assertThat(member.self().incarnation()).isEqualTo(before);
         assertThat(member.member("n2")).isNull();
@@ -134,7 +141,8 @@
     void nameIsYieldedToALaterInstance() {
         Membership member = member();
         MemberUpdate other = MemberTableTest.update("n1", 9, 5, 5, State.ALIVE);
-        member.receive(1001, gossip(other, MemberTableTest.update("self", 4, member.self().incarnation() + 10, member.self().incarnation() + 10, State.ALIVE)));
+        member.receive(1001, gossip(other, MemberTableTest.update("self", 4, member.self().incarnation() + 10,
+                member.self().incarnation() + 10, State.ALIVE)));
         assertThat(member.phase()).isEqualTo(Membership.Phase.TAKEN);
         assertThat(member.self().state()).isEqualTo(State.GONE);
         assertThat(member.report(1002)).contains("taken name=self by=127.0.0.1:1004");
