--- a/lab/src/yardusher/lab/view/ViewMeasure.java
+++ b/lab/src/yardusher/lab/view/ViewMeasure.java
@@ -59,13 +59,13 @@
             for (int n = 0; n < (isShort ? 1 : 5); n++) {
                 int dead = 3 + (seed * 31 + n * 17) % (members - 3);
                 if (fleet.instanceAt(dead) == null) { continue; }
-                double from = net.now();
+                double startMs = net.now();
                 fleet.kill(dead);
                 double settled = fleet.awaitSettled(members - 1, TIMEOUT_MS);
                 all.add(settled);
-                first.add(fleet.running().stream().mapToDouble(instance -> instance.membership.changedAtMs()).min().orElse(from) - from);
+                first.add(fleet.running().stream().mapToDouble(instance -> instance.membership.changedAtMs()).min().orElse(startMs) - startMs);
                 net.runUntil(net.now() + 1000);
-                from = net.now();
+                startMs = net.now();
                 fleet.start(dead);
                 rejoined.add(fleet.awaitSettled(members, TIMEOUT_MS));
                 net.runUntil(net.now() + 1000);
@@ -126,7 +126,7 @@
     }
 
     private static long suspicions(ViewFleet fleet) {
-        return fleet.running().stream().mapToLong(life -> Long.parseLong(life.membership.counters().replaceAll(".*view_accused=([0-9]+).*",
+        return fleet.running().stream().mapToLong(instance -> Long.parseLong(instance.membership.counters().replaceAll(".*view_accused=([0-9]+).*",
                 "$1"))).sum();
     }
 
--- a/lab/src/yardusher/lab/view/ViewReal.java
+++ b/lab/src/yardusher/lab/view/ViewReal.java
@@ -112,8 +112,7 @@
 
     /** Waits until the views hold exactly the running processes; records the times. */
     private static List<ViewGroup.ProcessView> checkSettled(ViewGroup view, Set<Integer> running, double startMs, String what,
-            List<String> found, StringBuilder note)
-            throws InterruptedException {
+            List<String> found, StringBuilder note) throws InterruptedException {
         List<ViewGroup.ProcessView> views = view.awaitSettled(running, running.size(), SETTLE_TIMEOUT_MS);
         if (views == null) {
             found.add(what + ": views not settled after " + SETTLE_TIMEOUT_MS + " ms: " + view.observeAll(running).stream()
@@ -172,13 +171,13 @@
     private static void longPause(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
         try (ViewGroup view = startSettled(folder, size, seed, note)) {
             int process = size / 2;
-            double from = Group.now();
+            double startMs = Group.now();
             view.group.pause(process);
-            checkSettled(view, without(view.all(), Set.of(process)), from, "paused", found, note);
+            checkSettled(view, without(view.all(), Set.of(process)), startMs, "paused", found, note);
             Thread.sleep(BEYOND_SUSPICION_MS);
-            from = Group.now();
+            startMs = Group.now();
             view.group.resume(process);
-            checkSettled(view, view.all(), from, "resumed", found, note);
+            checkSettled(view, view.all(), startMs, "resumed", found, note);
             if (goneDeclarations(view, List.of(process)) != 0) { found.add("the resumed process declared others gone"); }
         }
     }
@@ -190,11 +189,11 @@
             for (int i : starved) { view.group.starve(i, 0.2); }
             Thread.sleep(10_000);
             for (int i : starved) { view.group.feed(i); }
-            long accused = view.sumOfCounter(starved, "view_accused");
+            long suspicions = view.sumOfCounter(starved, "view_accused");
             if (goneDeclarations(view, view.all()) != 0) {
                 found.add("under CPU starvation running members were declared gone " + goneDeclarations(view, view.all()) + " times");
             }
-            note.append("suspicions raised by the starved ").append(accused).append(", by the others ")
+            note.append("suspicions raised by the starved ").append(suspicions).append(", by the others ")
                     .append(view.sumOfCounter(without(view.all(), starved), "view_accused")).append("; ");
             checkSettled(view, view.all(), Group.now(), "starvation ended", found, new StringBuilder());
         }
@@ -234,55 +233,55 @@
     private static void partition(Path folder, int size, long seed, int sides, long ms, List<String> found,
             StringBuilder note) throws Exception {
         // During the partition one process starts and one is killed.
-        int late = size - 1;
+        int joiner = size - 1;
         ViewGroup view = new ViewGroup(folder, size, seed, Math.min(SEEDS, size), true);
         try (view) {
-            Set<Integer> begun = without(view.all(), Set.of(late));
-            view.start(begun, 10);
-            if (view.awaitSettled(begun, begun.size(), JOIN_TIMEOUT_MS) == null) {
+            Set<Integer> startedFirst = without(view.all(), Set.of(joiner));
+            view.start(startedFirst, 10);
+            if (view.awaitSettled(startedFirst, startedFirst.size(), JOIN_TIMEOUT_MS) == null) {
                 throw new IllegalStateException("the views did not settle after the start");
             }
             List<List<Integer>> parts = new ArrayList<>();
             for (int side = 0; side < sides; side++) { parts.add(new ArrayList<>()); }
             for (int i = 0; i < size; i++) { parts.get(i % sides).add(i); }
-            double from = Group.now();
+            double startMs = Group.now();
             for (int a = 0; a < sides; a++) {
                 for (int b = a + 1; b < sides; b++) { view.relay().split(parts.get(a), parts.get(b)); }
             }
             Thread.sleep(ms / 2);
-            int dead = parts.get(sides - 1).stream().filter(i -> i >= SEEDS && i != late).findFirst().orElse(SEEDS);
-            view.group.kill(dead);
-            view.start(List.of(late), 1);
-            Thread.sleep(Math.max(0, (long) (from + ms - Group.now())));
+            int killed = parts.get(sides - 1).stream().filter(i -> i >= SEEDS && i != joiner).findFirst().orElse(SEEDS);
+            view.group.kill(killed);
+            view.start(List.of(joiner), 1);
+            Thread.sleep(Math.max(0, (long) (startMs + ms - Group.now())));
             for (List<Integer> part : parts) {
-                Set<Integer> there = without(Set.copyOf(part), Set.of(dead));
-                if (view.awaitSettled(there, there.size(), 5000) == null) { found.add("one side of the partition did not settle"); }
+                Set<Integer> survivors = without(Set.copyOf(part), Set.of(killed));
+                if (view.awaitSettled(survivors, survivors.size(), 5000) == null) { found.add("one side of the partition did not settle"); }
             }
-            from = Group.now();
+            startMs = Group.now();
             view.relay().heal();
-            checkSettled(view, without(view.all(), Set.of(dead)), from, "healed", found, note);
+            checkSettled(view, without(view.all(), Set.of(killed)), startMs, "healed", found, note);
         }
     }
 
     private static void duplicateName(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
-        int other = size - 1;
-        try (ViewGroup view = new ViewGroup(folder, size, seed, Math.min(SEEDS, size - 1), true, i -> "n" + (i == other ? 1 : i))) {
-            Set<Integer> otherNodes = without(view.all(), Set.of(other));
-            view.start(otherNodes, 10);
-            if (view.awaitSettled(otherNodes, otherNodes.size(), JOIN_TIMEOUT_MS) == null) {
+        int claimant = size - 1;
+        try (ViewGroup view = new ViewGroup(folder, size, seed, Math.min(SEEDS, size - 1), true, i -> "n" + (i == claimant ? 1 : i))) {
+            Set<Integer> holders = without(view.all(), Set.of(claimant));
+            view.start(holders, 10);
+            if (view.awaitSettled(holders, holders.size(), JOIN_TIMEOUT_MS) == null) {
                 throw new IllegalStateException("the views did not settle after the start");
             }
-            view.start(List.of(other), 1);
+            view.start(List.of(claimant), 1);
             Thread.sleep(4000);
-            checkSettled(view, otherNodes, Group.now(), "name claimed", found, new StringBuilder());
-            if (goneDeclarations(view, otherNodes) != 0) { found.add("the first holder of the name was declared gone"); }
-            ViewGroup.ProcessView held = view.observe(other);
-            if (held == null || !held.phase().equals("taken")) { found.add("the second claimant is " + (held == null ? "silent" : held.phase())); }
-            if (!hasLogged(view, other, "VIEW_NAME_TAKEN")) { found.add("the second claimant did not log VIEW_NAME_TAKEN"); }
+            checkSettled(view, holders, Group.now(), "name claimed", found, new StringBuilder());
+            if (goneDeclarations(view, holders) != 0) { found.add("the first holder of the name was declared gone"); }
+            ViewGroup.ProcessView claimantView = view.observe(claimant);
+            if (claimantView == null || !claimantView.phase().equals("taken")) { found.add("the second claimant is " + (claimantView == null ? "silent" : claimantView.phase())); }
+            if (!hasLogged(view, claimant, "VIEW_NAME_TAKEN")) { found.add("the second claimant did not log VIEW_NAME_TAKEN"); }
             if (!hasLogged(view, 1, "VIEW_NAME_TAKEN")) { found.add("the first claimant did not log VIEW_NAME_TAKEN"); }
             view.group.kill(1);                      // this frees the name
-            double from = Group.now();
-            checkSettled(view, without(view.all(), Set.of(1)), from, "name taken over", found, note);
+            double startMs = Group.now();
+            checkSettled(view, without(view.all(), Set.of(1)), startMs, "name taken over", found, note);
         }
     }
 
@@ -294,12 +293,12 @@
         try (ViewGroup view = startSettled(folder, size, seed, note)) {
             int process = size / 2;
             long before = view.observe(0).incarnations().get(view.name(process));
-            double from = Group.now();
+            double startMs = Group.now();
             view.group.kill(process);
             view.group.launch(process);
             view.group.awaitReady(process, 60_000);
-            note.append(String.format(java.util.Locale.ROOT, "serves after %.0f; ", Group.now() - from));
-            List<ViewGroup.ProcessView> views = checkSettled(view, view.all(), from, "restarted", found, note);
+            note.append(String.format(java.util.Locale.ROOT, "serves after %.0f; ", Group.now() - startMs));
+            List<ViewGroup.ProcessView> views = checkSettled(view, view.all(), startMs, "restarted", found, note);
             if (views != null && views.stream().anyMatch(each -> each.incarnations().get(view.name(process)) <= before)) {
                 found.add("the incarnation did not grow over the restart");
             }
@@ -310,8 +309,8 @@
         try (ViewGroup view = startSettled(folder, size, seed, note)) {
             int process = size / 2;
             view.group.terminate(process, 20_000);
-            double from = Group.now();
-            List<ViewGroup.ProcessView> views = checkSettled(view, without(view.all(), Set.of(process)), from, "left", found, note);
+            double startMs = Group.now();
+            List<ViewGroup.ProcessView> views = checkSettled(view, without(view.all(), Set.of(process)), startMs, "left", found, note);
             if (views != null && views.stream().anyMatch(each -> !"left".equals(each.states().get(view.name(process))))) {
                 found.add("the member that left is not recorded as LEFT");
             }
@@ -343,16 +342,16 @@
             Set<Integer> others = without(view.all(), seeds);
             for (int i : others) { view.relay().way(i, 1).cut(true); } // only seed 0 answers them, until it is killed
             for (int i : others) { view.relay().way(i, 2).cut(true); }
-            double from = Group.now();
+            double startMs = Group.now();
             for (int i : others) { view.group.launch(i); }
             Thread.sleep(1200);
             view.group.kill(0);
             view.relay().heal();
             for (int i : others) { view.group.awaitReady(i, 120_000); }
-            double up = Group.now();
-            List<ViewGroup.ProcessView> views = checkSettled(view, without(view.all(), Set.of(0)), from, "joined", found, note);
-            note.append(String.format(java.util.Locale.ROOT, "all serve after %.0f ms, settled %.0f ms after that; ", up - from,
-                    views == null ? -1 : ViewGroup.lastChangeAfter(views, up)));
+            double allServingMs = Group.now();
+            List<ViewGroup.ProcessView> views = checkSettled(view, without(view.all(), Set.of(0)), startMs, "joined", found, note);
+            note.append(String.format(java.util.Locale.ROOT, "all serve after %.0f ms, settled %.0f ms after that; ", allServingMs - startMs,
+                    views == null ? -1 : ViewGroup.lastChangeAfter(views, allServingMs)));
         }
     }
 
@@ -403,12 +402,12 @@
                 view.start(view.all(), 10);
                 if (on && view.awaitSettled(view.all(), size, JOIN_TIMEOUT_MS) == null) { found.add("did not settle"); }
                 Thread.sleep(5000);
-                double from = Group.now();
+                double startMs = Group.now();
                 double cpu = view.all().stream().mapToDouble(view::cpuMs).sum();
                 long sent = on ? view.sumOfCounter(view.all(), "mesh_sent") : 0;
                 long bytes = on ? view.sumOfCounter(view.all(), "mesh_sent_bytes") : 0;
                 Thread.sleep(15_000);
-                double ms = Group.now() - from;
+                double ms = Group.now() - startMs;
                 cpu = view.all().stream().mapToDouble(view::cpuMs).sum() - cpu;
                 sent = on ? view.sumOfCounter(view.all(), "mesh_sent") - sent : 0;
                 bytes = on ? view.sumOfCounter(view.all(), "mesh_sent_bytes") - bytes : 0;
@@ -428,9 +427,9 @@
             if (view.observeAll(others).stream().anyMatch(processView -> processView == null || processView.activeCount() != 1)) {
                 found.add("a process knows another one without any seed");
             }
-            double from = Group.now();
+            double startMs = Group.now();
             view.start(List.of(0), 1);
-            checkSettled(view, view.all(), from, "seed started", found, note);
+            checkSettled(view, view.all(), startMs, "seed started", found, note);
         }
     }
 }
--- a/src/main/java/yardusher/rates/Rates.java
+++ b/src/main/java/yardusher/rates/Rates.java
@@ -73,8 +73,8 @@
     private double periodDemand, smoothedDemand = -1; // units divided by the roots of their quotas: in this period, and smoothed
     private double reportBudgetBytes, rateBudgetBytes; // unspent budgets
     private double syncStartedMs = Double.NaN;       // when there was first another member to ask; NaN before
-    private final boolean[] receivedSlices = new boolean[TABLE_SLICES]; // slices that were received
-    private int lastRequestedSlice;                  // the slice requested last
+    private final boolean[] receivedSlices = new boolean[TABLE_SLICES];
+    private int lastRequestedSlice;
     private long sentMessages, sentBytes, sentReports, sentRates, unsentReports, receivedReports, receivedRates, misroutedReports,
             malformed, droppedWhenFull;
 
@@ -202,16 +202,16 @@
         if (hasQuota(report.plan())) { addToEstimate(now, report.customer(), report.plan(), report.units()); } else { malformed++; }
     }
 
-    private void receiveRate(double now, RateCodec.Rate rate, boolean passOn) {
+    private void receiveRate(double now, RateCodec.Rate rate, boolean gossip) {
         receivedRates++;
         double computedAtMs = now - rate.ageMs();
         if (!hasQuota(rate.plan()) || rate.ageMs() > RATE_TTL_MS) { return; }
         KnownRate known = knownRates.get(rate.customer());
         if (known != null && computedAtMs <= known.computedAtMs + MIN_AGE_DIFFERENCE_MS) { return; }
-        updateKnownRate(now, rate.customer(), rate.plan(), rate.ratio(), computedAtMs, passOn);
+        updateKnownRate(now, rate.customer(), rate.plan(), rate.ratio(), computedAtMs, gossip);
     }
 
-    private void updateKnownRate(double now, long customer, int plan, double ratio, double computedAtMs, boolean passOn) {
+    private void updateKnownRate(double now, long customer, int plan, double ratio, double computedAtMs, boolean gossip) {
         KnownRate known = knownRates.get(customer);
         if (known == null) {
             if (knownRates.size() >= MAX_KNOWN_RATES) {
@@ -225,7 +225,7 @@
         known.ratio = ratio;
         known.computedAtMs = computedAtMs;
         known.priority = quotaRoots[plan] * Math.sqrt(ratio > 1 ? ratio - 1 : 1);
-        if (passOn) {
+        if (gossip) {
             known.remainingSends = GOSSIP_FANOUT;
             known.queuedAtMs = now;
             pendingRates.add(known);
--- a/src/main/java/yardusher/view/Membership.java
+++ b/src/main/java/yardusher/view/Membership.java
@@ -170,8 +170,7 @@
 
     /** Creates a member with the given flaw and with interned identities; for the lab. */
     public static Membership withFlaw(ViewSettings settings, String name, String hall, InetSocketAddress address, long seed, double now,
-            Environment environment,
-            UnaryOperator<Object> interner, Flaw flaw) {
+            Environment environment, UnaryOperator<Object> interner, Flaw flaw) {
         return new Membership(settings, new MemberIdentity(name, hall, address), seed, now, environment,
                 identity -> (MemberIdentity) interner.apply(identity), flaw);
     }
@@ -863,8 +862,7 @@
         StringBuilder out = new StringBuilder(256);
         out.append(String.format(java.util.Locale.ROOT, "view name=%s phase=%s there=%d suspect=%d gone=%d left=%d digest=%016x still_ms=%.0f same=%d asked=%d health=%d%n",
                 self.name(), phase.name().toLowerCase(java.util.Locale.ROOT), current.members().size(), table.suspects().size(),
-                table.gone().size(),
-                table.leftCount(), current.digest(), now - current.unchangedSinceMs(), current.agreeing(), current.polled(),
+                table.gone().size(), table.leftCount(), current.digest(), now - current.unchangedSinceMs(), current.agreeing(), current.polled(),
                 health.score()));
         if (phase == Phase.TAKEN) {
             out.append("taken name=").append(self.name()).append(" by=").append(formatAddress(ownEntry.identity.address()))
--- a/src/main/java/yardusher/view/ViewCodec.java
+++ b/src/main/java/yardusher/view/ViewCodec.java
@@ -56,8 +56,7 @@
      * it is about, or null; {@code buckets} are the digests of a SYNC; {@code replyRequested}: whether a SYNC asks for one in return.
      */
     record Message(Type type, MemberUpdate sender, boolean participating, long digest, long tableDigest, int sequence, long instanceId,
-            MemberUpdate subject, long[] buckets,
-            boolean replyRequested, List<MemberUpdate> updates) { }
+            MemberUpdate subject, long[] buckets, boolean replyRequested, List<MemberUpdate> updates) { }
 
     private final UnaryOperator<MemberIdentity> interner;
 
--- a/src/main/java/yardusher/view/ViewSubsystem.java
+++ b/src/main/java/yardusher/view/ViewSubsystem.java
@@ -52,8 +52,7 @@
 
     private void logChange(Change change) {
         events.info("view: settled", "there", change.snapshot().members().size(), "came", names(change.joined()), "gone",
-                names(change.departed()),
-                "digest", Long.toHexString(change.snapshot().digest()));
+                names(change.departed()), "digest", Long.toHexString(change.snapshot().digest()));
     }
 
     private static String names(List<Member> members) {
--- a/src/test/java/yardusher/lab/rates/RatesRunTest.java
+++ b/src/test/java/yardusher/lab/rates/RatesRunTest.java
@@ -21,10 +21,10 @@
 
     @ParameterizedTest
     @EnumSource
-    void boundsHoldAtASmallSize(RatesRun.Fault trouble) {
-        RatesRun run = new RatesRun(RatesRun.sizedCase("small", trouble, true, 1)).run();
+    void boundsHoldAtASmallSize(RatesRun.Fault fault) {
+        RatesRun run = new RatesRun(RatesRun.sizedCase("small", fault, true, 1)).run();
         System.out.println(run);
-        assertThat(run.breaches()).as("java -cp target/classes:target/test-classes yardusher.lab.rates.RatesRun small " + trouble + " 1").isEmpty();
+        assertThat(run.breaches()).as("java -cp target/classes:target/test-classes yardusher.lab.rates.RatesRun small " + fault + " 1").isEmpty();
     }
 
     /** The check can fail: if no message arrives, each ingress admits customers far over their quota as if it were alone. */
@@ -54,17 +54,17 @@
                 new StringBuilder())).singleElement().asString().contains("low demand");
     }
 
-    private static List<Terminals.Try> requests(double letPerS, int calmRefused) {
-        List<Terminals.Try> tries = new ArrayList<>();
+    private static List<Terminals.Try> requests(double admittedPerS, int lightRefused) {
+        List<Terminals.Try> requests = new ArrayList<>();
         for (int customer = 1000; customer < 1004; customer++) {
             for (int i = 0; i < 216; i++) {
-                tries.add(request(customer, i * 46, i < letPerS * 10 ? Terminals.End.SERVED : Terminals.End.REFUSED));
+                requests.add(request(customer, i * 46, i < admittedPerS * 10 ? Terminals.End.SERVED : Terminals.End.REFUSED));
             }
         }
         for (int i = 0; i < 160; i++) {
-            tries.add(request(2000 + i % 8, i * 60, i < calmRefused ? Terminals.End.REFUSED : Terminals.End.SERVED));
+            requests.add(request(2000 + i % 8, i * 60, i < lightRefused ? Terminals.End.REFUSED : Terminals.End.SERVED));
         }
-        return tries;
+        return requests;
     }
 
     private static Terminals.Try request(long customer, double at, Terminals.End end) {
--- a/src/test/java/yardusher/lab/view/ViewTest.java
+++ b/src/test/java/yardusher/lab/view/ViewTest.java
@@ -34,9 +34,9 @@
     @ParameterizedTest
     @EnumSource(value = Membership.Flaw.class, names = {"NO_REFUTATION", "LEFT_COME_BACK", "NO_ASKING_THE_GONE"})
     void injectedFlawIsDetectedWithinTwentySeeds(Membership.Flaw flaw) {
-        boolean caught = false;
-        for (long seed = 1; seed <= SEEDS_TRIED && !caught; seed++) { caught = !ViewRun.play(seed, true, 0, flaw).breaches().isEmpty(); }
-        assertThat(caught).isTrue();
+        boolean detected = false;
+        for (long seed = 1; seed <= SEEDS_TRIED && !detected; seed++) { detected = !ViewRun.play(seed, true, 0, flaw).breaches().isEmpty(); }
+        assertThat(detected).isTrue();
     }
 
     /** Only one link is cut, in one direction: with indirect probes nobody is suspected, without them somebody is. */
@@ -57,23 +57,23 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void pausedProcessDoesNotSuspectHealthyMembers(boolean health) {
-        int accused = 0;
+        int suspicions = 0;
         for (long seed = 1; seed <= 10; seed++) {
             ViewChecker checker = new ViewChecker(0);
             ViewFleet fleet = fleet(seed, 20, checker, health ? null : Membership.Flaw.NO_HEALTH);
             fleet.net.setDelay(20, 20);              // so that answers are in flight when it is paused
             fleet.net.runUntil(fleet.net.now() + 3000);
-            ViewFleet.Instance stopped = fleet.instanceAt(5);
+            ViewFleet.Instance paused = fleet.instanceAt(5);
             for (int i = 0; i < 10; i++) {
                 fleet.net.pause(5);
                 fleet.net.runUntil(fleet.net.now() + 5000);
                 fleet.net.resume(5);
                 fleet.net.runUntil(fleet.net.now() + 5000);
             }
-            accused += (int) checker.falseSuspicions().stream()
-                    .filter(one -> one.observer() == stopped.number && !one.name().equals("n5")).count();
+            suspicions += (int) checker.falseSuspicions().stream()
+                    .filter(change -> change.observer() == paused.number && !change.name().equals("n5")).count();
         }
-        assertThat(accused == 0).as("accused %d", accused).isEqualTo(health);
+        assertThat(suspicions == 0).as("accused %d", suspicions).isEqualTo(health);
     }
 
     @Test
@@ -111,9 +111,9 @@
         fleet.net.runUntil(fleet.net.now() + 5000);
         for (int i = 1; i < 30; i += 3) { fleet.kill(i); }
         fleet.net.runUntil(fleet.net.now() + 10_000);
-        for (ViewFleet.Instance life : fleet.running()) {
-            assertThat(life.changes.stream().filter(batch -> !batch.departed().isEmpty()).toList()).as(life.name).singleElement()
-                    .satisfies(batch -> assertThat(batch.departed()).hasSize(10));
+        for (ViewFleet.Instance instance : fleet.running()) {
+            assertThat(instance.changes.stream().filter(change -> !change.departed().isEmpty()).toList()).as(instance.name).singleElement()
+                    .satisfies(change -> assertThat(change.departed()).hasSize(10));
         }
     }
 
@@ -130,8 +130,7 @@
         checker.recordChange(7, 2, "c", 3, 1, State.GONE);
         checker.checkAgreement(10, Map.of("c", 3L, "d", 4L), Map.of(1, 11L, 2, 12L), List.of(1, 2));
         assertThat(String.join("\n", checker.breaches())).contains("a fell from", "a is active again", "b is active again",
-                "c runs but was declared GONE",
-                "c runs but is recorded as unknown", "d runs but is recorded as unknown", "b is recorded as ALIVE but does not run",
+                "c runs but was declared GONE", "c runs but is recorded as unknown", "d runs but is recorded as unknown", "b is recorded as ALIVE but does not run",
                 "2 different digests");
         ViewChecker excused = new ViewChecker(100);
         excused.recordFault("c", 0, 5);
--- a/src/test/java/yardusher/rates/RatesNet.java
+++ b/src/test/java/yardusher/rates/RatesNet.java
@@ -32,17 +32,17 @@
     }
 
     void startIngress(int i) {
-        Rates one = new Rates(new Rates.Parameters(bytesPerS, HEADER_BYTES, MAX_BODY_BYTES, QUOTAS, 20_000), i, random.nextLong(), now,
+        Rates rates = new Rates(new Rates.Parameters(bytesPerS, HEADER_BYTES, MAX_BODY_BYTES, QUOTAS, 20_000), i, random.nextLong(), now,
                 (to, body) -> deliver(i, (int) to, body));
-        all[i] = one;
-        tick(i, one);
+        all[i] = rates;
+        tick(i, rates);
     }
 
-    private void tick(int i, Rates one) {
+    private void tick(int i, Rates rates) {
         schedule(now + Rates.TICK_INTERVAL_MS, () -> {
-            if (all[i] != one || gone[i]) { return; }
-            one.tick(now);
-            tick(i, one);
+            if (all[i] != rates || gone[i]) { return; }
+            rates.tick(now);
+            tick(i, rates);
         });
     }
 
--- a/src/test/java/yardusher/view/MemberTableTest.java
+++ b/src/test/java/yardusher/view/MemberTableTest.java
@@ -27,26 +27,25 @@
 
     private static MemberTable newTable() { return new MemberTable("self", 600_000, 0, NO_ENVIRONMENT); }
 
-    static MemberUpdate update(String name, long life, long born, long incarnation, State state) {
-        return new MemberUpdate(new MemberIdentity(name, "a", new InetSocketAddress("127.0.0.1", 1000 + (int) (life & 255))), life, born,
-                incarnation, state,
-                state == State.SUSPECT ? new int[] {(int) life} : MemberUpdate.NO_ACCUSERS, 0);
+    static MemberUpdate update(String name, long instanceId, long firstIncarnation, long incarnation, State state) {
+        return new MemberUpdate(new MemberIdentity(name, "a", new InetSocketAddress("127.0.0.1", 1000 + (int) (instanceId & 255))), instanceId, firstIncarnation,
+                incarnation, state, state == State.SUSPECT ? new int[] {(int) instanceId} : MemberUpdate.NO_ACCUSERS, 0);
     }
 
     private static List<MemberUpdate> randomUpdates(Random random, int count) {
-        List<MemberUpdate> some = new ArrayList<>();
+        List<MemberUpdate> updates = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            long life = 1 + random.nextInt(3);       // a later instance starts above the incarnations of earlier ones
-            long born = life * 10;
-            some.add(update("n" + random.nextInt(3), life, born, born + random.nextInt(5), State.values()[random.nextInt(4)]));
+            long instanceId = 1 + random.nextInt(3);       // a later instance starts above the incarnations of earlier ones
+            long firstIncarnation = instanceId * 10;
+            updates.add(update("n" + random.nextInt(3), instanceId, firstIncarnation, firstIncarnation + random.nextInt(5), State.values()[random.nextInt(4)]));
         }
-        return some;
+        return updates;
     }
 
-    private static Map<String, String> contents(MemberTable roster) {
-        Map<String, String> held = new HashMap<>();
-        for (MemberEntry entry : roster.entries()) { held.put(entry.name, entry.instanceId + " " + entry.incarnation + " " + entry.state); }
-        return held;
+    private static Map<String, String> contents(MemberTable table) {
+        Map<String, String> contents = new HashMap<>();
+        for (MemberEntry entry : table.entries()) { contents.put(entry.name, entry.instanceId + " " + entry.incarnation + " " + entry.state); }
+        return contents;
     }
 
     @Property(tries = 500)
@@ -54,60 +53,60 @@
         Random random = new Random(seed);
         List<MemberUpdate> all = randomUpdates(random, 12);
         MemberTable one = newTable();
-        all.forEach(news -> one.merge(news, 0));
+        all.forEach(update -> one.merge(update, 0));
         List<MemberUpdate> again = new ArrayList<>(all);
         again.addAll(randomUpdates(new Random(seed), 12));
         Collections.shuffle(again, random);
         MemberTable other = newTable();
-        again.forEach(news -> other.merge(news, 5));
-        again.forEach(news -> other.merge(news, 6));
+        again.forEach(update -> other.merge(update, 5));
+        again.forEach(update -> other.merge(update, 6));
         assertThat(contents(other)).isEqualTo(contents(one));
     }
 
     @Property(tries = 500)
     void incarnationsNeverDecreaseAndEndedInstancesNeverReturn(@ForAll long seed) {
-        MemberTable roster = newTable();
+        MemberTable table = newTable();
         Map<String, Long> highest = new HashMap<>();
-        Map<String, Long> lives = new HashMap<>();
+        Map<String, Long> instanceIds = new HashMap<>();
         Map<String, Long> left = new HashMap<>();
-        for (MemberUpdate news : randomUpdates(new Random(seed), 40)) {
-            roster.merge(news, 0);
-            for (MemberEntry entry : roster.entries()) {
+        for (MemberUpdate update : randomUpdates(new Random(seed), 40)) {
+            table.merge(update, 0);
+            for (MemberEntry entry : table.entries()) {
                 assertThat(entry.incarnation).isGreaterThanOrEqualTo(highest.getOrDefault(entry.name, 0L));
-                assertThat(entry.instanceId).isGreaterThanOrEqualTo(lives.getOrDefault(entry.name, 0L));
+                assertThat(entry.instanceId).isGreaterThanOrEqualTo(instanceIds.getOrDefault(entry.name, 0L));
                 if (entry.isActive()) { assertThat(left.getOrDefault(entry.name, 0L)).isNotEqualTo(entry.instanceId); }
                 if (entry.state == State.LEFT) { left.put(entry.name, entry.instanceId); }
                 highest.put(entry.name, entry.incarnation);
-                lives.put(entry.name, entry.instanceId);
+                instanceIds.put(entry.name, entry.instanceId);
             }
         }
     }
 
     @Test
     void implausibleIncarnationsAndExcessMembersAreRefused() {
-        MemberTable roster = newTable();
-        assertThat(roster.merge(update("n1", 1, 5, MemberTable.MAX_INCARNATION + 1, State.ALIVE),
+        MemberTable table = newTable();
+        assertThat(table.merge(update("n1", 1, 5, MemberTable.MAX_INCARNATION + 1, State.ALIVE),
                 0)).isEqualTo(MemberTable.MergeResult.REFUSED);
-        assertThat(roster.merge(update("n1", 1, 5, 5, State.ALIVE), 0)).isEqualTo(MemberTable.MergeResult.NEW);
-        assertThat(roster.merge(update("n1", 1, 5, 6 + MemberTable.MAX_INCARNATION_STEP, State.GONE),
+        assertThat(table.merge(update("n1", 1, 5, 5, State.ALIVE), 0)).isEqualTo(MemberTable.MergeResult.NEW);
+        assertThat(table.merge(update("n1", 1, 5, 6 + MemberTable.MAX_INCARNATION_STEP, State.GONE),
                 0)).isEqualTo(MemberTable.MergeResult.REFUSED);
-        assertThat(roster.get("n1").state).isEqualTo(State.ALIVE);
-        for (int i = 0; i < MemberTable.MAX_MEMBERS + 100; i++) { roster.merge(update("m" + i, 1, 5, 5, State.ALIVE), 0); }
-        assertThat(roster.entries()).hasSize(MemberTable.MAX_MEMBERS);
+        assertThat(table.get("n1").state).isEqualTo(State.ALIVE);
+        for (int i = 0; i < MemberTable.MAX_MEMBERS + 100; i++) { table.merge(update("m" + i, 1, 5, 5, State.ALIVE), 0); }
+        assertThat(table.entries()).hasSize(MemberTable.MAX_MEMBERS);
     }
 
     @Test
     void goneMembersExpireAndAreBounded() {
-        MemberTable roster = newTable();
-        for (int i = 0; i < 1000; i++) { roster.merge(update("n" + i, 1, 5, 5, State.GONE), i); }
-        roster.expire(1000);
-        assertThat(roster.gone()).hasSize(256);      // the oldest were dropped
-        assertThat(roster.get("n999")).isNotNull();
-        assertThat(roster.get("n1")).isNull();
-        roster.expire(600_900);
-        assertThat(roster.gone()).hasSize(100);
-        roster.expire(601_001);
-        assertThat(roster.entries()).isEmpty();
+        MemberTable table = newTable();
+        for (int i = 0; i < 1000; i++) { table.merge(update("n" + i, 1, 5, 5, State.GONE), i); }
+        table.expire(1000);
+        assertThat(table.gone()).hasSize(256);      // the oldest were dropped
+        assertThat(table.get("n999")).isNotNull();
+        assertThat(table.get("n1")).isNull();
+        table.expire(600_900);
+        assertThat(table.gone()).hasSize(100);
+        table.expire(601_001);
+        assertThat(table.entries()).isEmpty();
     }
 
     @Test
@@ -140,47 +139,47 @@
 
     @Test
     void hallFailureIsOneChangeAndQuickReturnIsNone() {
-        MemberTable roster = newTable();
-        List<View.Change> told = new ArrayList<>();
-        ChangeNotifier settled = new ChangeNotifier(roster, 300);
-        settled.subscribe(told::add);
-        for (int i = 0; i < 30; i++) { roster.merge(update("n" + i, i, 5, 5, State.ALIVE), 0); }
-        checkAt(settled, roster, 299);
-        assertThat(told).isEmpty();
-        checkAt(settled, roster, 300);
-        assertThat(told).hasSize(1);
-        assertThat(told.get(0).joined()).hasSize(30);
+        MemberTable table = newTable();
+        List<View.Change> changes = new ArrayList<>();
+        ChangeNotifier notifier = new ChangeNotifier(table, 300);
+        notifier.subscribe(changes::add);
+        for (int i = 0; i < 30; i++) { table.merge(update("n" + i, i, 5, 5, State.ALIVE), 0); }
+        checkAt(notifier, table, 299);
+        assertThat(changes).isEmpty();
+        checkAt(notifier, table, 300);
+        assertThat(changes).hasSize(1);
+        assertThat(changes.get(0).joined()).hasSize(30);
         for (int i = 0; i < 10; i++) {
-            roster.merge(update("n" + i, i, 5, 5, State.SUSPECT), 1000);
-            roster.addAccuser(roster.get("n" + i), 77, 1000);
+            table.merge(update("n" + i, i, 5, 5, State.SUSPECT), 1000);
+            table.addAccuser(table.get("n" + i), 77, 1000);
         }
         for (int i = 0; i < 10; i++) {
-            roster.markGone(roster.get("n" + i), 1000 + 200 * i);
-            checkAt(settled, roster, 1000 + 200 * i + 199);
+            table.markGone(table.get("n" + i), 1000 + 200 * i);
+            checkAt(notifier, table, 1000 + 200 * i + 199);
         }
-        checkAt(settled, roster, 3101);
-        assertThat(told).hasSize(2);
-        assertThat(told.get(1).departed()).hasSize(10);
-        roster.merge(update("n20", 20, 5, 5, State.GONE), 4000);
-        roster.merge(update("n20", 20, 5, 6, State.ALIVE), 4100);
-        checkAt(settled, roster, 9000);
-        assertThat(told).hasSize(2);
+        checkAt(notifier, table, 3101);
+        assertThat(changes).hasSize(2);
+        assertThat(changes.get(1).departed()).hasSize(10);
+        table.merge(update("n20", 20, 5, 5, State.GONE), 4000);
+        table.merge(update("n20", 20, 5, 6, State.ALIVE), 4100);
+        checkAt(notifier, table, 9000);
+        assertThat(changes).hasSize(2);
     }
 
     @Test
     void viewThatNeverSettlesIsStillReported() {
-        MemberTable roster = newTable();
-        List<View.Change> told = new ArrayList<>();
-        ChangeNotifier settled = new ChangeNotifier(roster, 300);
-        settled.subscribe(told::add);
+        MemberTable table = newTable();
+        List<View.Change> changes = new ArrayList<>();
+        ChangeNotifier notifier = new ChangeNotifier(table, 300);
+        notifier.subscribe(changes::add);
         for (int i = 0; i <= 40; i++) {
-            roster.merge(update("n" + i, i, 5, 5, State.ALIVE), 100 * i);
-            checkAt(settled, roster, 100 * i);
+            table.merge(update("n" + i, i, 5, 5, State.ALIVE), 100 * i);
+            checkAt(notifier, table, 100 * i);
         }
-        assertThat(told).hasSize(1);
+        assertThat(changes).hasSize(1);
     }
 
-    private static void checkAt(ChangeNotifier settled, MemberTable roster, double now) {
-        settled.notifyIfSettled(now, at -> new View.Snapshot(List.of(), roster.digest(), roster.changedAtMs(), 0, 0));
+    private static void checkAt(ChangeNotifier notifier, MemberTable table, double now) {
+        notifier.notifyIfSettled(now, at -> new View.Snapshot(List.of(), table.digest(), table.changedAtMs(), 0, 0));
     }
 }
--- a/src/test/java/yardusher/view/ViewCodecTest.java
+++ b/src/test/java/yardusher/view/ViewCodecTest.java
@@ -22,7 +22,7 @@
 
     private static MemberUpdate randomUpdate(Random random) {
         State state = State.values()[random.nextInt(4)];
-        long born = 1 + random.nextInt(1 << 30);
+        long firstIncarnation = 1 + random.nextInt(1 << 30);
         int[] accusers = new int[state == State.SUSPECT ? 1 + random.nextInt(4) : 0];
         for (int i = 0; i < accusers.length; i++) { accusers[i] = random.nextInt(); }
         byte[] address = new byte[random.nextBoolean() ? 4 : 16];
@@ -31,16 +31,16 @@
         try {
             return new MemberUpdate(new MemberIdentity("n-" + random.nextInt(1000), "hall." + random.nextInt(5),
                     new InetSocketAddress(java.net.InetAddress.getByAddress(address),
-                    1 + random.nextInt(65_535))), random.nextLong(), born, born + random.nextInt(1000), state, accusers,
+                    1 + random.nextInt(65_535))), random.nextLong(), firstIncarnation, firstIncarnation + random.nextInt(1000), state, accusers,
                     state == State.GONE || state == State.LEFT ? random.nextInt(600) : 0);
         } catch (java.net.UnknownHostException e) {
             throw new AssertionError(e);
         }
     }
 
-    private static String describe(MemberUpdate news) {
-        return news.identity() + " " + news.instanceId() + " " + news.firstIncarnation() + " " + news.incarnation() + " " + news.state()
-                + " " + Arrays.toString(news.accusers()) + " " + news.ageS();
+    private static String describe(MemberUpdate update) {
+        return update.identity() + " " + update.instanceId() + " " + update.firstIncarnation() + " " + update.incarnation() + " " + update.state()
+                + " " + Arrays.toString(update.accusers()) + " " + update.ageS();
     }
 
     private static byte[] randomMessage(Random random, ViewCodec.Type type, List<MemberUpdate> updates) {
@@ -51,7 +51,7 @@
             case SYNC -> out.buckets(random.longs(MemberTable.BUCKETS).toArray(), random.nextBoolean());
             default -> { }
         }
-        for (MemberUpdate news = randomUpdate(random); out.addUpdate(news); news = randomUpdate(random)) { updates.add(news); }
+        for (MemberUpdate update = randomUpdate(random); out.addUpdate(update); update = randomUpdate(random)) { updates.add(update); }
         return out.body();
     }
 
@@ -62,9 +62,9 @@
         List<MemberUpdate> updates = new ArrayList<>();
         byte[] body = randomMessage(random, type, updates);
         assertThat(body.length).isLessThanOrEqualTo(Mesh.MOST_BODY);
-        ViewCodec.Message read = CODEC.decode(body);
-        assertThat(read.type()).isEqualTo(type);
-        assertThat(read.updates().stream().map(ViewCodecTest::describe)).isEqualTo(updates.stream().map(ViewCodecTest::describe).toList());
+        ViewCodec.Message decoded = CODEC.decode(body);
+        assertThat(decoded.type()).isEqualTo(type);
+        assertThat(decoded.updates().stream().map(ViewCodecTest::describe)).isEqualTo(updates.stream().map(ViewCodecTest::describe).toList());
     }
 
     @Property(tries = 300)
@@ -104,7 +104,7 @@
 
     private static byte[] gossip(MemberUpdate sender, MemberUpdate... updates) {
         ViewCodec.Writer out = new ViewCodec.Writer(ViewCodec.Type.GOSSIP, sender, true, 0, 0);
-        for (MemberUpdate news : updates) { out.addUpdate(news); }
+        for (MemberUpdate update : updates) { out.addUpdate(update); }
         return out.body();
     }
 
@@ -116,11 +116,11 @@
                 member.self().incarnation() + 7, State.GONE, MemberUpdate.NO_ACCUSERS, 0);
         member.receive(1001, gossip(other, self));
         assertThat(member.self().incarnation()).isEqualTo(self.incarnation() + 1);
-        long life = member.instanceId();
-        member.receive(1002, gossip(other, new MemberUpdate(self.identity(), life, 1, self.incarnation() + 1, State.LEFT,
+        long instanceId = member.instanceId();
+        member.receive(1002, gossip(other, new MemberUpdate(self.identity(), instanceId, 1, self.incarnation() + 1, State.LEFT,
                 MemberUpdate.NO_ACCUSERS, 0)));
         assertThat(member.self().state()).isEqualTo(State.ALIVE);
-        assertThat(member.instanceId()).isNotEqualTo(life);
+        assertThat(member.instanceId()).isNotEqualTo(instanceId);
         assertThat(member.self().incarnation()).isEqualTo(self.incarnation() + 2);
     }
 
