--- a/lab/src/yardusher/lab/view/ViewMeasure.java
+++ b/lab/src/yardusher/lab/view/ViewMeasure.java
@@ -63,7 +63,8 @@
                 fleet.kill(dead);
                 double settled = fleet.awaitSettled(members - 1, TIMEOUT_MS);
                 all.add(settled);
-                first.add(fleet.running().stream().mapToDouble(instance -> instance.membership.changedAtMs()).min().orElse(startMs) - startMs);
+                first.add(fleet.running().stream().mapToDouble(instance -> instance.membership.changedAtMs())
+                        .min().orElse(startMs) - startMs);
                 net.runUntil(net.now() + 1000);
                 startMs = net.now();
                 fleet.start(dead);
@@ -126,7 +127,8 @@
     }
 
     private static long suspicions(ViewFleet fleet) {
-        return fleet.running().stream().mapToLong(instance -> Long.parseLong(instance.membership.counters().replaceAll(".*view_accused=([0-9]+).*",
+        return fleet.running().stream()
+                .mapToLong(instance -> Long.parseLong(instance.membership.counters().replaceAll(".*view_accused=([0-9]+).*",
                 "$1"))).sum();
     }
 
--- a/lab/src/yardusher/lab/view/ViewReal.java
+++ b/lab/src/yardusher/lab/view/ViewReal.java
@@ -276,7 +276,9 @@
             checkSettled(view, holders, Group.now(), "name claimed", found, new StringBuilder());
             if (goneDeclarations(view, holders) != 0) { found.add("the first holder of the name was declared gone"); }
             ViewGroup.ProcessView claimantView = view.observe(claimant);
-            if (claimantView == null || !claimantView.phase().equals("taken")) { found.add("the second claimant is " + (claimantView == null ? "silent" : claimantView.phase())); }
+            if (claimantView == null || !claimantView.phase().equals("taken")) {
+                found.add("the second claimant is " + (claimantView == null ? "silent" : claimantView.phase()));
+            }
             if (!hasLogged(view, claimant, "VIEW_NAME_TAKEN")) { found.add("the second claimant did not log VIEW_NAME_TAKEN"); }
             if (!hasLogged(view, 1, "VIEW_NAME_TAKEN")) { found.add("the first claimant did not log VIEW_NAME_TAKEN"); }
             view.group.kill(1);                      // this frees the name
@@ -350,8 +352,8 @@
             for (int i : others) { view.group.awaitReady(i, 120_000); }
             double allServingMs = Group.now();
             List<ViewGroup.ProcessView> views = checkSettled(view, without(view.all(), Set.of(0)), startMs, "joined", found, note);
-            note.append(String.format(java.util.Locale.ROOT, "all serve after %.0f ms, settled %.0f ms after that; ", allServingMs - startMs,
-                    views == null ? -1 : ViewGroup.lastChangeAfter(views, allServingMs)));
+            note.append(String.format(java.util.Locale.ROOT, "all serve after %.0f ms, settled %.0f ms after that; ",
+                    allServingMs - startMs, views == null ? -1 : ViewGroup.lastChangeAfter(views, allServingMs)));
         }
     }
 
--- a/src/main/java/yardusher/rates/KnownRate.java
+++ b/src/main/java/yardusher/rates/KnownRate.java
@@ -8,7 +8,7 @@
     double computedAtMs;                             // on the clock of this ingress
     double priority;                                 // sending order: the root of the demand beyond the quota
     double queuedAtMs;                               // since when it waits to be gossiped
-    int remainingSends;                              // remaining transmissions
+    int remainingSends;
 
     KnownRate(long customer) { this.customer = customer; }
 }
--- a/src/main/java/yardusher/view/Membership.java
+++ b/src/main/java/yardusher/view/Membership.java
@@ -862,8 +862,8 @@
         StringBuilder out = new StringBuilder(256);
         out.append(String.format(java.util.Locale.ROOT, "view name=%s phase=%s there=%d suspect=%d gone=%d left=%d digest=%016x still_ms=%.0f same=%d asked=%d health=%d%n",
                 self.name(), phase.name().toLowerCase(java.util.Locale.ROOT), current.members().size(), table.suspects().size(),
-                table.gone().size(), table.leftCount(), current.digest(), now - current.unchangedSinceMs(), current.agreeing(), current.polled(),
-                health.score()));
+                table.gone().size(), table.leftCount(), current.digest(), now - current.unchangedSinceMs(), current.agreeing(),
+                current.polled(), health.score()));
         if (phase == Phase.TAKEN) {
             out.append("taken name=").append(self.name()).append(" by=").append(formatAddress(ownEntry.identity.address()))
                     .append(" incarnation=").append(ownEntry.incarnation).append('\n');
--- a/src/test/java/yardusher/lab/rates/RatesRunTest.java
+++ b/src/test/java/yardusher/lab/rates/RatesRunTest.java
@@ -24,7 +24,8 @@
     void boundsHoldAtASmallSize(RatesRun.Fault fault) {
         RatesRun run = new RatesRun(RatesRun.sizedCase("small", fault, true, 1)).run();
         System.out.println(run);
-        assertThat(run.breaches()).as("java -cp target/classes:target/test-classes yardusher.lab.rates.RatesRun small " + fault + " 1").isEmpty();
+        assertThat(run.breaches()).as("java -cp target/classes:target/test-classes yardusher.lab.rates.RatesRun small " + fault
+                + " 1").isEmpty();
     }
 
     /** The check can fail: if no message arrives, each ingress admits customers far over their quota as if it were alone. */
--- a/src/test/java/yardusher/lab/view/ViewTest.java
+++ b/src/test/java/yardusher/lab/view/ViewTest.java
@@ -35,7 +35,9 @@
     @EnumSource(value = Membership.Flaw.class, names = {"NO_REFUTATION", "LEFT_COME_BACK", "NO_ASKING_THE_GONE"})
     void injectedFlawIsDetectedWithinTwentySeeds(Membership.Flaw flaw) {
         boolean detected = false;
-        for (long seed = 1; seed <= SEEDS_TRIED && !detected; seed++) { detected = !ViewRun.play(seed, true, 0, flaw).breaches().isEmpty(); }
+        for (long seed = 1; seed <= SEEDS_TRIED && !detected; seed++) {
+            detected = !ViewRun.play(seed, true, 0, flaw).breaches().isEmpty();
+        }
         assertThat(detected).isTrue();
     }
 
@@ -130,7 +132,8 @@
         checker.recordChange(7, 2, "c", 3, 1, State.GONE);
         checker.checkAgreement(10, Map.of("c", 3L, "d", 4L), Map.of(1, 11L, 2, 12L), List.of(1, 2));
         assertThat(String.join("\n", checker.breaches())).contains("a fell from", "a is active again", "b is active again",
-                "c runs but was declared GONE", "c runs but is recorded as unknown", "d runs but is recorded as unknown", "b is recorded as ALIVE but does not run",
+                "c runs but was declared GONE", "c runs but is recorded as unknown", "d runs but is recorded as unknown",
+                "b is recorded as ALIVE but does not run",
                 "2 different digests");
         ViewChecker excused = new ViewChecker(100);
         excused.recordFault("c", 0, 5);
--- a/src/test/java/yardusher/view/MemberTableTest.java
+++ b/src/test/java/yardusher/view/MemberTableTest.java
@@ -28,7 +28,8 @@
     private static MemberTable newTable() { return new MemberTable("self", 600_000, 0, NO_ENVIRONMENT); }
 
     static MemberUpdate update(String name, long instanceId, long firstIncarnation, long incarnation, State state) {
-        return new MemberUpdate(new MemberIdentity(name, "a", new InetSocketAddress("127.0.0.1", 1000 + (int) (instanceId & 255))), instanceId, firstIncarnation,
+        return new MemberUpdate(new MemberIdentity(name, "a", new InetSocketAddress("127.0.0.1", 1000 + (int) (instanceId & 255))),
+                instanceId, firstIncarnation,
                 incarnation, state, state == State.SUSPECT ? new int[] {(int) instanceId} : MemberUpdate.NO_ACCUSERS, 0);
     }
 
@@ -37,14 +38,17 @@
         for (int i = 0; i < count; i++) {
             long instanceId = 1 + random.nextInt(3);       // a later instance starts above the incarnations of earlier ones
             long firstIncarnation = instanceId * 10;
-            updates.add(update("n" + random.nextInt(3), instanceId, firstIncarnation, firstIncarnation + random.nextInt(5), State.values()[random.nextInt(4)]));
+            updates.add(update("n" + random.nextInt(3), instanceId, firstIncarnation, firstIncarnation + random.nextInt(5),
+                    State.values()[random.nextInt(4)]));
         }
         return updates;
     }
 
     private static Map<String, String> contents(MemberTable table) {
         Map<String, String> contents = new HashMap<>();
-        for (MemberEntry entry : table.entries()) { contents.put(entry.name, entry.instanceId + " " + entry.incarnation + " " + entry.state); }
+        for (MemberEntry entry : table.entries()) {
+            contents.put(entry.name, entry.instanceId + " " + entry.incarnation + " " + entry.state);
+        }
         return contents;
     }
 
--- a/src/test/java/yardusher/view/ViewCodecTest.java
+++ b/src/test/java/yardusher/view/ViewCodecTest.java
@@ -31,7 +31,8 @@
         try {
             return new MemberUpdate(new MemberIdentity("n-" + random.nextInt(1000), "hall." + random.nextInt(5),
                     new InetSocketAddress(java.net.InetAddress.getByAddress(address),
-                    1 + random.nextInt(65_535))), random.nextLong(), firstIncarnation, firstIncarnation + random.nextInt(1000), state, accusers,
+                    1 + random.nextInt(65_535))), random.nextLong(), firstIncarnation, firstIncarnation + random.nextInt(1000), state,
+                    accusers,
                     state == State.GONE || state == State.LEFT ? random.nextInt(600) : 0);
         } catch (java.net.UnknownHostException e) {
             throw new AssertionError(e);
@@ -39,7 +40,8 @@
     }
 
     private static String describe(MemberUpdate update) {
-        return update.identity() + " " + update.instanceId() + " " + update.firstIncarnation() + " " + update.incarnation() + " " + update.state()
+        return update.identity() + " " + update.instanceId() + " " + update.firstIncarnation() + " " + update.incarnation() + " "
+                + update.state()
                 + " " + Arrays.toString(update.accusers()) + " " + update.ageS();
     }
 
@@ -64,7 +66,8 @@
         assertThat(body.length).isLessThanOrEqualTo(Mesh.MOST_BODY);
         ViewCodec.Message decoded = CODEC.decode(body);
         assertThat(decoded.type()).isEqualTo(type);
-        assertThat(decoded.updates().stream().map(ViewCodecTest::describe)).isEqualTo(updates.stream().map(ViewCodecTest::describe).toList());
+        assertThat(decoded.updates().stream().map(ViewCodecTest::describe)).isEqualTo(updates.stream().map(ViewCodecTest::describe)
+                .toList());
     }
 
     @Property(tries = 300)
