--- a/src/main/java/yardusher/rates/Rates.java
+++ b/src/main/java/yardusher/rates/Rates.java
@@ -31,6 +31,7 @@
      */
     public record Parameters(double bytesPerS, int headerBytes, int maxBodyBytes, double[] quotasPerS, double horizonMs) { }
 
+    /** Interval of {@link #tick}. */
     public static final double TICK_INTERVAL_MS = 200;
     private static final double REPORT_BUDGET_SHARE = 0.45; // share of the byte budget; the rest is for rates
     private static final double BUDGET_BURST_S = 2;  // how many seconds' worth of either budget can accumulate
--- a/src/main/java/yardusher/view/MemberTable.java
+++ b/src/main/java/yardusher/view/MemberTable.java
@@ -89,6 +89,7 @@
     /** Returns the digest of each bucket, over all entries in any state. */
     long[] bucketDigests() { return bucketDigests.clone(); }
 
+    /** Returns one digest over all bucket digests. */
     long tableDigest() {
         if (tableDigestVersion != version) {
             tableDigestVersion = version;
--- a/src/main/java/yardusher/view/Membership.java
+++ b/src/main/java/yardusher/view/Membership.java
@@ -95,7 +95,7 @@
     private static final double MIN_JOIN_BACKOFF_MS = 200;
     private static final double MAX_JOIN_BACKOFF_MS = 5000;
     private static final double EXPIRY_INTERVAL_MS = 10_000;
-    private static final double NEWCOMER_MS = 3000;
+    private static final double NEWCOMER_MS = 3000;  // after joining, updates learned of active members are gossiped half as often
     private static final double SNAPSHOT_REUSE_MS = 100;
 
     private final ViewSettings settings;
@@ -149,6 +149,7 @@
     private long refutations;
     private long lateTimers;
 
+    /** Creates a member that takes part once {@link #start} is called; {@code seed} is for its random choices. */
     public Membership(ViewSettings settings, String name, String hall, InetSocketAddress address, long seed, double now,
             Environment environment) {
         this(settings, new MemberIdentity(name, hall, address), seed, now, environment, UnaryOperator.identity(), null);
@@ -793,6 +794,7 @@
 
     // ---- state for readers
 
+    /** Returns the state of this ingress in the protocol. */
     public Phase phase() { return phase; }
 
     /** Returns the random id that this process has drawn. */
--- a/src/main/java/yardusher/view/ViewCodec.java
+++ b/src/main/java/yardusher/view/ViewCodec.java
@@ -63,6 +63,7 @@
     /** {@code interner} may replace a decoded identity by an equal existing one. */
     ViewCodec(UnaryOperator<MemberIdentity> interner) { this.interner = interner; }
 
+    /** Whether the name has 1 to 64 letters, digits, dots, underscores or dashes. */
     static boolean isName(String name) {
         if (name.isEmpty() || name.length() > MAX_NAME_LENGTH) { return false; }
         for (int i = 0; i < name.length(); i++) {
@@ -72,6 +73,7 @@
         return true;
     }
 
+    /** Whether the hall has 1 to 64 visible ASCII characters. */
     static boolean isHall(String hall) {
         return !hall.isEmpty() && hall.length() <= MAX_HALL_LENGTH && hall.chars().allMatch(c -> c > ' ' && c <= '~');
     }
--- a/src/main/java/yardusher/view/ViewSubsystem.java
+++ b/src/main/java/yardusher/view/ViewSubsystem.java
@@ -60,6 +60,7 @@
         return members.isEmpty() ? "-" : members.size() > 20 ? shown + ",and-" + (members.size() - 20) + "-more" : shown;
     }
 
+    /** Returns the mesh, which other subsystems share. */
     public Mesh mesh() { return mesh; }
 
     public View view() { return this; }
