--- a/lab/src/yardusher/lab/rates/RatesRun.java
+++ b/lab/src/yardusher/lab/rates/RatesRun.java
@@ -151,7 +151,7 @@
         modules[i] = new Policy(settings, random.nextLong(), now, action -> perform(i, generation, action));
         modules[i].on(now, new ServerList(ListKind.CACHED, servers));
         if (!setup.wide) { return; }
-        modules[i].on(now, new Wide(2));
+        modules[i].on(now, new ExternalDemandThreshold(2));
         Rates ingressRates = new Rates(new Rates.Parameters(setup.bytesPerS, HEADER_BYTES, MAX_BODY_BYTES, quotas, 20_000), i,
                 random.nextLong(), now, (to, body) -> deliver(i, (int) to, body));
         rates[i] = ingressRates;
@@ -217,7 +217,7 @@
         if (setup.wide) {
             rates[ingress].recordDemand(now, tenant.id, tenant.plan, units);
             double perS = rates[ingress].overQuotaDemandPerS(now, tenant.id, tenant.plan);
-            if (perS > 0) { modules[ingress].on(now, new Asked(tenant.id, tenant.plan, perS)); }
+            if (perS > 0) { modules[ingress].on(now, new ExternalDemand(tenant.id, tenant.plan, perS)); }
         }
         modules[ingress].on(now, new Request(currentRequestId, 0, tenant.plan, tenant.id, now + 2000, units, tenant.first, tenant.spread));
         if (currentSent && fits) { tenant.level -= units; }
--- a/src/main/java/yardusher/rates/RatesSubsystem.java
+++ b/src/main/java/yardusher/rates/RatesSubsystem.java
@@ -7,9 +7,9 @@
 import yardusher.Api;
 import yardusher.core.EventLoop;
 import yardusher.core.Ingress;
-import yardusher.core.Intake;
-import yardusher.core.Order;
-import yardusher.core.Stay;
+import yardusher.core.RequestAcceptor;
+import yardusher.core.IncomingRequest;
+import yardusher.core.RequestHandle;
 import yardusher.mesh.Mesh;
 import yardusher.settings.Settings;
 import yardusher.subsystem.Site;
@@ -17,14 +17,14 @@
 import yardusher.view.View;
 
 /** Connects {@link Rates} with the mesh, the membership view, the event loop's time and the decision module. */
-public final class RatesSubsystem implements Subsystem, Intake, Rates.Transport {
+public final class RatesSubsystem implements Subsystem, RequestAcceptor, Rates.Transport {
     private static final int HEADER_BYTES = 28 + 15; // headers of UDP and IP, and of the mesh
 
     private final RateSettings settings;
     private final Map<Long, InetSocketAddress> addresses = new HashMap<>(); // of the members, by the hash of their names
     private EventLoop loop;
     private Ingress ingress;
-    private Intake next;
+    private RequestAcceptor next;
     private Mesh mesh;
     private Rates rates;
     private boolean closed;
@@ -35,22 +35,22 @@
     public String name() { return "rates"; }
 
     @Override
-    public Intake intake(Site site, Intake core) {
+    public RequestAcceptor intake(Site site, RequestAcceptor core) {
         next = core;
         loop = site.loop();
         ingress = site.ingress();
         mesh = site.mesh();
         double[] quotas = site.settings().plans().stream().mapToDouble(Api.Plan::ratePerS).toArray();
         // A restarted process of the same name has the same seed, but must draw different random numbers.
-        rates = new Rates(new Rates.Parameters(settings.bytesPerS(), HEADER_BYTES, Mesh.MOST_BODY, quotas, 1000.0 * settings.horizonS()),
+        rates = new Rates(new Rates.Parameters(settings.bytesPerS(), HEADER_BYTES, Mesh.MAX_BODY_BYTES, quotas, 1000.0 * settings.horizonS()),
                 memberId(site.name()), site.seed() ^ System.nanoTime(), loop.now(), this);
         return this;
     }
 
     @Override
     public void join(Site site) {
-        ingress.tell(new Api.Wide(settings.minSetSize()));
-        mesh.hear(Mesh.Kind.RATES, (from, body) -> rates.receive(loop.now(), senderId(from), body));
+        ingress.deliver(new Api.ExternalDemandThreshold(settings.minSetSize()));
+        mesh.setHandler(Mesh.Kind.RATES, (from, body) -> rates.receive(loop.now(), senderId(from), body));
         site.view().subscribe(change -> updateMembers(change.snapshot()));
         updateMembers(site.view().snapshot());
     }
@@ -61,7 +61,7 @@
     private void tick() {
         if (closed) { return; }
         rates.tick(loop.now());
-        loop.deadlines().at(loop.now() + Rates.TICK_INTERVAL_MS, this::tick);
+        loop.deadlines().schedule(loop.now() + Rates.TICK_INTERVAL_MS, this::tick);
     }
 
     static long memberId(String name) { return LongHashFunction.xx3().hashChars(name); }
@@ -87,13 +87,13 @@
     }
 
     @Override
-    public Stay take(Order order) {
+    public RequestHandle accept(IncomingRequest order) {
         if (order.spread() >= settings.minSetSize() && ingress.settings().plans().get(order.plan()).openCap() <= 0) {
             rates.recordDemand(loop.now(), order.customer(), order.plan(), order.units());
             double perS = rates.overQuotaDemandPerS(loop.now(), order.customer(), order.plan());
-            if (perS > 0) { ingress.tell(new Api.Asked(order.customer(), order.plan(), perS)); }
+            if (perS > 0) { ingress.deliver(new Api.ExternalDemand(order.customer(), order.plan(), perS)); }
         }
-        return next.take(order);
+        return next.accept(order);
     }
 
     @Override
--- a/src/main/java/yardusher/view/ViewCodec.java
+++ b/src/main/java/yardusher/view/ViewCodec.java
@@ -80,7 +80,7 @@
 
     /** Encodes one datagram; updates are appended while they fit. */
     static final class Writer {
-        private final ByteBuffer buffer = ByteBuffer.allocate(Mesh.MOST_BODY);
+        private final ByteBuffer buffer = ByteBuffer.allocate(Mesh.MAX_BODY_BYTES);
 
         Writer(Type type, MemberUpdate sender, boolean participating, long digest, long tableDigest) {
             buffer.put((byte) type.ordinal()).put((byte) (participating ? 1 : 0));
--- a/src/main/java/yardusher/view/ViewSettings.java
+++ b/src/main/java/yardusher/view/ViewSettings.java
@@ -55,7 +55,7 @@
 
     private static InetSocketAddress address(String key, String text) {
         try {
-            InetSocketAddress address = Sockets.address(text);
+            InetSocketAddress address = Sockets.parseAddress(text);
             if (key.equals("listen") || address.getPort() != 0 && !address.getAddress().isAnyLocalAddress()) { return address; }
         } catch (ConfigError e) { /* reported below, with the key */ }
         throw invalidValue(key, "an address in digits and a port, such as 127.0.0.4:7946, not " + text);
--- a/src/main/java/yardusher/view/ViewSubsystem.java
+++ b/src/main/java/yardusher/view/ViewSubsystem.java
@@ -75,7 +75,7 @@
         } catch (IOException e) {
             throw new ViewError.Listen(settings.listen().getAddress().getHostAddress() + ":" + settings.listen().getPort(), e.getMessage(), e);
         }
-        mesh.hear(Mesh.Kind.VIEW, (from, body) -> {
+        mesh.setHandler(Mesh.Kind.VIEW, (from, body) -> {
             membership.receive(loop.now(), body);
             scheduleTick();
         });
@@ -89,7 +89,7 @@
         if (dueAtMs == timerAtMs) { return; }
         loop.deadlines().cancel(timer);
         timerAtMs = dueAtMs;
-        timer = dueAtMs == Double.POSITIVE_INFINITY ? null : loop.deadlines().at(dueAtMs, () -> {
+        timer = dueAtMs == Double.POSITIVE_INFINITY ? null : loop.deadlines().schedule(dueAtMs, () -> {
             timerAtMs = Double.POSITIVE_INFINITY;
             membership.tick(loop.now());
             scheduleTick();
@@ -100,7 +100,7 @@
     public String reload(Settings next) { return settings.equals(next.view()) ? null : "table view waits for a restart"; }
 
     @Override
-    public String line() { return membership.counters() + " " + mesh.line(); }
+    public String line() { return membership.counters() + " " + mesh.countersLine(); }
 
     @Override
     public String report(String call) { return call.equals("members") ? membership.report(loop.now()) : null; }
--- a/src/test/java/yardusher/view/ViewCodecTest.java
+++ b/src/test/java/yardusher/view/ViewCodecTest.java
@@ -63,7 +63,7 @@
         ViewCodec.Type type = ViewCodec.Type.values()[random.nextInt(ViewCodec.Type.values().length)];
         List<MemberUpdate> updates = new ArrayList<>();
         byte[] body = randomMessage(random, type, updates);
-        assertThat(body.length).isLessThanOrEqualTo(Mesh.MOST_BODY);
+        assertThat(body.length).isLessThanOrEqualTo(Mesh.MAX_BODY_BYTES);
         ViewCodec.Message decoded = CODEC.decode(body);
         assertThat(decoded.type()).isEqualTo(type);
         assertThat(decoded.updates().stream().map(ViewCodecTest::describe)).isEqualTo(updates.stream().map(ViewCodecTest::describe)
@@ -96,7 +96,7 @@
         Membership member = new Membership(new ViewSettings(new InetSocketAddress("127.0.0.1", 7), "site", List.of()), "self", "a",
                 new InetSocketAddress("127.0.0.1", 7), 1, 1000, new Membership.Environment() {
                     @Override
-                    public void send(InetSocketAddress to, byte[] body) { assertThat(body.length).isLessThanOrEqualTo(Mesh.MOST_BODY); }
+                    public void send(InetSocketAddress to, byte[] body) { assertThat(body.length).isLessThanOrEqualTo(Mesh.MAX_BODY_BYTES); }
 
                     @Override
                     public void reportError(ViewError error) { assertThat(error.getMessage()).isNotEmpty(); }
