--- a/lab/src/yardusher/lab/rates/RatesGroupRun.java
+++ b/lab/src/yardusher/lab/rates/RatesGroupRun.java
@@ -15,15 +15,15 @@
 import yardusher.lab.Terminals;
 
 /**
- * Rates at real processes under faults by seed: customers whose sets are all ingresses, some of whom ask for three times their quota through all alike.
- * Some seconds after all is healed those are held to about their quota, though each ingress alone would let all of it in, and those who ask
- * little are let in.
+ * Runs rates with real processes under faults determined by a seed. The customers' sets are all ingresses, and some demand three times
+ * their quota, spread evenly. Some seconds after all faults have ended, these are limited to about their quota, although each ingress
+ * alone would admit all of their requests, and customers with low demand are admitted.
  */
 public final class RatesGroupRun {
-    /** What an ingress is given beside its view. FLAWED: rates whose words nobody else believes, for who wants to see the check fail. */
+    /** The rates settings of an ingress. FLAWED: a horizon so long that no customer is announced in time, to see the check fail. */
     enum Variant { RATES, FLAWED }
 
-    private static final double QUOTA_PER_S = 7.2;   // of the plan "plus" in the tests' configuration
+    private static final double QUOTA_PER_S = 7.2;   // quota of the plan "plus" in the test configuration
     private static final int HEAVY_CUSTOMERS = 4;
     private static final int LIGHT_CUSTOMERS = 8;
     private static final double HEAVY_DEMAND_RATIO = 3;
@@ -37,18 +37,20 @@
 
     private RatesGroupRun() { }
 
-    /** {@code FOLDER FIRST COUNT [PROCESSES [MS]]}: traffic with faults for so long, then calm. */
+    /** {@code FOLDER FIRST COUNT [PROCESSES [MS]]}: traffic with faults for that time, then without. */
     public static void main(String[] args) throws Exception {
         int processes = args.length > 3 ? Integer.parseInt(args[3]) : 5;
         long ms = args.length > 4 ? Long.parseLong(args[4]) : 4000;
-        System.exit(Seeds.run(RatesGroupRun.class, args, (folder, seed, note) -> play(folder, seed, processes, ms, Variant.RATES, note)) == 0 ? 0 : 1);
+        System.exit(Seeds.run(RatesGroupRun.class, args, (folder, seed, note) -> play(folder, seed, processes, ms, Variant.RATES,
+                note)) == 0 ? 0 : 1);
     }
 
     private static String settings(Group group, int i, Variant variant) {
         StringBuilder seeds = new StringBuilder();
         for (int j = 0; j < Math.min(3, group.size()); j++) { seeds.append(j == 0 ? "" : ", ").append('"').append(Programs.text(group.relayed(j, "view"))).append('"'); }
         return "[view]\nlisten = \"" + Programs.text(group.port(i, "view")) + "\"\nadvertise = \"" + Programs.text(group.relayed(i, "view"))
-                + "\"\ninstallation = \"lab\"\nseeds = [" + seeds + "]\n[rates]\nfrom = 2\nhorizon_s = " + (variant == Variant.FLAWED ? 600 : 4) + "\n";
+                + "\"\ninstallation = \"lab\"\nseeds = [" + seeds + "]\n[rates]\nfrom = 2\nhorizon_s = "
+                + (variant == Variant.FLAWED ? 600 : 4) + "\n";
     }
 
     static List<String> play(Path folder, long seed, int processes, long ms, Variant variant, StringBuilder note) throws Exception {
@@ -59,13 +61,14 @@
             group.start();
             Faults faults = new Faults(group, seed, EnumSet.of(Faults.Kind.KILL, Faults.Kind.TERM, Faults.Kind.PAUSE, Faults.Kind.CUT_ONE, Faults.Kind.CUT_ONE_WAY, Faults.Kind.SPLIT,
                     Faults.Kind.LOSS, Faults.Kind.MESS), 3 + processes, ms, ms / 20, ms / 3);
-            Set<Integer> disturbed = new HashSet<>(); // whose terminals may wait in vain
+            Set<Integer> disturbed = new HashSet<>(); // processes whose terminals may get no answer
             for (Faults.Fault fault : faults.schedule()) {
                 if (Set.of(Faults.Kind.KILL, Faults.Kind.TERM, Faults.Kind.PAUSE).contains(fault.kind())) { disturbed.addAll(fault.at()); }
             }
             double startMs;
             double endMs;
-            try (Terminals.Load heavy = load(group, 8, HEAVY_CUSTOMERS, HEAVY_DEMAND_RATIO * QUOTA_PER_S, 1000); Terminals.Load light = load(group, 2, LIGHT_CUSTOMERS, LIGHT_DEMAND_PER_S, 2000)) {
+            try (Terminals.Load heavy = load(group, 8, HEAVY_CUSTOMERS, HEAVY_DEMAND_RATIO * QUOTA_PER_S, 1000);
+                    Terminals.Load light = load(group, 2, LIGHT_CUSTOMERS, LIGHT_DEMAND_PER_S, 2000)) {
                 faults.play();
                 Thread.sleep(LEARNING_MS);
                 startMs = Chronicle.now();
@@ -84,11 +87,12 @@
     private static Terminals.Load load(Group group, int terminals, int customers, double perS, long firstCustomer) {
         return group.terminals().load(terminals, customers * perS, 1, (terminal, number) -> {
             long customer = firstCustomer + (number * terminals + terminal) % customers;
-            return new Terminals.Command("CALL.GET", customer, group.terminals().newId(), "c=lookup,t=plus,d=" + REQUEST_DEADLINE_MS + ",units=1,spread=" + group.size() + ",first=0", null);
+            return new Terminals.Command("CALL.GET", customer, group.terminals().newId(),
+                    "c=lookup,t=plus,d=" + REQUEST_DEADLINE_MS + ",units=1,spread=" + group.size() + ",first=0", null);
         });
     }
 
-    /** What each customer was let in between two times, of its quota; and how much of the calm ones' tries was refused. */
+    /** Checks, between two times, how much of its quota each heavy customer was admitted, and how many light requests were refused. */
     static List<String> check(List<Terminals.Try> requests, double startMs, double endMs, StringBuilder note) {
         List<String> found = new ArrayList<>();
         double[] admitted = new double[HEAVY_CUSTOMERS];
@@ -107,15 +111,21 @@
             }
         }
         double seconds = (endMs - startMs) / 1000;
-        note.append("let in");
+        note.append("admitted");
         for (int i = 0; i < HEAVY_CUSTOMERS; i++) {
             double ratio = admitted[i] / seconds / QUOTA_PER_S;
             note.append(String.format(" %.2f of %.2f", ratio, demanded[i] / seconds / QUOTA_PER_S));
-            if (demanded[i] / seconds < 2 * QUOTA_PER_S) { found.add("not enough was asked to tell: " + demanded[i] + " in " + seconds + " s"); }
-            if (ratio < MIN_ADMITTED_RATIO || ratio > MAX_ADMITTED_RATIO) { found.add(String.format("customer %d was let in %.2f times its quota", i, ratio)); }
+            if (demanded[i] / seconds < 2 * QUOTA_PER_S) {
+                found.add("too little demand to judge: " + demanded[i] + " in " + seconds + " s");
+            }
+            if (ratio < MIN_ADMITTED_RATIO || ratio > MAX_ADMITTED_RATIO) {
+                found.add(String.format("customer %d was admitted %.2f times its quota", i, ratio));
+            }
+        }
+        note.append(String.format(", light customers refused %.0f of %.0f", refused, light));
+        if (refused > MAX_LIGHT_REFUSED_SHARE * light) {
+            found.add(String.format("%.0f of %.0f requests of customers with low demand were refused", refused, light));
         }
-        note.append(String.format(", calm refused %.0f of %.0f", refused, light));
-        if (refused > MAX_LIGHT_REFUSED_SHARE * light) { found.add(String.format("%.0f of %.0f tries of customers who ask little were refused", refused, light)); }
         return found;
     }
 }
--- a/lab/src/yardusher/lab/rates/RatesRun.java
+++ b/lab/src/yardusher/lab/rates/RatesRun.java
@@ -13,27 +13,30 @@
 import yardusher.rates.Rates;
 
 /**
- * A fleet on scripted time, by seed: the decision module of each ingress with {@link Rates} beside it, and tenants of Zipf's law with wide
- * sets, of whom some ask for nearly all of their quota, some for several times it, and some do so in spikes. Beside it decides a policy that
- * sees what was let in, all of it, a quarter of a second late. Times are ms. A trouble begins at {@link #WARM_MS}, and what is counted begins there too.
+ * Simulates a fleet, by seed: the decision module and {@link Rates} of each ingress, and tenants with wide sets whose demand follows
+ * Zipf's law. Some use nearly all of their quota, some demand several times it, and some do so in spikes. The results are
+ * compared with a reference policy that sees everything admitted, a quarter of a second late. Times are in ms. The fault begins at
+ * {@link #WARM_UP_MS}, and so does counting.
  *
- * <p>{@code RatesRun SIZE TROUBLE SEED ...}, a size of {@link #size}; one line a seed.
+ * <p>{@code RatesRun SIZE FAULT SEED ...}, with a size of {@link #sizedCase}; prints one line for each seed.
  */
 public final class RatesRun {
-    /** ZONE: an eighth of the ingresses is gone. RESTART: a tenth begins anew. APART: two halves do not hear each other. */
+    /** ZONE: an eighth of the ingresses fails. RESTART: a tenth restarts. APART: a network partition into two halves. */
     enum Fault { NONE, ZONE, LOSS, RESTART, APART }
 
-    /** {@code wide}: whether rates speak for the sets; else the module's own messages do. */
-    record Case(int ingresses, int tenants, double requestsPerS, Fault fault, double loss, double bytesPerS, boolean wide, double seconds, long seed) { }
+    /** {@code wide}: whether demand of wide sets is shared as rates, rather than by the decision module's own messages. */
+    record Case(int ingresses, int tenants, double requestsPerS, Fault fault, double loss, double bytesPerS, boolean wide, double seconds,
+            long seed) { }
 
     static final double WARM_UP_MS = 150_000;
     private static final int PLANS = 18;
     private static final double MIN_RATE_PER_S = 0.25, WINDOW_S = 2, MAX_UNITS = 4, OVER_COST = 0.8, PEER_PRICE = 0.02, INTAKE_PER_S = 60;
-    private static final double DETECTION_MS = 5000;   // until views agree on who is gone
-    private static final double REFERENCE_DELAY_MS = 250;       // what the policy beside it does not see yet
+    private static final double DETECTION_MS = 5000; // until the views agree on who is gone
+    private static final double REFERENCE_DELAY_MS = 250; // delay of what the reference policy sees
     private static final int HEADER_BYTES = 43, MAX_BODY_BYTES = 1200, SERVERS = 8;
-    /** What is promised; with few tenants one of them is a part of all that counts, and wrong by chance. */
-    private static final double MAX_EXCESS = 0.1, MAX_ROOMY_REFUSED = 0.04, MAX_ROOMY_REFUSED_OF_FEW = 0.06, MAX_BYTES_RATIO = 1.02, MAX_HEAVY_ADMITTED = 1.3;
+    /** The promised bounds; with few tenants a single one weighs in the totals, and its errors are random. */
+    private static final double MAX_EXCESS = 0.1, MAX_ROOMY_REFUSED = 0.04, MAX_ROOMY_REFUSED_OF_FEW = 0.06, MAX_BYTES_RATIO = 1.02,
+            MAX_HEAVY_ADMITTED = 1.3;
     private static final int FEW_TENANTS = 10_000;
     private static final double[] REQUEST_UNITS = {2, 4};
 
@@ -46,17 +49,18 @@
         final int plan, first, spread;
         final Plan planTerms;
         final double requestsPerS;
-        final double spikeFactor;                          // times that, for a while
+        final double spikeFactor;                    // factor of the demand during a spike
         final boolean heavy;
         double spikeUntilMs;
         double level, idealLevel, referenceLevel, refilledAtMs;
-        double demandedUnits, admittedUnits;                 // while counted
+        double demandedUnits, admittedUnits;         // during the counted time
         final ArrayDeque<Admission> unseenAdmissions = new ArrayDeque<>();
 
         Tenant(long id, double wantedRequestsPerS) {
             this.id = id;
-            double kind = random.nextDouble();       // full, heavy, calm, and calm with spikes
-            double demandRatio = kind < 0.17 ? 0.8 + 0.25 * random.nextDouble() : kind < 0.27 ? 2.6 + 1.7 * random.nextDouble() : 0.15 + 0.35 * random.nextDouble();
+            double kind = random.nextDouble();       // near its quota, heavy, light, and light with spikes
+            double demandRatio = kind < 0.17 ? 0.8 + 0.25 * random.nextDouble() : kind < 0.27 ? 2.6 + 1.7 * random.nextDouble()
+                    : 0.15 + 0.35 * random.nextDouble();
             heavy = kind >= 0.17 && kind < 0.27;
             double unitsPerRequest = 2.5, quota = wantedRequestsPerS * unitsPerRequest / demandRatio;
             plan = (int) Math.max(0, Math.min(PLANS - 1, Math.round(Math.log(quota / MIN_RATE_PER_S) / Math.log(2))));
@@ -93,7 +97,8 @@
 
     private final Case setup;
     private final SplittableRandom random;
-    private final PriorityQueue<ScheduledAction> queue = new PriorityQueue<>(Comparator.comparingDouble(ScheduledAction::atMs).thenComparingLong(ScheduledAction::sequence));
+    private final PriorityQueue<ScheduledAction> queue = new PriorityQueue<>(Comparator.comparingDouble(ScheduledAction::atMs)
+            .thenComparingLong(ScheduledAction::sequence));
     private final List<Plan> plans = new ArrayList<>();
     private final Policy[] modules;
     private final Rates[] rates;
@@ -105,9 +110,9 @@
     private double now;
     private long lastSequence, lastRequestId, currentRequestId;
     private boolean currentSent, counting, partitioned;
-    /** Of what is counted, in units: let in inside the quotas and beyond, the same of the late policy, and what one that saw all would let in. */
+    /** Counted units: admitted within and beyond the quotas, beyond them by the reference policy, and admitted by an ideal policy. */
     double withinQuota, beyondQuota, referenceBeyondQuota, idealAdmitted;
-    /** Tries: all, refused though they fitted, and refused with half of the quota or more unused. */
+    /** Counted requests: all, refused although the quota had room, and refused with half of the quota or more unused. */
     long requests, refusedFitting, refusedRoomy;
     private long bytes;
 
@@ -139,13 +144,16 @@
 
     private void startIngress(int i) {
         int generation = ++generations[i];
-        Settings settings = new Settings(i, setup.ingresses, 0, 1, List.of(new RequestClass(1000, 2500, 1, 0, Effect.IDEMPOTENT, Group.ALL, 0, false)), plans,
-                new Limits(1, true, true, 1000), new Rules(0.25, 10_000, 3, 1000, 10_000), List.of(), false, INTAKE_PER_S, MAX_UNITS, 0, PEER_PRICE);
+        Settings settings = new Settings(i, setup.ingresses, 0, 1,
+                List.of(new RequestClass(1000, 2500, 1, 0, Effect.IDEMPOTENT, Group.ALL, 0, false)), plans,
+                new Limits(1, true, true, 1000), new Rules(0.25, 10_000, 3, 1000, 10_000), List.of(), false, INTAKE_PER_S, MAX_UNITS, 0,
+                PEER_PRICE);
         modules[i] = new Policy(settings, random.nextLong(), now, action -> perform(i, generation, action));
         modules[i].on(now, new ServerList(ListKind.CACHED, servers));
         if (!setup.wide) { return; }
         modules[i].on(now, new ExternalDemandThreshold(2));
-        Rates ingressRates = new Rates(new Rates.Parameters(setup.bytesPerS, HEADER_BYTES, MAX_BODY_BYTES, quotas, 20_000), i, random.nextLong(), now, (to, body) -> deliver(i, (int) to, body));
+        Rates ingressRates = new Rates(new Rates.Parameters(setup.bytesPerS, HEADER_BYTES, MAX_BODY_BYTES, quotas, 20_000), i,
+                random.nextLong(), now, (to, body) -> deliver(i, (int) to, body));
         rates[i] = ingressRates;
         ingressRates.updateMembers(membersSeenBy(i));
         schedule(now + Rates.TICK_INTERVAL_MS * random.nextDouble(), () -> tick(i, generation));
@@ -186,7 +194,8 @@
             });
         } else if (action instanceof Send send) {
             currentSent |= send.id() == currentRequestId;
-            schedule(now + 20, () -> dispatch(ingress, generation, new AttemptDone(send.id(), 0, send.server(), Outcome.SERVED, 20, true, 0, null)));
+            schedule(now + 20, () -> dispatch(ingress, generation,
+                    new AttemptDone(send.id(), 0, send.server(), Outcome.SERVED, 20, true, 0, null)));
         }
     }
 
@@ -247,13 +256,13 @@
         }
     }
 
-    /** The worst of all customers that ask more than their quota, as a part of what their quota gives in the time counted, at most so many. */
+    /** Returns the largest ratio of admitted units to quota over customers whose quota is at least {@code minUnits} in the counted time. */
     double worstAdmittedRatio(double minUnits) {
         return tenants.stream().filter(t -> t.planTerms.ratePerS() * setup.seconds >= minUnits)
                 .mapToDouble(t -> t.admittedUnits / (t.planTerms.burst() + t.planTerms.ratePerS() * setup.seconds)).max().orElse(0);
     }
 
-    /** What heavy customers were let in, of what their quotas give. */
+    /** Returns the units admitted of heavy customers, relative to their quotas. */
     double heavyAdmittedRatio() {
         double admitted = 0, granted = 0;
         for (Tenant tenant : tenants) {
@@ -275,14 +284,21 @@
 
     double bytesPerS() { return bytes / setup.seconds / setup.ingresses; }
 
-    /** What does not hold of what docs/design/rates.md promises, a line each. */
+    /** Returns the violations of the bounds in docs/design/rates.md, one line each. */
     List<String> breaches() {
         List<String> found = new ArrayList<>();
-        if (excess() > referenceExcess() + MAX_EXCESS) { found.add(String.format(Locale.ROOT, "excess %.3f, with sight of a quarter of a second ago %.3f", excess(), referenceExcess())); }
-        if (roomyRefusedShare() > (setup.tenants < FEW_TENANTS ? MAX_ROOMY_REFUSED_OF_FEW : MAX_ROOMY_REFUSED)) { found.add(String.format(Locale.ROOT, "%.3f of the tries refused with half of the quota unused", roomyRefusedShare())); }
+        if (excess() > referenceExcess() + MAX_EXCESS) {
+            found.add(String.format(Locale.ROOT, "excess %.3f, of the reference policy %.3f", excess(), referenceExcess()));
+        }
+        if (roomyRefusedShare() > (setup.tenants < FEW_TENANTS ? MAX_ROOMY_REFUSED_OF_FEW : MAX_ROOMY_REFUSED)) {
+            found.add(String.format(Locale.ROOT, "%.3f of the requests refused with half of the quota unused", roomyRefusedShare()));
+        }
         if (bytesPerS() > setup.bytesPerS * MAX_BYTES_RATIO) { found.add(String.format(Locale.ROOT, "%.0f bytes a second", bytesPerS())); }
         double bound = (setup.fault == Fault.APART ? 2 : 1) * MAX_HEAVY_ADMITTED;
-        if (heavyAdmittedRatio() > bound) { found.add(String.format(Locale.ROOT, "customers far over their quota were let in %.2f times it, %.2f are promised", heavyAdmittedRatio(), bound)); }
+        if (heavyAdmittedRatio() > bound) {
+            found.add(String.format(Locale.ROOT, "customers far over their quota were admitted %.2f times it, the bound is %.2f",
+                    heavyAdmittedRatio(), bound));
+        }
         return found;
     }
 
@@ -301,20 +317,23 @@
     public String toString() {
         return String.format(Locale.ROOT, "{\"ingresses\":%d,\"tenants\":%d,\"tries_per_s\":%.0f,\"trouble\":\"%s\",\"loss\":%.2f,\"wide\":%b,\"bytes_per_s\":%.0f,\"seed\":%d,\"seconds\":%.0f,"
                 + "\"sent_bytes_per_s\":%.0f,\"inside\":%.4f,\"excess\":%.4f,\"late_excess\":%.4f,\"refused_fitting\":%.4f,\"refused_roomy\":%.4f,\"heavy_let\":%.3f,\"worst_let\":%.2f,"
-                + "\"listed\":%.0f}", setup.ingresses, setup.tenants, requests / setup.seconds, setup.fault, setup.loss, setup.wide, setup.bytesPerS, setup.seed, setup.seconds, bytesPerS(), withinQuota / idealAdmitted, excess(), referenceExcess(),
-                fittingRefusedShare(), roomyRefusedShare(), heavyAdmittedRatio(), worstAdmittedRatio(200), Arrays.stream(rates).filter(one -> one != null).mapToInt(Rates::overQuotaCount).average().orElse(0));
+                + "\"listed\":%.0f}", setup.ingresses, setup.tenants, requests / setup.seconds, setup.fault, setup.loss, setup.wide,
+                setup.bytesPerS, setup.seed, setup.seconds, bytesPerS(), withinQuota / idealAdmitted, excess(), referenceExcess(),
+                fittingRefusedShare(), roomyRefusedShare(), heavyAdmittedRatio(), worstAdmittedRatio(200),
+                Arrays.stream(rates).filter(rate -> rate != null).mapToInt(Rates::overQuotaCount).average().orElse(0));
     }
 
-    /** Sizes by name: the target, a quarter, a tenth of it, each with the target's tenants and tries for an ingress. */
+    /** Returns a case by the name of its size; each has as many tenants and requests for an ingress as the target size. */
     static Case sizedCase(String name, Fault fault, boolean wide, long seed) {
         int ingresses = switch (name) {
             case "target" -> 850;
             case "quarter" -> 212;
             case "tenth" -> 85;
             case "small" -> 30;
-            default -> throw new IllegalArgumentException("target, quarter, tenth or small, not " + name);
+            default -> throw new IllegalArgumentException("unknown size, expected target, quarter, tenth or small: " + name);
         };
-        return new Case(ingresses, ingresses * 38_000 / 850, ingresses * 81_000.0 / 850, fault, fault == Fault.LOSS ? 0.1 : 0.01, 1200, wide, 30, seed);
+        return new Case(ingresses, ingresses * 38_000 / 850, ingresses * 81_000.0 / 850, fault,
+                fault == Fault.LOSS ? 0.1 : 0.01, 1200, wide, 30, seed);
     }
 
     public static void main(String[] args) {
--- a/lab/src/yardusher/lab/view/ViewChecker.java
+++ b/lab/src/yardusher/lab/view/ViewChecker.java
@@ -10,15 +10,15 @@
 import yardusher.view.View.State;
 
 /**
- * The rules of the view, over what each observer came to hold and when. Nobody who runs is held to be gone, but in and shortly
- * after trouble that the run has told of; an incarnation never falls; who left or was replaced is never there again; and once
- * all is calm everyone holds the same, which is what is true.
+ * Checks the rules of the membership view against every change of every observer's table. A running member is not held GONE, except
+ * during and shortly after a fault that the run has declared; an incarnation never decreases; an instance that left or was
+ * replaced never becomes active again; and once all faults have ended, all observers agree and match the processes that run.
  */
 final class ViewChecker {
-    /** What an observer holds of one name. */
+    /** An observer's record of one name. */
     record TableRecord(long instanceId, long incarnation, State state) { }
 
-    /** One change at an observer, by number. */
+    /** One change in the table of an observer, which is identified by number. */
     record Change(double atMs, int observer, String name, TableRecord record) { }
 
     private record FaultPeriod(double fromMs, double toMs) { }
@@ -27,7 +27,8 @@
 
     private final double graceMs;
     private final Map<Integer, Map<String, TableRecord>> tables = new HashMap<>();
-    private final Map<Integer, Map<String, Set<Long>>> endedInstances = new HashMap<>();  // lives that left or were replaced, by observer and name
+    // instances that left or were replaced, by observer and name
+    private final Map<Integer, Map<String, Set<Long>>> endedInstances = new HashMap<>();
     private final Map<Integer, String> observerNames = new HashMap<>();
     private final Map<Long, Double> endedAtMs = new HashMap<>();
     private final Map<String, List<FaultPeriod>> faults = new HashMap<>();
@@ -36,10 +37,10 @@
     private final List<String> breaches = new ArrayList<>();
     private long changeCount;
 
-    /** {@code graceMs}: for how long after its trouble somebody may still be held to be gone. */
+    /** {@code graceMs}: how long after its fault a member may still be held GONE. */
     ViewChecker(double graceMs) { this.graceMs = graceMs; }
 
-    /** Takes a change in. */
+    /** Records a change and checks it. */
     void recordChange(double atMs, int observer, String name, long instanceId, long incarnation, State state) {
         changeCount++;
         TableRecord record = new TableRecord(instanceId, incarnation, state);
@@ -49,63 +50,75 @@
         if (previous != null && incarnation < previous.incarnation()) {
             addBreach(atMs, observer, name + " fell from incarnation " + previous.incarnation() + " to " + incarnation);
         }
-        if (active && ended.contains(instanceId)) { addBreach(atMs, observer, name + " is there again in a life that left or was replaced"); }
+        if (active && ended.contains(instanceId)) {
+            addBreach(atMs, observer, name + " is active again in an instance that left or was replaced");
+        }
         if (previous != null && previous.instanceId() != instanceId) { ended.add(previous.instanceId()); }
         if (state == State.LEFT) { ended.add(instanceId); }
         Change change = new Change(atMs, observer, name, record);
-        if (state == State.GONE && (previous == null || previous.state() != State.GONE || previous.instanceId() != instanceId)) { goneDeclarations.add(change); }
+        if (state == State.GONE && (previous == null || previous.state() != State.GONE || previous.instanceId() != instanceId)) {
+            goneDeclarations.add(change);
+        }
         if (state == State.SUSPECT && (previous == null || previous.state() == State.ALIVE)) { suspicions.add(change); }
     }
 
-    /** That observer is the process of that name: in its own trouble, and when it reads what came meanwhile, it may be wrong. */
+    /** Sets the name of an observer's own process; during its own faults and the grace time after them its view may be wrong. */
     void setObserverName(int observer, String name) { observerNames.put(observer, name); }
 
-    /** The process of that life ended, for whatever cause. */
+    /** Records that the process with that instance id ended, for any reason. */
     void recordEnd(double atMs, long instanceId) { endedAtMs.putIfAbsent(instanceId, atMs); }
 
-    /** That name's process could not be heard, or could not hear, for longer than is promised to be borne. */
-    void recordFault(String name, double fromMs, double toMs) { faults.computeIfAbsent(name, none -> new ArrayList<>()).add(new FaultPeriod(fromMs, toMs)); }
+    /** Records that the process of that name could not send or receive for longer than the view promises to tolerate. */
+    void recordFault(String name, double fromMs, double toMs) {
+        faults.computeIfAbsent(name, none -> new ArrayList<>()).add(new FaultPeriod(fromMs, toMs));
+    }
 
-    /** {@code truth}: the life of each name that runs and takes part; {@code observers}: who of them holds what, and the digest. */
+    /**
+     * Checks agreement after all faults have ended. {@code truth}: the instance id of each running member by name;
+     * {@code digests}: the view digest of each observer.
+     */
     void checkAgreement(double atMs, Map<String, Long> truth, Map<Integer, Long> digests, Collection<Integer> observers) {
         Set<Long> distinctDigests = new HashSet<>();
         for (int observer : observers) {
             distinctDigests.add(digests.get(observer));
             Map<String, TableRecord> table = tables.getOrDefault(observer, Map.of());
-            for (Map.Entry<String, Long> one : truth.entrySet()) {
-                TableRecord record = table.get(one.getKey());
+            for (Map.Entry<String, Long> expected : truth.entrySet()) {
+                TableRecord record = table.get(expected.getKey());
                 if (record == null || record.state() != State.ALIVE) {
-                    addBreach(atMs, observer, one.getKey() + " runs and is held " + (record == null ? "unknown" : record.state()));
-                } else if (record.instanceId() != one.getValue()) {
-                    addBreach(atMs, observer, one.getKey() + " is held in another life than runs");
+                    addBreach(atMs, observer, expected.getKey() + " runs but is recorded as "
+                            + (record == null ? "unknown" : record.state()));
+                } else if (record.instanceId() != expected.getValue()) {
+                    addBreach(atMs, observer, expected.getKey() + " is recorded with another instance than the one that runs");
                 }
             }
-            for (Map.Entry<String, TableRecord> one : table.entrySet()) {
-                State state = one.getValue().state();
-                if ((state == State.ALIVE || state == State.SUSPECT) && !truth.containsKey(one.getKey())) {
-                    addBreach(atMs, observer, one.getKey() + " is held " + state + " and does not run");
+            for (Map.Entry<String, TableRecord> recorded : table.entrySet()) {
+                State state = recorded.getValue().state();
+                if ((state == State.ALIVE || state == State.SUSPECT) && !truth.containsKey(recorded.getKey())) {
+                    addBreach(atMs, observer, recorded.getKey() + " is recorded as " + state + " but does not run");
                 }
             }
         }
-        if (distinctDigests.size() > 1) { addBreach(atMs, -1, distinctDigests.size() + " different digests in calm"); }
+        if (distinctDigests.size() > 1) { addBreach(atMs, -1, distinctDigests.size() + " different digests after all faults ended"); }
     }
 
-    /** Those who were held to be gone and ran, without trouble that excuses it. */
+    /** Returns the changes in which a running member was declared GONE without a fault that excuses it. */
     List<Change> falseGone() {
-        return goneDeclarations.stream().filter(one -> one.atMs() < endedAtMs.getOrDefault(one.record().instanceId(), Double.POSITIVE_INFINITY)
-                && !isExcused(one.name(), one.atMs()) && !isExcused(observerNames.get(one.observer()), one.atMs())).toList();
+        return goneDeclarations.stream().filter(change -> change.atMs() < endedAtMs.getOrDefault(change.record().instanceId(),
+                Double.POSITIVE_INFINITY)
+                && !isExcused(change.name(), change.atMs()) && !isExcused(observerNames.get(change.observer()), change.atMs())).toList();
     }
 
-    /** Those who were suspected and ran, however short. */
+    /** Returns the changes in which a running member was suspected, however briefly. */
     List<Change> falseSuspicions() {
-        return suspicions.stream().filter(one -> one.atMs() < endedAtMs.getOrDefault(one.record().instanceId(), Double.POSITIVE_INFINITY)).toList();
+        return suspicions.stream().filter(change -> change.atMs() < endedAtMs.getOrDefault(change.record().instanceId(),
+                Double.POSITIVE_INFINITY)).toList();
     }
 
     private boolean isExcused(String name, double atMs) {
-        return faults.getOrDefault(name, List.of()).stream().anyMatch(one -> one.fromMs() <= atMs && atMs <= one.toMs() + graceMs);
+        return faults.getOrDefault(name, List.of()).stream().anyMatch(period -> period.fromMs() <= atMs && atMs <= period.toMs() + graceMs);
     }
 
-    /** When each observer came to hold that life to be gone. */
+    /** Returns when each observer declared that instance GONE. */
     Map<Integer, Double> goneAtByObserver(long instanceId) {
         Map<Integer, Double> goneAtMs = new HashMap<>();
         for (Change change : goneDeclarations) {
@@ -117,14 +130,17 @@
     long changeCount() { return changeCount; }
 
     private void addBreach(double atMs, int observer, String what) {
-        if (breaches.size() < MAX_REPORTED) { breaches.add(String.format(java.util.Locale.ROOT, "%.0f ms, observer %d: %s", atMs, observer, what)); }
+        if (breaches.size() < MAX_REPORTED) {
+            breaches.add(String.format(java.util.Locale.ROOT, "%.0f ms, observer %d: %s", atMs, observer, what));
+        }
     }
 
-    /** All breaches, the wrongly lost among them; a few of each. */
+    /** Returns the violations, false GONE declarations included; at most {@link #MAX_REPORTED} of each kind. */
     List<String> breaches() {
         List<String> all = new ArrayList<>(breaches);
-        for (Change one : falseGone().stream().limit(MAX_REPORTED).toList()) {
-            all.add(String.format(java.util.Locale.ROOT, "%.0f ms, observer %d: %s runs and is held to be gone", one.atMs(), one.observer(), one.name()));
+        for (Change change : falseGone().stream().limit(MAX_REPORTED).toList()) {
+            all.add(String.format(java.util.Locale.ROOT, "%.0f ms, observer %d: %s runs but was declared GONE", change.atMs(),
+                    change.observer(), change.name()));
         }
         return all;
     }
--- a/lab/src/yardusher/lab/view/ViewFleet.java
+++ b/lab/src/yardusher/lab/view/ViewFleet.java
@@ -13,15 +13,15 @@
 import yardusher.view.View;
 import yardusher.view.ViewSettings;
 
-/** Members of one view on a {@link ViewNet}: they start, die, leave, come again. What each comes to hold goes to a checker. */
+/** Members on a {@link ViewNet} that are started, killed, stopped and restarted; their table changes go to a checker. */
 final class ViewFleet {
-    /** One life of one process. */
+    /** One process, from its start to its end. */
     final class Instance implements ViewNet.Process, Membership.Environment {
-        final int number;                            // of this life, over all
+        final int number;                            // of this process, over the whole run
         final int node;
         final String name;
         final double startedAtMs;
-        private final double clockOffsetMs;                // what its clock is off by
+        private final double clockOffsetMs;          // offset of its clock
         final Membership membership;
         final List<String> errorCodes = new ArrayList<>();
         final List<View.Change> changes = new ArrayList<>();
@@ -34,7 +34,8 @@
             this.clockOffsetMs = clockOffsetMs;
             if (checker != null) { checker.setObserverName(number, name); }
             startedAtMs = net.now();
-            membership = Membership.withFlaw(settings, name, hall, ViewNet.address(node), seed * 7919 + number, localTime(net.now()), this, interner, flaw);
+            membership = Membership.withFlaw(settings, name, hall, ViewNet.address(node), seed * 7919 + number, localTime(net.now()), this,
+                    interner, flaw);
             membership.subscribe(changes::add);
             membership.start(localTime(net.now()), ViewNet.address(node));
         }
@@ -67,17 +68,17 @@
     final ViewNet net;
     final ViewSettings settings;
     private final long seed;
-    private final ViewChecker checker;               // null where nothing is checked
+    private final ViewChecker checker;               // null if nothing is checked
     private final Membership.Flaw flaw;
-    private final Map<Integer, Instance> running = new LinkedHashMap<>();  // by place
+    private final Map<Integer, Instance> running = new LinkedHashMap<>(); // by node
     private final Map<Object, Object> identities = new HashMap<>();
-    private final UnaryOperator<Object> interner = who -> {
-        Object before = identities.putIfAbsent(who, who);
-        return before == null ? who : before;
+    private final UnaryOperator<Object> interner = identity -> {
+        Object existing = identities.putIfAbsent(identity, identity);
+        return existing == null ? identity : existing;
     };
     private int instanceCount;
 
-    /** {@code seeds}: the first so many places. */
+    /** {@code seeds}: how many of the first nodes are seeds. */
     ViewFleet(ViewNet net, long seed, int seeds, ViewChecker checker, Membership.Flaw flaw) {
         this.net = net;
         this.seed = seed;
@@ -92,7 +93,7 @@
 
     Instance start(int node) { return start(node, nameOf(node), 0); }
 
-    /** Under another name than the place's, or with a clock that is off. */
+    /** Starts a process with the given name and clock offset. */
     Instance start(int node, String name, double clockOffsetMs) {
         Instance instance = new Instance(instanceCount++, node, name, "hall-" + (char) ('a' + node % 3), clockOffsetMs, flaw);
         running.put(node, instance);
@@ -120,34 +121,37 @@
 
     List<Instance> running() { return List.copyOf(running.values()); }
 
-    List<Instance> participants() { return running().stream().filter(life -> life.membership.phase() == Membership.Phase.IN).toList(); }
+    List<Instance> participants() {
+        return running().stream().filter(instance -> instance.membership.phase() == Membership.Phase.IN).toList();
+    }
 
-    /** Whether all who run and take part hold the same picture of so many. */
+    /** Whether all running members hold the same view of that many members. */
     boolean isSettled(int size) {
         long digest = 0;
         boolean first = true;
         for (Instance instance : running.values()) {
             if (net.isPaused(instance.node)) { continue; }
-            if (instance.membership.phase() != Membership.Phase.IN || instance.membership.size() != size || !first && instance.membership.digest() != digest) { return false; }
+            if (instance.membership.phase() != Membership.Phase.IN || instance.membership.size() != size
+                    || !first && instance.membership.digest() != digest) { return false; }
             digest = instance.membership.digest();
             first = false;
         }
         return true;
     }
 
-    /** Goes on until exactly one process of each of these names takes part and all of those hold the same picture of so many. */
+    /** Runs until exactly one process of each name is a member and all have the same view; returns the time it took, or -1. */
     double awaitSettledNames(java.util.Set<String> names, double timeoutMs) {
         double startMs = net.now();
         for (;;) {
             List<Instance> participants = participants();
-            if (participants.size() == names.size() && participants.stream().allMatch(life -> life.membership.size() == names.size()
-                    && life.membership.digest() == participants.get(0).membership.digest())) { return net.now() - startMs; }
+            if (participants.size() == names.size() && participants.stream().allMatch(instance -> instance.membership.size() == names.size()
+                    && instance.membership.digest() == participants.get(0).membership.digest())) { return net.now() - startMs; }
             if (net.now() - startMs > timeoutMs) { return -1; }
             net.runUntil(net.now() + 10);
         }
     }
 
-    /** Goes on until all are settled on so many, looking each 10 ms; the time it took, or -1 after {@code mostMs}. */
+    /** Runs until all agree on that many members, checking every 10 ms; returns the time it took, or -1 after {@code timeoutMs}. */
     double awaitSettled(int size, double timeoutMs) {
         double startMs = net.now();
         while (!isSettled(size)) {
@@ -157,7 +161,7 @@
         return net.now() - startMs;
     }
 
-    /** Asks the checker to compare what is with what is held. */
+    /** Lets the checker compare the running processes with the views. */
     void checkAgreement() {
         Map<String, Long> truth = new HashMap<>();
         Map<Integer, Long> digests = new HashMap<>();
@@ -168,7 +172,7 @@
         checker.checkAgreement(net.now(), truth, digests, digests.keySet());
     }
 
-    /** Starts so many at one moment and waits until all know all; the time it took, or -1. */
+    /** Starts that many members at once and waits until all know all; returns the time it took, or -1. */
     double startAll(int size, double timeoutMs) {
         for (int i = 0; i < size; i++) { net.addNode(); }
         for (int i = 0; i < size; i++) { start(i); }
--- a/lab/src/yardusher/lab/view/ViewGroup.java
+++ b/lab/src/yardusher/lab/view/ViewGroup.java
@@ -24,36 +24,39 @@
 import yardusher.resp.Value;
 
 /**
- * A {@link Group} whose processes keep a view, through the relay {@code view}. What each holds is asked at its second address;
- * since each tells for how long its picture has stood still, times are exact to the millisecond however seldom one asks.
+ * A {@link Group} of processes with the membership view enabled, connected through the relay {@code view}. Their views are read at the
+ * admin address. Since each reports for how long its view has been unchanged, times are exact to the millisecond however rarely
+ * they are polled.
  */
 final class ViewGroup implements AutoCloseable {
     static final String PORT = "view";
     private static final int CALL_TIMEOUT_MS = 4000;
     private static final int POLL_THREADS = 8;
 
-    /** What one process holds. {@code changedMs}: Unix time at which its picture last changed. */
-    record ProcessView(int process, String phase, int activeCount, String digest, double changedAtMs, int agreeing, int polled, int health, Map<String, String> states,
+    /** The view of one process. {@code changedAtMs}: Unix time at which it last changed. */
+    record ProcessView(int process, String phase, int activeCount, String digest, double changedAtMs, int agreeing, int polled, int health,
+            Map<String, String> states,
             Map<String, Long> incarnations, String text) { }
 
     final Group group;
     private final ExecutorService pollers = Executors.newFixedThreadPool(POLL_THREADS, work -> {
-        Thread thread = new Thread(work, "asker");
+        Thread thread = new Thread(work, "view-poller");
         thread.setDaemon(true);
         return thread;
     });
     private final IntFunction<String> names;
 
-    /** {@code seeds}: the first so many are every process's seeds; {@code relayed}: through the relay, else straight. */
+    /** {@code seeds}: how many of the first processes are seeds; {@code relayed}: whether datagrams go through the relay. */
     ViewGroup(Path folder, int size, long seed, int seeds, boolean relayed) throws IOException { this(folder, size, seed, seeds, relayed, i -> "n" + i); }
 
-    /** With names of the processes; two may have the same. */
+    /** With the given names of processes, which need not be distinct. */
     ViewGroup(Path folder, int size, long seed, int seeds, boolean relayed, IntFunction<String> names) throws IOException {
         this.names = names;
         group = new Group(folder, size, seed);
         List<String> seedAddresses = new ArrayList<>();
         for (int i = 0; i < seeds; i++) { seedAddresses.add('"' + format(meshAddress(i, relayed)) + '"'); }
-        group.settings(i -> "[view]\nlisten = \"" + format(group.port(i, PORT)) + "\"\nadvertise = \"" + format(meshAddress(i, relayed)) + "\"\ninstallation = \"lab\"\nseeds = "
+        group.settings(i -> "[view]\nlisten = \"" + format(group.port(i, PORT)) + "\"\nadvertise = \"" + format(meshAddress(i, relayed))
+                + "\"\ninstallation = \"lab\"\nseeds = "
                 + seedAddresses + "\nhall = \"hall-" + (char) ('a' + i % 3) + "\"\n");
         group.configuration((i, json) -> json.replace("\"name\": \"n" + i + "\"", "\"name\": \"" + names.apply(i) + "\""));
     }
@@ -68,7 +71,7 @@
 
     Set<Integer> all() { return Set.copyOf(IntStream.range(0, group.size()).boxed().toList()); }
 
-    /** Starts some, so many at one moment, and waits for each to take clients. */
+    /** Starts processes, {@code atOnce} at a time, and waits until each accepts clients. */
     void start(Collection<Integer> processes, int atOnce) throws IOException, InterruptedException {
         List<Integer> waiting = new ArrayList<>();
         for (int i : processes) {
@@ -82,7 +85,7 @@
         for (int process : waiting) { group.awaitReady(process, 120_000); }
     }
 
-    /** What a call at a process's second address answers; null where it does not. */
+    /** Returns the reply to a call at a process's admin address; null if it does not answer. */
     String call(int i, String word) {
         try (Socket socket = new Socket()) {
             socket.connect(group.admin(i), CALL_TIMEOUT_MS);
@@ -94,7 +97,7 @@
         }
     }
 
-    /** What a process holds; null where it does not answer. */
+    /** Returns the view of a process; null if it does not answer. */
     ProcessView observe(int i) {
         double before = Group.now();
         String text = call(i, "members");
@@ -103,12 +106,13 @@
         Map<String, String> header = parseFields(text.lines().findFirst().orElse(""));
         Map<String, String> states = new TreeMap<>();
         Map<String, Long> incarnations = new HashMap<>();
-        text.lines().filter(line -> line.startsWith("member ")).map(ViewGroup::parseFields).forEach(one -> {
-            states.put(one.get("name"), one.get("state"));
-            incarnations.put(one.get("name"), Long.parseLong(one.get("incarnation")));
+        text.lines().filter(line -> line.startsWith("member ")).map(ViewGroup::parseFields).forEach(fields -> {
+            states.put(fields.get("name"), fields.get("state"));
+            incarnations.put(fields.get("name"), Long.parseLong(fields.get("incarnation")));
         });
         return new ProcessView(i, header.get("phase"), Integer.parseInt(header.get("there")), header.get("digest"),
-                (before + after) / 2 - Double.parseDouble(header.get("still_ms")), Integer.parseInt(header.get("same")), Integer.parseInt(header.get("asked")),
+                (before + after) / 2 - Double.parseDouble(header.get("still_ms")), Integer.parseInt(header.get("same")),
+                Integer.parseInt(header.get("asked")),
                 Integer.parseInt(header.get("health")), states, incarnations, text);
     }
 
@@ -121,7 +125,7 @@
         return fields;
     }
 
-    /** What each of these holds; null for those that do not answer. */
+    /** Returns the view of each process; null for those that do not answer. */
     List<ProcessView> observeAll(Collection<Integer> processes) throws InterruptedException {
         List<Future<ProcessView>> pending = new ArrayList<>();
         for (int i : processes) { pending.add(pollers.submit(() -> observe(i))); }
@@ -136,12 +140,13 @@
         return views;
     }
 
-    /** Whether all of these take part and hold the same picture of so many. */
+    /** Whether all of these are members and have the same view of that many members. */
     static boolean isSettled(List<ProcessView> views, int size) {
-        return views.stream().allMatch(one -> one != null && one.phase().equals("in") && one.activeCount() == size && one.digest().equals(views.get(0).digest()));
+        return views.stream().allMatch(view -> view != null && view.phase().equals("in") && view.activeCount() == size
+                && view.digest().equals(views.get(0).digest()));
     }
 
-    /** Waits until all of these hold the same picture of so many, and gives what they hold; null after {@code mostMs}. */
+    /** Waits until all of these have the same view of that many members, and returns their views; null after {@code timeoutMs}. */
     List<ProcessView> awaitSettled(Collection<Integer> processes, int size, double timeoutMs) throws InterruptedException {
         double until = Group.now() + timeoutMs;
         for (;;) {
@@ -152,12 +157,16 @@
         }
     }
 
-    /** When the last of them came to hold what it holds, after a moment. */
-    static double lastChangeAfter(List<ProcessView> views, double startMs) { return views == null ? -1 : views.stream().mapToDouble(ProcessView::changedAtMs).max().orElse(startMs) - startMs; }
+    /** Returns how long after {@code startMs} the last of them changed its view. */
+    static double lastChangeAfter(List<ProcessView> views, double startMs) {
+        return views == null ? -1 : views.stream().mapToDouble(ProcessView::changedAtMs).max().orElse(startMs) - startMs;
+    }
 
-    static double firstChangeAfter(List<ProcessView> views, double startMs) { return views == null ? -1 : views.stream().mapToDouble(ProcessView::changedAtMs).min().orElse(startMs) - startMs; }
+    static double firstChangeAfter(List<ProcessView> views, double startMs) {
+        return views == null ? -1 : views.stream().mapToDouble(ProcessView::changedAtMs).min().orElse(startMs) - startMs;
+    }
 
-    /** The counters of a process; empty where it does not answer. */
+    /** Returns the counters of a process; empty if it does not answer. */
     Map<String, Long> counters(int i) {
         Map<String, Long> counters = new HashMap<>();
         String line;
@@ -172,12 +181,14 @@
         return counters;
     }
 
-    long sumOfCounter(Collection<Integer> processes, String name) { return processes.stream().mapToLong(i -> counters(i).getOrDefault(name, 0L)).sum(); }
+    long sumOfCounter(Collection<Integer> processes, String name) {
+        return processes.stream().mapToLong(i -> counters(i).getOrDefault(name, 0L)).sum();
+    }
 
-    /** CPU time of a process so far, in ms. */
-    double cpuMs(int i) { return group.process(i).info().totalCpuDuration().map(one -> one.toNanos() / 1e6).orElse(0.0); }
+    /** Returns the CPU time used by a process so far, in ms. */
+    double cpuMs(int i) { return group.process(i).info().totalCpuDuration().map(duration -> duration.toNanos() / 1e6).orElse(0.0); }
 
-    /** Resident memory of a process, in kB. */
+    /** Returns the resident memory of a process, in kB. */
     long residentKb(int i) throws IOException {
         for (String line : Files.readAllLines(Path.of("/proc/" + group.process(i).pid() + "/status"))) {
             if (line.startsWith("VmRSS:")) { return Long.parseLong(line.replaceAll("[^0-9]", "")); }
--- a/lab/src/yardusher/lab/view/ViewMeasure.java
+++ b/lab/src/yardusher/lab/view/ViewMeasure.java
@@ -7,11 +7,11 @@
 import java.util.stream.IntStream;
 
 /**
- * Figures of the view on scripted time: {@code times MEMBERS SEEDS LOSS}, {@code noise MEMBERS SEEDS LOSS MINUTES}, and the same
- * of the plain way, {@code plain MEMBERS SEEDS LOSS MINUTES}. Times are p50, p99 and the most, in ms.
+ * Measures the view in simulated time: {@code times MEMBERS SEEDS LOSS} for latencies, {@code noise MEMBERS SEEDS LOSS MINUTES} for
+ * false suspicions, and {@code plain MEMBERS SEEDS LOSS MINUTES} for both with plain heartbeats. Times are p50, p99 and maximum, in ms.
  */
 public final class ViewMeasure {
-    private static final double STARVED_SHARE = 0.1;       // of the members
+    private static final double STARVED_SHARE = 0.1; // share of the members
     private static final double TIMEOUT_MS = 120_000;
 
     private ViewMeasure() { }
@@ -24,7 +24,7 @@
             case "times" -> times(members, seeds, loss, args.length > 4 && args[4].equals("nosplit"));
             case "noise" -> noise(members, seeds, loss, Double.parseDouble(args[4]));
             case "plain" -> heartbeats(members, seeds, loss, Double.parseDouble(args[4]));
-            default -> throw new IllegalArgumentException("times, noise or plain");
+            default -> throw new IllegalArgumentException("unknown mode, expected times, noise or plain");
         }
     }
 
@@ -59,13 +59,14 @@
             for (int n = 0; n < (isShort ? 1 : 5); n++) {
                 int dead = 3 + (seed * 31 + n * 17) % (members - 3);
                 if (fleet.instanceAt(dead) == null) { continue; }
-                double from = net.now();
+                double startMs = net.now();
                 fleet.kill(dead);
                 double settled = fleet.awaitSettled(members - 1, TIMEOUT_MS);
                 all.add(settled);
-                first.add(fleet.running().stream().mapToDouble(life -> life.membership.changedAtMs()).min().orElse(from) - from);
+                first.add(fleet.running().stream().mapToDouble(instance -> instance.membership.changedAtMs())
+                        .min().orElse(startMs) - startMs);
                 net.runUntil(net.now() + 1000);
-                from = net.now();
+                startMs = net.now();
                 fleet.start(dead);
                 rejoined.add(fleet.awaitSettled(members, TIMEOUT_MS));
                 net.runUntil(net.now() + 1000);
@@ -83,12 +84,17 @@
             net.runUntil(net.now() + 4000);
             changesReported += (double) (changeCount(fleet) - before) / fleet.running().size() / seeds;
         }
-        System.out.printf(Locale.ROOT, "%d members, loss %.0f%%, %d seeds, p50 / p99 / most in ms: all join at once %s; kill to first %s, to all %s; one joins %s; heal %s;"
-                + " a third dies %s, told in %.2f batches; calm: %.1f datagrams and %.0f bytes a second and member%n", members, loss * 100, seeds, percentiles(joined), percentiles(first),
+        System.out.printf(Locale.ROOT,
+                "%d members, loss %.0f%%, %d seeds, p50 / p99 / max in ms: all join at once %s; kill to first %s, to all %s; one joins %s; heal %s;"
+                + " a third fails %s, reported in %.2f changes; idle: %.1f datagrams and %.0f bytes a second and member%n", members,
+                loss * 100, seeds, percentiles(joined), percentiles(first),
                 percentiles(all), percentiles(rejoined), percentiles(healed), percentiles(hallFailed), changesReported, sent, bytes);
     }
 
-    private static long changeCount(ViewFleet fleet) { return fleet.running().stream().filter(life -> life.node % 3 != 1 || life.node == 1).mapToLong(life -> life.changes.size()).sum(); }
+    private static long changeCount(ViewFleet fleet) {
+        return fleet.running().stream().filter(instance -> instance.node % 3 != 1 || instance.node == 1)
+                .mapToLong(instance -> instance.changes.size()).sum();
+    }
 
     private static void noise(int members, int seeds, double loss, double minutes) {
         long suspicionsRaised = 0;
@@ -116,11 +122,14 @@
         }
         double hours = seeds * minutes / 60;
         System.out.printf(Locale.ROOT, "%d members, loss %.0f%%, a tenth runs %.0f%% of the time, %.1f hours: %.0f suspicions raised an hour, %.1f false \"gone\" an hour (over all observers);"
-                + " %.1f datagrams and %.0f bytes a second and member%n", members, loss * 100, ViewRun.STARVED_CPU_SHARE * 100, hours, suspicionsRaised / hours, gone / hours, sent, bytes);
+                + " %.1f datagrams and %.0f bytes a second and member%n", members, loss * 100, ViewRun.STARVED_CPU_SHARE * 100, hours,
+                suspicionsRaised / hours, gone / hours, sent, bytes);
     }
 
     private static long suspicions(ViewFleet fleet) {
-        return fleet.running().stream().mapToLong(life -> Long.parseLong(life.membership.counters().replaceAll(".*view_accused=([0-9]+).*", "$1"))).sum();
+        return fleet.running().stream()
+                .mapToLong(instance -> Long.parseLong(instance.membership.counters().replaceAll(".*view_accused=([0-9]+).*",
+                "$1"))).sum();
     }
 
     private static void heartbeats(int members, int seeds, double loss, double minutes) {
@@ -141,9 +150,9 @@
             for (int i = 0; i < members * STARVED_SHARE; i++) { net.starve(i * 10 % members, ViewRun.STARVED_CPU_SHARE); }
             net.runUntil(net.now() + 5000);
             net.resetCounters();
-            long before = processes.stream().mapToLong(one -> one.goneDeclarations).sum();
+            long before = processes.stream().mapToLong(process -> process.goneDeclarations).sum();
             net.runUntil(net.now() + minutes * 60_000);
-            gone += processes.stream().mapToLong(one -> one.goneDeclarations).sum() - before;
+            gone += processes.stream().mapToLong(process -> process.goneDeclarations).sum() - before;
             for (int i = 0; i < members; i++) {
                 sent += net.sent(i) / (minutes * 60) / members / seeds;
                 bytes += net.sentBytes(i) / (minutes * 60) / members / seeds;
@@ -152,12 +161,14 @@
             int dead = members / 2;
             net.setProcess(dead, null);
             net.runUntil(killedAtMs + 10_000);
-            double[] delays = processes.stream().filter(one -> one != processes.get(dead)).mapToDouble(one -> one.goneAtMs[dead] - killedAtMs).toArray();
+            double[] delays = processes.stream().filter(process -> process != processes.get(dead))
+                    .mapToDouble(process -> process.goneAtMs[dead] - killedAtMs).toArray();
             first.add(Arrays.stream(delays).min().orElse(-1));
             all.add(Arrays.stream(delays).max().orElse(-1));
         }
         double hours = seeds * minutes / 60;
         System.out.printf(Locale.ROOT, "plain, %d members, loss %.0f%%, a tenth runs %.0f%% of the time, %.1f hours: %.1f false \"gone\" an hour (over all observers); kill to first %s, to all %s;"
-                + " %.1f datagrams and %.0f bytes a second and member%n", members, loss * 100, ViewRun.STARVED_CPU_SHARE * 100, hours, gone / hours, percentiles(first), percentiles(all), sent, bytes);
+                + " %.1f datagrams and %.0f bytes a second and member%n", members, loss * 100, ViewRun.STARVED_CPU_SHARE * 100, hours,
+                gone / hours, percentiles(first), percentiles(all), sent, bytes);
     }
 }
--- a/lab/src/yardusher/lab/view/ViewNet.java
+++ b/lab/src/yardusher/lab/view/ViewNet.java
@@ -12,13 +12,12 @@
 import java.util.function.Consumer;
 
 /**
- * A network on scripted time: datagrams between numbered places, with loss, delay, doubling, ways cut, and processes that
- * stand still. It stands above the mesh, whose checksum makes of a spoilt datagram a lost one. All that happens follows from a
- * seed. A process that stands still keeps what comes to it, up to a bound, and when it goes on its timers go before its
- * datagrams, as in the program.
+ * A deterministic simulation of a network: datagrams between numbered nodes with loss, delay, duplication, cut links and paused
+ * processes, all determined by a seed. It works above the mesh, whose checksum turns a corrupted datagram into a lost one. Datagrams
+ * to a paused process are buffered up to a limit; when it resumes, its timers fire before it reads them, as in the ingress.
  */
 final class ViewNet {
-    /** A process of any kind. */
+    /** A process on the network. */
     interface Process {
         void receive(double now, byte[] body);
 
@@ -31,7 +30,7 @@
         final double atMs;
         final long sequence;
         final int node;
-        final byte[] body;                           // null for a timer or a deed
+        final byte[] body;                           // null for a timer or an action
         final Consumer<Double> action;
 
         Event(double atMs, long sequence, int node, byte[] body, Consumer<Double> action) {
@@ -49,12 +48,12 @@
         }
     }
 
-    /** What a place has to bear. */
+    /** A node, with its process and its faults. */
     private static final class Node {
         Process process;
         double timerAtMs = Double.POSITIVE_INFINITY;
         boolean paused;
-        double cpuShare = 1;                            // of each 100 ms that it runs
+        double cpuShare = 1;                         // part of each 100 ms in which it runs
         List<byte[]> receiveQueue = new ArrayList<>();
         boolean resumeScheduled;
         int partition;
@@ -63,7 +62,7 @@
         long received;
     }
 
-    private static final int MAX_QUEUED = 2000;    // a socket's buffer
+    private static final int MAX_QUEUED = 2000;      // datagrams in a socket's receive buffer
     private static final double SLICE_MS = 100;
 
     private final Random random;
@@ -89,7 +88,7 @@
 
     Random random() { return random; }
 
-    /** One more place, with nobody there yet. */
+    /** Adds a node without a process; returns its number. */
     int addNode() {
         int number = nodes.size();
         nodes.add(new Node());
@@ -99,13 +98,14 @@
 
     static InetSocketAddress address(int node) {
         try {
-            return new InetSocketAddress(InetAddress.getByAddress(new byte[] {10, (byte) (node >> 16), (byte) (node >> 8), (byte) node}), 7946);
+            return new InetSocketAddress(InetAddress.getByAddress(new byte[] {10, (byte) (node >> 16), (byte) (node >> 8), (byte) node}),
+                    7946);
         } catch (UnknownHostException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    /** From now on this process is there; null for none: what comes is lost. */
+    /** Sets the process of a node; null for none, so that datagrams to it are lost. */
     void setProcess(int nodeNumber, Process process) {
         Node node = nodes.get(nodeNumber);
         node.process = process;
@@ -126,7 +126,7 @@
         delayRangeMs = rangeMs;
     }
 
-    /** So many come this much later than the rest. */
+    /** Delays that share of datagrams by an additional {@code ms}. */
     void setExtraDelay(double share, double ms) {
         delayedShare = share;
         extraDelayMs = ms;
@@ -142,7 +142,7 @@
     void heal() {
         lossShare = duplicateShare = delayedShare = 0;
         cutLinks.clear();
-        nodes.forEach(place -> place.partition = 0);
+        nodes.forEach(node -> node.partition = 0);
     }
 
     void pause(int node) { nodes.get(node).paused = true; }
@@ -154,7 +154,7 @@
         run(nodeNumber);
     }
 
-    /** It runs for this share of each 100 ms alone. */
+    /** Lets the process run only for this share of each 100 ms. */
     void starve(int node, double share) { nodes.get(node).cpuShare = share; }
 
     boolean isPaused(int node) { return nodes.get(node).paused; }
@@ -163,26 +163,27 @@
 
     long sentBytes(int node) { return nodes.get(node).sentBytes; }
 
-    void resetCounters() { nodes.forEach(place -> place.sent = place.sentBytes = place.received = 0); }
+    void resetCounters() { nodes.forEach(node -> node.sent = node.sentBytes = node.received = 0); }
 
     void send(int from, InetSocketAddress to, byte[] body) {
         Node source = nodes.get(from);
         source.sent++;
-        source.sentBytes += body.length + 43;        // the mesh's head, UDP and IP
+        source.sentBytes += body.length + 43;        // headers of the mesh, UDP and IP
         Integer number = nodesByAddress.get(to);
         if (number == null || random.nextDouble() < lossShare || cutLinks.contains((long) from << 32 | number)
                 || source.partition != nodes.get(number).partition) { return; }
         int copies = duplicateShare > 0 && random.nextDouble() < duplicateShare ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            double delayMs = minDelayMs + delayRangeMs * random.nextDouble() + (delayedShare > 0 && random.nextDouble() < delayedShare ? extraDelayMs : 0);
+            double delayMs = minDelayMs + delayRangeMs * random.nextDouble()
+                    + (delayedShare > 0 && random.nextDouble() < delayedShare ? extraDelayMs : 0);
             events.add(new Event(now + delayMs, lastSequence++, number, body, null));
         }
     }
 
-    /** Delivers what nobody sent. */
+    /** Delivers a forged datagram. */
     void inject(int to, byte[] body) { events.add(new Event(now, lastSequence++, to, body, null)); }
 
-    /** Does something at a time. */
+    /** Schedules an action. */
     void schedule(double timeMs, Runnable action) { events.add(new Event(timeMs, lastSequence++, -1, null, at -> action.run())); }
 
     private void scheduleTimer(int nodeNumber) {
@@ -193,7 +194,7 @@
         if (next < Double.POSITIVE_INFINITY) { events.add(new Event(next, lastSequence++, nodeNumber, null, null)); }
     }
 
-    /** When a starved process runs next. */
+    /** Returns when a CPU-starved process next runs. */
     private double nextRunTime(Node node, int nodeNumber) {
         if (node.cpuShare >= 1) { return now; }
         double phase = (now + nodeNumber * 17) % SLICE_MS;
@@ -227,7 +228,7 @@
         }
     }
 
-    /** Goes on until then. */
+    /** Runs the simulation until that time. */
     void runUntil(double timeMs) {
         while (!events.isEmpty() && events.peek().atMs <= timeMs) {
             Event event = events.poll();
--- a/lab/src/yardusher/lab/view/ViewReal.java
+++ b/lab/src/yardusher/lab/view/ViewReal.java
@@ -17,17 +17,17 @@
 import yardusher.lab.Seeds;
 
 /**
- * The hard cases of the view by real processes. {@code FOLDER FIRST COUNT SIZE CASE ...} plays each case for each seed and
- * tells a line for each: breaches of its rules, and the times that were measured. Without a case, all but the long ones.
+ * Fault scenarios of the view with real processes. {@code FOLDER FIRST COUNT SIZE CASE ...} runs each scenario for each seed and
+ * prints a line for each: violated rules and measured times. Without a scenario it runs all but the long ones.
  */
 public final class ViewReal {
     private static final double JOIN_TIMEOUT_MS = 60_000;
     private static final double SETTLE_TIMEOUT_MS = 30_000;
-    /** Longer than any suspicion. */
+    /** Longer than any suspicion lasts. */
     private static final long BEYOND_SUSPICION_MS = 8000;
     private static final int SEEDS = 3;
 
-    /** A case: breaches go to {@code found}, figures to {@code note}. */
+    /** A scenario: violations are added to {@code found}, figures to {@code note}. */
     private interface Scenario {
         void run(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception;
     }
@@ -37,7 +37,8 @@
 
     static {
         SCENARIOS.put("one-killed", (folder, size, seed, found, note) -> crash(folder, size, seed, Set.of(size / 2), found, note));
-        SCENARIOS.put("three-at-once", (folder, size, seed, found, note) -> crash(folder, size, seed, Set.of(1, size / 2, size - 1), found, note));
+        SCENARIOS.put("three-at-once", (folder, size, seed, found, note) -> crash(folder, size, seed, Set.of(1, size / 2, size - 1), found,
+                note));
         SCENARIOS.put("hall", (folder, size, seed, found, note) -> crash(folder, size, seed, hallMembers(size), found, note));
         SCENARIOS.put("short-stop", ViewReal::shortPause);
         SCENARIOS.put("long-stop", ViewReal::longPause);
@@ -71,11 +72,14 @@
         System.exit(broken == 0 ? 0 : 1);
     }
 
-    /** Plays a case; the breaches. */
+    /** Runs a scenario; returns the violations. */
     public static List<String> play(Path folder, String name, int size, long seed, StringBuilder note) throws Exception {
         List<String> found = new ArrayList<>();
         Scenario scenario = SCENARIOS.containsKey(name) ? SCENARIOS.get(name) : LONG_SCENARIOS.get(name);
-        if (scenario == null) { throw new IllegalArgumentException("no case " + name + "; there are " + SCENARIOS.keySet() + " " + LONG_SCENARIOS.keySet()); }
+        if (scenario == null) {
+            throw new IllegalArgumentException("unknown case " + name + ", expected one of " + SCENARIOS.keySet() + " "
+                    + LONG_SCENARIOS.keySet());
+        }
         scenario.run(folder, size, seed, found, note);
         return found;
     }
@@ -96,7 +100,9 @@
         ViewGroup view = new ViewGroup(folder, size, seed, Math.min(SEEDS, size), true);
         try {
             view.start(view.all(), 10);
-            if (view.awaitSettled(view.all(), size, JOIN_TIMEOUT_MS) == null) { throw new IllegalStateException("did not settle at the start; see " + folder); }
+            if (view.awaitSettled(view.all(), size, JOIN_TIMEOUT_MS) == null) {
+                throw new IllegalStateException("the views did not settle after the start; see " + folder);
+            }
             return view;
         } catch (IOException | RuntimeException | InterruptedException e) {
             view.close();
@@ -104,37 +110,46 @@
         }
     }
 
-    /** Whoever runs is there, and those who do not are not. */
-    private static List<ViewGroup.ProcessView> checkSettled(ViewGroup view, Set<Integer> running, double startMs, String what, List<String> found, StringBuilder note)
-            throws InterruptedException {
+    /** Waits until the views hold exactly the running processes; records the times. */
+    private static List<ViewGroup.ProcessView> checkSettled(ViewGroup view, Set<Integer> running, double startMs, String what,
+            List<String> found, StringBuilder note) throws InterruptedException {
         List<ViewGroup.ProcessView> views = view.awaitSettled(running, running.size(), SETTLE_TIMEOUT_MS);
         if (views == null) {
-            found.add(what + ": not settled after " + SETTLE_TIMEOUT_MS + " ms: " + view.observeAll(running).stream().map(processView -> processView == null ? "silent" : processView.process() + ":" + processView.activeCount()).toList());
+            found.add(what + ": views not settled after " + SETTLE_TIMEOUT_MS + " ms: " + view.observeAll(running).stream()
+                    .map(processView -> processView == null ? "silent" : processView.process() + ":" + processView.activeCount()).toList());
             return null;
         }
         Set<String> names = running.stream().map(view::name).collect(Collectors.toSet());
         for (ViewGroup.ProcessView processView : views) {
-            Set<String> active = processView.states().entrySet().stream().filter(state -> state.getValue().equals("alive") || state.getValue().equals("suspect"))
+            Set<String> active = processView.states().entrySet().stream()
+                    .filter(state -> state.getValue().equals("alive") || state.getValue().equals("suspect"))
                     .map(Map.Entry::getKey).collect(Collectors.toSet());
-            if (!active.equals(names)) { found.add(what + ": n" + processView.process() + " holds " + active.size() + " to be there"); }
+            if (!active.equals(names)) { found.add(what + ": n" + processView.process() + " has " + active.size() + " active members"); }
         }
-        note.append(String.format(java.util.Locale.ROOT, "%s first %.0f all %.0f ms; ", what, ViewGroup.firstChangeAfter(views, startMs), ViewGroup.lastChangeAfter(views, startMs)));
+        note.append(String.format(java.util.Locale.ROOT, "%s first %.0f all %.0f ms; ", what, ViewGroup.firstChangeAfter(views, startMs),
+                ViewGroup.lastChangeAfter(views, startMs)));
         return views;
     }
 
-    private static long goneDeclarations(ViewGroup view, Collection<Integer> processes) { return view.sumOfCounter(processes, "view_lost"); }
+    private static long goneDeclarations(ViewGroup view, Collection<Integer> processes) {
+        return view.sumOfCounter(processes, "view_lost");
+    }
 
-    private static void crash(Path folder, int size, long seed, Set<Integer> victims, List<String> found, StringBuilder note) throws Exception {
+    private static void crash(Path folder, int size, long seed, Set<Integer> victims, List<String> found,
+            StringBuilder note) throws Exception {
         try (ViewGroup view = startSettled(folder, size, seed, note)) {
             Set<Integer> rest = without(view.all(), victims);
             double startMs = Group.now();
             for (int i : victims) { view.group.signal(i, "-KILL"); }
             checkSettled(view, rest, startMs, "killed " + victims.size(), found, note);
             Thread.sleep(1500);
-            // A hall that dies is one change to who follows.
+            // Listeners should see the failure of a hall as one change.
             for (int i : rest) {
-                long changes = Files.readAllLines(view.group.log(i)).stream().filter(line -> line.contains("view: settled") && !line.contains("gone=-")).count();
-                if (changes > 1 && victims.size() > 1) { note.append("n").append(i).append(" was told in ").append(changes).append(" batches; "); }
+                long changes = Files.readAllLines(view.group.log(i)).stream()
+                        .filter(line -> line.contains("view: settled") && !line.contains("gone=-")).count();
+                if (changes > 1 && victims.size() > 1) {
+                    note.append("n").append(i).append(" reported ").append(changes).append(" changes; ");
+                }
             }
         }
     }
@@ -147,8 +162,8 @@
                 view.group.resume(i);
                 Thread.sleep(1500);
             }
-            if (goneDeclarations(view, view.all()) != 0) { found.add("a stop of 700 ms was taken for an end"); }
-            checkSettled(view, view.all(), Group.now(), "awake", found, new StringBuilder());
+            if (goneDeclarations(view, view.all()) != 0) { found.add("a pause of 700 ms led to a GONE declaration"); }
+            checkSettled(view, view.all(), Group.now(), "resumed", found, new StringBuilder());
             note.append("suspected ").append(view.sumOfCounter(view.all(), "view_accused")).append(" times; ");
         }
     }
@@ -156,14 +171,14 @@
     private static void longPause(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
         try (ViewGroup view = startSettled(folder, size, seed, note)) {
             int process = size / 2;
-            double from = Group.now();
+            double startMs = Group.now();
             view.group.pause(process);
-            checkSettled(view, without(view.all(), Set.of(process)), from, "stopped", found, note);
+            checkSettled(view, without(view.all(), Set.of(process)), startMs, "paused", found, note);
             Thread.sleep(BEYOND_SUSPICION_MS);
-            from = Group.now();
+            startMs = Group.now();
             view.group.resume(process);
-            checkSettled(view, view.all(), from, "woken", found, note);
-            if (goneDeclarations(view, List.of(process)) != 0) { found.add("the woken one took others to be gone"); }
+            checkSettled(view, view.all(), startMs, "resumed", found, note);
+            if (goneDeclarations(view, List.of(process)) != 0) { found.add("the resumed process declared others gone"); }
         }
     }
 
@@ -174,22 +189,25 @@
             for (int i : starved) { view.group.starve(i, 0.2); }
             Thread.sleep(10_000);
             for (int i : starved) { view.group.feed(i); }
-            long accused = view.sumOfCounter(starved, "view_accused");
-            if (goneDeclarations(view, view.all()) != 0) { found.add("under starvation " + goneDeclarations(view, view.all()) + " times a member that runs was taken to be gone"); }
-            note.append("the starved accused ").append(accused).append(", the others ").append(view.sumOfCounter(without(view.all(), starved), "view_accused")).append("; ");
-            checkSettled(view, view.all(), Group.now(), "fed", found, new StringBuilder());
+            long suspicions = view.sumOfCounter(starved, "view_accused");
+            if (goneDeclarations(view, view.all()) != 0) {
+                found.add("under CPU starvation running members were declared gone " + goneDeclarations(view, view.all()) + " times");
+            }
+            note.append("suspicions raised by the starved ").append(suspicions).append(", by the others ")
+                    .append(view.sumOfCounter(without(view.all(), starved), "view_accused")).append("; ");
+            checkSettled(view, view.all(), Group.now(), "starvation ended", found, new StringBuilder());
         }
     }
 
     private static void oneWay(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
         try (ViewGroup view = startSettled(folder, size, seed, note)) {
             Random random = new Random(seed);
-            for (int n = 0; n < size; n++) {         // each hears one other no more
+            for (int n = 0; n < size; n++) {         // each link from n to one other member is cut
                 int to = random.nextInt(size);
                 if (to != n) { view.relay().way(n, to).cut(true); }
             }
             Thread.sleep(8000);
-            if (goneDeclarations(view, view.all()) != 0) { found.add("a way cut in one direction made a member gone"); }
+            if (goneDeclarations(view, view.all()) != 0) { found.add("a link cut in one direction led to a GONE declaration"); }
             note.append("suspected ").append(view.sumOfCounter(view.all(), "view_accused")).append("; ");
             view.relay().heal();
             checkSettled(view, view.all(), Group.now(), "healed", found, new StringBuilder());
@@ -206,58 +224,66 @@
                 Thread.sleep(1000);
             }
             view.relay().heal();
-            checkSettled(view, view.all(), Group.now(), "still", found, note);
-            note.append("lost ").append(goneDeclarations(view, view.all())).append(", refuted ").append(view.sumOfCounter(view.all(), "view_refuted")).append("; ");
+            checkSettled(view, view.all(), Group.now(), "stable", found, note);
+            note.append("lost ").append(goneDeclarations(view, view.all())).append(", refuted ")
+                    .append(view.sumOfCounter(view.all(), "view_refuted")).append("; ");
         }
     }
 
-    private static void partition(Path folder, int size, long seed, int sides, long ms, List<String> found, StringBuilder note) throws Exception {
-        // One process comes on the first side, one is killed on the last.
-        int late = size - 1;
+    private static void partition(Path folder, int size, long seed, int sides, long ms, List<String> found,
+            StringBuilder note) throws Exception {
+        // During the partition one process starts and one is killed.
+        int joiner = size - 1;
         ViewGroup view = new ViewGroup(folder, size, seed, Math.min(SEEDS, size), true);
         try (view) {
-            Set<Integer> begun = without(view.all(), Set.of(late));
-            view.start(begun, 10);
-            if (view.awaitSettled(begun, begun.size(), JOIN_TIMEOUT_MS) == null) { throw new IllegalStateException("did not settle at the start"); }
+            Set<Integer> startedFirst = without(view.all(), Set.of(joiner));
+            view.start(startedFirst, 10);
+            if (view.awaitSettled(startedFirst, startedFirst.size(), JOIN_TIMEOUT_MS) == null) {
+                throw new IllegalStateException("the views did not settle after the start");
+            }
             List<List<Integer>> parts = new ArrayList<>();
             for (int side = 0; side < sides; side++) { parts.add(new ArrayList<>()); }
             for (int i = 0; i < size; i++) { parts.get(i % sides).add(i); }
-            double from = Group.now();
+            double startMs = Group.now();
             for (int a = 0; a < sides; a++) {
                 for (int b = a + 1; b < sides; b++) { view.relay().split(parts.get(a), parts.get(b)); }
             }
             Thread.sleep(ms / 2);
-            int dead = parts.get(sides - 1).stream().filter(i -> i >= SEEDS && i != late).findFirst().orElse(SEEDS);
-            view.group.kill(dead);
-            view.start(List.of(late), 1);
-            Thread.sleep(Math.max(0, (long) (from + ms - Group.now())));
+            int killed = parts.get(sides - 1).stream().filter(i -> i >= SEEDS && i != joiner).findFirst().orElse(SEEDS);
+            view.group.kill(killed);
+            view.start(List.of(joiner), 1);
+            Thread.sleep(Math.max(0, (long) (startMs + ms - Group.now())));
             for (List<Integer> part : parts) {
-                Set<Integer> there = without(Set.copyOf(part), Set.of(dead));
-                if (view.awaitSettled(there, there.size(), 5000) == null) { found.add("a side did not settle by itself"); }
+                Set<Integer> survivors = without(Set.copyOf(part), Set.of(killed));
+                if (view.awaitSettled(survivors, survivors.size(), 5000) == null) { found.add("one side of the partition did not settle"); }
             }
-            from = Group.now();
+            startMs = Group.now();
             view.relay().heal();
-            checkSettled(view, without(view.all(), Set.of(dead)), from, "healed", found, note);
+            checkSettled(view, without(view.all(), Set.of(killed)), startMs, "healed", found, note);
         }
     }
 
     private static void duplicateName(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
-        int other = size - 1;
-        try (ViewGroup view = new ViewGroup(folder, size, seed, Math.min(SEEDS, size - 1), true, i -> "n" + (i == other ? 1 : i))) {
-            Set<Integer> otherNodes = without(view.all(), Set.of(other));
-            view.start(otherNodes, 10);
-            if (view.awaitSettled(otherNodes, otherNodes.size(), JOIN_TIMEOUT_MS) == null) { throw new IllegalStateException("did not settle at the start"); }
-            view.start(List.of(other), 1);
+        int claimant = size - 1;
+        try (ViewGroup view = new ViewGroup(folder, size, seed, Math.min(SEEDS, size - 1), true, i -> "n" + (i == claimant ? 1 : i))) {
+            Set<Integer> holders = without(view.all(), Set.of(claimant));
+            view.start(holders, 10);
+            if (view.awaitSettled(holders, holders.size(), JOIN_TIMEOUT_MS) == null) {
+                throw new IllegalStateException("the views did not settle after the start");
+            }
+            view.start(List.of(claimant), 1);
             Thread.sleep(4000);
-            checkSettled(view, otherNodes, Group.now(), "claimed", found, new StringBuilder());
-            if (goneDeclarations(view, otherNodes) != 0) { found.add("the first holder of the name was taken to be gone"); }
-            ViewGroup.ProcessView held = view.observe(other);
-            if (held == null || !held.phase().equals("taken")) { found.add("the second claimant is " + (held == null ? "silent" : held.phase())); }
-            if (!hasLogged(view, other, "VIEW_NAME_TAKEN")) { found.add("the second claimant does not say so"); }
-            if (!hasLogged(view, 1, "VIEW_NAME_TAKEN")) { found.add("the first claimant does not say so"); }
-            view.group.kill(1);                      // now the name is free
-            double from = Group.now();
-            checkSettled(view, without(view.all(), Set.of(1)), from, "taken over", found, note);
+            checkSettled(view, holders, Group.now(), "name claimed", found, new StringBuilder());
+            if (goneDeclarations(view, holders) != 0) { found.add("the first holder of the name was declared gone"); }
+            ViewGroup.ProcessView claimantView = view.observe(claimant);
+            if (claimantView == null || !claimantView.phase().equals("taken")) {
+                found.add("the second claimant is " + (claimantView == null ? "silent" : claimantView.phase()));
+            }
+            if (!hasLogged(view, claimant, "VIEW_NAME_TAKEN")) { found.add("the second claimant did not log VIEW_NAME_TAKEN"); }
+            if (!hasLogged(view, 1, "VIEW_NAME_TAKEN")) { found.add("the first claimant did not log VIEW_NAME_TAKEN"); }
+            view.group.kill(1);                      // this frees the name
+            double startMs = Group.now();
+            checkSettled(view, without(view.all(), Set.of(1)), startMs, "name taken over", found, note);
         }
     }
 
@@ -269,13 +295,15 @@
         try (ViewGroup view = startSettled(folder, size, seed, note)) {
             int process = size / 2;
             long before = view.observe(0).incarnations().get(view.name(process));
-            double from = Group.now();
+            double startMs = Group.now();
             view.group.kill(process);
             view.group.launch(process);
             view.group.awaitReady(process, 60_000);
-            note.append(String.format(java.util.Locale.ROOT, "serves after %.0f; ", Group.now() - from));
-            List<ViewGroup.ProcessView> views = checkSettled(view, view.all(), from, "restarted", found, note);
-            if (views != null && views.stream().anyMatch(each -> each.incarnations().get(view.name(process)) <= before)) { found.add("the new life is not above the old"); }
+            note.append(String.format(java.util.Locale.ROOT, "serves after %.0f; ", Group.now() - startMs));
+            List<ViewGroup.ProcessView> views = checkSettled(view, view.all(), startMs, "restarted", found, note);
+            if (views != null && views.stream().anyMatch(each -> each.incarnations().get(view.name(process)) <= before)) {
+                found.add("the incarnation did not grow over the restart");
+            }
         }
     }
 
@@ -283,10 +311,12 @@
         try (ViewGroup view = startSettled(folder, size, seed, note)) {
             int process = size / 2;
             view.group.terminate(process, 20_000);
-            double from = Group.now();
-            List<ViewGroup.ProcessView> views = checkSettled(view, without(view.all(), Set.of(process)), from, "left", found, note);
-            if (views != null && views.stream().anyMatch(each -> !"left".equals(each.states().get(view.name(process))))) { found.add("who left is not held to have left"); }
-            if (goneDeclarations(view, without(view.all(), Set.of(process))) != 0) { found.add("who left was taken to be gone"); }
+            double startMs = Group.now();
+            List<ViewGroup.ProcessView> views = checkSettled(view, without(view.all(), Set.of(process)), startMs, "left", found, note);
+            if (views != null && views.stream().anyMatch(each -> !"left".equals(each.states().get(view.name(process))))) {
+                found.add("the member that left is not recorded as LEFT");
+            }
+            if (goneDeclarations(view, without(view.all(), Set.of(process))) != 0) { found.add("the member that left was declared gone"); }
         }
     }
 
@@ -298,30 +328,32 @@
                 view.group.restart(i);
             }
             List<ViewGroup.ProcessView> views = checkSettled(view, view.all(), Group.now(), "rolled", found, note);
-            if (views != null && views.stream().anyMatch(each -> before.entrySet().stream().anyMatch(old -> each.incarnations().get(old.getKey()) <= old.getValue()))) {
+            if (views != null && views.stream().anyMatch(each -> before.entrySet().stream()
+                    .anyMatch(old -> each.incarnations().get(old.getKey()) <= old.getValue()))) {
                 found.add("an incarnation did not grow");
             }
-            if (goneDeclarations(view, view.all()) != 0) { found.add("somebody was taken to be gone in a roll"); }
+            if (goneDeclarations(view, view.all()) != 0) { found.add("a member was declared gone during a rolling restart"); }
         }
     }
 
-    /** All but the seeds come at once through one seed, which dies meanwhile. */
+    /** All but the seeds join at once through one seed, which is killed meanwhile. */
     private static void join(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
         try (ViewGroup view = new ViewGroup(folder, size, seed, Math.min(SEEDS, size), true)) {
             Set<Integer> seeds = Set.of(0, 1, 2);
             view.start(seeds, 3);
             Set<Integer> others = without(view.all(), seeds);
-            for (int i : others) { view.relay().way(i, 1).cut(true); } // of the three one is heard, until it dies
+            for (int i : others) { view.relay().way(i, 1).cut(true); } // only seed 0 answers them, until it is killed
             for (int i : others) { view.relay().way(i, 2).cut(true); }
-            double from = Group.now();
+            double startMs = Group.now();
             for (int i : others) { view.group.launch(i); }
             Thread.sleep(1200);
             view.group.kill(0);
             view.relay().heal();
             for (int i : others) { view.group.awaitReady(i, 120_000); }
-            double up = Group.now();
-            List<ViewGroup.ProcessView> views = checkSettled(view, without(view.all(), Set.of(0)), from, "joined", found, note);
-            note.append(String.format(java.util.Locale.ROOT, "all serve after %.0f ms, settled %.0f ms after that; ", up - from, views == null ? -1 : ViewGroup.lastChangeAfter(views, up)));
+            double allServingMs = Group.now();
+            List<ViewGroup.ProcessView> views = checkSettled(view, without(view.all(), Set.of(0)), startMs, "joined", found, note);
+            note.append(String.format(java.util.Locale.ROOT, "all serve after %.0f ms, settled %.0f ms after that; ",
+                    allServingMs - startMs, views == null ? -1 : ViewGroup.lastChangeAfter(views, allServingMs)));
         }
     }
 
@@ -353,16 +385,18 @@
             }
             view.relay().heal();
             checkSettled(view, view.all(), Group.now(), "healed", found, new StringBuilder());
-            note.append("lost ").append(goneDeclarations(view, view.all())).append(", foreign ").append(view.sumOfCounter(view.all(), "mesh_foreign")).append(", spoilt ")
-                    .append(view.sumOfCounter(view.all(), "mesh_spoilt")).append(", suspected ").append(view.sumOfCounter(view.all(), "view_accused")).append("; ");
-            if (goneDeclarations(view, view.all()) != 0) { found.add("a member that runs was taken to be gone under loss of 20%"); }
+            note.append("lost ").append(goneDeclarations(view, view.all())).append(", foreign ")
+                    .append(view.sumOfCounter(view.all(), "mesh_foreign")).append(", spoilt ")
+                    .append(view.sumOfCounter(view.all(), "mesh_spoilt")).append(", suspected ")
+                    .append(view.sumOfCounter(view.all(), "view_accused")).append("; ");
+            if (goneDeclarations(view, view.all()) != 0) { found.add("a running member was declared gone at 20% loss"); }
             for (int i = 0; i < size; i++) {
                 if (Files.readString(view.group.log(i)).contains("Exception")) { found.add("n" + i + " threw an exception"); }
             }
         }
     }
 
-    /** What the view costs in calm: the same processes with it and without it. */
+    /** Measures the cost of the idle view: the same processes with and without it. */
     private static void cost(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
         for (boolean on : new boolean[] {false, true}) {
             try (ViewGroup view = new ViewGroup(folder.resolve(on ? "on" : "off"), size, seed, Math.min(SEEDS, size), false)) {
@@ -370,12 +404,12 @@
                 view.start(view.all(), 10);
                 if (on && view.awaitSettled(view.all(), size, JOIN_TIMEOUT_MS) == null) { found.add("did not settle"); }
                 Thread.sleep(5000);
-                double from = Group.now();
+                double startMs = Group.now();
                 double cpu = view.all().stream().mapToDouble(view::cpuMs).sum();
                 long sent = on ? view.sumOfCounter(view.all(), "mesh_sent") : 0;
                 long bytes = on ? view.sumOfCounter(view.all(), "mesh_sent_bytes") : 0;
                 Thread.sleep(15_000);
-                double ms = Group.now() - from;
+                double ms = Group.now() - startMs;
                 cpu = view.all().stream().mapToDouble(view::cpuMs).sum() - cpu;
                 sent = on ? view.sumOfCounter(view.all(), "mesh_sent") - sent : 0;
                 bytes = on ? view.sumOfCounter(view.all(), "mesh_sent_bytes") - bytes : 0;
@@ -387,15 +421,17 @@
         }
     }
 
-    /** No seed is there: all serve, and find one another once it comes. */
+    /** Starts without any seed: all serve, and find one another once the seed starts. */
     private static void noSeed(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
         try (ViewGroup view = new ViewGroup(folder, size, seed, 1, true)) {
             Set<Integer> others = without(view.all(), Set.of(0));
             view.start(others, 10);
-            if (view.observeAll(others).stream().anyMatch(one -> one == null || one.activeCount() != 1)) { found.add("somebody is not alone without a seed"); }
-            double from = Group.now();
+            if (view.observeAll(others).stream().anyMatch(processView -> processView == null || processView.activeCount() != 1)) {
+                found.add("a process knows another one without any seed");
+            }
+            double startMs = Group.now();
             view.start(List.of(0), 1);
-            checkSettled(view, view.all(), from, "seed back", found, note);
+            checkSettled(view, view.all(), startMs, "seed started", found, note);
         }
     }
 }
--- a/lab/src/yardusher/lab/view/ViewRun.java
+++ b/lab/src/yardusher/lab/view/ViewRun.java
@@ -10,16 +10,16 @@
 import yardusher.view.Membership;
 
 /**
- * One view on scripted time under faults that follow from a seed: what is borne without a false word ({@code bounds}), and what
- * is only healed from ({@code hard}). {@code MODE FIRST COUNT [MEMBERS [FLAW]]}; exits 1 where a seed broke a rule. A seed is
- * played again by its number; {@code -Dlab.say=true} tells what was done when.
+ * Runs a simulated fleet under faults determined by a seed: faults that must not cause false GONE declarations ({@code bounds}), and
+ * faults from which the view only has to recover ({@code hard}). {@code MODE FIRST COUNT [MEMBERS [FLAW]]}; exits 1 if a seed
+ * violated a rule. A seed replays the same run; {@code -Dlab.say=true} prints each fault and its time.
  */
 public final class ViewRun {
-    /** The longest pause after which nobody is held to be gone, at the defaults and with up to 10% of datagrams lost. */
+    /** The longest pause that must not lead to a GONE declaration, at default settings and with up to 10% of datagrams lost. */
     public static final int MAX_TOLERATED_PAUSE_MS = Integer.getInteger("lab.pause", 1000);
-    /** Of all datagrams. */
+    /** Maximum share of lost datagrams. */
     public static final double MAX_LOSS = 0.10;
-    /** Of each 100 ms, what a starved process runs. */
+    /** Share of each 100 ms in which a CPU-starved process runs. */
     public static final double STARVED_CPU_SHARE = 0.3;
     private static final double FAULT_PHASE_MS = 40_000;
     private static final double HEAL_TIMEOUT_MS = 20_000;
@@ -27,14 +27,14 @@
     private static final int SEED_MEMBERS = 3;
     private static final boolean VERBOSE = Boolean.getBoolean("lab.say");
 
-    /** What came of a seed. */
+    /** The result of a seed. */
     public record Outcome(List<String> breaches, double healedMs, int members, int falseSuspicions, int falseGone, long changes) { }
 
     private final Random random;
     private final ViewNet net;
     private final ViewChecker checker = new ViewChecker(GRACE_MS);
     private final ViewFleet fleet;
-    private final Set<Integer> duplicateNodes = new HashSet<>(); // places of processes under a name of others
+    private final Set<Integer> duplicateNodes = new HashSet<>(); // nodes of processes that use another member's name
     private final Map<ViewFleet.Instance, ViewFleet.Instance> duplicates = new HashMap<>();
     private final double startMs;
     private final int members;
@@ -56,27 +56,27 @@
         Membership.Flaw flaw = args.length > 4 ? Membership.Flaw.valueOf(args[4]) : null;
         List<Long> broken = new ArrayList<>();
         double[] healed = new double[count];
-        long accused = 0;
+        long falseSuspicions = 0;
         long changes = 0;
         int slowest = 0;
         for (int i = 0; i < count; i++) {
             Outcome outcome = play(first + i, hard, members, flaw);
             healed[i] = outcome.healedMs();
             slowest = healed[i] > healed[slowest] ? i : slowest;
-            accused += outcome.falseSuspicions();
+            falseSuspicions += outcome.falseSuspicions();
             changes += outcome.changes();
             if (!outcome.breaches().isEmpty()) {
                 broken.add(first + i);
                 System.out.printf("seed %d, %d members: BREACH %s%n", first + i, outcome.members(), outcome.breaches().subList(0, Math.min(5, outcome.breaches().size())));
             }
         }
-        System.out.printf("%s: %d seeds, %d with a breach%s; settled in calm p50 %.0f p99 %.0f most %.0f ms (seed %d); %d changes seen, %d suspected for nothing%n", args[0], count,
+        System.out.printf("%s: %d seeds, %d with a breach%s; settled after the faults p50 %.0f p99 %.0f max %.0f ms (seed %d); %d changes, %d false suspicions%n", args[0], count,
                 broken.size(), broken.isEmpty() ? "" : " " + broken, ViewFleet.percentile(healed, 0.5), ViewFleet.percentile(healed, 0.99),
-                ViewFleet.percentile(healed, 1), first + slowest, changes, accused);
+                ViewFleet.percentile(healed, 1), first + slowest, changes, falseSuspicions);
         System.exit(broken.isEmpty() ? 0 : 1);
     }
 
-    /** Plays a seed; {@code members} 0 draws their number. */
+    /** Runs a seed; the number of members is drawn if {@code members} is 0. */
     public static Outcome play(long seed, boolean hard, int members, Membership.Flaw flaw) {
         return new ViewRun(seed, members, flaw).play(hard);
     }
@@ -91,7 +91,7 @@
         net.setDuplication(0.05);
         net.setExtraDelay(0.01, 2000);
         double joined = fleet.startAll(members, 15_000);
-        if (joined < 0) { log("not joined"); }
+        if (joined < 0) { log("not all joined"); }
         for (int i = 0; i < members; i++) {
             if (random.nextInt(10) == 0) { net.starve(i, STARVED_CPU_SHARE); }
         }
@@ -99,8 +99,8 @@
         log(members + " members, loss " + loss);
         while (net.now() < until) {
             net.runUntil(net.now() + 200 + random.nextDouble() * 2000);
-            int place = random.nextInt(members);
-            if (hard && random.nextInt(2) == 0) { injectSevere(place); } else { injectTolerated(place); }
+            int node = random.nextInt(members);
+            if (hard && random.nextInt(2) == 0) { injectSevere(node); } else { injectTolerated(node); }
         }
         net.runUntil(net.now() + 1);
         faultsEnded = true;
@@ -109,30 +109,32 @@
             net.starve(i, 1);
             net.resume(i);
         }
-        // Whoever began while no seed was there finds the others once one is back.
+        // Processes that started while no seed was up find the others once a seed is back.
         if (fleet.instanceAt(0) == null && fleet.instanceAt(1) == null && fleet.instanceAt(2) == null) { restart(0, 0); }
-        log("calm");
+        log("all faults ended");
         Set<String> names = new HashSet<>();
-        for (ViewFleet.Instance life : fleet.running()) { names.add(life.name); }
+        for (ViewFleet.Instance instance : fleet.running()) { names.add(instance.name); }
         double healed = fleet.awaitSettledNames(names, HEAL_TIMEOUT_MS);
         net.runUntil(net.now() + 5000);
         List<String> breaches = new ArrayList<>();
         if (healed < 0) {
-            breaches.add("not settled " + HEAL_TIMEOUT_MS + " ms after all was healed: " + fleet.running().stream().map(life -> life.node + " " + life.name + " "
-                    + life.membership.phase() + " " + life.membership.size()).toList());
+            breaches.add("views not settled " + HEAL_TIMEOUT_MS + " ms after all faults ended: " + fleet.running().stream()
+                    .map(instance -> instance.node + " " + instance.name + " "
+                    + instance.membership.phase() + " " + instance.membership.size()).toList());
         }
         fleet.checkAgreement();
         breaches.addAll(checker.breaches());
         duplicates.forEach((first, second) -> {
-            if (!first.ended && !second.ended && !first.errorCodes.contains("VIEW_NAME_TAKEN") && !second.errorCodes.contains("VIEW_NAME_TAKEN")
+            if (!first.ended && !second.ended && !first.errorCodes.contains("VIEW_NAME_TAKEN")
+                    && !second.errorCodes.contains("VIEW_NAME_TAKEN")
                     && !first.errorCodes.contains("VIEW_REPLACED") && !second.errorCodes.contains("VIEW_REPLACED")) {
-                breaches.add("nobody was told that " + first.name + " is taken twice");
+                breaches.add("nobody reported that " + first.name + " is used by two processes");
             }
         });
         return new Outcome(breaches, healed, members, checker.falseSuspicions().size(), checker.falseGone().size(), checker.changeCount());
     }
 
-    /** What is borne without a false word. */
+    /** Injects a fault that must not cause a false GONE declaration. */
     private void injectTolerated(int node) {
         ViewFleet.Instance instance = fleet.instanceAt(node);
         switch (random.nextInt(5)) {
@@ -140,7 +142,7 @@
                 if (instance == null) { restart(node, 0); } else if (fleet.running().size() > members / 2 && !net.isPaused(node)) {
                     log("kill " + node);
                     fleet.kill(node);
-                    if (random.nextBoolean()) { restart(node, 0); } // within the same probe
+                    if (random.nextBoolean()) { restart(node, 0); } // restarted within the same probe round
                 }
             }
             case 1 -> {
@@ -157,7 +159,7 @@
     }
 
     private void restart(int node, double clockOffsetMs) {
-        log("start " + node + (clockOffsetMs == 0 ? "" : " with its clock off by " + clockOffsetMs));
+        log("start " + node + (clockOffsetMs == 0 ? "" : " with clock offset " + clockOffsetMs));
         fleet.start(node, ViewFleet.nameOf(node), clockOffsetMs);
     }
 
@@ -169,14 +171,14 @@
         net.schedule(net.now() + ms, () -> net.resume(node));
     }
 
-    /** What is healed from. */
+    /** Injects a fault that may cause false declarations but has to heal. */
     private void injectSevere(int node) {
         double now = net.now();
         double ms = 1000 + random.nextDouble() * 9000;
         switch (random.nextInt(8)) {
             case 0 -> {
                 int sides = 2 + random.nextInt(2);
-                log("split in " + sides + " for " + ms);
+                log("partition into " + sides + " for " + ms);
                 for (int i = 0; i < members; i++) {
                     net.setPartition(i, random.nextInt(sides));
                     checker.recordFault(ViewFleet.nameOf(i), now, now + ms);
@@ -192,18 +194,18 @@
                 net.schedule(now + ms, () -> net.setCut(node, other, false));
             }
             case 2 -> {
-                log("deaf " + node + " for " + ms);
+                log("nothing reaches " + node + " for " + ms);
                 checker.recordFault(ViewFleet.nameOf(node), now, now + ms);
                 for (int i = 0; i < members; i++) {
                     int other = i;
                     net.setCut(other, node, true);
                     net.schedule(now + ms, () -> net.setCut(other, node, false));
                 }
-                // Who hears nobody takes all others to be gone, and that is what it has to think.
+                // A member that receives nothing rightly considers all others gone.
                 for (int i = 0; i < members; i++) { checker.recordFault(ViewFleet.nameOf(i), now, now + ms); }
             }
             case 3 -> {
-                log("flapping " + node);
+                log("flapping links of " + node);
                 checker.recordFault(ViewFleet.nameOf(node), now, now + 10_000);
                 for (int i = 0; i < members; i++) { checker.recordFault(ViewFleet.nameOf(i), now, now + 10_000); }
                 for (int second = 0; second < 10; second++) {
@@ -232,11 +234,11 @@
                     duplicateNodes.add(duplicate);
                     log(duplicate + " takes the name of " + node);
                     duplicates.put(instance, fleet.start(duplicate, instance.name, random.nextBoolean() ? -1e9 : 0));
-                    checker.recordFault(instance.name, now, Double.POSITIVE_INFINITY); // one of the two, and the other
+                    checker.recordFault(instance.name, now, Double.POSITIVE_INFINITY); // either of the two may be held GONE
                 }
             }
             default -> {
-                log("made-up bytes for " + node);
+                log("random datagrams to " + node);
                 for (int i = 0; i < 50; i++) {
                     byte[] body = new byte[random.nextInt(1200)];
                     random.nextBytes(body);
--- a/src/main/java/yardusher/rates/DemandEstimate.java
+++ b/src/main/java/yardusher/rates/DemandEstimate.java
@@ -1,7 +1,8 @@
 package yardusher.rates;
 
 /**
- * What this ingress, which a customer's reports meet at, was told of it: a sum that fades, and since when. Times in ms.
+ * The demand of one customer as estimated by its aggregator, the ingress that receives its reports: an exponentially decaying sum of
+ * reported units. Times are in ms.
  */
 final class DemandEstimate {
     final long customer;
@@ -24,7 +25,7 @@
 
     private double decayedUnitsAt(double now, double horizonMs) { return decayedUnits * Math.exp((updatedAtMs - now) / horizonMs); }
 
-    /** Units a second; 0 while too little of the horizon has passed to tell. */
+    /** Returns the demand in units a second; 0 during the first half horizon, when there is too little history. */
     double demandPerS(double now, double horizonMs) {
         double elapsedMs = now - sinceMs;
         return elapsedMs < horizonMs / 2 ? 0 : decayedUnitsAt(now, horizonMs) / horizonMs * 1000 / -Math.expm1(-elapsedMs / horizonMs);
--- a/src/main/java/yardusher/rates/KnownRate.java
+++ b/src/main/java/yardusher/rates/KnownRate.java
@@ -1,14 +1,14 @@
 package yardusher.rates;
 
-/** What is known of a customer here: what it is asked of its quota at all ingresses, and by when that was worked out. */
+/** The fleet-wide demand of a customer as known here, relative to its quota, and when its aggregator computed it. */
 final class KnownRate {
     final long customer;
     int plan;
-    double ratio;                                    // 0: no more than its quota
-    double computedAtMs;                                 // on this ingress's clock, ms
-    double priority;                                   // what knowing it keeps out
-    double queuedAtMs;                               // since when it is to be passed on
-    int remainingSends;                                        // times that it is still to be passed on
+    double ratio;                                    // 0: within its quota
+    double computedAtMs;                             // on the clock of this ingress
+    double priority;                                 // sending order: the root of the demand beyond the quota
+    double queuedAtMs;                               // since when it waits to be gossiped
+    int remainingSends;
 
     KnownRate(long customer) { this.customer = customer; }
 }
--- a/src/main/java/yardusher/rates/Rates.java
+++ b/src/main/java/yardusher/rates/Rates.java
@@ -12,44 +12,47 @@
 import java.util.SplittableRandom;
 
 /**
- * What customers with wide sets are asked for at all ingresses together, told by need within a budget of bytes: docs/design/rates.md.
- * A try is reported by chance, one of so many units as the customer's quota gives by its root, to the one ingress that all draw alike
- * for it; that one works out what the customer is asked, and where it is more than its quota tells so to random others, who pass it on.
- * Counts, times and bytes only: no clock, no socket. Times are ms that never go back; members are any numbers that differ.
+ * Estimates the fleet-wide demand of customers whose sets span many ingresses, within a byte budget: docs/design/rates.md.
+ * Each ingress reports a random sample of the demand, with a probability inverse to the root of the customer's quota, to the
+ * customer's aggregator, which all ingresses choose alike by rendezvous hashing. The aggregator estimates the demand and, where it
+ * exceeds the quota, gossips it to random members. The class has no clock and no socket. Times are in ms and never go back;
+ * members are identified by arbitrary distinct numbers.
  */
 public final class Rates {
-    /** The world outside: what is sent may be lost. */
+    /** Sends messages to other members; they may be lost. */
     public interface Transport {
         void send(long member, byte[] body);
     }
 
     /**
-     * {@code bytesPerS}: sent in a second, each message with {@code headBytes} more, of {@code mostBody} bytes at most; {@code quotasPerS}: units a
-     * second by plan, 0 for a plan that has no quota; {@code horizonMs}: over which what a customer is asked is taken together, at the least.
+     * {@code bytesPerS}: sending budget in bytes a second, in which each message counts {@code headerBytes} beyond its body of at most
+     * {@code maxBodyBytes}; {@code quotasPerS}: units a second by plan, 0 for a plan without a quota; {@code horizonMs}: minimum
+     * averaging time of demand.
      */
     public record Parameters(double bytesPerS, int headerBytes, int maxBodyBytes, double[] quotasPerS, double horizonMs) { }
 
+    /** Interval of {@link #tick}. */
     public static final double TICK_INTERVAL_MS = 200;
-    private static final double REPORT_BUDGET_SHARE = 0.45;      // of the bytes; the rest is for rates
-    private static final double BUDGET_BURST_S = 2;           // seconds of either that may be saved up
+    private static final double REPORT_BUDGET_SHARE = 0.45; // share of the byte budget; the rest is for rates
+    private static final double BUDGET_BURST_S = 2;  // how many seconds' worth of either budget can accumulate
     private static final double MS_PER_S = 1000;
-    private static final double REPORTS_PER_HORIZON = 16;         // reports in a horizon of a customer that asks its quota
-    private static final double MAX_HORIZON_MS = 90_000; // but where more is set
-    private static final double ANNOUNCE_RATIO = 1.15;         // of the quota: told from then on
-    private static final double WITHDRAW_RATIO = 1;           // told no more
-    // Danger: who lets in a little less than a quota finds it with room at each refusal; a little more costs just that.
-    private static final double RATIO_DISCOUNT = 0.88;         // of what was worked out
-    // Danger: rates of the largest that are told anew by mere chance, and take all bytes from the others.
-    private static final double MIN_LOG_CHANGE = 0.3;       // by which a rate has changed, as a logarithm
-    private static final double ANNOUNCE_SPACING = 1.5;         // horizons between two words on one customer
-    private static final double WITHDRAW_SPACING = 0.5;     // where the second tells it off
-    private static final double MIN_AGE_DIFFERENCE_MS = 1000;     // what is newer by less is the same, late on its way
+    private static final double REPORTS_PER_HORIZON = 16; // reports within the horizon from a customer that uses exactly its quota
+    private static final double MAX_HORIZON_MS = 90_000; // unless the settings ask for more
+    private static final double ANNOUNCE_RATIO = 1.15; // ratio to the quota from which a customer is announced
+    private static final double WITHDRAW_RATIO = 1;  // ratio to the quota below which it is withdrawn
+    // Admitting slightly less than the quota would refuse requests although the quota has room; slightly more costs only the excess.
+    private static final double RATIO_DISCOUNT = 0.88; // applied to the announced ratio
+    // Without a threshold, random variation of the largest rates would announce them again and again, and use up all bytes.
+    private static final double MIN_LOG_CHANGE = 0.3; // logarithmic change of a rate from which it is announced again
+    private static final double ANNOUNCE_SPACING = 1.5; // horizons between two announcements of one customer
+    private static final double WITHDRAW_SPACING = 0.5; // the same where the second one withdraws it
+    private static final double MIN_AGE_DIFFERENCE_MS = 1000; // a smaller difference in age is the same announcement, delayed in transit
     private static final double REFRESH_INTERVAL_MS = 150_000;
-    private static final double RATE_TTL_MS = 360_000;   // of a word
-    private static final int GOSSIP_FANOUT = 2;             // that each passes a new word on to
-    private static final double BATCHING_DELAY_MS = 1000;    // words wait so long to share a message
-    private static final int TABLE_SLICES = 64;            // of the table, that a new ingress asks for
-    private static final double INITIAL_SYNC_MS = 60_000;     // what has not come by then comes with the others' words
+    private static final double RATE_TTL_MS = 360_000; // of an announcement
+    private static final int GOSSIP_FANOUT = 2;      // transmissions of a new announcement by each ingress
+    private static final double BATCHING_DELAY_MS = 1000; // announcements wait this long to share a message
+    private static final int TABLE_SLICES = 64;      // slices in which a new ingress requests the known rates
+    private static final double INITIAL_SYNC_MS = 60_000; // slices still missing then are learned by gossip
     private static final int MAX_KNOWN_RATES = 65_536;
     private static final int MAX_ESTIMATES = 16_384;
     private static final double INITIAL_REPORT_SCALE = 1;
@@ -58,24 +61,25 @@
     private final long selfId;
     private final Transport transport;
     private final SplittableRandom random;
-    private final double[] quotaRoots;                    // of the quotas
+    private final double[] quotaRoots;               // square roots of the quotas, by plan
     private final int maxRatesPerMessage;
     private long[] members;
-    private final Map<Long, ByteBuffer> reportBuffers = new HashMap<>(); // reports by who they go to; emptied each tick
+    private final Map<Long, ByteBuffer> reportBuffers = new HashMap<>(); // pending reports by aggregator; sent each tick
     private final Map<Long, DemandEstimate> estimates = new HashMap<>();
     private final Map<Long, KnownRate> knownRates = new HashMap<>();
-    private final LinkedHashSet<KnownRate> pendingRates = new LinkedHashSet<>(); // to be passed on
-    private final ArrayDeque<KnownRate> rotation = new ArrayDeque<>();   // all, by turns
-    private double reportScale = INITIAL_REPORT_SCALE;              // units at a quota of 1 that one report stands for
+    private final LinkedHashSet<KnownRate> pendingRates = new LinkedHashSet<>(); // to be gossiped
+    private final ArrayDeque<KnownRate> rotation = new ArrayDeque<>(); // all known rates, in round-robin order
+    private double reportScale = INITIAL_REPORT_SCALE; // units that one report stands for at a quota of 1
     private double lastTickMs, lastRescaleMs, lastRatesSentMs;
-    private double periodDemand, smoothedDemand = -1;                 // units by the root of their quotas, in this second and usually
-    private double reportBudgetBytes, rateBudgetBytes;           // earned
-    private double syncStartedMs = Double.NaN;             // since there was somebody to ask
-    private final boolean[] receivedSlices = new boolean[TABLE_SLICES]; // that came
-    private int lastRequestedSlice;                               // asked for last
-    private long sentMessages, sentBytes, sentReports, sentRates, unsentReports, receivedReports, receivedRates, misroutedReports, malformed, droppedWhenFull;
+    private double periodDemand, smoothedDemand = -1; // units divided by the roots of their quotas: in this period, and smoothed
+    private double reportBudgetBytes, rateBudgetBytes; // unspent budgets
+    private double syncStartedMs = Double.NaN;       // when there was first another member to ask; NaN before
+    private final boolean[] receivedSlices = new boolean[TABLE_SLICES];
+    private int lastRequestedSlice;
+    private long sentMessages, sentBytes, sentReports, sentRates, unsentReports, receivedReports, receivedRates, misroutedReports,
+            malformed, droppedWhenFull;
 
-    /** Begins to ask the others for what they know as soon as it has members. */
+    /** Requests the rates known to the others as soon as there are other members. */
     public Rates(Parameters parameters, long selfId, long seed, double now, Transport transport) {
         this.parameters = parameters;
         this.selfId = selfId;
@@ -87,13 +91,16 @@
         lastTickMs = lastRescaleMs = lastRatesSentMs = now;
     }
 
-    /** Who is there now, in any order, this one among them or not. What other ingresses now meet is theirs. */
+    /**
+     * Sets the active members, in any order, with or without this one. Drops the estimates of customers that now have another
+     * aggregator.
+     */
     public void updateMembers(long[] active) {
         members = active.clone();
-        estimates.values().removeIf(one -> aggregatorOf(one.customer) != selfId);
+        estimates.values().removeIf(estimate -> aggregatorOf(estimate.customer) != selfId);
     }
 
-    /** The ingress at which a customer's reports meet: the same at all who have the same members. */
+    /** Returns the customer's aggregator by rendezvous hashing: the same at all ingresses with the same members. */
     long aggregatorOf(long customer) {
         long best = selfId, bestScore = Long.MIN_VALUE;
         for (long member : members) {
@@ -114,7 +121,7 @@
 
     private boolean hasQuota(int plan) { return plan >= 0 && plan < quotaRoots.length && quotaRoots[plan] > 0; }
 
-    /** A customer with a wide set was asked for here, whatever becomes of it. */
+    /** Records a request of a customer with a wide set, whether it is admitted or not. */
     public void recordDemand(double now, long customer, int plan, double units) {
         if (!hasQuota(plan) || units <= 0) { return; }
         periodDemand += units / quotaRoots[plan];
@@ -133,19 +140,23 @@
             return;
         }
         reportBudgetBytes -= costBytes;
-        if (buffer == null) { reportBuffers.put(aggregator, buffer = RateCodec.newMessage(RateCodec.Kind.REPORTS, parameters.maxBodyBytes())); }
+        if (buffer == null) {
+            reportBuffers.put(aggregator, buffer = RateCodec.newMessage(RateCodec.Kind.REPORTS, parameters.maxBodyBytes()));
+        }
         RateCodec.putReport(buffer, customer, plan, reportedUnits);
         sentReports++;
     }
 
-    /** Units a second that a customer is asked at all ingresses, where that is more than its quota; else, or where nothing is known, 0. */
+    /** Returns a customer's fleet-wide demand in units a second if it exceeds its quota; 0 if it does not, or is unknown. */
     public double overQuotaDemandPerS(double now, long customer, int plan) {
         KnownRate rate = knownRates.get(customer);
         double ratio = rate == null || rate.plan != plan || now - rate.computedAtMs > RATE_TTL_MS ? 0 : RATIO_DISCOUNT * rate.ratio;
         return ratio <= 1 ? 0 : ratio * parameters.quotasPerS()[plan];
     }
 
-    private double horizonMs(int plan) { return Math.max(parameters.horizonMs(), Math.min(MAX_HORIZON_MS, MS_PER_S * REPORTS_PER_HORIZON * reportScale / quotaRoots[plan])); }
+    private double horizonMs(int plan) {
+        return Math.max(parameters.horizonMs(), Math.min(MAX_HORIZON_MS, MS_PER_S * REPORTS_PER_HORIZON * reportScale / quotaRoots[plan]));
+    }
 
     private void addToEstimate(double now, long customer, int plan, double units) {
         DemandEstimate estimate = estimates.get(customer);
@@ -159,14 +170,15 @@
         estimate.add(now, units, horizonMs(plan));
     }
 
-    /** A message of another ingress; what is none of ours is counted and dropped. */
+    /** Handles a message of another ingress; malformed ones are counted and dropped. */
     public void receive(double now, long from, byte[] body) {
         ByteBuffer in = ByteBuffer.wrap(body);
         RateCodec.Kind kind = RateCodec.readKind(in);
         boolean hasSlice = kind == RateCodec.Kind.SLICE_REQUEST || kind == RateCodec.Kind.SLICE;
         int slice = hasSlice && in.hasRemaining() ? in.get() & 0xff : hasSlice ? TABLE_SLICES : 0;
         int itemBytes = kind == RateCodec.Kind.REPORTS ? RateCodec.REPORT_BYTES : RateCodec.RATE_BYTES;
-        if (kind == null || slice >= TABLE_SLICES || (kind == RateCodec.Kind.SLICE_REQUEST ? in.hasRemaining() : in.remaining() % itemBytes != 0)) {
+        if (kind == null || slice >= TABLE_SLICES || (kind == RateCodec.Kind.SLICE_REQUEST ? in.hasRemaining()
+                : in.remaining() % itemBytes != 0)) {
             malformed++;
             return;
         }
@@ -176,29 +188,31 @@
         }
         if (kind == RateCodec.Kind.SLICE) { receivedSlices[slice] = true; }
         while (in.hasRemaining()) {
-            if (kind == RateCodec.Kind.REPORTS) { receiveReport(now, RateCodec.readReport(in)); } else { receiveRate(now, RateCodec.readRate(in), kind == RateCodec.Kind.RATES); }
+            if (kind == RateCodec.Kind.REPORTS) { receiveReport(now, RateCodec.readReport(in));
+                    } else { receiveRate(now, RateCodec.readRate(in), kind == RateCodec.Kind.RATES); }
         }
     }
 
     private void receiveReport(double now, RateCodec.Report report) {
         receivedReports++;
-        if (aggregatorOf(report.customer()) != selfId) {         // its sender sees other members: one that knows a part alone must not speak for all
+        // The sender has another view. It is dropped, since a partial sum must not be announced as the demand of the whole fleet.
+        if (aggregatorOf(report.customer()) != selfId) {
             misroutedReports++;
             return;
         }
         if (hasQuota(report.plan())) { addToEstimate(now, report.customer(), report.plan(), report.units()); } else { malformed++; }
     }
 
-    private void receiveRate(double now, RateCodec.Rate rate, boolean passOn) {
+    private void receiveRate(double now, RateCodec.Rate rate, boolean gossip) {
         receivedRates++;
         double computedAtMs = now - rate.ageMs();
         if (!hasQuota(rate.plan()) || rate.ageMs() > RATE_TTL_MS) { return; }
         KnownRate known = knownRates.get(rate.customer());
         if (known != null && computedAtMs <= known.computedAtMs + MIN_AGE_DIFFERENCE_MS) { return; }
-        updateKnownRate(now, rate.customer(), rate.plan(), rate.ratio(), computedAtMs, passOn);
+        updateKnownRate(now, rate.customer(), rate.plan(), rate.ratio(), computedAtMs, gossip);
     }
 
-    private void updateKnownRate(double now, long customer, int plan, double ratio, double computedAtMs, boolean passOn) {
+    private void updateKnownRate(double now, long customer, int plan, double ratio, double computedAtMs, boolean gossip) {
         KnownRate known = knownRates.get(customer);
         if (known == null) {
             if (knownRates.size() >= MAX_KNOWN_RATES) {
@@ -212,14 +226,14 @@
         known.ratio = ratio;
         known.computedAtMs = computedAtMs;
         known.priority = quotaRoots[plan] * Math.sqrt(ratio > 1 ? ratio - 1 : 1);
-        if (passOn) {
+        if (gossip) {
             known.remainingSends = GOSSIP_FANOUT;
             known.queuedAtMs = now;
             pendingRates.add(known);
         }
     }
 
-    /** Out of the same bytes as all words; who is not answered asks another. */
+    /** Answers from the budget for rates; a requester without an answer asks another member. */
     private void answerSliceRequest(double now, long to, int slice) {
         if (rateBudgetBytes <= 0) { return; }
         List<KnownRate> rates = new ArrayList<>();
@@ -233,7 +247,7 @@
         send(to, out);
     }
 
-    /** A new ingress asks others at random for all that they know, a slice at a time. */
+    /** Requests the known rates from random members, one slice at a time, after the start of this ingress. */
     private void requestSlice(double now) {
         if (members.length > 1 && Double.isNaN(syncStartedMs)) { syncStartedMs = now; }
         if (!(now - syncStartedMs < INITIAL_SYNC_MS) || rateBudgetBytes <= 0) { return; }
@@ -249,7 +263,9 @@
 
     private static int sliceOf(long customer) { return (int) (mix(customer) & TABLE_SLICES - 1); }
 
-    private static void putRate(ByteBuffer out, double now, KnownRate rate) { RateCodec.putRate(out, rate.customer, rate.plan, rate.ratio, now - rate.computedAtMs); }
+    private static void putRate(ByteBuffer out, double now, KnownRate rate) {
+        RateCodec.putRate(out, rate.customer, rate.plan, rate.ratio, now - rate.computedAtMs);
+    }
 
     private void send(long to, ByteBuffer out) {
         byte[] body = Arrays.copyOf(out.array(), out.position());
@@ -258,12 +274,14 @@
         transport.send(to, body);
     }
 
-    /** Called each {@link #TICK_MS}, or later. */
+    /** To be called every {@link #TICK_INTERVAL_MS}, or later. */
     public void tick(double now) {
         double elapsedS = Math.max(0, now - lastTickMs) / MS_PER_S, bytesPerS = parameters.bytesPerS();
         lastTickMs = now;
-        reportBudgetBytes = Math.min(BUDGET_BURST_S * REPORT_BUDGET_SHARE * bytesPerS, reportBudgetBytes + REPORT_BUDGET_SHARE * bytesPerS * elapsedS);
-        rateBudgetBytes = Math.min(Math.max(BUDGET_BURST_S * (1 - REPORT_BUDGET_SHARE) * bytesPerS, parameters.headerBytes() + parameters.maxBodyBytes()), rateBudgetBytes + (1 - REPORT_BUDGET_SHARE) * bytesPerS * elapsedS);
+        reportBudgetBytes = Math.min(BUDGET_BURST_S * REPORT_BUDGET_SHARE * bytesPerS,
+                reportBudgetBytes + REPORT_BUDGET_SHARE * bytesPerS * elapsedS);
+        rateBudgetBytes = Math.min(Math.max(BUDGET_BURST_S * (1 - REPORT_BUDGET_SHARE) * bytesPerS,
+                parameters.headerBytes() + parameters.maxBodyBytes()), rateBudgetBytes + (1 - REPORT_BUDGET_SHARE) * bytesPerS * elapsedS);
         reportBuffers.forEach(this::send);
         reportBuffers.clear();
         if (now - lastRescaleMs >= MS_PER_S) {
@@ -275,7 +293,7 @@
         sendRates(now);
     }
 
-    /** A member at random that is not this one; this one where it is alone. */
+    /** Returns a random member other than this one, or this one if it is alone. */
     private long randomPeer() {
         for (int i = 0; i < 8; i++) {
             long member = members.length == 0 ? selfId : members[random.nextInt(members.length)];
@@ -284,7 +302,7 @@
         return selfId;
     }
 
-    /** So many units one report stands for that the budget holds. */
+    /** Sets how many units one report stands for, so that the reports stay within their budget. */
     private void rescale(double seconds) {
         double demandPerS = periodDemand / seconds;
         periodDemand = 0;
@@ -303,17 +321,22 @@
             boolean listed = known != null && known.plan == estimate.plan && known.ratio > 0 && now - known.computedAtMs < RATE_TTL_MS;
             double ageMs = known == null ? Double.POSITIVE_INFINITY : now - known.computedAtMs;
             if (ageMs < horizonMs * (ratio < WITHDRAW_RATIO ? WITHDRAW_SPACING : ANNOUNCE_SPACING)) { continue; }
-            boolean changed = listed ? ratio < WITHDRAW_RATIO || Math.abs(Math.log(ratio / known.ratio)) > MIN_LOG_CHANGE : ratio > ANNOUNCE_RATIO;
+            boolean changed = listed ? ratio < WITHDRAW_RATIO || Math.abs(Math.log(ratio / known.ratio)) > MIN_LOG_CHANGE
+                    : ratio > ANNOUNCE_RATIO;
             boolean needsRefresh = listed && ageMs > REFRESH_INTERVAL_MS && pendingRates.size() < 2 * maxRatesPerMessage;
-            if (changed || needsRefresh) { updateKnownRate(now, estimate.customer, estimate.plan, ratio < WITHDRAW_RATIO ? 0 : Math.max(ratio, 1 + 1e-9), now, true); }
+            if (changed || needsRefresh) {
+                updateKnownRate(now, estimate.customer, estimate.plan, ratio < WITHDRAW_RATIO ? 0 : Math.max(ratio, 1 + 1e-9), now, true);
+            }
         }
     }
 
-    /** New words first, those that keep out most and wait longest; then some of all by turns, so that what was lost is healed. */
+    /** Gossips new announcements first, by priority and waiting time; then others in round-robin order, to repair losses. */
     private void sendRates(double now) {
         long to = randomPeer();
-        int capacity = (int) Math.min(maxRatesPerMessage, Math.floor((rateBudgetBytes - parameters.headerBytes() - 1) / RateCodec.RATE_BYTES));
-        if (to == selfId || capacity < 1 || now - lastRatesSentMs < BATCHING_DELAY_MS && pendingRates.size() < capacity || knownRates.isEmpty()) { return; }
+        int capacity = (int) Math.min(maxRatesPerMessage,
+                Math.floor((rateBudgetBytes - parameters.headerBytes() - 1) / RateCodec.RATE_BYTES));
+        if (to == selfId || capacity < 1 || now - lastRatesSentMs < BATCHING_DELAY_MS && pendingRates.size() < capacity
+                || knownRates.isEmpty()) { return; }
         lastRatesSentMs = now;
         ByteBuffer out = RateCodec.newMessage(RateCodec.Kind.RATES, parameters.maxBodyBytes());
         List<KnownRate> byPriority = new ArrayList<>(pendingRates);
@@ -326,7 +349,7 @@
         }
         for (int remaining = Math.min(rotation.size(), capacity - count); remaining > 0; remaining--) {
             KnownRate rate = rotation.poll();
-            if (now - rate.computedAtMs > RATE_TTL_MS) {      // nobody says it any more
+            if (now - rate.computedAtMs > RATE_TTL_MS) { // its aggregator no longer announces it
                 knownRates.remove(rate.customer);
                 pendingRates.remove(rate);
                 continue;
@@ -342,13 +365,15 @@
         send(to, out);
     }
 
-    /** Customers known to ask for more than their quota. */
-    public int overQuotaCount() { return (int) knownRates.values().stream().filter(one -> one.ratio > 0).count(); }
+    /** Returns the number of customers known to exceed their quota. */
+    public int overQuotaCount() { return (int) knownRates.values().stream().filter(rate -> rate.ratio > 0).count(); }
 
-    /** Names and values for the counters line. */
+    /** Returns {@code name=value} pairs for the counters line. */
     public String counters() {
-        return "rates_listed=" + overQuotaCount() + " rates_met=" + estimates.size() + " rates_sent=" + sentMessages + " rates_sent_bytes=" + sentBytes + " rates_reports=" + sentReports + " rates_unsent="
-                + unsentReports + " rates_told=" + sentRates + " rates_heard_reports=" + receivedReports + " rates_heard=" + receivedRates + " rates_strays=" + misroutedReports + " rates_malformed="
+        return "rates_listed=" + overQuotaCount() + " rates_met=" + estimates.size() + " rates_sent=" + sentMessages + " rates_sent_bytes="
+                + sentBytes + " rates_reports=" + sentReports + " rates_unsent="
+                + unsentReports + " rates_told=" + sentRates + " rates_heard_reports=" + receivedReports + " rates_heard=" + receivedRates
+                + " rates_strays=" + misroutedReports + " rates_malformed="
                 + malformed + " rates_full=" + droppedWhenFull;
     }
 }
--- a/src/main/java/yardusher/view/ChangeNotifier.java
+++ b/src/main/java/yardusher/view/ChangeNotifier.java
@@ -9,12 +9,13 @@
 import java.util.function.DoubleFunction;
 
 /**
- * When the picture is told on: once it has stood still for so long and nobody in it is suspected by two or more, so that a
- * hall that dies is one change; and whatever it does, no later than {@code mostMs} after it began to change.
+ * Reports changes of the view to listeners in batches: once the view has been stable for the settling time and no member is suspected
+ * by two or more others, so that the failure of a data hall is one change; but at most {@code maxDelayMs} after the first
+ * unreported change.
  */
 final class ChangeNotifier {
     private static final double MIN_MAX_DELAY_MS = 3000;
-    private static final int CONFIRMING_ACCUSERS = 2;            // accusers: one alone may have lost its datagrams
+    private static final int CONFIRMING_ACCUSERS = 2; // a single accuser may merely have lost datagrams
 
     private record ReportedMember(View.Member member, long instanceId) { }
 
@@ -24,7 +25,7 @@
     private final List<Consumer<View.Change>> listeners = new ArrayList<>();
     private Map<String, ReportedMember> reported = new HashMap<>();
     private long reportedDigest;
-    private double unreportedSinceMs = Double.POSITIVE_INFINITY;       // of the first change that was not told
+    private double unreportedSinceMs = Double.POSITIVE_INFINITY; // time of the first unreported change
 
     ChangeNotifier(MemberTable table, double settleMs) {
         this.table = table;
@@ -34,7 +35,7 @@
 
     void subscribe(Consumer<View.Change> listener) { listeners.add(listener); }
 
-    /** When it has to be looked at again; infinity where all is told. */
+    /** Returns when {@link #notifyIfSettled} is due; infinity if everything is reported. */
     double nextCheckMs(double now) {
         if (table.digest() == reportedDigest) {
             unreportedSinceMs = Double.POSITIVE_INFINITY;
@@ -42,10 +43,11 @@
         }
         if (unreportedSinceMs == Double.POSITIVE_INFINITY) { unreportedSinceMs = Math.max(table.changedAtMs(), now - maxDelayMs); }
         double deadlineMs = unreportedSinceMs + maxDelayMs;
-        return table.suspects().stream().anyMatch(one -> one.accusers.length >= CONFIRMING_ACCUSERS) ? deadlineMs : Math.min(deadlineMs, table.changedAtMs() + settleMs);
+        return table.suspects().stream().anyMatch(suspect -> suspect.accusers.length >= CONFIRMING_ACCUSERS) ? deadlineMs
+                : Math.min(deadlineMs, table.changedAtMs() + settleMs);
     }
 
-    /** Tells what has settled, if it has. */
+    /** Reports the change to the listeners if the view has settled. */
     void notifyIfSettled(double now, DoubleFunction<View.Snapshot> snapshotAt) {
         if (nextCheckMs(now) > now) { return; }
         reportedDigest = table.digest();
@@ -63,7 +65,7 @@
         }
         for (ReportedMember member : reported.values()) { departed.add(member.member); }
         reported = current;
-        if (joined.isEmpty() && departed.isEmpty()) { return; }    // refuted, or back again before it was told
+        if (joined.isEmpty() && departed.isEmpty()) { return; } // refuted, or back before it was reported
         joined.sort(Comparator.comparing(View.Member::name));
         departed.sort(Comparator.comparing(View.Member::name));
         View.Change change = new View.Change(snapshotAt.apply(now), List.copyOf(joined), List.copyOf(departed));
--- a/src/main/java/yardusher/view/GossipQueue.java
+++ b/src/main/java/yardusher/view/GossipQueue.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** News that is still passed on: what was told the fewest times goes first, and what was told often enough goes out of the line. */
+/** The queue of updates that are still gossiped: least transmitted first; an update is dropped after enough transmissions. */
 final class GossipQueue {
     private record QueueItem(MemberEntry entry, long queueNumber) { }
 
@@ -16,7 +16,7 @@
 
     int size() { return size; }
 
-    /** Puts a member's news in line as if it had been told so many times. */
+    /** Queues the entry's update as if it had been transmitted that many times already. */
     void add(MemberEntry entry, int transmissions) {
         if (entry.queueNumber == 0) { size++; }
         entry.transmissions = transmissions;
@@ -24,7 +24,7 @@
         queueFor(transmissions).add(new QueueItem(entry, entry.queueNumber));
     }
 
-    /** Its news is told no further. */
+    /** Stops gossiping the entry's update. */
     void remove(MemberEntry entry) {
         if (entry.queueNumber != 0) { size--; }
         entry.queueNumber = 0;
@@ -35,17 +35,20 @@
         return byTransmissions.get(transmissions);
     }
 
-    /** The news that goes next; {@code most} tellings end it. Null for none. It has to be told: it counts as told now. */
+    /**
+     * Takes the next update and counts it as transmitted, so the caller has to send it; null if there is none.
+     * An update is dropped after {@code maxTransmissions} transmissions; items queued after the mark {@code mark} are left.
+     */
     MemberEntry next(int maxTransmissions, long mark) {
         for (int transmissions = 0; transmissions < byTransmissions.size(); transmissions++) {
             ArrayDeque<QueueItem> queue = byTransmissions.get(transmissions);
             for (QueueItem item; (item = queue.peek()) != null;) {
                 MemberEntry entry = item.entry();
                 if (entry.queueNumber != item.queueNumber() || entry.transmissions != transmissions) {
-                    queue.poll();                     // newer news of it stands elsewhere
+                    queue.poll();                    // superseded by a newer item of this entry
                     continue;
                 }
-                if (entry.queueNumber > mark) { break; } // it is in this datagram already
+                if (entry.queueNumber > mark) { break; } // already in this datagram
                 queue.poll();
                 if (transmissions + 1 >= maxTransmissions) { remove(entry); } else { add(entry, transmissions + 1); }
                 return entry;
@@ -54,6 +57,6 @@
         return null;
     }
 
-    /** What {@link #next} is given so that no news comes twice into one datagram. */
+    /** Returns the mark with which {@link #next} puts no update twice into one datagram. */
     long mark() { return lastQueueNumber; }
 }
--- a/src/main/java/yardusher/view/MemberEntry.java
+++ b/src/main/java/yardusher/view/MemberEntry.java
@@ -2,23 +2,23 @@
 
 import yardusher.view.View.State;
 
-/** What is held of one name. Changed by its {@link MemberTable} alone, but for the notes of who told what when. */
+/** The stored state of one member name. Only its {@link MemberTable} changes it, except for the gossip bookkeeping at the end. */
 final class MemberEntry {
     final String name;
-    final long ringPosition;                                // on the ring of all members
+    final long ringPosition;                         // its position on the ring, a hash of the name
     MemberIdentity identity;
     long instanceId;
     long firstIncarnation;
     long incarnation;
     State state;
-    double stateSinceMs;                                  // when it came into this state, here
+    double stateSinceMs;                             // when it entered this state, on the local clock
     int[] accusers = MemberUpdate.NO_ACCUSERS;
 
-    int transmissions;                                        // how often this news was passed on
-    long queueNumber;                                     // the last time it was put in line
-    long reportedDigest;                                 // of its whole picture, as it last said
+    int transmissions;                               // how many times the current update was gossiped
+    long queueNumber;                                // number of its item in the gossip queue; 0 if not queued
+    long reportedDigest;                             // digest of its whole view, as it last reported
     double reportedAtMs = Double.NEGATIVE_INFINITY;
-    double correctedAtMs = Double.NEGATIVE_INFINITY;   // when it was last told what is held of it
+    double correctedAtMs = Double.NEGATIVE_INFINITY; // when it was last sent the record held of it here
 
     MemberEntry(String name, long ringPosition) {
         this.name = name;
--- a/src/main/java/yardusher/view/MemberTable.java
+++ b/src/main/java/yardusher/view/MemberTable.java
@@ -11,31 +11,32 @@
 import yardusher.view.View.State;
 
 /**
- * All members that are known, and the one rule by which news of them is taken or not. The rule is an order: a later life goes
- * before an earlier one, within a life a higher incarnation before a lower one, within an incarnation LEFT before GONE before
- * SUSPECT before ALIVE. So whoever has heard the same news in any order holds the same. A name's incarnation never
- * falls here, and what LEFT or was replaced by a later life is never there again. The gone are bounded in number and time.
+ * The table of all known members, and the rule that decides whether an update is applied. Updates of a name are ordered: a later
+ * instance supersedes an earlier one; within an instance a higher incarnation supersedes a lower one; within an incarnation
+ * LEFT supersedes GONE, GONE supersedes SUSPECT, and SUSPECT supersedes ALIVE. So tables that received the same updates are equal,
+ * whatever the order of arrival. A name's incarnation never decreases here, and an instance that LEFT or was replaced by a
+ * later one never becomes active again. GONE and LEFT members are bounded in number and age.
  */
 final class MemberTable {
-    /** What became of news. */
+    /** The result of merging an update. */
     enum MergeResult {
-        /** It said nothing new. */
+        /** The update contains nothing new. */
         KNOWN,
-        /** It is held now, and worth passing on. */
+        /** The update was applied and should be gossiped. */
         NEW,
-        /** What is held here goes before it; whom it is about has not heard that yet. */
+        /** The stored record supersedes the update; the member concerned has not heard of that record yet. */
         OUTDATED,
-        /** It is not to be believed. */
+        /** The update is not plausible, or the table is full. */
         REFUSED
     }
 
-    /** Buckets of the digests by which two tables are compared. */
+    /** Number of buckets by whose digests two tables are compared. */
     static final int BUCKETS = 64;
-    /** Incarnations begin with a second of Unix time and go up by ones. Danger: what is above is made up, and nobody could go above it. */
+    /** Incarnations start at Unix time in seconds and go up by ones. One above this bound is forged, and nobody could supersede it. */
     static final long MAX_INCARNATION = 1L << 40;
-    /** A known name's incarnation goes up by no more at once: a process that restarts with its clock a century ahead still fits. */
+    /** Largest accepted step of a known name's incarnation; a process that restarts with its clock a century ahead is still within it. */
     static final long MAX_INCARNATION_STEP = 1L << 32;
-    /** Names at the most; news of others is refused. */
+    /** Maximum number of names; updates of further names are refused. */
     static final int MAX_MEMBERS = 10_000;
     private static final int MIN_INACTIVE_CAPACITY = 256;
     private static final int MAX_ACCUSERS = 4;
@@ -44,8 +45,8 @@
     private final double rememberMs;
     private final Membership.Environment environment;
     private final Map<String, MemberEntry> entries = new HashMap<>();
-    private final List<MemberEntry> activeRing = new ArrayList<>();       // who is there, by place
-    private final List<MemberEntry> gone = new ArrayList<>();       // in no order
+    private final List<MemberEntry> activeRing = new ArrayList<>(); // active members by ring position
+    private final List<MemberEntry> gone = new ArrayList<>(); // unordered
     private final List<MemberEntry> suspects = new ArrayList<>();
     private final long[] bucketDigests = new long[BUCKETS];
     private long digest;
@@ -67,7 +68,7 @@
 
     Collection<MemberEntry> entries() { return entries.values(); }
 
-    /** Who is ALIVE or SUSPECT, in the order of the ring. Not to be changed. */
+    /** Returns the ALIVE and SUSPECT members in ring order. Callers must not modify the list. */
     List<MemberEntry> active() { return activeRing; }
 
     List<MemberEntry> gone() { return gone; }
@@ -76,18 +77,19 @@
 
     int leftCount() { return leftCount; }
 
-    /** Of name, address and life of who is there. */
+    /** Returns the digest over name, address and instance of the active members. */
     long digest() { return digest; }
 
-    /** When that last changed. */
+    /** Returns the time at which {@link #digest} last changed. */
     double changedAtMs() { return changedAtMs; }
 
-    /** Goes up with each change of any member. */
+    /** Returns a number that grows with each change of any entry. */
     long version() { return version; }
 
-    /** Of all that is remembered, by bucket. */
+    /** Returns the digest of each bucket, over all entries in any state. */
     long[] bucketDigests() { return bucketDigests.clone(); }
 
+    /** Returns one digest over all bucket digests. */
     long tableDigest() {
         if (tableDigestVersion != version) {
             tableDigestVersion = version;
@@ -99,13 +101,15 @@
 
     static int bucketOf(String name) { return (int) (ringPositionOf(name) >>> 58); }
 
-    /** Where a name stands on the ring, the same at all members. */
+    /** Returns the position of a name on the ring, the same at all members. */
     static long ringPositionOf(String name) { return LongHashFunction.xx3().hashChars(name); }
 
-    /** Takes news of another member, or of this one's own name where another life holds it. */
+    /** Merges an update of another member, or of this ingress's own name while another instance holds it. */
     MergeResult merge(MemberUpdate update, double now) {
         MemberEntry held = entries.get(update.identity().name());
-        if (update.incarnation() > MAX_INCARNATION || held != null && update.incarnation() > held.incarnation + MAX_INCARNATION_STEP) { return MergeResult.REFUSED; }
+        if (update.incarnation() > MAX_INCARNATION || held != null && update.incarnation() > held.incarnation + MAX_INCARNATION_STEP) {
+            return MergeResult.REFUSED;
+        }
         if (!update.isActive() && update.ageS() * 1000.0 > rememberMs) { return MergeResult.KNOWN; }
         if (held == null) {
             if (entries.size() >= MAX_MEMBERS) { return MergeResult.REFUSED; }
@@ -113,14 +117,18 @@
             return MergeResult.NEW;
         }
         if (held.instanceId != update.instanceId()) {
-            if (!MemberUpdate.isLaterInstance(update.firstIncarnation(), update.instanceId(), held.firstIncarnation, held.instanceId) || update.incarnation() <= held.incarnation) { return MergeResult.OUTDATED; }
+            if (!MemberUpdate.isLaterInstance(update.firstIncarnation(), update.instanceId(), held.firstIncarnation, held.instanceId)
+                    || update.incarnation() <= held.incarnation) { return MergeResult.OUTDATED; }
             store(held, update, now);
             return MergeResult.NEW;
         }
-        if (held.state == State.LEFT || update.state() == State.LEFT) { // who left has left, whatever is said of it beside
+        if (held.state == State.LEFT || update.state() == State.LEFT) { // LEFT is final for an instance, whatever the incarnation
             long incarnation = Math.max(held.incarnation, update.incarnation());
-            if (held.state == State.LEFT && incarnation == held.incarnation) { return update.state() == State.LEFT ? MergeResult.KNOWN : MergeResult.OUTDATED; }
-            store(held, new MemberUpdate(update.identity(), update.instanceId(), update.firstIncarnation(), incarnation, State.LEFT, MemberUpdate.NO_ACCUSERS, update.ageS()), now);
+            if (held.state == State.LEFT && incarnation == held.incarnation) {
+                return update.state() == State.LEFT ? MergeResult.KNOWN : MergeResult.OUTDATED;
+            }
+            store(held, new MemberUpdate(update.identity(), update.instanceId(), update.firstIncarnation(), incarnation, State.LEFT,
+                    MemberUpdate.NO_ACCUSERS, update.ageS()), now);
             return MergeResult.NEW;
         }
         if (update.incarnation() < held.incarnation) { return MergeResult.OUTDATED; }
@@ -128,26 +136,29 @@
             store(held, update, now);
             return MergeResult.NEW;
         }
-        if (update.state() == State.SUSPECT && held.state == State.SUSPECT) { return addAccusers(held, update.accusers()) ? MergeResult.NEW : MergeResult.KNOWN; }
+        if (update.state() == State.SUSPECT && held.state == State.SUSPECT) {
+            return addAccusers(held, update.accusers()) ? MergeResult.NEW : MergeResult.KNOWN;
+        }
         if (update.state().ordinal() == held.state.ordinal()) { return MergeResult.KNOWN; }
         if (update.state().ordinal() < held.state.ordinal()) { return MergeResult.OUTDATED; }
         store(held, update, now);
         return MergeResult.NEW;
     }
 
-    /** One more found it silent. Whether that is news. */
+    /** Records that one more member found this one silent; whether that changes the entry. */
     boolean addAccuser(MemberEntry entry, int accuser, double now) {
         if (entry.state == State.SUSPECT) { return addAccusers(entry, new int[] {accuser}); }
         if (entry.state != State.ALIVE) { return false; }
         MemberUpdate current = entry.toUpdate(now);
-        store(entry, new MemberUpdate(current.identity(), current.instanceId(), current.firstIncarnation(), current.incarnation(), State.SUSPECT, new int[] {accuser}, 0), now);
+        store(entry, new MemberUpdate(current.identity(), current.instanceId(), current.firstIncarnation(), current.incarnation(),
+                State.SUSPECT, new int[] {accuser}, 0), now);
         return true;
     }
 
     private static boolean addAccusers(MemberEntry held, int[] accusers) {
         boolean changed = false;
         for (int accuser : accusers) {
-            if (held.accusers.length >= MAX_ACCUSERS || Arrays.stream(held.accusers).anyMatch(one -> one == accuser)) { continue; }
+            if (held.accusers.length >= MAX_ACCUSERS || Arrays.stream(held.accusers).anyMatch(known -> known == accuser)) { continue; }
             held.accusers = Arrays.copyOf(held.accusers, held.accusers.length + 1);
             held.accusers[held.accusers.length - 1] = accuser;
             changed = true;
@@ -155,19 +166,20 @@
         return changed;
     }
 
-    /** It was silent for as long as suspicion lasts. */
+    /** Marks as GONE a member whose suspicion has expired, or whose process is known to have ended. */
     void markGone(MemberEntry entry, double now) {
         MemberUpdate current = entry.toUpdate(now);
-        store(entry, new MemberUpdate(current.identity(), current.instanceId(), current.firstIncarnation(), current.incarnation(), State.GONE, MemberUpdate.NO_ACCUSERS, 0), now);
+        store(entry, new MemberUpdate(current.identity(), current.instanceId(), current.firstIncarnation(), current.incarnation(),
+                State.GONE, MemberUpdate.NO_ACCUSERS, 0), now);
     }
 
-    /** This ingress itself is there, or leaves, or gives its name up; no rule is asked. */
+    /** Stores a record of this ingress's own name without applying the merge rule: it joins, leaves or gives the name up. */
     void replace(MemberUpdate self, double now) {
         MemberEntry held = entries.get(self.identity().name());
         store(held != null ? held : new MemberEntry(self.identity().name(), ringPositionOf(self.identity().name())), self, now);
     }
 
-    /** Nothing is held of that name any more. */
+    /** Removes the entry. */
     void remove(MemberEntry entry, double now) {
         if (entry.isActive()) { changedAtMs = now; }
         unindex(entry);
@@ -225,31 +237,34 @@
         while (low <= high) {
             int mid = (low + high) >>> 1;
             MemberEntry other = activeRing.get(mid);
-            int comparison = other.ringPosition != entry.ringPosition ? Long.compare(other.ringPosition, entry.ringPosition) : other.name.compareTo(entry.name);
+            int comparison = other.ringPosition != entry.ringPosition ? Long.compare(other.ringPosition, entry.ringPosition)
+                    : other.name.compareTo(entry.name);
             if (comparison == 0) { return mid; }
             if (comparison < 0) { low = mid + 1; } else { high = mid - 1; }
         }
         return -low - 1;
     }
 
-    /** Who stands so many steps after one who is there; before it where they are negative. The ring is closed. */
+    /** Returns the active member {@code steps} positions after the entry, or before it if negative; the ring wraps around. */
     MemberEntry ringNeighbour(MemberEntry entry, int steps) {
         int index = ringIndex(entry);
         int size = activeRing.size();
         return activeRing.get(Math.floorMod(index >= 0 ? index + steps : -index - 1 + steps - 1, size));
     }
 
-    /** Not the incarnation: who was suspected and said that it is there is still the same process, and the picture the same. */
+    /** Leaves the incarnation out: a member that refuted a suspicion is still the same process, and the view is unchanged. */
     private static long instanceHash(MemberEntry entry) {
         return mix(mix(mix(entry.ringPosition, addressHash(entry.identity.address())), entry.firstIncarnation), entry.instanceId);
     }
 
-    /** SUSPECT counts as ALIVE: suspicion ends by itself, and tables that differ in it need not be compared. */
+    /** SUSPECT counts as ALIVE: a suspicion ends by itself, so tables that differ only in it need no synchronisation. */
     private static long entryHash(MemberEntry entry) {
         return mix(mix(mix(entry.ringPosition, entry.instanceId), entry.incarnation), entry.isActive() ? 1 : entry.state.ordinal());
     }
 
-    private static long addressHash(InetSocketAddress address) { return Arrays.hashCode(address.getAddress().getAddress()) * 65_536L + address.getPort(); }
+    private static long addressHash(InetSocketAddress address) {
+        return Arrays.hashCode(address.getAddress().getAddress()) * 65_536L + address.getPort();
+    }
 
     private static long mix(long a, long b) {
         long x = (a ^ Long.rotateLeft(b, 32)) * 0x9e3779b97f4a7c15L + b;
@@ -257,7 +272,7 @@
         return x ^ (x >>> 31);
     }
 
-    /** Forgets the gone whose time is over, and the longest gone where there are too many. */
+    /** Removes inactive entries that have expired, and the oldest ones beyond the maximum number. */
     void expire(double now) {
         int capacity = Math.max(MIN_INACTIVE_CAPACITY, 4 * maxActive);
         List<MemberEntry> inactive = null;
