--- a/src/main/java/yardusher/view/Membership.java
+++ b/src/main/java/yardusher/view/Membership.java
@@ -14,42 +14,43 @@
 import yardusher.view.View.State;
 
 /**
- * One ingress's part in the view: SWIM with Lifeguard's corrections, watchers on a ring as Rapid has them, and tables compared
- * by digests. Without I/O, clock or thread: it is told the time in ms with each call, and says when it wants to be called
- * next. Times may stand still or jump forward (the process was stopped), never go back. docs/design/view.md has the reasons.
+ * The membership protocol of one ingress: SWIM with the Lifeguard extensions, fixed observers on a ring as in Rapid, and anti-entropy by
+ * comparing table digests. It does no I/O and has no clock or thread: each call passes the current time in ms, and
+ * {@link #nextTickMs} says when {@link #tick} is due. Times may stand still or jump forward (the process was stopped), but never
+ * go back. docs/design/view.md explains the design.
  */
 public final class Membership {
-    /** What it does to the world. */
+    /** The protocol's outputs: datagrams, errors and member changes. */
     public interface Environment {
         void send(InetSocketAddress to, byte[] body);
 
-        /** Something an operator should know. */
+        /** Reports a condition that an operator should know about. */
         void reportError(ViewError error);
 
-        /** What is held of a member has changed; for who watches the watchers. */
+        /** The stored record of a member has changed; used by the checkers of the lab. */
         default void memberChanged(String name, long instanceId, long incarnation, State state) { }
     }
 
-    /** Where this ingress stands. */
+    /** The state of this ingress in the protocol. */
     public enum Phase {
-        /** It asks the seeds whether it may take part; it sees itself alone, or what it has heard. */
+        /** Asks seeds for admission; its view holds itself and whatever it has heard so far. */
         JOINING,
-        /** It takes part. */
+        /** Takes part as a member. */
         IN,
-        /** Another process holds its name; it looks on, and asks again at a slow rate. */
+        /** Another process holds its name; it only observes, and repeats its join request at a slow rate. */
         TAKEN,
-        /** It has said that it leaves, and is silent. */
+        /** Has announced its departure and sends nothing more. */
         LEFT
     }
 
-    /** Weaknesses for tests of the checker; none in the program. */
+    /** Deliberate defects with which tests prove that the checkers detect them; never set in production. */
     public enum Flaw { NO_REFUTATION, NO_HELPERS, LEFT_COME_BACK, NO_HEALTH, NO_ASKING_THE_GONE }
 
     private static final class Probe {
         final MemberEntry target;
         final long instanceId;
         final int sequence;
-        double retryAtMs;                              // the next step: a second ping, then others are asked
+        double retryAtMs;                            // next step: a second ping, then indirect probes by helpers
         double indirectAtMs;
         double failAtMs;
         boolean indirectSent;
@@ -78,14 +79,15 @@
     }
 
     private static final int HELPERS_PER_PROBE = 3;
-    private static final int OBSERVERS_PER_MEMBER = 4;           // alive, on the ring before a member; the first probes it each round, all once it is suspected
+    /** ALIVE predecessors on the ring that observe a member: the first probes it each round, all of them once it is suspected. */
+    private static final int OBSERVERS_PER_MEMBER = 4;
     private static final int GOSSIP_FANOUT = 3;
     private static final int MAX_RELAYED_PROBES = 256;
-    private static final int MAX_TABLE_DATAGRAMS = 8;         // datagrams in answer to one SYNC or JOIN
-    private static final double LATE_TIMER_MS = 30;        // a timer that comes later says that this process did not run
-    private static final double RECENT_REPORT_MS = 5000;     // what counts as heard lately
+    private static final int MAX_TABLE_DATAGRAMS = 8; // datagrams sent in reply to one SYNC or JOIN
+    private static final double LATE_TIMER_MS = 30;  // a timer that fires later than this shows that the process was not running
+    private static final double RECENT_REPORT_MS = 5000; // how long a member's reported digest counts as recent
     private static final double GONE_PING_INTERVAL_MS = 1000;
-    private static final double GONE_PINGS_PER_S = 4;     // a second, from all members together
+    private static final double GONE_PINGS_PER_S = 4; // pings of one GONE member, from all members together
     private static final double SEED_PING_INTERVAL_MS = 5000;
     private static final int MAX_SEEDS_PER_PING = 3;
     private static final double SYNC_INTERVAL_MS = 1000;
@@ -93,7 +95,7 @@
     private static final double MIN_JOIN_BACKOFF_MS = 200;
     private static final double MAX_JOIN_BACKOFF_MS = 5000;
     private static final double EXPIRY_INTERVAL_MS = 10_000;
-    private static final double NEWCOMER_MS = 3000;
+    private static final double NEWCOMER_MS = 3000;  // after joining, updates learned of active members are gossiped half as often
     private static final double SNAPSHOT_REUSE_MS = 100;
 
     private final ViewSettings settings;
@@ -113,8 +115,8 @@
     private long firstIncarnation;
     private long incarnation;
     private Phase phase = Phase.JOINING;
-    private MemberEntry ownEntry;                               // in the roster; the holder's while the name is taken
-    private long claimantId;                           // the last life that was said to claim this name
+    private MemberEntry ownEntry;                    // the table's entry for this name; the holder's while the name is taken
+    private long claimantId;                         // instance whose claim to this name was last reported; 0 for none
 
     private final List<Probe> probes = new ArrayList<>();
     private final Map<Integer, RelayedProbe> relayedProbes = new LinkedHashMap<>();
@@ -123,7 +125,7 @@
     private int lastSequence;
     private int joinSequence;
     private int joinAttempts;
-    private int aloneAttempts;                               // how often seeds were asked while nobody else was known
+    private int aloneAttempts;                       // consecutive seed probes sent while no other member was known
     private double enteredAtMs;
     private double nextTickMs = Double.POSITIVE_INFINITY;
     private double nextRoundMs = Double.POSITIVE_INFINITY;
@@ -132,7 +134,7 @@
     private double nextSeedPingMs = Double.POSITIVE_INFINITY;
     private double nextJoinMs = Double.POSITIVE_INFINITY;
     private double nextExpiryMs = Double.POSITIVE_INFINITY;
-    private double syncAllowedAtMs;                         // the next comparison of tables not before
+    private double syncAllowedAtMs;                  // earliest time of the next table comparison
 
     private View.Snapshot snapshot;
     private long snapshotVersion = -1;
@@ -147,11 +149,14 @@
     private long refutations;
     private long lateTimers;
 
-    public Membership(ViewSettings settings, String name, String hall, InetSocketAddress address, long seed, double now, Environment environment) {
+    /** Creates a member that takes part once {@link #start} is called; {@code seed} is for its random choices. */
+    public Membership(ViewSettings settings, String name, String hall, InetSocketAddress address, long seed, double now,
+            Environment environment) {
         this(settings, new MemberIdentity(name, hall, address), seed, now, environment, UnaryOperator.identity(), null);
     }
 
-    Membership(ViewSettings settings, MemberIdentity self, long seed, double now, Environment environment, UnaryOperator<MemberIdentity> interner, Flaw flaw) {
+    Membership(ViewSettings settings, MemberIdentity self, long seed, double now, Environment environment,
+            UnaryOperator<MemberIdentity> interner, Flaw flaw) {
         this.settings = settings;
         this.self = self;
         this.environment = environment;
@@ -164,17 +169,18 @@
         gossipMs = roundMs / 3;
     }
 
-    /** With one of the flaws, and shared names; for the lab. */
-    public static Membership withFlaw(ViewSettings settings, String name, String hall, InetSocketAddress address, long seed, double now, Environment environment,
-            UnaryOperator<Object> interner, Flaw flaw) {
-        return new Membership(settings, new MemberIdentity(name, hall, address), seed, now, environment, who -> (MemberIdentity) interner.apply(who), flaw);
+    /** Creates a member with the given flaw and with interned identities; for the lab. */
+    public static Membership withFlaw(ViewSettings settings, String name, String hall, InetSocketAddress address, long seed, double now,
+            Environment environment, UnaryOperator<Object> interner, Flaw flaw) {
+        return new Membership(settings, new MemberIdentity(name, hall, address), seed, now, environment,
+                identity -> (MemberIdentity) interner.apply(identity), flaw);
     }
 
-    /** Begins; {@code at} is where the others reach this one. */
+    /** Starts the protocol; {@code address} is the one at which the other members reach this one. */
     public void start(double now, InetSocketAddress address) {
         self = new MemberIdentity(self.name(), self.hall(), address);
         instanceId = random.nextLong();
-        // A hint alone: whoever is known under this name is gone above, whatever the clock says.
+        // The clock only gives a first value: on joining, the incarnation is raised above any that the others know for this name.
         incarnation = firstIncarnation = Math.max(1, Math.min((long) (now / 1000), MemberTable.MAX_INCARNATION / 2));
         table.replace(ownUpdate(State.ALIVE), now);
         ownEntry = table.get(self.name());
@@ -183,14 +189,16 @@
         nextTickMs = computeNextTickMs(now);
     }
 
-    private List<InetSocketAddress> otherSeeds() { return settings.seeds().stream().filter(one -> !one.equals(self.address())).toList(); }
+    private List<InetSocketAddress> otherSeeds() { return settings.seeds().stream().filter(seed -> !seed.equals(self.address())).toList(); }
 
-    private MemberUpdate ownUpdate(State state) { return new MemberUpdate(self, instanceId, firstIncarnation, incarnation, state, MemberUpdate.NO_ACCUSERS, 0); }
+    private MemberUpdate ownUpdate(State state) {
+        return new MemberUpdate(self, instanceId, firstIncarnation, incarnation, state, MemberUpdate.NO_ACCUSERS, 0);
+    }
 
-    /** When {@link #tick} has to be called at the latest. */
+    /** Returns the time by which {@link #tick} has to be called. */
     public double nextTickMs() { return nextTickMs; }
 
-    /** Does what is due. */
+    /** Runs all timers that are due. */
     public void tick(double now) {
         if (phase == Phase.LEFT || now < nextTickMs) { return; }
         double latenessMs = now - nextTickMs;
@@ -220,15 +228,20 @@
 
     private double computeNextTickMs(double now) {
         if (phase == Phase.LEFT) { return Double.POSITIVE_INFINITY; }
-        if (nextGossipMs == Double.POSITIVE_INFINITY && !gossipQueue.isEmpty() && phase == Phase.IN) { nextGossipMs = now + gossipMs * random.nextDouble(); }
-        double next = Math.min(Math.min(Math.min(nextRoundMs, nextGossipMs), Math.min(nextGonePingMs, nextSeedPingMs)), Math.min(nextJoinMs, nextExpiryMs));
-        for (Probe probe : probes) { next = Math.min(next, probe.indirectSent ? probe.failAtMs : Math.min(probe.indirectAtMs, probe.retryAtMs)); }
+        if (nextGossipMs == Double.POSITIVE_INFINITY && !gossipQueue.isEmpty() && phase == Phase.IN) {
+            nextGossipMs = now + gossipMs * random.nextDouble();
+        }
+        double next = Math.min(Math.min(Math.min(nextRoundMs, nextGossipMs), Math.min(nextGonePingMs, nextSeedPingMs)),
+                Math.min(nextJoinMs, nextExpiryMs));
+        for (Probe probe : probes) {
+            next = Math.min(next, probe.indirectSent ? probe.failAtMs : Math.min(probe.indirectAtMs, probe.retryAtMs));
+        }
         for (RelayedProbe relayed : relayedProbes.values()) { next = Math.min(next, relayed.expiresAtMs); }
         for (MemberEntry entry : table.suspects()) { next = Math.min(next, suspicionDeadlineMs(entry)); }
         return Math.min(next, changeNotifier.nextCheckMs(now));
     }
 
-    /** Danger: this process did not run for so long, so it has heard nobody. What waits for others waits as much longer. */
+    /** Extends all pending timeouts by the time in which this process did not run: it could not have received any answer meanwhile. */
     private void extendTimeouts(double pauseMs) {
         lateTimers++;
         if (pauseMs > roundMs / 2) { health.recordLateTimer(); }
@@ -238,12 +251,13 @@
             probe.failAtMs += pauseMs;
         }
         for (RelayedProbe relayed : relayedProbes.values()) { relayed.expiresAtMs += pauseMs; }
-        // After a long sleep what was said meanwhile waits in the socket, and is heard before anybody is given up.
+        // After a long pause one more round: datagrams queued in the socket must be read before any suspect is declared gone.
         for (MemberEntry entry : table.suspects()) { entry.stateSinceMs += pauseMs > roundMs / 2 ? pauseMs + roundMs : pauseMs; }
     }
 
     private double suspicionDeadlineMs(MemberEntry suspect) {
-        return suspect.stateSinceMs + SuspicionTimeout.durationMs(roundMs, settings.suspicionRounds(), table.active().size(), suspect.accusers.length, health.suspicionFactor());
+        return suspect.stateSinceMs + SuspicionTimeout.durationMs(roundMs, settings.suspicionRounds(), table.active().size(),
+                suspect.accusers.length, health.suspicionFactor());
     }
 
     // ---- probes
@@ -252,7 +266,7 @@
         nextRoundMs = now + roundMs * health.probeFactor() * (0.95 + 0.1 * random.nextDouble());
         int activeCount = table.active().size();
         if (activeCount < 2) { return; }
-        for (int i = 0; i < activeCount; i++) {            // the next of the shuffled row who is there
+        for (int i = 0; i < activeCount; i++) {      // the next active member in the shuffled order
             if (probeOrderIndex >= probeOrder.size()) {
                 probeOrder.clear();
                 probeOrder.addAll(table.active());
@@ -268,7 +282,7 @@
         probeSuccessors(now);
     }
 
-    /** Probes who is next on the ring, and on past those that may be dead. */
+    /** Probes the next member on the ring, and continues past members that are suspected. */
     private void probeSuccessors(double now) {
         int activeCount = table.active().size();
         for (int steps = 1; steps < Math.min(OBSERVERS_PER_MEMBER + 1, activeCount); steps++) {
@@ -279,7 +293,7 @@
     }
 
     private void startProbe(MemberEntry target, double now) {
-        if (target == ownEntry || probes.stream().anyMatch(one -> one.target == target)) { return; }
+        if (target == ownEntry || probes.stream().anyMatch(probe -> probe.target == target)) { return; }
         Probe probe = new Probe(target, ++lastSequence);
         probe.retryAtMs = now + roundMs * 0.3 * health.probeFactor();
         probe.indirectAtMs = now + roundMs * 0.5 * health.probeFactor();
@@ -290,7 +304,7 @@
 
     private void sendPing(MemberEntry target, int sequence, double now) {
         ViewCodec.Writer out = newMessage(ViewCodec.Type.PING).probeFields(sequence, target.instanceId);
-        // Whoever is suspected or held to be gone hears so at once, and can say that it is not so.
+        // The target of a suspicion or of a GONE record learns of it at once and can refute it.
         if (target.state != State.ALIVE) { out.addUpdate(target.toUpdate(now)); }
         send(target.identity.address(), fillWithGossip(out, now));
     }
@@ -302,7 +316,7 @@
         }
         if (probe.retryAtMs <= now) {
             probe.retryAtMs = Double.POSITIVE_INFINITY;
-            sendPing(probe.target, probe.sequence, now);   // one lost datagram is no reason to bother others
+            sendPing(probe.target, probe.sequence, now); // a single lost datagram should not trigger indirect probes
         }
         if (!probe.indirectSent && probe.indirectAtMs <= now) {
             probe.indirectSent = true;
@@ -310,7 +324,8 @@
             if (flaw != Flaw.NO_HELPERS) {
                 for (MemberEntry helper : randomMembers(HELPERS_PER_PROBE, probe.target)) {
                     probe.helpersAsked++;
-                    send(helper.identity.address(), newMessage(ViewCodec.Type.PING_REQUEST).probeFields(probe.sequence, probe.instanceId).subject(probe.target.toUpdate(now)));
+                    send(helper.identity.address(), newMessage(ViewCodec.Type.PING_REQUEST)
+                            .probeFields(probe.sequence, probe.instanceId).subject(probe.target.toUpdate(now)));
                 }
             }
         }
@@ -320,11 +335,11 @@
         if (table.addAccuser(probe.target, (int) ownEntry.ringPosition, now)) {
             suspicionsRaised++;
             gossipQueue.add(probe.target, 0);
-            probeSuccessors(now);                              // a hall that dies leaves gaps on the ring
+            probeSuccessors(now);                    // a failed data hall takes several neighbours on the ring at once
         }
     }
 
-    /** So many members at random, neither this one nor that one; fewer where there are not so many. */
+    /** Picks up to {@code count} random active members other than this one and {@code excluded}. */
     private List<MemberEntry> randomMembers(int count, MemberEntry excluded) {
         List<MemberEntry> active = table.active();
         List<MemberEntry> picked = new ArrayList<>(count);
@@ -342,26 +357,32 @@
         if (nextGonePingMs == Double.POSITIVE_INFINITY) { nextGonePingMs = now + GONE_PING_INTERVAL_MS * random.nextDouble(); }
     }
 
-    /** The gone are asked for, each a few times a second by all members together. */
+    /** Pings GONE members, so that each is pinged a few times a second by all members together. */
     private void pingGone(double now) {
         List<MemberEntry> gone = table.gone();
-        nextGonePingMs = gone.isEmpty() || phase != Phase.IN ? Double.POSITIVE_INFINITY : now + GONE_PING_INTERVAL_MS * (0.5 + random.nextDouble());
+        nextGonePingMs = gone.isEmpty() || phase != Phase.IN ? Double.POSITIVE_INFINITY
+                : now + GONE_PING_INTERVAL_MS * (0.5 + random.nextDouble());
         if (gone.isEmpty() || phase != Phase.IN || flaw == Flaw.NO_ASKING_THE_GONE) { return; }
-        if (random.nextDouble() * table.active().size() < GONE_PINGS_PER_S * gone.size()) { sendPing(gone.get(random.nextInt(gone.size())), 0, now); }
+        if (random.nextDouble() * table.active().size() < GONE_PINGS_PER_S * gone.size()) {
+            sendPing(gone.get(random.nextInt(gone.size())), 0, now);
+        }
     }
 
-    /** A seed that is not held to be there is asked for as long as this process runs. */
+    /** Pings seeds that are not in the view, for as long as this process runs. */
     private void pingSeeds(double now) {
-        aloneAttempts = table.active().size() > 1 ? 0 : aloneAttempts + 1;    // admitted by a seed that knew nobody, or cut off
+        aloneAttempts = table.active().size() > 1 ? 0 : aloneAttempts + 1; // admitted by a seed that knew nobody, or partitioned
         nextSeedPingMs = now + (aloneAttempts == 0 ? SEED_PING_INTERVAL_MS : joinBackoffMs(aloneAttempts)) * (0.5 + random.nextDouble());
-        List<InetSocketAddress> absentSeeds = otherSeeds().stream().filter(at -> table.active().stream().noneMatch(one -> one.identity.address().equals(at))).toList();
+        List<InetSocketAddress> absentSeeds = otherSeeds().stream()
+                .filter(seed -> table.active().stream().noneMatch(member -> member.identity.address().equals(seed))).toList();
         if (flaw == Flaw.NO_ASKING_THE_GONE) { return; }
         List<InetSocketAddress> targets = new ArrayList<>(absentSeeds);
         Collections.shuffle(targets, random);
-        for (InetSocketAddress seed : targets.subList(0, Math.min(MAX_SEEDS_PER_PING, targets.size()))) { send(seed, fillWithGossip(newMessage(ViewCodec.Type.PING).probeFields(0, 0), now)); }
+        for (InetSocketAddress seed : targets.subList(0, Math.min(MAX_SEEDS_PER_PING, targets.size()))) {
+            send(seed, fillWithGossip(newMessage(ViewCodec.Type.PING).probeFields(0, 0), now));
+        }
     }
 
-    // ---- news
+    // ---- gossip and updates
 
     private int maxTransmissions() { return 3 * (int) Math.ceil(Math.log(table.active().size() + 1.0)) + 3; }
 
@@ -391,7 +412,7 @@
         gossipQueue.add(ownEntry, 0);
     }
 
-    /** Takes what is told of another, or of this one. */
+    /** Applies a received update about another member or about this one. */
     private MemberTable.MergeResult applyUpdate(MemberUpdate update, double now) {
         if (update.identity().name().equals(self.name())) {
             applyUpdateOfSelf(update, now);
@@ -399,17 +420,20 @@
         }
         MemberEntry existing = table.get(update.identity().name());
         State previousState = existing == null ? null : existing.state;
-        MemberTable.MergeResult result = flaw == Flaw.LEFT_COME_BACK && previousState == State.LEFT && update.isActive() ? mergeIgnoringDeparture(update, now) : table.merge(update, now);
+        MemberTable.MergeResult result = flaw == Flaw.LEFT_COME_BACK && previousState == State.LEFT && update.isActive()
+                ? mergeIgnoringDeparture(update, now) : table.merge(update, now);
         if (result == MemberTable.MergeResult.REFUSED) { refused++; }
         if (result != MemberTable.MergeResult.NEW) { return result; }
         MemberEntry entry = table.get(update.identity().name());
         gossipQueue.add(entry, now - enteredAtMs < NEWCOMER_MS && update.isActive() ? maxTransmissions() / 2 : 0);
         if (entry.state == State.SUSPECT && phase == Phase.IN && isObserverOf(entry)) { startProbe(entry, now); }
-        if (entry.state == State.GONE && nextGonePingMs == Double.POSITIVE_INFINITY) { nextGonePingMs = now + GONE_PING_INTERVAL_MS * random.nextDouble(); }
+        if (entry.state == State.GONE && nextGonePingMs == Double.POSITIVE_INFINITY) {
+            nextGonePingMs = now + GONE_PING_INTERVAL_MS * random.nextDouble();
+        }
         return result;
     }
 
-    /** Whether this is one of the few who look for themselves once that one is suspected: those before it on the ring who may be there. */
+    /** Whether this ingress is one of the observers that probe the suspect themselves: its closest predecessors on the ring. */
     private boolean isObserverOf(MemberEntry suspect) {
         int alive = 0;
         for (int steps = 1; steps <= 4 * OBSERVERS_PER_MEMBER && alive < OBSERVERS_PER_MEMBER; steps++) {
@@ -425,7 +449,7 @@
         return table.merge(update, now);
     }
 
-    /** Somebody says something of this name. */
+    /** Applies an update about this ingress's own name. */
     private void applyUpdateOfSelf(MemberUpdate update, double now) {
         if (phase == Phase.TAKEN) {
             MemberEntry previousHolder = ownEntry;
@@ -442,7 +466,7 @@
             return;
         }
         if (update.instanceId() == instanceId) {
-            if (update.state() == State.LEFT) {        // final for this life, whoever said so: another one begins
+            if (update.state() == State.LEFT) {      // LEFT is final for an instance, so a new one starts
                 instanceId = random.nextLong();
                 incarnation = firstIncarnation = Math.max(incarnation, update.incarnation()) + 1;
                 announceSelf(now);
@@ -475,7 +499,7 @@
         }
     }
 
-    /** A later life of this name takes part: this one does not any more. */
+    /** Gives the name up to a later instance that takes part. */
     private void yieldNameTo(MemberUpdate later, double now) {
         environment.reportError(new ViewError.Replaced(self.name(), formatAddress(later.identity().address()), later.incarnation()));
         phase = Phase.TAKEN;
@@ -502,20 +526,25 @@
         joinAttempts++;
         nextJoinMs = now + (phase == Phase.TAKEN ? MAX_JOIN_BACKOFF_MS : joinBackoffMs(joinAttempts)) * (0.6 + 0.8 * random.nextDouble());
         List<InetSocketAddress> seeds = new ArrayList<>(otherSeeds());
-        // Whoever is known by now may be asked as well, where no seed answers.
+        // Members learned of meanwhile are asked too, in case no seed answers.
         for (MemberEntry member : randomMembers(2, ownEntry)) { seeds.add(member.identity.address()); }
         if (seeds.isEmpty()) { return; }
         if (phase == Phase.JOINING && joinAttempts == 12) {
-            environment.reportError(new ViewError.NoSeed(String.join(" ", settings.seeds().stream().map(Membership::formatAddress).toList())));
+            environment.reportError(new ViewError.NoSeed(String.join(" ", settings.seeds().stream()
+                    .map(Membership::formatAddress).toList())));
         }
         joinSequence = ++lastSequence;
         Collections.shuffle(seeds, random);
-        for (InetSocketAddress seed : seeds.subList(0, Math.min(joinAttempts == 1 ? 1 : 2, seeds.size()))) { send(seed, newMessage(ViewCodec.Type.JOIN).probeFields(joinSequence, 0)); }
+        for (InetSocketAddress seed : seeds.subList(0, Math.min(joinAttempts == 1 ? 1 : 2, seeds.size()))) {
+            send(seed, newMessage(ViewCodec.Type.JOIN).probeFields(joinSequence, 0));
+        }
     }
 
-    private static double joinBackoffMs(int attempts) { return Math.min(MAX_JOIN_BACKOFF_MS, MIN_JOIN_BACKOFF_MS * Math.pow(1.25, Math.min(attempts, 30))); }
+    private static double joinBackoffMs(int attempts) {
+        return Math.min(MAX_JOIN_BACKOFF_MS, MIN_JOIN_BACKOFF_MS * Math.pow(1.25, Math.min(attempts, 30)));
+    }
 
-    /** Takes part, above whatever was known of the name. */
+    /** Becomes a member, with an incarnation greater than {@code above}, the highest known for the name. */
     private void becomeMember(double now, long above) {
         if (above >= incarnation) { incarnation = above + 1; }
         firstIncarnation = incarnation;
@@ -535,16 +564,21 @@
     private void handleJoin(ViewCodec.Message message, double now) {
         MemberEntry held = table.get(message.sender().identity().name());
         if (held != null && held == ownEntry && phase == Phase.JOINING) { held = null; }
-        send(message.sender().identity().address(), newMessage(ViewCodec.Type.WELCOME).probeFields(message.sequence(), message.sender().instanceId()).subject(held == null ? null : held.toUpdate(now)));
+        send(message.sender().identity().address(), newMessage(ViewCodec.Type.WELCOME)
+                .probeFields(message.sequence(), message.sender().instanceId()).subject(held == null ? null : held.toUpdate(now)));
         if (held != null && held == ownEntry && phase == Phase.IN) {
             rejectClaim(message.sender(), message.sequence());
         } else if (held != null && held.isActive() && held.instanceId != message.sender().instanceId()) {
-            // Is it still there? The holder of the name may say so itself; else its silence, or another at its address, frees the name.
-            send(held.identity.address(), newMessage(ViewCodec.Type.NAME_CLAIMED).probeFields(message.sequence(), message.sender().instanceId()).subject(message.sender()));
+            // The holder of the name can object itself; otherwise its silence, or another process at its address, frees the name.
+            send(held.identity.address(), newMessage(ViewCodec.Type.NAME_CLAIMED)
+                    .probeFields(message.sequence(), message.sender().instanceId()).subject(message.sender()));
             if (phase == Phase.IN) { startProbe(held, now); }
         }
         if (message.tableDigest() != table.tableDigest()) { sendTable(message.sender().identity().address(), null, now); }
-        if (phase == Phase.JOINING && nextJoinMs > now + MIN_JOIN_BACKOFF_MS) { nextJoinMs = now + MIN_JOIN_BACKOFF_MS * random.nextDouble(); } // somebody is there
+        // a peer responds
+        if (phase == Phase.JOINING && nextJoinMs > now + MIN_JOIN_BACKOFF_MS) {
+            nextJoinMs = now + MIN_JOIN_BACKOFF_MS * random.nextDouble();
+        }
     }
 
     private void rejectClaim(MemberUpdate claim, int sequence) {
@@ -554,28 +588,35 @@
     }
 
     private void handleWelcome(ViewCodec.Message message, double now) {
-        if (phase != Phase.JOINING && phase != Phase.TAKEN || message.sequence() != joinSequence || message.instanceId() != instanceId) { return; }
+        if (phase != Phase.JOINING && phase != Phase.TAKEN || message.sequence() != joinSequence || message.instanceId() != instanceId) {
+            return;
+        }
         MemberUpdate held = message.subject();
         if (held == null || held.instanceId() == instanceId || !held.isActive()) {
-            becomeMember(now, held == null || held.incarnation() > MemberTable.MAX_INCARNATION ? phase == Phase.TAKEN ? ownEntry.incarnation : 0 : held.incarnation());
+            becomeMember(now, held == null || held.incarnation() > MemberTable.MAX_INCARNATION
+                    ? phase == Phase.TAKEN ? ownEntry.incarnation : 0 : held.incarnation());
             sendPing(message.sender().identity(), message.sender().instanceId(), now);
         } else {
-            nextJoinMs = Math.min(nextJoinMs, now + (phase == Phase.TAKEN ? MAX_JOIN_BACKOFF_MS : roundMs) * (0.6 + 0.8 * random.nextDouble()));
+            nextJoinMs = Math.min(nextJoinMs,
+                    now + (phase == Phase.TAKEN ? MAX_JOIN_BACKOFF_MS : roundMs) * (0.6 + 0.8 * random.nextDouble()));
         }
     }
 
-    private void sendPing(MemberIdentity target, long targetInstanceId, double now) { send(target.address(), fillWithGossip(newMessage(ViewCodec.Type.PING).probeFields(0, targetInstanceId), now)); }
+    private void sendPing(MemberIdentity target, long targetInstanceId, double now) {
+        send(target.address(), fillWithGossip(newMessage(ViewCodec.Type.PING).probeFields(0, targetInstanceId), now));
+    }
 
-    /** Who holds the name says so itself. */
+    /** Handles the objection of the process that holds this name. */
     private void handleNameHeld(ViewCodec.Message message, double now) {
-        if (phase != Phase.JOINING && phase != Phase.TAKEN || message.instanceId() != instanceId || !message.sender().identity().name().equals(self.name())) { return; }
+        if (phase != Phase.JOINING && phase != Phase.TAKEN || message.instanceId() != instanceId
+                || !message.sender().identity().name().equals(self.name())) { return; }
         reportNameConflict(message.sender());
         phase = Phase.TAKEN;
         table.replace(message.sender(), now);
         nextJoinMs = now + MAX_JOIN_BACKOFF_MS * (0.8 + 0.4 * random.nextDouble());
     }
 
-    // ---- tables
+    // ---- table synchronisation
 
     private void sendTable(InetSocketAddress to, long[] theirDigests, double now) {
         long[] ourDigests = table.bucketDigests();
@@ -583,7 +624,8 @@
         int sentDatagrams = 0;
         boolean hasEntries = false;
         List<MemberEntry> entries = new ArrayList<>(table.entries());
-        Collections.rotate(entries, random.nextInt(entries.size() + 1)); // a table too long for one answer comes by several
+        // a random start, so that repeated replies cover a table too long for one
+        Collections.rotate(entries, random.nextInt(entries.size() + 1));
         for (MemberEntry entry : entries) {
             int bucket = MemberTable.bucketOf(entry.name);
             if (theirDigests != null && theirDigests[bucket] == ourDigests[bucket] || entry == ownEntry && phase != Phase.IN) { continue; }
@@ -601,14 +643,14 @@
     private void requestSync(InetSocketAddress peer, double now) {
         if (now < syncAllowedAtMs || phase != Phase.IN) { return; }
         boolean quiet = now - table.changedAtMs() > SYNC_QUIET_MS && gossipQueue.size() < 32;
-        if (!quiet && now - syncAllowedAtMs < 2 * SYNC_INTERVAL_MS) { return; } // what differs may be on its way
+        if (!quiet && now - syncAllowedAtMs < 2 * SYNC_INTERVAL_MS) { return; } // the difference may still be in flight as gossip
         syncAllowedAtMs = now + SYNC_INTERVAL_MS * (0.5 + random.nextDouble());
         send(peer, newMessage(ViewCodec.Type.SYNC).buckets(table.bucketDigests(), true));
     }
 
-    // ---- what comes
+    // ---- received messages
 
-    /** A body came, from wherever. */
+    /** Handles the body of a received datagram, from any sender. */
     public void receive(double now, byte[] body) {
         if (phase == Phase.LEFT) { return; }
         ViewCodec.Message message;
@@ -618,15 +660,19 @@
             malformed++;
             return;
         }
-        if (message.sender().instanceId() == instanceId && message.sender().identity().name().equals(self.name())) { return; } // its own, come back
+        // its own datagram, looped back
+        if (message.sender().instanceId() == instanceId && message.sender().identity().name().equals(self.name())) { return; }
         MemberEntry contradicted = message.participating() ? applySender(message, now) : null;
         for (MemberUpdate update : message.updates()) { applyUpdate(update, now); }
-        if (phase == Phase.JOINING && message.participating() && nextJoinMs > now + MIN_JOIN_BACKOFF_MS) { nextJoinMs = now + MIN_JOIN_BACKOFF_MS * random.nextDouble(); } // somebody is there
+        // a peer responds
+        if (phase == Phase.JOINING && message.participating() && nextJoinMs > now + MIN_JOIN_BACKOFF_MS) {
+            nextJoinMs = now + MIN_JOIN_BACKOFF_MS * random.nextDouble();
+        }
         if (phase != Phase.LEFT) { handleMessage(message, contradicted, now); }
         nextTickMs = Math.min(nextTickMs, computeNextTickMs(now));
     }
 
-    /** Takes the speaker's own word of itself; gives what is held against it. */
+    /** Applies the sender's record of itself; returns the stored entry where it contradicts that record, else null. */
     private MemberEntry applySender(ViewCodec.Message message, double now) {
         MemberTable.MergeResult result = applyUpdate(message.sender(), now);
         MemberEntry entry = table.get(message.sender().identity().name());
@@ -636,7 +682,8 @@
             entry.reportedAtMs = now;
             if (message.tableDigest() != table.tableDigest()) { requestSync(message.sender().identity().address(), now); }
         }
-        boolean contradicts = result == MemberTable.MergeResult.OUTDATED || result == MemberTable.MergeResult.KNOWN && entry.state != message.sender().state();
+        boolean contradicts = result == MemberTable.MergeResult.OUTDATED
+                || result == MemberTable.MergeResult.KNOWN && entry.state != message.sender().state();
         return contradicts ? entry : null;
     }
 
@@ -659,7 +706,9 @@
             case JOIN -> handleJoin(message, now);
             case WELCOME -> handleWelcome(message, now);
             case NAME_CLAIMED -> {
-                if (phase == Phase.IN && message.subject().identity().name().equals(self.name())) { rejectClaim(message.subject(), message.sequence()); }
+                if (phase == Phase.IN && message.subject().identity().name().equals(self.name())) {
+                    rejectClaim(message.subject(), message.sequence());
+                }
             }
             case NAME_HELD -> handleNameHeld(message, now);
             default -> { }
@@ -683,8 +732,9 @@
             if (probe.sequence != message.sequence()) { continue; }
             if (message.sender().instanceId() == probe.instanceId) {
                 completeProbe(probe);
-            } else if (message.sender().identity().equals(probe.target.identity) && probe.target.instanceId == probe.instanceId && probe.target.isActive()) {
-                probes.remove(probe);                // its very address answers as another process: that life is over
+            } else if (message.sender().identity().equals(probe.target.identity) && probe.target.instanceId == probe.instanceId
+                    && probe.target.isActive()) {
+                probes.remove(probe);                // another process answers at its address, so that instance has ended
                 declareGone(probe.target, now, "replaced at its address");
             }
             return;
@@ -697,8 +747,11 @@
     }
 
     private void handlePingRequest(ViewCodec.Message message, double now) {
-        if (relayedProbes.size() >= MAX_RELAYED_PROBES || phase != Phase.IN || message.subject().identity().name().equals(self.name())) { return; }
-        relayedProbes.put(++lastSequence, new RelayedProbe(message.sender().identity().address(), message.sequence(), message.instanceId(), now + roundMs * 0.35));
+        if (relayedProbes.size() >= MAX_RELAYED_PROBES || phase != Phase.IN || message.subject().identity().name().equals(self.name())) {
+            return;
+        }
+        relayedProbes.put(++lastSequence, new RelayedProbe(message.sender().identity().address(), message.sequence(), message.instanceId(),
+                now + roundMs * 0.35));
         ViewCodec.Writer out = newMessage(ViewCodec.Type.PING).probeFields(lastSequence, message.instanceId());
         if (message.subject().state() != State.ALIVE) { out.addUpdate(message.subject()); }
         send(message.subject().identity().address(), out);
@@ -723,9 +776,9 @@
         environment.send(to, body);
     }
 
-    // ---- the end
+    // ---- leaving
 
-    /** Says that it leaves, to as many as it takes for all to hear of it, and is silent from now on. */
+    /** Announces LEFT to enough members for gossip to reach all, and sends nothing more. */
     public void leave(double now) {
         if (phase == Phase.IN) {
             table.replace(ownUpdate(State.LEFT), now);
@@ -739,41 +792,45 @@
         nextTickMs = Double.POSITIVE_INFINITY;
     }
 
-    // ---- what can be seen
+    // ---- state for readers
 
+    /** Returns the state of this ingress in the protocol. */
     public Phase phase() { return phase; }
 
-    /** The number that this process has drawn. */
+    /** Returns the random id that this process has drawn. */
     public long instanceId() { return instanceId; }
 
-    public void subscribe(Consumer<View.Change> follower) { changeNotifier.subscribe(follower); }
+    /** Adds a listener for settled changes. */
+    public void subscribe(Consumer<View.Change> listener) { changeNotifier.subscribe(listener); }
 
-    /** This ingress as the others see it; GONE while another holds its name. */
+    /** Returns this ingress as the others see it; GONE while another process holds its name. */
     public View.Member self() {
         return new View.Member(self.name(), self.hall(), self.address(), incarnation,
                 phase == Phase.LEFT ? State.LEFT : phase == Phase.TAKEN ? State.GONE : State.ALIVE);
     }
 
-    /** What is held of a name; null where nothing is. */
+    /** Returns the member of that name in any state; null for an unknown name. */
     public View.Member member(String name) {
         MemberEntry entry = table.get(name);
         return entry == null ? null : entry.toMember();
     }
 
-    /** The life of the process that holds a name, as it is known here; 0 for an unknown name. */
+    /** Returns the instance id of the process known to hold a name; 0 for an unknown name. */
     public long instanceId(String name) {
         MemberEntry entry = table.get(name);
         return entry == null ? 0 : entry.instanceId;
     }
 
-    /** Of name, address and process of all who are there. */
+    /** Returns the digest over name, address and instance of all active members. */
     public long digest() { return table.digest(); }
 
-    /** When that last changed here. */
+    /** Returns the time at which {@link #digest} last changed here. */
     public double changedAtMs() { return table.changedAtMs(); }
 
+    /** Returns the number of active members. */
     public int size() { return table.active().size(); }
 
+    /** Returns the current snapshot; reuses an unchanged one for a short time. */
     public View.Snapshot snapshot(double now) {
         if (snapshot != null && snapshotVersion == table.version() && now - snapshotAtMs < SNAPSHOT_REUSE_MS) { return snapshot; }
         List<View.Member> members = snapshot != null && snapshotVersion == table.version() ? snapshot.members()
@@ -791,44 +848,52 @@
         return snapshot;
     }
 
-    /** All that is remembered, for the lab: name, life, incarnation and state of each. */
+    /** Visits every remembered member in any state; for the lab. */
     public void forEachRemembered(MemberVisitor visitor) {
         for (MemberEntry entry : table.entries()) { visitor.visit(entry.name, entry.instanceId, entry.incarnation, entry.state); }
     }
 
-    /** One that is remembered. */
+    /** Receives one remembered member. */
     public interface MemberVisitor {
         void visit(String name, long instanceId, long incarnation, State state);
     }
 
-    /** Lines for an operator, each ended: a head, then a member a line. */
+    /** Returns the report of the call {@code members}: a header line, then a line for each member. */
     public String report(double now) {
         View.Snapshot current = snapshot(now);
         StringBuilder out = new StringBuilder(256);
         out.append(String.format(java.util.Locale.ROOT, "view name=%s phase=%s there=%d suspect=%d gone=%d left=%d digest=%016x still_ms=%.0f same=%d asked=%d health=%d%n",
-                self.name(), phase.name().toLowerCase(java.util.Locale.ROOT), current.members().size(), table.suspects().size(), table.gone().size(),
-                table.leftCount(), current.digest(), now - current.unchangedSinceMs(), current.agreeing(), current.polled(), health.score()));
+                self.name(), phase.name().toLowerCase(java.util.Locale.ROOT), current.members().size(), table.suspects().size(),
+                table.gone().size(), table.leftCount(), current.digest(), now - current.unchangedSinceMs(), current.agreeing(),
+                current.polled(), health.score()));
         if (phase == Phase.TAKEN) {
-            out.append("taken name=").append(self.name()).append(" by=").append(formatAddress(ownEntry.identity.address())).append(" incarnation=").append(ownEntry.incarnation).append('\n');
+            out.append("taken name=").append(self.name()).append(" by=").append(formatAddress(ownEntry.identity.address()))
+                    .append(" incarnation=").append(ownEntry.incarnation).append('\n');
         } else if (claimantId != 0) {
             out.append("claimed name=").append(self.name()).append(" by=life-").append(Long.toHexString(claimantId)).append('\n');
         }
-        for (MemberEntry entry : table.entries().stream().sorted(Comparator.comparing((MemberEntry one) -> one.name)).toList()) {
-            out.append(String.format(java.util.Locale.ROOT, "member name=%s hall=%s at=%s state=%s incarnation=%d life=%x for_s=%.1f%s%n", entry.name, entry.identity.hall(),
-                    formatAddress(entry.identity.address()), entry.state.name().toLowerCase(java.util.Locale.ROOT), entry.incarnation, entry.instanceId, Math.max(0, now - entry.stateSinceMs) / 1000,
+        for (MemberEntry entry : table.entries().stream().sorted(Comparator.comparing((MemberEntry member) -> member.name)).toList()) {
+            out.append(String.format(java.util.Locale.ROOT, "member name=%s hall=%s at=%s state=%s incarnation=%d life=%x for_s=%.1f%s%n",
+                    entry.name, entry.identity.hall(),
+                    formatAddress(entry.identity.address()), entry.state.name().toLowerCase(java.util.Locale.ROOT), entry.incarnation,
+                    entry.instanceId, Math.max(0, now - entry.stateSinceMs) / 1000,
                     entry == ownEntry && phase != Phase.TAKEN ? " self=yes" : ""));
         }
         return out.toString();
     }
 
-    /** Names and values for the counters line. */
+    /** Returns {@code name=value} pairs for the counters line. */
     public String counters() {
         long totalSent = 0;
         for (long count : sentByType) { totalSent += count; }
-        return "view_there=" + table.active().size() + " view_suspect=" + table.suspects().size() + " view_gone=" + table.gone().size() + " view_sent=" + totalSent
-                + " view_sent_bytes=" + sentBytes + " view_accused=" + suspicionsRaised + " view_lost=" + declaredGone + " view_refuted=" + refutations + " view_late=" + lateTimers
+        return "view_there=" + table.active().size() + " view_suspect=" + table.suspects().size() + " view_gone=" + table.gone().size()
+                + " view_sent=" + totalSent
+                + " view_sent_bytes=" + sentBytes + " view_accused=" + suspicionsRaised + " view_lost=" + declaredGone + " view_refuted="
+                + refutations + " view_late=" + lateTimers
                 + " view_health=" + health.score() + " view_spoilt=" + malformed + " view_refused=" + refused;
     }
 
-    private static String formatAddress(InetSocketAddress address) { return address.getAddress().getHostAddress() + ":" + address.getPort(); }
+    private static String formatAddress(InetSocketAddress address) {
+        return address.getAddress().getHostAddress() + ":" + address.getPort();
+    }
 }
--- a/src/main/java/yardusher/view/ViewCodec.java
+++ b/src/main/java/yardusher/view/ViewCodec.java
@@ -13,33 +13,34 @@
 import yardusher.mesh.Mesh;
 
 /**
- * The bodies of the view's datagrams. Each begins with its type, who speaks and the digests of what that one holds; then
- * what the type needs; then news, as many as fit. Whole numbers are bare or in groups of seven bits, texts have their length before.
+ * Encodes and decodes the bodies of the view's datagrams. Each starts with the type, the sender's record and the digests of the
+ * sender's state; then come the fields of the type; then as many updates as fit. Integers have a fixed width or are varints of
+ * seven bits a byte; strings are preceded by their length.
  */
 final class ViewCodec {
-    /** What a datagram asks or tells. */
+    /** The message types; encoded by ordinal. */
     enum Type {
-        /** Are you there, and of that life? */
+        /** Asks whether the receiver is alive, and is the given instance. */
         PING,
-        /** I am. */
+        /** Answers a PING. */
         ACK,
-        /** Ask that one for me. */
+        /** Asks a helper to ping a member on the sender's behalf. */
         PING_REQUEST,
-        /** It answered me. */
+        /** The helper's report that the member answered. */
         INDIRECT_ACK,
-        /** It did not answer me yet, but I am here myself. */
+        /** The helper's report that the member has not answered yet; it shows that the helper itself is alive. */
         INDIRECT_NACK,
-        /** News alone. */
+        /** Carries updates only. */
         GOSSIP,
-        /** These are the digests of my table; tell me where yours differs. */
+        /** Carries the sender's bucket digests and asks for the entries of buckets that differ. */
         SYNC,
-        /** I would like to take part under this name. */
+        /** Asks for admission under the sender's name. */
         JOIN,
-        /** You may, or this is who holds the name. */
+        /** Answers a JOIN, with the record held of the name, if any. */
         WELCOME,
-        /** Somebody else would like to have your name. */
+        /** Tells the holder of a name that another process claims it. */
         NAME_CLAIMED,
-        /** I hold that name, and I am here. */
+        /** The holder's objection to a claim of its name. */
         NAME_HELD
     }
 
@@ -50,18 +51,19 @@
     private static final int MAX_ACCUSERS = 4;
 
     /**
-     * One datagram. {@code taking}: the speaker takes part, else it only would like to. {@code number} is of the probe or the
-     * claim; {@code life} is the probed one's, 0 for any; {@code one} is whom it is about, or null; {@code buckets} are a SYNC's;
-     * {@code again} says that a SYNC wants one in return.
+     * One decoded datagram. {@code participating}: whether the sender is a member, rather than still joining. {@code sequence} is
+     * that of the probe or the claim; {@code instanceId} is that of the probed process, 0 for any; {@code subject} is the member
+     * it is about, or null; {@code buckets} are the digests of a SYNC; {@code replyRequested}: whether a SYNC asks for one in return.
      */
-    record Message(Type type, MemberUpdate sender, boolean participating, long digest, long tableDigest, int sequence, long instanceId, MemberUpdate subject, long[] buckets,
-            boolean replyRequested, List<MemberUpdate> updates) { }
+    record Message(Type type, MemberUpdate sender, boolean participating, long digest, long tableDigest, int sequence, long instanceId,
+            MemberUpdate subject, long[] buckets, boolean replyRequested, List<MemberUpdate> updates) { }
 
     private final UnaryOperator<MemberIdentity> interner;
 
-    /** {@code known} may give an equal one that is there already. */
+    /** {@code interner} may replace a decoded identity by an equal existing one. */
     ViewCodec(UnaryOperator<MemberIdentity> interner) { this.interner = interner; }
 
+    /** Whether the name has 1 to 64 letters, digits, dots, underscores or dashes. */
     static boolean isName(String name) {
         if (name.isEmpty() || name.length() > MAX_NAME_LENGTH) { return false; }
         for (int i = 0; i < name.length(); i++) {
@@ -71,11 +73,12 @@
         return true;
     }
 
+    /** Whether the hall has 1 to 64 visible ASCII characters. */
     static boolean isHall(String hall) {
         return !hall.isEmpty() && hall.length() <= MAX_HALL_LENGTH && hall.chars().allMatch(c -> c > ' ' && c <= '~');
     }
 
-    /** Writes one datagram; news is added to it as long as it fits. */
+    /** Encodes one datagram; updates are appended while they fit. */
     static final class Writer {
         private final ByteBuffer buffer = ByteBuffer.allocate(Mesh.MAX_BODY_BYTES);
 
@@ -102,14 +105,14 @@
             return this;
         }
 
-        /** Whether it fitted. */
+        /** Appends the update if it fits; whether it did. */
         boolean addUpdate(MemberUpdate update) {
             if (buffer.remaining() < maxSize(update)) { return false; }
             putUpdate(buffer, update);
             return true;
         }
 
-        /** Whether the longest news surely fits. */
+        /** Whether that many bytes are left. */
         boolean hasRoom(int bytes) { return buffer.remaining() >= bytes; }
 
         byte[] body() { return java.util.Arrays.copyOf(buffer.array(), buffer.position()); }
@@ -147,7 +150,7 @@
         out.put((byte) remaining);
     }
 
-    /** Reads a datagram; a {@link ViewError.Message} says what is wrong with it. */
+    /** Decodes a datagram; throws a {@link ViewError.Message} that says what is wrong with it. */
     Message decode(byte[] body) {
         try {
             ByteBuffer in = ByteBuffer.wrap(body);
@@ -172,7 +175,7 @@
                     sequence = in.getInt();
                     instanceId = in.getLong();
                     subject = in.get() == 0 ? null : readUpdate(in);
-                    if (subject == null && type != Type.WELCOME) { throw new ViewError.Message(null, "names nobody"); }
+                    if (subject == null && type != Type.WELCOME) { throw new ViewError.Message(null, "names no member"); }
                 }
                 case SYNC -> {
                     buckets = new long[MemberTable.BUCKETS];
@@ -183,7 +186,8 @@
             }
             List<MemberUpdate> updates = new ArrayList<>();
             while (in.hasRemaining()) { updates.add(readUpdate(in)); }
-            return new Message(type, sender, participating, digest, tableDigest, sequence, instanceId, subject, buckets, replyRequested, updates);
+            return new Message(type, sender, participating, digest, tableDigest, sequence, instanceId, subject, buckets, replyRequested,
+                    updates);
         } catch (BufferUnderflowException e) {
             throw new ViewError.Message(null, "ends early");
         }
@@ -192,8 +196,8 @@
     private MemberUpdate readUpdate(ByteBuffer in) {
         String name = readText(in);
         String hall = readText(in);
-        if (!isName(name)) { throw new ViewError.Message(null, "a name that cannot be"); }
-        if (!isHall(hall)) { throw new ViewError.Message(null, "a hall that cannot be"); }
+        if (!isName(name)) { throw new ViewError.Message(null, "invalid name"); }
+        if (!isHall(hall)) { throw new ViewError.Message(null, "invalid hall"); }
         int length = in.get();
         if (length != 4 && length != 16) { throw new ViewError.Message(null, "an address of " + length + " bytes"); }
         byte[] addressBytes = new byte[length];
@@ -202,16 +206,18 @@
         MemberIdentity identity;
         try {
             InetAddress inetAddress = InetAddress.getByAddress(addressBytes);
-            if (port == 0 || inetAddress.isAnyLocalAddress() || inetAddress.isMulticastAddress()) { throw new ViewError.Message(null, "an address that cannot be"); }
+            if (port == 0 || inetAddress.isAnyLocalAddress() || inetAddress.isMulticastAddress()) {
+                throw new ViewError.Message(null, "invalid address");
+            }
             identity = interner.apply(new MemberIdentity(name, hall, new InetSocketAddress(inetAddress, port)));
         } catch (UnknownHostException e) {
-            throw new ViewError.Message(null, "an address that cannot be");
+            throw new ViewError.Message(null, "invalid address");
         }
         long instanceId = in.getLong();
         long firstIncarnation = readVarint(in);
         long incarnation = firstIncarnation + readVarint(in);
         int stateOrdinal = in.get();
-        if (firstIncarnation < 0 || incarnation < firstIncarnation) { throw new ViewError.Message(null, "an incarnation that cannot be"); }
+        if (firstIncarnation < 0 || incarnation < firstIncarnation) { throw new ViewError.Message(null, "invalid incarnation"); }
         if (stateOrdinal < 0 || stateOrdinal >= STATES.length) { throw new ViewError.Message(null, "unknown state " + stateOrdinal); }
         int[] accusers = MemberUpdate.NO_ACCUSERS;
         long age = 0;
@@ -223,7 +229,8 @@
         } else if (STATES[stateOrdinal] != View.State.ALIVE) {
             age = readVarint(in);
         }
-        return new MemberUpdate(identity, instanceId, firstIncarnation, incarnation, STATES[stateOrdinal], accusers, (int) Math.max(0, Math.min(age, 1_000_000)));
+        return new MemberUpdate(identity, instanceId, firstIncarnation, incarnation, STATES[stateOrdinal], accusers,
+                (int) Math.max(0, Math.min(age, 1_000_000)));
     }
 
     private static String readText(ByteBuffer in) {
@@ -239,6 +246,6 @@
             value |= (long) (next & 127) << shift;
             if (next >= 0) { return value; }
         }
-        throw new ViewError.Message(null, "a whole number that is too long");
+        throw new ViewError.Message(null, "integer longer than 63 bits");
     }
 }
--- a/src/main/java/yardusher/view/ViewSubsystem.java
+++ b/src/main/java/yardusher/view/ViewSubsystem.java
@@ -14,7 +14,7 @@
 import yardusher.settings.Settings;
 import yardusher.subsystem.Subsystem;
 
-/** The view in the program: it opens the mesh, gives each datagram and timer a turn, and leaves in order at the end. */
+/** Runs {@link Membership} on the event loop: opens the mesh, passes it datagrams and timers, and announces the departure on close. */
 public final class ViewSubsystem implements Subsystem, View {
     private final ViewSettings settings;
     private final EventLoop loop;
@@ -25,16 +25,20 @@
     private double timerAtMs = Double.POSITIVE_INFINITY;
     private boolean started;
 
-    /** {@code hall}: the name of this ingress's zone, which the settings may override. Loads and opens nothing yet. */
+    /** {@code hall}: the name of this ingress's zone, unless the settings override it. Opens no socket; {@link #start} does. */
     public ViewSubsystem(ViewSettings settings, String name, String hall, long seed, EventLoop loop, Events events) {
-        if (!ViewCodec.isName(name)) { throw new ConfigError.Value(null, "name", "1 to 64 letters, digits, dots, underscores or dashes where the view is on, not " + name); }
+        if (!ViewCodec.isName(name)) {
+            throw new ConfigError.Value(null, "name", "1 to 64 letters, digits, dots, underscores or dashes if the view is enabled, not "
+                    + name);
+        }
         this.settings = settings;
         this.loop = loop;
         this.events = events;
         mesh = new DatagramMesh(settings.listen(), settings.installation(), loop);
         String effectiveHall = settings.hall() != null ? settings.hall() : ViewCodec.isHall(hall) ? hall : "-";
-        // Two processes of one configuration have one seed; what they draw has to differ all the same.
-        membership = new Membership(settings, name, effectiveHall, settings.listen(), seed ^ System.nanoTime() ^ ProcessHandle.current().pid() << 40, loop.now(), new MembershipEnvironment());
+        // Two processes with the same configuration have the same seed, but must draw different random numbers.
+        membership = new Membership(settings, name, effectiveHall, settings.listen(),
+                seed ^ System.nanoTime() ^ ProcessHandle.current().pid() << 40, loop.now(), new MembershipEnvironment());
         membership.subscribe(this::logChange);
     }
 
@@ -47,8 +51,8 @@
     }
 
     private void logChange(Change change) {
-        events.info("view: settled", "there", change.snapshot().members().size(), "came", names(change.joined()), "gone", names(change.departed()),
-                "digest", Long.toHexString(change.snapshot().digest()));
+        events.info("view: settled", "there", change.snapshot().members().size(), "came", names(change.joined()), "gone",
+                names(change.departed()), "digest", Long.toHexString(change.snapshot().digest()));
     }
 
     private static String names(List<Member> members) {
@@ -56,6 +60,7 @@
         return members.isEmpty() ? "-" : members.size() > 20 ? shown + ",and-" + (members.size() - 20) + "-more" : shown;
     }
 
+    /** Returns the mesh, which other subsystems share. */
     public Mesh mesh() { return mesh; }
 
     public View view() { return this; }
@@ -100,7 +105,7 @@
     @Override
     public String report(String call) { return call.equals("members") ? membership.report(loop.now()) : null; }
 
-    /** Until here others may count on it: what it held is handed over before. */
+    /** Leaves last: other subsystems have handed over their state by now, and peers could rely on this member until here. */
     @Override
     public void close() {
         if (started) { membership.leave(loop.now()); }
--- a/src/test/java/yardusher/lab/view/ViewTest.java
+++ b/src/test/java/yardusher/lab/view/ViewTest.java
@@ -13,7 +13,7 @@
 import yardusher.view.Membership;
 import yardusher.view.View.State;
 
-/** The view on scripted time, its checker, and the short ones of the hard cases by real processes. */
+/** The membership view in simulated time, its checker, and the short fault scenarios with real processes. */
 class ViewTest {
     private static final int SEEDS_TRIED = 20;
 
@@ -34,12 +34,14 @@
     @ParameterizedTest
     @EnumSource(value = Membership.Flaw.class, names = {"NO_REFUTATION", "LEFT_COME_BACK", "NO_ASKING_THE_GONE"})
     void injectedFlawIsDetectedWithinTwentySeeds(Membership.Flaw flaw) {
-        boolean caught = false;
-        for (long seed = 1; seed <= SEEDS_TRIED && !caught; seed++) { caught = !ViewRun.play(seed, true, 0, flaw).breaches().isEmpty(); }
-        assertThat(caught).isTrue();
+        boolean detected = false;
+        for (long seed = 1; seed <= SEEDS_TRIED && !detected; seed++) {
+            detected = !ViewRun.play(seed, true, 0, flaw).breaches().isEmpty();
+        }
+        assertThat(detected).isTrue();
     }
 
-    /** One way between two is cut and nothing else: with helpers nobody is suspected, without them somebody is. */
+    /** Only one link is cut, in one direction: with indirect probes nobody is suspected, without them somebody is. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void indirectProbesBypassALinkCutInOneDirection(boolean helpers) {
@@ -53,26 +55,27 @@
         assertThat(checker.falseGone()).isEmpty();
     }
 
-    /** Who was stopped while it waited for answers accuses nobody when it wakes; one that trusts its clock does. */
+    /** A process that was paused while it waited for answers must suspect nobody when it resumes; without the health score it does. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void pausedProcessDoesNotSuspectHealthyMembers(boolean health) {
-        int accused = 0;
+        int suspicions = 0;
         for (long seed = 1; seed <= 10; seed++) {
             ViewChecker checker = new ViewChecker(0);
             ViewFleet fleet = fleet(seed, 20, checker, health ? null : Membership.Flaw.NO_HEALTH);
-            fleet.net.setDelay(20, 20);                 // so that answers are on their way when it stops
+            fleet.net.setDelay(20, 20);              // so that answers are in flight when it is paused
             fleet.net.runUntil(fleet.net.now() + 3000);
-            ViewFleet.Instance stopped = fleet.instanceAt(5);
+            ViewFleet.Instance paused = fleet.instanceAt(5);
             for (int i = 0; i < 10; i++) {
                 fleet.net.pause(5);
                 fleet.net.runUntil(fleet.net.now() + 5000);
                 fleet.net.resume(5);
                 fleet.net.runUntil(fleet.net.now() + 5000);
             }
-            accused += (int) checker.falseSuspicions().stream().filter(one -> one.observer() == stopped.number && !one.name().equals("n5")).count();
+            suspicions += (int) checker.falseSuspicions().stream()
+                    .filter(change -> change.observer() == paused.number && !change.name().equals("n5")).count();
         }
-        assertThat(accused == 0).as("accused %d", accused).isEqualTo(health);
+        assertThat(suspicions == 0).as("accused %d", suspicions).isEqualTo(health);
     }
 
     @Test
@@ -81,7 +84,7 @@
         fleet.net.runUntil(fleet.net.now() + 1000);
         long before = fleet.instanceAt(0).membership.member("n4").incarnation();
         fleet.kill(4);
-        fleet.start(4, "n4", -1.6e12);               // it believes that it is 1973
+        fleet.start(4, "n4", -1.6e12);               // its clock says 1973
         assertThat(fleet.awaitSettled(5, 10_000)).isBetween(0.0, 2000.0);
         assertThat(fleet.instanceAt(0).membership.member("n4").incarnation()).isGreaterThan(before);
     }
@@ -97,7 +100,7 @@
         assertThat(second.errorCodes).contains("VIEW_NAME_TAKEN");
         assertThat(holder.errorCodes).contains("VIEW_NAME_TAKEN");
         assertThat(checker.falseGone()).isEmpty();
-        fleet.kill(2);                               // its name is free now
+        fleet.kill(2);                               // this frees the name
         fleet.net.runUntil(fleet.net.now() + 10_000);
         assertThat(second.membership.phase()).isEqualTo(Membership.Phase.IN);
         assertThat(fleet.isSettled(6)).isTrue();
@@ -110,9 +113,9 @@
         fleet.net.runUntil(fleet.net.now() + 5000);
         for (int i = 1; i < 30; i += 3) { fleet.kill(i); }
         fleet.net.runUntil(fleet.net.now() + 10_000);
-        for (ViewFleet.Instance life : fleet.running()) {
-            assertThat(life.changes.stream().filter(batch -> !batch.departed().isEmpty()).toList()).as(life.name).singleElement()
-                    .satisfies(batch -> assertThat(batch.departed()).hasSize(10));
+        for (ViewFleet.Instance instance : fleet.running()) {
+            assertThat(instance.changes.stream().filter(change -> !change.departed().isEmpty()).toList()).as(instance.name).singleElement()
+                    .satisfies(change -> assertThat(change.departed()).hasSize(10));
         }
     }
 
@@ -128,8 +131,10 @@
         checker.recordChange(6, 1, "b", 8, 3, State.ALIVE);
         checker.recordChange(7, 2, "c", 3, 1, State.GONE);
         checker.checkAgreement(10, Map.of("c", 3L, "d", 4L), Map.of(1, 11L, 2, 12L), List.of(1, 2));
-        assertThat(String.join("\n", checker.breaches())).contains("a fell from", "a is there again", "b is there again", "c runs and is held to be gone",
-                "c runs and is held unknown", "d runs and is held unknown", "b is held ALIVE and does not run", "2 different digests");
+        assertThat(String.join("\n", checker.breaches())).contains("a fell from", "a is active again", "b is active again",
+                "c runs but was declared GONE", "c runs but is recorded as unknown", "d runs but is recorded as unknown",
+                "b is recorded as ALIVE but does not run",
+                "2 different digests");
         ViewChecker excused = new ViewChecker(100);
         excused.recordFault("c", 0, 5);
         excused.recordChange(100, 2, "c", 3, 1, State.GONE);
--- a/src/test/java/yardusher/rates/RatesNet.java
+++ b/src/test/java/yardusher/rates/RatesNet.java
@@ -4,7 +4,7 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
-/** Some {@link Rates} on scripted time with messages between them that take a while and may be lost, by seed. Times in ms. */
+/** A simulated network of {@link Rates} instances whose messages are delayed and may be lost, by seed. Times are in ms. */
 final class RatesNet {
     static final double[] QUOTAS = {0, 4, 20, 1000};
     static final int HEADER_BYTES = 43, MAX_BODY_BYTES = 1200;
@@ -14,7 +14,8 @@
     final Rates[] all;
     final boolean[] gone;
     final SplittableRandom random;
-    private final PriorityQueue<ScheduledAction> queue = new PriorityQueue<>(Comparator.comparingDouble(ScheduledAction::atMs).thenComparingLong(ScheduledAction::sequence));
+    private final PriorityQueue<ScheduledAction> queue = new PriorityQueue<>(Comparator.comparingDouble(ScheduledAction::atMs)
+            .thenComparingLong(ScheduledAction::sequence));
     private final double bytesPerS;
     double loss;
     double now;
@@ -31,20 +32,21 @@
     }
 
     void startIngress(int i) {
-        Rates one = new Rates(new Rates.Parameters(bytesPerS, HEADER_BYTES, MAX_BODY_BYTES, QUOTAS, 20_000), i, random.nextLong(), now, (to, body) -> deliver(i, (int) to, body));
-        all[i] = one;
-        tick(i, one);
+        Rates rates = new Rates(new Rates.Parameters(bytesPerS, HEADER_BYTES, MAX_BODY_BYTES, QUOTAS, 20_000), i, random.nextLong(), now,
+                (to, body) -> deliver(i, (int) to, body));
+        all[i] = rates;
+        tick(i, rates);
     }
 
-    private void tick(int i, Rates one) {
+    private void tick(int i, Rates rates) {
         schedule(now + Rates.TICK_INTERVAL_MS, () -> {
-            if (all[i] != one || gone[i]) { return; }
-            one.tick(now);
-            tick(i, one);
+            if (all[i] != rates || gone[i]) { return; }
+            rates.tick(now);
+            tick(i, rates);
         });
     }
 
-    /** All see who is there. */
+    /** Gives the active members to all. */
     void updateMembers() {
         long[] active = java.util.stream.LongStream.range(0, all.length).filter(i -> !gone[(int) i]).toArray();
         for (int i = 0; i < all.length; i++) {
@@ -63,7 +65,7 @@
 
     void schedule(double timeMs, Runnable action) { queue.add(new ScheduledAction(timeMs, lastSequence++, action)); }
 
-    /** Tries of two units for a customer at all ingresses alike, from now until then. */
+    /** Schedules requests of two units for a customer at random ingresses until {@code untilMs}. */
     void demand(long customer, int plan, double unitsPerS, double untilMs) {
         double next = now - Math.log(1 - random.nextDouble()) * 2000 / unitsPerS;
         if (next > untilMs) { return; }
@@ -85,7 +87,7 @@
         return this;
     }
 
-    /** At how many ingresses that are there a customer is known to be asked more than its quota. */
+    /** Returns how many running ingresses know that the customer exceeds its quota. */
     long knownAt(long customer, int plan) {
         long count = 0;
         for (int i = 0; i < all.length; i++) { count += !gone[i] && all[i].overQuotaDemandPerS(now, customer, plan) > 0 ? 1 : 0; }
--- a/src/test/java/yardusher/rates/RatesTest.java
+++ b/src/test/java/yardusher/rates/RatesTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** What customers are asked at all ingresses, on scripted time. */
+/** Estimation and gossip of fleet-wide demand, in simulated time. */
 class RatesTest {
     private static final long HEAVY = 0x1_2345_6789L, LIGHT = 77;
     private static final int PLAN = 2;               // 20 units a second
@@ -30,7 +30,9 @@
         RatesNet net = netWithHeavyCustomer(seed, 0.1).run(120_000);
         assertThat(net.knownAt(HEAVY, PLAN)).isEqualTo(20);
         assertThat(net.knownAt(LIGHT, PLAN)).isZero();
-        for (Rates one : net.all) { assertThat(one.overQuotaDemandPerS(net.now, HEAVY, PLAN)).as("0.88 of 60, of which 54 arrive").isBetween(32.0, 70.0); }
+        for (Rates one : net.all) {
+            assertThat(one.overQuotaDemandPerS(net.now, HEAVY, PLAN)).as("0.88 of 60, of which 54 arrive").isBetween(32.0, 70.0);
+        }
     }
 
     @Test
@@ -41,13 +43,13 @@
         assertThat(net.run(250_000).knownAt(HEAVY, PLAN)).isZero();
     }
 
-    /** Guards against copies that look newer at each hop, and so are told for ever. */
+    /** Guards against copies that look newer at each hop and so are gossiped for ever. */
     @Test
     void ratesExpireWithoutTheirAggregator() {
         RatesNet net = netWithHeavyCustomer(5, 0).run(100_000);
         int aggregator = (int) net.all[0].aggregatorOf(HEAVY);
-        net.gone[aggregator] = true;                      // and the others do not notice: their reports go nowhere
-        assertThat(net.run(300_000).knownAt(HEAVY, PLAN)).as("a word of before").isPositive();
+        net.gone[aggregator] = true;                 // the others do not notice, so their reports are lost
+        assertThat(net.run(300_000).knownAt(HEAVY, PLAN)).as("an announcement from before").isPositive();
         assertThat(net.run(600_000).knownAt(HEAVY, PLAN)).isZero();
     }
 
@@ -75,15 +77,16 @@
         assertThat(net.all[fresh].overQuotaDemandPerS(net.now, HEAVY, PLAN)).isPositive();
     }
 
-    /** Whatever is asked: many customers far over their quotas, some with huge ones, all at once. */
+    /** Many customers far over their quotas at once, some of them with very large quotas. */
     @Property(tries = 10)
-    void sentBytesStayWithinTheBudget(@ForAll @LongRange(min = 0, max = 1 << 30) long seed, @ForAll @IntRange(min = 300, max = 3000) int bytesPerS) {
+    void sentBytesStayWithinTheBudget(@ForAll @LongRange(min = 0, max = 1 << 30) long seed,
+            @ForAll @IntRange(min = 300, max = 3000) int bytesPerS) {
         RatesNet net = new RatesNet(8, bytesPerS, seed);
         for (int i = 0; i < 300; i++) { net.demand(1000 + i, 1 + i % 3, 30, 60_000); }
         net.run(60_000);
         double saved = 2.0 * bytesPerS + 2 * (RatesNet.HEADER_BYTES + RatesNet.MAX_BODY_BYTES);
         assertThat(net.bytes / 8.0).isLessThanOrEqualTo(60.0 * bytesPerS + saved);
-        assertThat(net.bytes / 8.0).as("and are used").isGreaterThan(20.0 * bytesPerS);
+        assertThat(net.bytes / 8.0).as("the budget is used").isGreaterThan(20.0 * bytesPerS);
     }
 
     @Property
@@ -95,7 +98,8 @@
     }
 
     @Property
-    void encodedMessagesDecodeUnchanged(@ForAll @LongRange(min = 0, max = (1L << 33) - 1) long customer, @ForAll @IntRange(min = 0, max = 255) int plan,
+    void encodedMessagesDecodeUnchanged(@ForAll @LongRange(min = 0, max = (1L << 33) - 1) long customer,
+            @ForAll @IntRange(min = 0, max = 255) int plan,
             @ForAll @IntRange(min = 1, max = 1_000_000) int milli, @ForAll @IntRange(min = 0, max = RateCodec.MAX_AGE_MS) int ageMs) {
         java.nio.ByteBuffer out = RateCodec.newMessage(RateCodec.Kind.RATES, 100);
         RateCodec.putReport(out, customer, plan, milli / 1000.0);
@@ -111,7 +115,7 @@
         assertThat(rate.ageMs()).as("rounded up").isBetween((double) ageMs, ageMs + 100.0);
     }
 
-    /** What one report stands for is, in the mean, what was asked: also where tries are far smaller or larger than that. */
+    /** Sampled reports add up to the demand on average, even if requests are far smaller or larger than one report's units. */
     @Test
     void sampledReportsAddUpToTheDemand() {
         List<Double> reported = new ArrayList<>();
@@ -132,7 +136,7 @@
             if (now % 200 == 0) { rates.tick(now); }
         }
         assertThat(reported.stream().mapToDouble(Double::doubleValue).sum()).isBetween(demanded * 0.97, demanded * 1.03);
-        assertThat(reported).as("one for many tries").hasSizeLessThan(40_000);
+        assertThat(reported).as("one report for many requests").hasSizeLessThan(40_000);
     }
 
     @Test
@@ -152,7 +156,7 @@
         rates.tick(500_000);
     }
 
-    /** Guards against an ingress that gets a part of the reports by mistake, and tells off whom the right one tells of. */
+    /** Guards against an ingress that receives part of the reports by mistake and withdraws what the right aggregator announced. */
     @Test
     void onlyTheAggregatorAnnouncesACustomer() {
         List<byte[]> sent = new ArrayList<>();
@@ -170,10 +174,11 @@
         assertThat(sent).allMatch(body -> body[0] == RateCodec.Kind.SLICE_REQUEST.ordinal());
     }
 
-    /** Where members differ for a while, and where nobody is seen at all, nothing breaks and what is asked here counts here. */
+    /** Without any known member, an ingress aggregates its own reports and sends nothing. */
     @Test
     void loneIngressAggregatesItsOwnReports() {
-        Rates rates = new Rates(new Rates.Parameters(1200, 43, 1200, RatesNet.QUOTAS, 20_000), 1, 2, 0, (to, out) -> { throw new AssertionError("nobody is there"); });
+        Rates rates = new Rates(new Rates.Parameters(1200, 43, 1200, RatesNet.QUOTAS, 20_000), 1, 2, 0,
+                (to, out) -> { throw new AssertionError("there is no other member"); });
         rates.updateMembers(new long[0]);
         for (double now = 0; now < 60_000; now += 20) {
             rates.recordDemand(now, HEAVY, PLAN, 2);
--- a/src/test/java/yardusher/view/ViewCodecTest.java
+++ b/src/test/java/yardusher/view/ViewCodecTest.java
@@ -16,29 +16,33 @@
 import yardusher.mesh.Mesh;
 import yardusher.view.View.State;
 
-/** Datagrams of the view: whole, cut, foreign and made up; and what a member makes of them. */
+/** Encoding of the view's datagrams, and how a member handles valid, truncated, corrupted and forged ones. */
 class ViewCodecTest {
     private static final ViewCodec CODEC = new ViewCodec(UnaryOperator.identity());
 
     private static MemberUpdate randomUpdate(Random random) {
         State state = State.values()[random.nextInt(4)];
-        long born = 1 + random.nextInt(1 << 30);
+        long firstIncarnation = 1 + random.nextInt(1 << 30);
         int[] accusers = new int[state == State.SUSPECT ? 1 + random.nextInt(4) : 0];
         for (int i = 0; i < accusers.length; i++) { accusers[i] = random.nextInt(); }
         byte[] address = new byte[random.nextBoolean() ? 4 : 16];
         random.nextBytes(address);
         address[0] = 10;
         try {
-            return new MemberUpdate(new MemberIdentity("n-" + random.nextInt(1000), "hall." + random.nextInt(5), new InetSocketAddress(java.net.InetAddress.getByAddress(address),
-                    1 + random.nextInt(65_535))), random.nextLong(), born, born + random.nextInt(1000), state, accusers,
+            return new MemberUpdate(new MemberIdentity("n-" + random.nextInt(1000), "hall." + random.nextInt(5),
+                    new InetSocketAddress(java.net.InetAddress.getByAddress(address),
+                    1 + random.nextInt(65_535))), random.nextLong(), firstIncarnation, firstIncarnation + random.nextInt(1000), state,
+                    accusers,
                     state == State.GONE || state == State.LEFT ? random.nextInt(600) : 0);
         } catch (java.net.UnknownHostException e) {
             throw new AssertionError(e);
         }
     }
 
-    private static String describe(MemberUpdate news) {
-        return news.identity() + " " + news.instanceId() + " " + news.firstIncarnation() + " " + news.incarnation() + " " + news.state() + " " + Arrays.toString(news.accusers()) + " " + news.ageS();
+    private static String describe(MemberUpdate update) {
+        return update.identity() + " " + update.instanceId() + " " + update.firstIncarnation() + " " + update.incarnation() + " "
+                + update.state()
+                + " " + Arrays.toString(update.accusers()) + " " + update.ageS();
     }
 
     private static byte[] randomMessage(Random random, ViewCodec.Type type, List<MemberUpdate> updates) {
@@ -49,7 +53,7 @@
             case SYNC -> out.buckets(random.longs(MemberTable.BUCKETS).toArray(), random.nextBoolean());
             default -> { }
         }
-        for (MemberUpdate news = randomUpdate(random); out.addUpdate(news); news = randomUpdate(random)) { updates.add(news); }
+        for (MemberUpdate update = randomUpdate(random); out.addUpdate(update); update = randomUpdate(random)) { updates.add(update); }
         return out.body();
     }
 
@@ -60,9 +64,10 @@
         List<MemberUpdate> updates = new ArrayList<>();
         byte[] body = randomMessage(random, type, updates);
         assertThat(body.length).isLessThanOrEqualTo(Mesh.MAX_BODY_BYTES);
-        ViewCodec.Message read = CODEC.decode(body);
-        assertThat(read.type()).isEqualTo(type);
-        assertThat(read.updates().stream().map(ViewCodecTest::describe)).isEqualTo(updates.stream().map(ViewCodecTest::describe).toList());
+        ViewCodec.Message decoded = CODEC.decode(body);
+        assertThat(decoded.type()).isEqualTo(type);
+        assertThat(decoded.updates().stream().map(ViewCodecTest::describe)).isEqualTo(updates.stream().map(ViewCodecTest::describe)
+                .toList());
     }
 
     @Property(tries = 300)
@@ -73,7 +78,9 @@
         double now = 1000;
         for (int i = 0; i < 50; i++) {
             byte[] corrupted = Arrays.copyOf(body, random.nextInt(body.length + 200));
-            for (int j = random.nextInt(4); j > 0 && corrupted.length > 0; j--) { corrupted[random.nextInt(corrupted.length)] = (byte) random.nextInt(); }
+            for (int j = random.nextInt(4); j > 0 && corrupted.length > 0; j--) {
+                corrupted[random.nextInt(corrupted.length)] = (byte) random.nextInt();
+            }
             member.receive(now, corrupted);
             now += random.nextInt(100);
             member.tick(now);
@@ -100,7 +107,7 @@
 
     private static byte[] gossip(MemberUpdate sender, MemberUpdate... updates) {
         ViewCodec.Writer out = new ViewCodec.Writer(ViewCodec.Type.GOSSIP, sender, true, 0, 0);
-        for (MemberUpdate news : updates) { out.addUpdate(news); }
+        for (MemberUpdate update : updates) { out.addUpdate(update); }
         return out.body();
     }
 
@@ -108,13 +115,15 @@
     void goneAboutSelfIsRefutedAndLeftAboutSelfStartsANewInstance() {
         Membership member = member();
         MemberUpdate other = MemberTableTest.update("n1", 9, 5, 5, State.ALIVE);
-        MemberUpdate self = new MemberUpdate(new MemberIdentity("self", "a", new InetSocketAddress("127.0.0.1", 7)), member.instanceId(), 1, member.self().incarnation() + 7, State.GONE, MemberUpdate.NO_ACCUSERS, 0);
+        MemberUpdate self = new MemberUpdate(new MemberIdentity("self", "a", new InetSocketAddress("127.0.0.1", 7)), member.instanceId(), 1,
+                member.self().incarnation() + 7, State.GONE, MemberUpdate.NO_ACCUSERS, 0);
         member.receive(1001, gossip(other, self));
         assertThat(member.self().incarnation()).isEqualTo(self.incarnation() + 1);
-        long life = member.instanceId();
-        member.receive(1002, gossip(other, new MemberUpdate(self.identity(), life, 1, self.incarnation() + 1, State.LEFT, MemberUpdate.NO_ACCUSERS, 0)));
+        long instanceId = member.instanceId();
+        member.receive(1002, gossip(other, new MemberUpdate(self.identity(), instanceId, 1, self.incarnation() + 1, State.LEFT,
+                MemberUpdate.NO_ACCUSERS, 0)));
         assertThat(member.self().state()).isEqualTo(State.ALIVE);
-        assertThat(member.instanceId()).isNotEqualTo(life);
+        assertThat(member.instanceId()).isNotEqualTo(instanceId);
         assertThat(member.self().incarnation()).isEqualTo(self.incarnation() + 2);
     }
 
@@ -123,7 +132,8 @@
         Membership member = member();
         long before = member.self().incarnation();
         MemberUpdate other = MemberTableTest.update("n1", 9, 5, 5, State.ALIVE);
-        MemberUpdate self = new MemberUpdate(new MemberIdentity("self", "a", new InetSocketAddress("127.0.0.1", 7)), member.instanceId(), 1, before + MemberTable.MAX_INCARNATION_STEP + 1, State.GONE, MemberUpdate.NO_ACCUSERS, 0);
+        MemberUpdate self = new MemberUpdate(new MemberIdentity("self", "a", new InetSocketAddress("127.0.0.1", 7)), member.instanceId(), 1,
+                before + MemberTable.MAX_INCARNATION_STEP + 1, State.GONE, MemberUpdate.NO_ACCUSERS, 0);
         member.receive(1001, gossip(other, self, MemberTableTest.update("n2", 1, 5, MemberTable.MAX_INCARNATION + 1, State.ALIVE)));
         assertThat(member.self().incarnation()).isEqualTo(before);
         assertThat(member.member("n2")).isNull();
@@ -134,7 +144,8 @@
     void nameIsYieldedToALaterInstance() {
         Membership member = member();
         MemberUpdate other = MemberTableTest.update("n1", 9, 5, 5, State.ALIVE);
-        member.receive(1001, gossip(other, MemberTableTest.update("self", 4, member.self().incarnation() + 10, member.self().incarnation() + 10, State.ALIVE)));
+        member.receive(1001, gossip(other, MemberTableTest.update("self", 4, member.self().incarnation() + 10,
+                member.self().incarnation() + 10, State.ALIVE)));
         assertThat(member.phase()).isEqualTo(Membership.Phase.TAKEN);
         assertThat(member.self().state()).isEqualTo(State.GONE);
         assertThat(member.report(1002)).contains("taken name=self by=127.0.0.1:1004");
