--- a/src/main/java/yardusher/core/Admit.java
+++ b/src/main/java/yardusher/core/Admit.java
@@ -3,7 +3,7 @@
 import yardusher.Api;
 import yardusher.Policy;
 
-/** Second stage: the module is asked. What it decides comes back as actions. */
+/** Second stage: passes requests and events to the decision module, which answers with actions. */
 final class Admit {
     private final EventLoop loop;
     private final Policy module;
@@ -20,7 +20,7 @@
                 o.spread(), o.only()));
     }
 
-    /** Gives the module an event at the present time, which never goes back. */
+    /** Delivers an event to the module at the current time. The time passed to the module never goes back. */
     void tell(Api.Event event) {
         last = Math.max(last, loop.now());
         module.on(last, event);
--- a/src/main/java/yardusher/core/Attempt.java
+++ b/src/main/java/yardusher/core/Attempt.java
@@ -2,7 +2,7 @@
 
 import yardusher.Api;
 
-/** One sending of a request to a backend. It ends once, by {@link Ingress#ended}. */
+/** One sending of a request to a backend. It ends exactly once, through {@link Ingress#attemptEnded}. */
 public final class Attempt {
     private static final int WRITTEN_AT_ONCE = 16 * 1024;
 
@@ -11,20 +11,20 @@
     public final long backend;
     public final double sentAt;
     public final long waitMs;
-    /** For the order log alone: whether its intent is told. */
+    /** Used by the request log only: whether the intent has been logged. */
     public boolean noted;
     Deadlines.Entry timeOut;
-    /** How long its answer's first byte took, in milliseconds; negative where it is measured at its end. */
+    /** Time from sending to the first byte of the answer, in milliseconds; negative until a streamed answer begins. */
     double beganMs = -1;
-    /** Set by the backend's connection: gives the attempt up. */
+    /** Aborts the attempt; set by the backend connection. */
     public Runnable giveUp = () -> { };
-    /** Whether its bytes were handed to a socket; outlives its end, for the record. */
+    /** Whether the bytes were handed to a socket. Kept after the attempt ends, for the request log. */
     private boolean handed;
-    /** Whether it stands in the count of those written whole. */
+    /** Whether the attempt is already counted in {@link Counters#forwards}. */
     boolean forwarded;
-    /** Whether the module was told that it waits to be written. */
+    /** Whether the module was told that the attempt waits to be written. */
     boolean delayed;
-    /** The bytes that were handed to the backends' side. */
+    /** Size of the command that was passed to the backend side, in bytes. */
     int bytes;
 
     Attempt(Request request, int number, long backend, double sentAt, long waitMs) {
@@ -37,13 +37,13 @@
 
     public boolean isOver() { return !request.course.isOut(number); }
 
-    /** Whether bytes of it may have gone out. */
+    /** Whether bytes of the attempt may have been sent. */
     public boolean mayHaveGone() { return handed; }
 
     /**
-     * Asked by the backend's connection in the instant in which it hands the bytes to the socket; from then on it may have run.
-     * False where nothing of it may be sent any more, or twice: it is over, its request is answered, gone or past its deadline, or
-     * a repeat would begin outside its window. {@code now} in milliseconds of the loop's clock.
+     * Called by the backend connection at the moment it hands the bytes to the socket; from then on the attempt may have run.
+     * Returns false if nothing may be sent, or may not be sent again: the attempt has ended, its request is answered, cancelled
+     * or past its deadline, or a repeat would start outside the class's window. {@code nowMs} is the event loop's time.
      */
     public boolean hand(double now) {
         boolean may = !isLate(now) && request.course.hand(number, now);
@@ -51,19 +51,19 @@
         return may;
     }
 
-    /** Whether it has waited for longer than the units that it takes of a ceiling are held for it. */
+    /** Whether the attempt waited longer than its units of a ceiling are reserved for it. */
     public boolean isLate(double now) { return request.hasCeiling && now - sentAt > Api.WRITTEN_WITHIN_MS; }
 
-    /** Whether its bytes are with a socket, and so few that they don't wait there for room. */
+    /** Whether the bytes are with a socket and are few enough not to wait there for buffer space. */
     boolean isWrittenAtOnce() { return handed && bytes <= WRITTEN_AT_ONCE; }
 
-    /** The write failed: the system never took its last byte. */
+    /** The write failed: the system never accepted the last byte. */
     public void unwritten() {
         request.course.unwritten(number);
         handed = false;
     }
 
-    /** How an attempt ended; the value is there when it was served. */
+    /** The outcome of an attempt. The value is present only if the attempt was served. */
     public record Result(Api.Outcome outcome, byte[] value, double[] load) {
         public static Result of(Api.Outcome outcome) { return new Result(outcome, null, null); }
     }
--- a/src/main/java/yardusher/core/Backends.java
+++ b/src/main/java/yardusher/core/Backends.java
@@ -2,11 +2,11 @@
 
 import java.nio.ByteBuffer;
 
-/** The backends' side as the core sees it. */
+/** The backend side as the core sees it. */
 public interface Backends {
-    /** Whether attempts can go to this backend now: it stands in the service table, with an address. */
+    /** Whether attempts can be sent to this backend now: it is in the service table and has an address. */
     boolean knows(long backend);
 
-    /** Begins an attempt; its end is told by {@link Ingress#ended}, never from within this call. */
+    /** Starts an attempt. Its end is reported by {@link Ingress#attemptEnded}, never from within this call. */
     void begin(Attempt attempt, ByteBuffer... cargo);
 }
--- a/src/main/java/yardusher/core/Book.java
+++ b/src/main/java/yardusher/core/Book.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** Last stage: attempts and requests that are over leave the books. */
+/** Last stage: removes ended attempts and closed requests, with their deadlines and counts. */
 final class Book {
     private final EventLoop loop;
     private final Map<Long, Request> open;
@@ -16,7 +16,7 @@
         this.counters = counters;
     }
 
-    /** An attempt that has just ended. */
+    /** Records the end of an attempt. */
     void attempt(Attempt attempt, Attempt.Result result) {
         counters.outcomes[result.outcome().ordinal()]++;
         loop.deadlines().cancel(attempt.timeOut);
--- a/src/main/java/yardusher/core/Cargo.java
+++ b/src/main/java/yardusher/core/Cargo.java
@@ -2,20 +2,20 @@
 
 import java.nio.ByteBuffer;
 
-/** What a backend is handed for a request. The core never looks inside, but for what names it. */
+/** The command that a backend receives for a request. The core reads its identifying fields only, never its content. */
 public interface Cargo {
-    /** The cargo's bytes, telling the backend how long its answer is waited for: parts to be written one behind another. */
+    /** Encodes the command, including how long the backend's answer is awaited, as buffers to be written one after another. */
     ByteBuffer[] encoded(long waitMs);
 
-    /** The request's id, as the backend is told it. */
+    /** The request id as sent to the backend. */
     long id();
 
-    /** The idempotency key as the backend is told it, in 16 hex digits; null where the class has none. */
+    /** The idempotency key as sent to the backend, 16 hex digits; null if the class has none. */
     String key();
 
-    /** A fingerprint of what is asked for: the same for the same request, whatever its id and its time. */
+    /** A fingerprint of the request's content: equal for equal requests, whatever their ids and times. */
     long print();
 
-    /** What it says of a unit of work; null for nothing. */
+    /** The unit of work that the request refers to; null for none. */
     default UnitWord unit() { return null; }
 }
--- a/src/main/java/yardusher/core/Counters.java
+++ b/src/main/java/yardusher/core/Counters.java
@@ -2,19 +2,19 @@
 
 import yardusher.Api;
 
-/** What was taken in, sent and answered. Written in turns only. */
+/** Counters of requests, attempts and answers. Written on the event loop only. */
 public final class Counters {
     public long takenIn;
     public long invalid;
-    /** Final answers, by class; a request whose terminal has left stands under clientsGone alone. */
+    /** Final answers by class. A request whose terminal has left is counted in clientsGone only. */
     public long[] served = new long[0];
     public long[] refused = new long[0];
     public long[] failed = new long[0];
-    /** Large values passed on as they come: begun, under way, and the most of those so far. */
+    /** Large values that are streamed: started, open now, and the maximum open at once. */
     public long large;
     public int largeOpen;
     public int largeMost;
-    /** Attempts that the sockets have taken whole. */
+    /** Attempts that were completely written to a socket. */
     public long forwards;
     public long clientsGone;
     public long attempts;
@@ -22,7 +22,7 @@
     public long connectionsOpened;
     public long peerOut;
     public long peerIn;
-    /** Watches asked for, whole lists told, lines of a list that could not be read. */
+    /** Service table: watches requested, complete lists received, malformed lines. */
     public long listAsks;
     public long listWhole;
     public long listBad;
@@ -33,15 +33,15 @@
     public long connectionsFailed;
     public long reloads;
     public long faults;
-    /** Final answers after a request's first one: never sent. */
+    /** Final answers after a request's first one; they are not sent. */
     public long answersSecond;
-    /** What else the line tells; empty for nothing. */
+    /** Further counters appended to the line, each with a leading space; empty for none. */
     public java.util.function.Supplier<String> more = () -> "";
     /** Short-on-capacity replies of the module, by reason. */
     public final long[] reasons = new long[Api.Reason.values().length];
     public final long[] outcomes = new long[Api.Outcome.values().length];
 
-    /** Makes room for the counts of so many classes. */
+    /** Sets the number of request classes and resets the counts by class. */
     public void classes(int count) {
         served = new long[count];
         refused = new long[count];
@@ -50,7 +50,7 @@
 
     private static long sum(long[] counts) { return java.util.Arrays.stream(counts).sum(); }
 
-    /** One line of names and values. */
+    /** Returns one line of {@code name=value} pairs; the names are known to operators and tools. */
     public String line(int open) {
         StringBuilder text = new StringBuilder(256);
         text.append("taken_in=").append(takenIn).append(" served=").append(sum(served)).append(" refused=").append(sum(refused))
--- a/src/main/java/yardusher/core/Course.java
+++ b/src/main/java/yardusher/core/Course.java
@@ -3,16 +3,19 @@
 import yardusher.Api;
 
 /**
- * Where a request stands, with its attempts: the one owner of that, free of I/O and clock. Times are told in milliseconds of one
- * clock that never goes back. A request is open until its one final answer or its client's leave, whichever is first; nothing of
- * it begins after that. Of its attempts one at the most is out, and each ends once. Every method that may do a thing says
- * whether it was done; false changes nothing.
+ * The state machine of a request and its attempts, without I/O and clock. Times are in milliseconds of one clock that never
+ * goes back. A request is open until its one final answer or until its client leaves, whichever comes first; no attempt starts
+ * after that. At most one attempt is active at a time, and each ends once. Methods that perform a transition return whether it
+ * was performed; if not, nothing has changed.
  */
 final class Course {
-    /** Of the request. PASSING: a large value is being passed on, and no other attempt may follow. */
+    /** State of the request. PASSING: a large value is being streamed, and no other attempt may follow. */
     enum Stage { OPEN, PASSING, ANSWERED, GONE }
 
-    /** Of the attempt that is out. PARKED: its intent is not recorded; BEGUN: with the backends' side; HANDED: to a socket. */
+    /**
+     * State of the newest attempt. PARKED: its intent is not recorded yet; BEGUN: passed to the backend side; HANDED: written
+     * to a socket.
+     */
     private enum Out { NONE, PARKED, BEGUN, HANDED }
 
     private final Api.Effect effect;
@@ -20,10 +23,10 @@
     private final double deadline;
     private Stage stage = Stage.OPEN;
     private Out out = Out.NONE;
-    private int number = -1;                         // of the newest attempt
+    private int number = -1;                         // number of the newest attempt
     private double handedAt;
     private boolean mayHaveRun;
-    private double ranAt;                            // when the first that may have run was handed over
+    private double ranAt;                            // when the first attempt that may have run was written to a socket
 
     Course(Api.RequestClass of, double deadline) {
         effect = of.effect();
@@ -33,10 +36,10 @@
 
     Stage stage() { return stage; }
 
-    /** Whether nothing is owed any more. */
+    /** Whether the request needs no further answer. */
     boolean isOver() { return stage == Stage.ANSWERED || stage == Stage.GONE; }
 
-    /** Whether an attempt is out, from its parking to its end. */
+    /** Whether an attempt is active, from its parking to its end. */
     boolean isOut() { return out != Out.NONE; }
 
     boolean isOut(int attempt) { return out != Out.NONE && attempt == number; }
@@ -45,13 +48,13 @@
 
     boolean isHanded(int attempt) { return out == Out.HANDED && attempt == number; }
 
-    /** Whether an attempt may have run, or is out so that it may yet. */
+    /** Whether an attempt may have run, or is written and may still run. */
     boolean mayHaveRun() { return mayHaveRun || out == Out.HANDED; }
 
-    /** Whether an attempt that ended may have run. */
+    /** Whether an attempt that has ended may have run. */
     boolean mayHaveRunBefore() { return mayHaveRun; }
 
-    /** An attempt is parked, with a number above those before. */
+    /** Parks a new attempt; its number must be higher than those before. */
     boolean park(int attempt) {
         if (stage != Stage.OPEN || out != Out.NONE || attempt <= number) { return false; }
         number = attempt;
@@ -59,7 +62,7 @@
         return true;
     }
 
-    /** A parked attempt goes to the backends' side. */
+    /** Passes a parked attempt to the backend side. */
     boolean begin(int attempt) {
         if (stage != Stage.OPEN || attempt != number || out != Out.PARKED) { return false; }
         out = Out.BEGUN;
@@ -67,8 +70,8 @@
     }
 
     /**
-     * Its bytes are handed to a socket: from here on it may have run. Guards the repeat: what was chosen in time may have waited
-     * for a record or a dial since, and is counted at this instant.
+     * The attempt's bytes are handed to a socket: from here on it may have run. The repeat rules are checked at this moment,
+     * since an attempt that was chosen in time may since have waited for its record or for a connection.
      */
     boolean hand(int attempt, double now) {
         if (stage != Stage.OPEN || attempt != number || out != Out.BEGUN || now >= deadline || !mayRepeat(now)) { return false; }
@@ -81,12 +84,12 @@
         return !mayHaveRun || effect == Api.Effect.IDEMPOTENT || effect == Api.Effect.DEDUPLICATED && now - ranAt < windowMs;
     }
 
-    /** The write of an attempt failed: its last byte was never taken. */
+    /** The write of an attempt failed: its last byte was never accepted. */
     void unwritten(int attempt) {
         if (isHanded(attempt)) { out = Out.BEGUN; }
     }
 
-    /** An attempt ends. What was never handed over never ran, whatever the outcome. */
+    /** Ends an attempt. An attempt that was never handed to a socket never ran, whatever its outcome. */
     boolean end(int attempt, Api.Outcome outcome) {
         if (!isOut(attempt)) { return false; }
         if (out == Out.HANDED && !outcome.neverRan() && !mayHaveRun) {
@@ -97,21 +100,21 @@
         return true;
     }
 
-    /** The attempt's answer is too large to be held and begins to be passed on. */
+    /** The attempt's answer is too large to be buffered, and streaming begins. */
     boolean pass(int attempt) {
         if (stage != Stage.OPEN || !isHanded(attempt)) { return false; }
         stage = Stage.PASSING;
         return true;
     }
 
-    /** The one transition that gives the final answer. */
+    /** The only transition that gives the final answer. */
     boolean answer() {
         if (isOver()) { return false; }
         stage = Stage.ANSWERED;
         return true;
     }
 
-    /** The client has gone, and is told nothing. */
+    /** The client has left and gets no answer. */
     boolean leave() {
         if (isOver()) { return false; }
         stage = Stage.GONE;
--- a/src/main/java/yardusher/core/Deadlines.java
+++ b/src/main/java/yardusher/core/Deadlines.java
@@ -2,9 +2,9 @@
 
 import java.util.TreeSet;
 
-/** All deadlines of the program in one sorted structure, swept each turn. Used in turns only. */
+/** All timers of the process in one sorted set, checked before and after each event loop task. Used on the event loop only. */
 public final class Deadlines {
-    /** One deadline; cancelled by {@link #cancel}. */
+    /** One scheduled task, cancelled by {@link #cancel}. */
     public static final class Entry implements Comparable<Entry> {
         final double at;
         private final long order;
@@ -38,10 +38,10 @@
 
     public int size() { return entries.size(); }
 
-    /** When the next one falls due; infinity for none. */
+    /** The time of the next task; infinity if there is none. */
     double next() { return entries.isEmpty() ? Double.POSITIVE_INFINITY : entries.first().at; }
 
-    /** Takes out the next one that is due, or null. */
+    /** Removes and returns the next task that is due; null if there is none. */
     Runnable due(double now) {
         if (entries.isEmpty() || entries.first().at > now) { return null; }
         return entries.pollFirst().due;
--- a/src/main/java/yardusher/core/Dispatch.java
+++ b/src/main/java/yardusher/core/Dispatch.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import yardusher.Api;
 
-/** Fourth stage, send: the attempt goes out, and its time-out stands among the deadlines. */
+/** Fourth stage: sends the attempt and schedules its timeout. */
 final class Dispatch {
     private final EventLoop loop;
     private final Backends backends;
@@ -14,7 +14,7 @@
     private final Consumer<Request> unrecorded;
     private final BiConsumer<Attempt, Attempt.Result> ended;
 
-    /** {@code unrecorded} is told of a request whose attempt may not go out since its intent has no record. */
+    /** {@code onUnrecorded} is called with a request whose attempt must not be sent because its intent could not be recorded */
     Dispatch(EventLoop loop, Backends backends, Counters counters, OrderLog log, Consumer<Request> unrecorded,
             BiConsumer<Attempt, Attempt.Result> ended) {
         this.log = log;
@@ -39,10 +39,10 @@
             return;
         }
         log.intend(attempt, may -> {
-            if (attempt.isOver()) { return; }        // given up while it was parked
+            if (attempt.isOver()) { return; }        // cancelled while it was parked
             if (!may) {
                 unrecorded.accept(t);
-            } else if (!backends.knows(backend)) {     // left the service table while it was parked
+            } else if (!backends.knows(backend)) {     // removed from the service table while it was parked
                 ended.accept(attempt, Attempt.Result.of(Api.Outcome.NOT_SENT));
             } else {
                 begin(attempt, (long) Math.max(1, Math.ceil(now + wait - loop.now())));
@@ -51,7 +51,7 @@
     }
 
     private void begin(Attempt attempt, long waitMs) {
-        if (!attempt.request.course.begin(attempt.number)) { // nothing of it begins after the request's end
+        if (!attempt.request.course.begin(attempt.number)) { // no attempt starts after the request's end
             ended.accept(attempt, Attempt.Result.of(Api.Outcome.NOT_SENT));
             return;
         }
@@ -62,7 +62,8 @@
 
     private void expire(Attempt attempt) {
         if (attempt.isOver()) { return; }
-        // What was never handed to a socket cannot have run. Guards a backend against blame for what waited for its record here.
+        // An attempt that was never handed to a socket cannot have run. If it was still waiting for its record, the backend
+        // must not be counted as unreachable.
         Api.Outcome never = attempt.request.course.isParked(attempt.number) ? Api.Outcome.NOT_SENT : Api.Outcome.CONNECT_FAILED;
         Api.Outcome outcome = attempt.mayHaveGone() ? Api.Outcome.TIMED_OUT : never;
         attempt.giveUp.run();
--- a/src/main/java/yardusher/core/EventLoop.java
+++ b/src/main/java/yardusher/core/EventLoop.java
@@ -7,8 +7,9 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * The one writer of all state: a turn is one completion, peer datagram or timer, and never two run at once.
- * A lock and not a queue to one more thread: a completion runs on the thread that was handed it, with no hop.
+ * Serializes all state changes. A task is one I/O completion, peer datagram or timer, and no two tasks run at the same time. A
+ * lock is used instead of a queue to a separate thread, so that a completion runs on the thread that received it, without a
+ * hop.
  */
 public final class EventLoop {
     private final ReentrantLock lock = new ReentrantLock();
@@ -20,7 +21,7 @@
     private double wakeAt = Double.POSITIVE_INFINITY;
     private boolean stopped;
 
-    /** The clock is in milliseconds and never goes back. */
+    /** The clock gives milliseconds and never goes back. */
     public EventLoop(DoubleSupplier clock, Consumer<Throwable> faults) {
         this.clock = clock;
         this.faults = faults;
@@ -30,7 +31,9 @@
 
     public Deadlines deadlines() { return deadlines; }
 
-    /** Does work as one turn. Asked for within a turn (a completion that came at once), it follows that turn. */
+    /**
+     * Runs a task. If called from within a task, for example by a completion that came at once, it runs after the current one.
+     */
     public void turn(Runnable work) {
         lock.lock();
         try {
@@ -47,7 +50,7 @@
         }
     }
 
-    /** Within a turn: work that follows what is being done, before the turn ends. */
+    /** Called within a task: defers work until the current work is done, before the task ends. */
     public void afterwards(Runnable work) { later.add(work); }
 
     private void sweep() {
@@ -59,19 +62,22 @@
             try {
                 next.run();
             } catch (Throwable e) {
-                tell(e);                             // one broken message must not take the ingress down
+                tell(e);                             // one faulty message must not stop the ingress
             }
         }
     }
 
-    /** Guards the work that follows, and the thread of the deadlines, against a word that cannot be said, as where no memory is left. */
+    /**
+     * Reports a fault. An error of the handler itself, for example when no memory is left, must not stop the remaining work or
+     * the timer thread.
+     */
     private void tell(Throwable e) {
         try {
             faults.accept(e);
-        } catch (Throwable unsaid) { /* whoever is told has counted it or cannot */ }
+        } catch (Throwable unsaid) { /* the handler has counted the fault, or cannot */ }
     }
 
-    /** Starts the thread that gives a turn to deadlines when nothing else happens. */
+    /** Starts the thread that runs due timers when nothing else happens. */
     public Thread startTimer() {
         Thread thread = new Thread(this::keepTime, "deadlines");
         thread.setDaemon(true);
--- a/src/main/java/yardusher/core/Flow.java
+++ b/src/main/java/yardusher/core/Flow.java
@@ -3,16 +3,19 @@
 import java.nio.ByteBuffer;
 
 /**
- * A large value on its way to a terminal, in parts as they come: nobody gathers it. Exactly one of {@link #end} and
- * {@link #broken} is called, once, unless the terminal leaves before. In turns only.
+ * Streams a large value to a terminal chunk by chunk, without buffering it as a whole. Exactly one of {@link #end} and {@link
+ * #fail} is called, once, unless the terminal leaves before. Used on the event loop only.
  */
 public interface Flow {
-    /** The next part, brought only when the one before was taken; its bytes stay as they are until {@code taken} runs. */
+    /**
+     * Writes the next chunk. It is passed only after the previous one was written; its bytes must not change until {@code
+     * onWritten} runs.
+     */
     void part(ByteBuffer bytes, Runnable taken);
 
-    /** All parts were brought, and the value is whole. */
+    /** All chunks were passed and the value is complete. */
     void end();
 
-    /** It cannot be finished, which the terminal is able to tell. */
+    /** The value cannot be completed. The terminal can detect this. */
     void broken();
 }
--- a/src/main/java/yardusher/core/Ids.java
+++ b/src/main/java/yardusher/core/Ids.java
@@ -4,10 +4,10 @@
 import java.security.SecureRandom;
 
 /**
- * Numbers for what an ingress makes itself: request ids, lives. A sequence that begins at a random point of all
- * 64-bit numbers and is scrambled one to one (the finalizer of SplitMix64), so that no two of one life are equal and
- * those of two lives or ingresses meet only if their beginnings lie within each other's length: of a thousand lives of
- * a thousand million ids each, with a chance of about 1 in 18,000. A configured seed has no part in it.
+ * Generates 64-bit numbers that an ingress assigns itself: request ids and process incarnations. A counter that starts at a
+ * random 64-bit number is permuted by the finalizer of SplitMix64, so that no two numbers of one process are equal. Numbers of
+ * two processes or ingresses collide only if their counters start within each other's range: for a thousand processes with a
+ * thousand million ids each, the probability is about 1 in 18,000. The configured seed is not used.
  */
 public final class Ids {
     private long next;
@@ -16,7 +16,7 @@
 
     Ids(long first) { next = first; }
 
-    /** The next number, any of 64 bits. */
+    /** Returns the next number; all 64 bits may be set. */
     public long next() {
         long z = next++;
         z = (z ^ z >>> 30) * 0xBF58476D1CE4E5B9L;
--- a/src/main/java/yardusher/core/Ingress.java
+++ b/src/main/java/yardusher/core/Ingress.java
@@ -7,11 +7,11 @@
 import yardusher.Policy;
 
 /**
- * The core: requests, attempts and outcomes, in a chain of stages around the decision module. It knows no
- * wire. All methods are called within loop.
+ * The core: requests, attempts and outcomes, processed in a chain of stages around the decision module. It is independent of
+ * network protocols. All methods are called on the event loop.
  */
 public final class Ingress implements Intake {
-    /** After the deadline the module's own answer may still come this late; then the core ends it. */
+    /** The module may still answer this long after the deadline; then the core ends the request. */
     private static final double GRACE_MS = 8;
 
     private final Map<Long, Request> open = new HashMap<>();
@@ -35,7 +35,7 @@
         this(settings, seed, loop.now(), loop, backends, neighbours, counters, log);
     }
 
-    /** In a process that began at {@code bornMs}, when no other one of this ingress was there any more. */
+    /** {@code processStartMs} is the start of this process, when no other process of this ingress was running any more */
     public Ingress(Api.Settings settings, long seed, double bornMs, EventLoop loop, Backends backends, Neighbours neighbours,
             Counters counters, OrderLog log) {
         this.log = log;
@@ -62,10 +62,10 @@
 
     public int openCount() { return open.size(); }
 
-    /** How many listed backends get no attempts now, kept out by hand or by choice. */
+    /** The number of listed backends that get no attempts now, banned by an operator or avoided by the module. */
     public int avoided() { return module.avoided(loop.now()); }
 
-    /** A front brings a request. Its terminal gets exactly one final answer. */
+    /** Accepts a request. Its terminal gets exactly one final answer. */
     @Override
     public Request take(Order order) {
         Request[] taken = new Request[1];
@@ -83,7 +83,7 @@
             admit.ask(t);
             act();
         } catch (RuntimeException e) {
-            // Guards against a fault in one decision that leaves its terminal, and all behind it, unanswered.
+            // A fault in one decision must not leave its terminal, and the requests behind it, without an answer.
             counters.faults++;
             relay.failed(t, "internal");
             book.close(t);
@@ -91,13 +91,16 @@
         return t;
     }
 
-    /** How a customer stands: asks the module only, takes nothing and reaches no backend. */
+    /**
+     * Returns the limits and the current use of a customer. Asks the module only: nothing is consumed and no backend is
+     * contacted.
+     */
     public Api.Standing standing(long customer, int plan, double units, int first, int spread) {
         counters.lookups++;
         return module.standing(loop.now(), customer, plan, units, first, spread);
     }
 
-    /** The terminal left: nothing more is owed. */
+    /** The terminal has left and gets no answer. */
     private void gone(Request t) {
         if (!t.course.leave()) { return; }
         counters.clientsGone++;
@@ -105,17 +108,17 @@
         release(t);
     }
 
-    /** An attempt ended, as the backends' side saw it. */
+    /** Reports the end of an attempt, as seen by the backend side. */
     public void ended(Attempt attempt, Attempt.Result result) {
         if (!attempt.request.course.end(attempt.number, result.outcome())) { return; }
-        // An answer proves that it was written whole, also where it is read before the write's own end is told.
+        // An answer proves that the command was written completely, even if it is read before the write completion.
         boolean answered = result.outcome() == Api.Outcome.SERVED || result.outcome() == Api.Outcome.SERVER_ERROR;
         counters.largeOpen -= attempt.beganMs >= 0 ? 1 : 0;
         if (answered && attempt.mayHaveGone() || result.outcome() == Api.Outcome.REJECTED) { forwarded(attempt); }
         book.attempt(attempt, result);
         Request t = attempt.request;
         if (result.outcome() == Api.Outcome.SERVED) { relay.served(t, result.value()); }
-        if (t.course.stage() == Course.Stage.PASSING) { relay.broken(t); } // no other attempt may follow a part
+        if (t.course.stage() == Course.Stage.PASSING) { relay.broken(t); } // no other attempt may follow a chunk
         boolean finished = t.course.isOver();
         if (finished) { book.close(t); }
         admit.tell(new Api.AttemptDone(t.number, attempt.number, attempt.backend, result.outcome(),
@@ -124,8 +127,8 @@
     }
 
     /**
-     * A backend begins to answer with a value too large to be held: from here on it is its terminal's, and no deadline
-     * cuts it off. Null where nobody takes it.
+     * A backend begins an answer that is too large to be buffered. From here on it is streamed to the terminal, and no deadline
+     * cancels it. Returns null if the answer is not wanted.
      */
     public Flow begin(Attempt attempt, long length) {
         Request t = attempt.request;
@@ -144,7 +147,7 @@
         return flow;
     }
 
-    /** The socket has taken an attempt's last byte. */
+    /** The attempt's last byte was written to the socket. */
     public void written(Attempt attempt) {
         forwarded(attempt);
         if (attempt.request.recorded && !attempt.isOver()) { log.written(attempt); }
@@ -156,7 +159,7 @@
         attempt.forwarded = true;
     }
 
-    /** An intent could not be recorded: what is not recorded is not sent, and is given up at once. */
+    /** An intent could not be recorded. An attempt without a record is not sent, and the request ends at once. */
     private void unrecorded(Request t) {
         if (t.course.mayHaveRunBefore()) {
             relay.failed(t, "no record can be made");
@@ -166,7 +169,7 @@
         ended(t.attempt, Attempt.Result.of(Api.Outcome.NOT_SENT));
     }
 
-    /** The service table changed, or another ingress spoke. */
+    /** Delivers an event: a change of the service table or a message of another ingress. */
     public void tell(Api.Event event) {
         admit.tell(event);
         act();
@@ -178,7 +181,7 @@
         release(t);
     }
 
-    /** Nothing is owed any more; an attempt still out is given up by the module. */
+    /** The request needs no further answer. An attempt that is still active is cancelled, unless the module did so. */
     private void release(Request t) {
         book.close(t);
         admit.tell(new Api.ClientGone(t.number));
@@ -186,7 +189,7 @@
         if (t.attempt != null && !t.attempt.isOver()) { cancel(t, t.attempt.number); }
     }
 
-    /** Actions run after the module has returned, in the order in which it gave them. */
+    /** Runs the module's actions in order, after the module has returned. */
     private void act() {
         if (acting) { return; }
         acting = true;
@@ -222,7 +225,7 @@
             counters.peerOut++;
             neighbours.tell(a.to(), a.body());
         }
-        // Subscribe asks for nothing: the service table is watched from the start.
+        // Subscribe needs no action: the service table is watched from the start.
     }
 
     private void send(Request t, Api.Send a) {
@@ -238,7 +241,7 @@
                 null));
     }
 
-    /** The module counts an attempt as written at once, unless it is told otherwise; only ceilings ask for this. */
+    /** The module counts an attempt as written at once unless told otherwise. Only plans with a ceiling need this. */
     private void tellDelay(Request t) {
         Attempt attempt = t.attempt;
         if (!t.hasCeiling || attempt.isOver() || attempt.isWrittenAtOnce()) { return; }
--- a/src/main/java/yardusher/core/Intake.java
+++ b/src/main/java/yardusher/core/Intake.java
@@ -1,6 +1,9 @@
 package yardusher.core;
 
-/** Takes requests of fronts in. Each gets exactly one final answer at its terminal, at once or later. In turns only. */
+/**
+ * Accepts requests from the frontends. Each gets exactly one final answer at its terminal, at once or later. Called on the
+ * event loop only.
+ */
 public interface Intake {
     Stay take(Order order);
 }
--- a/src/main/java/yardusher/core/Neighbours.java
+++ b/src/main/java/yardusher/core/Neighbours.java
@@ -1,6 +1,6 @@
 package yardusher.core;
 
-/** The other ingresses as the core sees them. */
+/** Sends messages to the other ingresses. */
 public interface Neighbours {
     void tell(int to, String body);
 }
--- a/src/main/java/yardusher/core/Order.java
+++ b/src/main/java/yardusher/core/Order.java
@@ -3,12 +3,12 @@
 import yardusher.Api;
 
 /**
- * What a front asks for: a request before it is taken in. Class and plan are indexes of the settings; {@code only} is
- * where it may run, null for anywhere.
+ * A request as a frontend submits it. Class and plan are indexes into the settings; {@code binding} restricts where it may run,
+ * null for no restriction.
  */
 public record Order(int classIndex, int plan, long customer, double units, int first, int spread,
         double waitMs, Cargo cargo, Terminal terminal, Api.Binding only) {
-    /** One that may run anywhere. */
+    /** Creates a request that may run anywhere. */
     public Order(int classIndex, int plan, long customer, double units, int first, int spread, double waitMs, Cargo cargo,
             Terminal terminal) {
         this(classIndex, plan, customer, units, first, spread, waitMs, cargo, terminal, null);
--- a/src/main/java/yardusher/core/OrderLog.java
+++ b/src/main/java/yardusher/core/OrderLog.java
@@ -4,32 +4,32 @@
 import yardusher.Api;
 
 /**
- * What is told of requests that must not run twice, in the order in which it happens. Called in turns only; no
- * call waits. An intent stands recorded before the first byte of its attempt goes out.
+ * Records the progress of requests that must not run twice, in the order of events. Called on the event loop only; no call
+ * blocks. An intent is recorded before the first byte of its attempt is sent.
  */
 public interface OrderLog {
-    /** Whether a request that comes in is recorded, goes on without a record, or is turned away at once. */
+    /** Whether a new request is recorded, continues without a record, or is refused at once. */
     enum Admission { RECORDED, UNRECORDED, REFUSED }
 
-    /** What the terminal was finally told; GONE: it left and was told nothing. */
+    /** The final answer to the terminal. GONE: the terminal left and got none. */
     enum Answer { SERVED, REJECTED, FAILED, GONE }
 
     Admission take(Request request);
 
     /**
-     * Parks an attempt until its intent is recorded. The consumer is run once, in this or a later turn: with true
-     * the attempt may be sent, with false it must not. An attempt that ended meanwhile is the consumer's to see.
+     * Parks an attempt until its intent is recorded. The consumer is called once, in this or a later event loop task: with true
+     * if the attempt may be sent, with false if it must not be. The consumer checks whether the attempt has ended meanwhile.
      */
     void intend(Attempt attempt, Consumer<Boolean> then);
 
-    /** The socket has taken the attempt's last byte. */
+    /** The attempt's last byte was written to the socket. */
     void written(Attempt attempt);
 
     void ended(Attempt attempt, Api.Outcome outcome);
 
     void answered(Request request, Answer answer);
 
-    /** How long who was refused for want of a record should stay away, in milliseconds. */
+    /** How long a client that was refused for lack of a record should wait before it retries, in milliseconds. */
     double retryAfterMs();
 
     /** Records nothing. */
--- a/src/main/java/yardusher/core/Relay.java
+++ b/src/main/java/yardusher/core/Relay.java
@@ -1,6 +1,6 @@
 package yardusher.core;
 
-/** Fifth stage: the one final answer goes to the terminal. */
+/** Fifth stage: sends the one final answer to the terminal. */
 final class Relay {
     private final Counters counters;
     private final OrderLog log;
@@ -17,7 +17,7 @@
         }
     }
 
-    /** A value that was passed on in part cannot be finished. */
+    /** A value that was streamed in part cannot be completed. */
     void broken(Request t) {
         if (first(t, OrderLog.Answer.FAILED)) {
             counters.failed[t.order.classIndex()]++;
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Guards against a second final answer, and one to a terminal that has left. */
+    /** Prevents a second final answer, and an answer to a terminal that has left. */
     private boolean first(Request t, OrderLog.Answer answer) {
         boolean first = t.course.answer();
         counters.answersSecond += !first && t.course.stage() == Course.Stage.ANSWERED ? 1 : 0;
--- a/src/main/java/yardusher/core/Request.java
+++ b/src/main/java/yardusher/core/Request.java
@@ -3,27 +3,26 @@
 import java.util.function.Consumer;
 import yardusher.Api;
 
-/** One request from its taking in to its final answer. Written in turns only. */
+/** One request from its acceptance to its final answer. Written on the event loop only. */
 public final class Request implements Stay {
     public final long number;
     public final Order order;
     public final double arrivedAt;
     public final double deadline;
-    /** Whether its plan has a ceiling. */
+    /** Whether the request's plan has a ceiling. */
     boolean hasCeiling;
     int attempts;
     Attempt attempt;
-    /** Where it stands. */
     final Course course;
-    /** A large value that is being passed on, or null. */
+    /** The stream of a large value; null for none. */
     Flow flow;
-    /** Whether the order log records it; all it is told after the taking in goes by this. */
+    /** Whether the request log records this request. If not, no later event of it is logged. */
     boolean recorded;
-    /** For the order log alone: whether it has told of this request yet. */
+    /** Used by the request log only: whether an event of this request has been logged. */
     public boolean noted;
     Deadlines.Entry lastCall;
 
-    /** What is done when the terminal leaves. */
+    /** Called when the terminal leaves. */
     private final Consumer<Request> leaves;
 
     Request(long number, Order order, Api.RequestClass of, double arrivedAt, Consumer<Request> leaves) {
--- a/src/main/java/yardusher/core/Route.java
+++ b/src/main/java/yardusher/core/Route.java
@@ -1,6 +1,6 @@
 package yardusher.core;
 
-/** Third stage: whether the backend that the module names can get this request's next attempt. */
+/** Third stage: checks whether the next attempt can be sent to the backend that the module chose. */
 final class Route {
     private final Backends backends;
     private final int maxAttempts;
@@ -11,7 +11,7 @@
     }
 
     boolean open(Request t, long backend, double now) {
-        // Guards against a second copy: never two attempts of a request out at once.
+        // Two attempts of a request must never be active at the same time.
         boolean alone = !t.course.isOut();
         return alone && t.course.stage() == Course.Stage.OPEN && t.attempts < maxAttempts && now < t.deadline && backends.knows(backend);
     }
--- a/src/main/java/yardusher/core/Session.java
+++ b/src/main/java/yardusher/core/Session.java
@@ -1,7 +1,10 @@
 package yardusher.core;
 
-/** One terminal's connection, for what belongs to it and not to a single request. Compared by identity. In turns only. */
+/**
+ * A terminal's connection, for state that belongs to the connection and not to a request. Compared by identity. Used on the
+ * event loop only.
+ */
 public interface Session {
-    /** Runs it once, when the connection has ended, whoever ended it; at once where it has ended already. */
+    /** Runs the callback once when the connection has closed, whichever side closed it; at once if it is closed already. */
     void atEnd(Runnable then);
 }
--- a/src/main/java/yardusher/core/Stay.java
+++ b/src/main/java/yardusher/core/Stay.java
@@ -1,12 +1,12 @@
 package yardusher.core;
 
-/** A request that was taken in, as its front sees it. */
+/** An accepted request, as its frontend sees it. */
 public interface Stay {
     Order order();
 
-    /** Whether an attempt of it may have run, or is out so that it may yet. */
+    /** Whether an attempt may have run, or is written and may still run. */
     boolean mayHaveRun();
 
-    /** The terminal left: nothing more is owed. */
+    /** The terminal has left and needs no answer. */
     void gone();
 }
--- a/src/main/java/yardusher/core/TakeIn.java
+++ b/src/main/java/yardusher/core/TakeIn.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import yardusher.Api;
 
-/** First stage: an order becomes a request with a deadline, held until its one final answer. */
+/** First stage: creates the request with its deadline and keeps it until its one final answer. */
 final class TakeIn {
     private final EventLoop loop;
     private final Map<Long, Request> open;
--- a/src/main/java/yardusher/core/Terminal.java
+++ b/src/main/java/yardusher/core/Terminal.java
@@ -1,24 +1,24 @@
 package yardusher.core;
 
-/** The client's side of a request. Exactly one of served, reject and failed is called, once, or a flow is begun. */
+/** The client side of a request. Exactly one of served, reject and failed is called, once, or a stream is begun. */
 public interface Terminal {
     void served(byte[] value);
 
     /**
-     * A served value of so many bytes comes in parts, in place of {@link #served}; null where this terminal takes none, and
-     * the attempt has failed.
+     * A served value of this length will be streamed instead of passed to {@link #served}. Returns null if this terminal does
+     * not accept streams; the attempt has then failed.
      */
     default Flow begin(long length) { return null; }
 
     /**
-     * Short-on-capacity reply: a repeat is harmless; come again after that time, 0 for no advice. It may have run
-     * when an attempt was sent on and failed or timed out before the module gave up.
+     * Short-on-capacity reply. A retry is harmless after {@code retryAfterMs}, 0 for no advice. The request may have run if an
+     * attempt was sent and failed or timed out before the module gave up.
      */
     void reject(long retryAfterMs, boolean mayHaveRun);
 
-    /** It may have run where an attempt of it went out and no word came that it did not. */
+    /** Failure reply. The request may have run if an attempt was sent and no answer proves that it did not. */
     void failed(String why, boolean mayHaveRun);
 
-    /** The connection on which it asked, null where there is none that lasts. */
+    /** The connection on which the request came; null if there is no lasting one. */
     default Session session() { return null; }
 }
