--- a/src/main/java/yardusher/net/Answers.java
+++ b/src/main/java/yardusher/net/Answers.java
@@ -13,26 +13,28 @@
 import yardusher.resp.Encoder;
 
 /**
- * The serving side of a RESP front: terminals' connections, commands in, answers out in the order of the
- * commands however they come. What the commands mean is the front's.
+ * A RESP server for one frontend: accepts terminal connections, reads commands, and writes the replies in the order of the
+ * commands, whatever the order in which they are answered. The frontend interprets the commands.
  */
 public final class Answers {
-    /** A front's meaning of commands. */
+    /** A frontend's command handler. */
     public interface Commands {
-        /** Answers the slot now or later, once. */
+        /** Handles a command. The slot is answered once, now or later. */
         void command(byte[][] words, Slot slot);
 
-        /** The terminal left with this command unanswered. */
+        /** The terminal left before this command was answered. */
         void gone(Slot slot);
 
-        /** A command that means nothing was turned away, or the rest of what came on a connection is lost. */
+        /** A command was malformed, or the framing of a connection was lost. */
         default void spoilt() { }
     }
 
     private static final byte[] CRLF = {'\r', '\n'};
     private static final byte[] FAILED = new Encoder(16).failure("ERR failed").toBytes();
-    private static final int AHEAD_PART = 16;        // of the heap, for commands that are not followed yet
-    /** Bytes that all connections read ahead together: a part of the heap, 4 MiB at the least and 16 at the most. */
+    private static final int AHEAD_PART = 16;        // share of the heap for commands that are read and not handled yet
+    /**
+     * Maximum number of bytes that all connections together read ahead: a share of the heap, at least 4 MiB and at most 16 MiB.
+     */
     static final long MOST_AHEAD = Math.max(4 << 20, Math.min(16 << 20, Runtime.getRuntime().maxMemory() / AHEAD_PART));
     private static final double AGAIN_MS = 10;
     private static final double UPKEEP_MS = 100;
@@ -53,7 +55,10 @@
         bind();
     }
 
-    /** Listens once {@link #bind} is called; large bodies are held within the budget. With {@code shared} the next version of this program can listen there too. */
+    /**
+     * Creates a server that listens once {@link #bind} is called. Large bodies are buffered within the budget. With {@code
+     * reusePort} the next version of this program can listen on the same address.
+     */
     public Answers(Sockets sockets, InetSocketAddress at, boolean shared, int mostTerminals, Budget bodies, Commands commands)
             throws IOException {
         this.bodies = bodies;
@@ -64,7 +69,7 @@
         loop.deadlines().at(loop.now() + UPKEEP_MS, this::upkeep);
     }
 
-    /** How many connections are held at the most; the longest idle beyond that close. */
+    /** Sets the maximum number of connections. Connections above the limit are closed, longest idle first. */
     public final void limit(int most) { crowd.limit(most); }
 
     public void bind() throws IOException { door.bind(); }
@@ -73,18 +78,19 @@
 
     public void open() { door.open(); }
 
-    /** Connections that may still ask, and those whose last bytes the system has not taken. */
+    /** The number of connections that may still send commands or whose last bytes the system has not accepted. */
     public int terminalCount() { return crowd.size() + crowd.unsent(); }
 
-    /** Whether no connection is left, also none that only gets its last bytes, and none can come. */
+    /** Whether no connection is left, including those that only flush their last bytes, and none can come. */
     public boolean isOver() { return crowd.held() == 0 && door.isShut(); }
 
     /**
-     * Whether one more terminal finds room. Guards the usual clients against connections that are kept and not
-     * used: the one that said nothing for longest gives way, instead of a shut door for all.
+     * Whether one more connection is accepted; may evict one. Connections that are kept open unused must not lock out other
+     * clients: the one that has been silent for longest is closed, instead of accepting no new connections.
      */
     private boolean room() {
-        // Guards who waits at the door of a version that ends: its half of the descriptors may be full, and they are reset.
+        // After a handover this process may hold half of the descriptors only. Connections that wait in its accept queue are
+        // accepted all the same, since they would be reset.
         if (crowd.hasRoom(departure.isForGood())) { return true; }
         ClientConnection longest = crowd.givesWay(loop.now());
         if (longest == null) {
@@ -101,28 +107,29 @@
         return true;
     }
 
-    /** Closes what has been silent or idle too long, and what never ends a command it has begun. */
+    /** Closes connections that have been silent or idle too long, and those that never complete a command. */
     private void upkeep() {
         double now = loop.now();
         loop.deadlines().at(now + UPKEEP_MS, this::upkeep);
         crowd.reap(now);
         sendAway(now);
         if (closing && departure.hasRead(now)) { closeIdle(); }
-        door.open();                                 // a closed one stays closed
+        door.open();                                 // no effect once the listener is closed
     }
 
-    /** Whether terminals are being sent away. */
+    /** Whether terminals are asked to disconnect. */
     public boolean isAway() { return departure.isAway(); }
 
     /**
-     * Sends the terminals away, while the door stays open for those that come all the same, or takes them again. A
-     * connection closes right behind an answer, when its terminal is least likely to have sent the next command.
+     * Asks terminals to disconnect, or accepts them again. The listener stays open for those that connect all the same. A
+     * connection is closed right after a reply, when its terminal is least likely to have sent the next command.
      */
     public void away(boolean away) { departure.away(away, loop.now()); }
 
     /**
-     * The next version of this program takes the terminals that come: this one takes what waits to be accepted, answers what
-     * it has, and lets its connections go. PING is answered as ever, since the ingress goes on.
+     * The next version of this program takes new connections. This one accepts what waits in its accept queue, answers the
+     * commands it has received and closes its connections. PING is answered as before, since the ingress as a whole keeps
+     * running.
      */
     public void leave() {
         if (departure.isForGood()) { return; }
@@ -141,10 +148,10 @@
 
     boolean isClosing() { return closing; }
 
-    /** Whether connections close behind their answers. */
+    /** Whether connections close after their replies. */
     boolean isLeaving() { return closing || departure.isUnderWay(loop.now()); }
 
-    /** One more terminal finds room. */
+    /** One more connection can be accepted. */
     void hasRoomAgain() {
         door.open();
     }
@@ -153,7 +160,7 @@
         if (!departure.isUnderWay(now) || closing) { return; }
         boolean last = departure.isLast(now);
         for (ClientConnection terminal : crowd.all()) {
-            if (!terminal.owesNothing()) { continue; } // closes behind its answer
+            if (!terminal.owesNothing()) { continue; } // closes after its reply
             if (last) {
                 terminal.finish();
             } else if (departure.letsGo(now, terminal.quietSince())) {
@@ -164,15 +171,16 @@
     }
 
     /**
-     * Accepts who waits at the door, and then no more; connections are closed as soon as all they asked is answered. Guards against a terminal whose requests
-     * overlap on one connection, which would stay open up to the kill with the last of them unanswered: a little later no more is
-     * read behind what is open there.
+     * Accepts the connections in the accept queue, and then no more. Connections are closed as soon as all their commands are
+     * answered. A terminal whose requests overlap on one connection would keep it open until the process is killed, with the
+     * last of them unanswered; so after a short time no more commands are read while earlier ones are unanswered.
      */
     public void close() {
         double now = loop.now();
         if (!closing) {
             closing = true;
-            // Guards who waits to be accepted, with a request written already: whoever is there when it closes is reset.
+            // A connection that waits to be accepted, with a request already written, would be reset if the listener closed at
+            // once.
             door.closeWhenQuiet(QUIET_MS, departure.close(now));
             door.open();
         }
@@ -187,7 +195,7 @@
         return words.length == 1 && new String(words[0], StandardCharsets.ISO_8859_1).equalsIgnoreCase("PING");
     }
 
-    /** Answers what every RESP client may ask; INFO gives the counters. */
+    /** Answers the commands that every RESP client may send; INFO returns the counters. */
     public static void common(byte[][] words, Supplier<String> counters, Slot slot) {
         Encoder out = new Encoder(48);
         switch (new String(words[0], StandardCharsets.ISO_8859_1).toUpperCase(Locale.ROOT)) {
@@ -198,15 +206,15 @@
         }
     }
 
-    /** The place of one answer on its connection. */
+    /** The position of one reply on its connection. */
     public static final class Slot {
         private final ClientConnection terminal;
         byte[] bytes;
-        Runnable body;                               // gives back what its large body holds
-        byte[] head;                                 // of a value that comes in parts
-        ByteBuffer part;                             // the next of them, till it is its turn to be written
-        Runnable taken;                              // when it is written
-        /** What is under way for this command, if anything. */
+        Runnable body;                               // returns the buffer space of its large body
+        byte[] head;                                 // of a streamed value
+        ByteBuffer part;                             // the next chunk, until its turn to be written
+        Runnable taken;                              // called when that chunk is written
+        /** The request that is being processed for this command; null for none. */
         public Stay stay;
 
         Slot(ClientConnection terminal) { this.terminal = terminal; }
@@ -221,23 +229,23 @@
         /** Whether the terminal is on this machine. */
         public boolean isFromHere() { return terminal.isFromHere(); }
 
-        /** The connection it came on. */
+        /** The connection on which the command came. */
         public Session session() { return terminal.session(); }
 
-        /** Reads no more of this terminal's commands for a while. */
+        /** Handles no more commands of this terminal for a while. */
         public void pauseReading(double ms) { terminal.pause(ms); }
 
         /**
-         * Answers a command that means nothing. Guards the usual clients against one that sends the same again as
-         * soon as it is turned away: the answer comes at once, but each such command puts off reading the next one
-         * longer, and after some the connection ends.
+         * Rejects a malformed command. The reply is sent at once, but each such command delays the next one of the connection
+         * longer, and after a number of them the connection is closed. Otherwise a client that resends its command as soon as
+         * it is rejected would crowd out others.
          */
         public void reject(String why) {
             terminal.rejects();
             put(new Encoder(64).failure("ERR " + why).toBytes());
         }
 
-        /** An answer that comes in parts, behind this head and before a line end. */
+        /** Starts a reply that is streamed, between this head and a line end. */
         public Flow flow(byte[] first) {
             terminal.accepts();
             head = first;
@@ -258,7 +266,7 @@
                         terminal.abort();
                         return;
                     }
-                    // Guards the answers before it on its connection: nothing of this one has gone out yet.
+                    // Nothing of this reply was sent yet, so the connection, and the replies before it, can be kept.
                     head = null;
                     part = null;
                     taken = null;
--- a/src/main/java/yardusher/net/Budget.java
+++ b/src/main/java/yardusher/net/Budget.java
@@ -3,7 +3,10 @@
 import java.util.ArrayDeque;
 import java.util.Iterator;
 
-/** Bytes that all connections together may hold for large bodies. Who finds none left waits in turn. In turns only. */
+/**
+ * Limits the bytes that all connections together may buffer for large bodies. Requests beyond the limit wait in order. Used on
+ * the event loop only.
+ */
 public final class Budget {
     private record Waiting(long bytes, Runnable then) { }
 
@@ -14,12 +17,12 @@
 
     public Budget(long most) { this.most = most; }
 
-    /** Whether so many bytes are ever to be had. */
+    /** Whether this number of bytes can be acquired at all. */
     public boolean fits(long bytes) { return bytes <= most; }
 
     /**
-     * Takes so many bytes: {@code then} runs once they are there, at once or later. The result gives them back, or gives up
-     * waiting; a second run of it does nothing.
+     * Acquires bytes: {@code then} runs once they are available, at once or later. The returned callback releases them or stops
+     * waiting; a second call of it has no effect.
      */
     public Runnable take(long bytes, Runnable then) {
         Waiting mine = new Waiting(bytes, then);
@@ -54,6 +57,6 @@
         }
     }
 
-    /** Bytes taken now, and the most so far. */
+    /** The bytes in use now and their maximum so far, as counters. */
     public String line() { return "body_kb=" + taken / 1024 + " body_most_kb=" + peak / 1024 + " body_waiting=" + waiting.size(); }
 }
--- a/src/main/java/yardusher/net/ClientConnection.java
+++ b/src/main/java/yardusher/net/ClientConnection.java
@@ -12,24 +12,25 @@
 import yardusher.resp.Malformed;
 
 /**
- * One terminal's connection: reads its commands, gives each a place in the order of answers, waits for room for a large body,
- * and writes the answers in that order however they come. What it does not follow yet it goes on reading within a bound, so that
- * the terminal's end is seen whatever holds its commands back. In loop.
+ * A terminal's connection: reads commands, gives each a slot in the order of replies, waits for buffer space for large bodies,
+ * and writes the replies in that order, whatever the order in which they come. While commands are held back it keeps reading up
+ * to a limit, so that the terminal's disconnect is seen. Used on the event loop only.
  */
 final class ClientConnection implements Link.Owner {
-    private static final int MOST_UNANSWERED = 64; // on one connection; more are followed when some are answered
-    private static final int MOST_UNREAD = 256 * 1024; // bytes of answers that the terminal has not taken yet
-    private static final int MOST_AHEAD = 128 * 1024; // bytes read and not followed yet: some 900 usual commands
-    private static final double FLOOD_MS = 100;    // held at that bound for so long behind an open request it is a flood
-    private static final int TURN_COMMANDS = 32;   // of one connection in one turn; then it is the others' turn
+    private static final int MOST_UNANSWERED = 64; // per connection; further commands are handled when some are answered
+    private static final int MOST_UNREAD = 256 * 1024; // bytes of replies that the terminal has not read yet
+    private static final int MOST_AHEAD = 128 * 1024; // bytes read and not handled yet: about 900 typical commands
+    private static final double FLOOD_MS = 100;    // full for this long while a request is open is treated as a flood
+    private static final int TURN_COMMANDS = 32;   // of one connection per event loop task; then others have their turn
     private static final double NEXT_TURN_MS = 1;
-    private static final int MOST_REJECTED = 16;   // commands on one connection that mean nothing
-    private static final double REJECTED_MS = 5;   // the next is read so much later, for each before it
-    private static final double BODY_MS = 10_000;  // to the end of a large body, the wait for room with it
+    private static final int MOST_REJECTED = 16;   // malformed commands on one connection
+    private static final double REJECTED_MS = 5;   // delay of the next command, for each malformed one before it
+    private static final double BODY_MS = 10_000;  // until the end of a large body, including the wait for buffer space
 
     /**
-     * READING, then one or more of these in this order. DEAF: what still comes is dropped, what was read before is answered.
-     * LOST: what is open is answered, nothing else is followed. OVER: the terminal has gone, or its last bytes go out.
+     * READING, then one or more of the others in this order. DEAF: further input is dropped, commands read before are handled.
+     * LOST: open commands are answered, no others are handled. OVER: the terminal has left, or its last bytes are being
+     * flushed.
      */
     private enum Life { READING, DEAF, LOST, OVER }
 
@@ -41,17 +42,17 @@
     private final ArrayDeque<Answers.Slot> slots = new ArrayDeque<>(2);
     private Life life = Life.READING;
     private double quietSince;
-    private double begunAt = Double.POSITIVE_INFINITY; // when the command now being read began
-    private Runnable body;                           // gives back what is held for the large body now being read
+    private double begunAt = Double.POSITIVE_INFINITY; // start of the command that is being read
+    private Runnable body;                           // releases the buffer space of the large body that is being read
     private boolean bodyOpen;
     private double bodyFrom;
     private int rejected;
-    private Session session;                         // null until somebody asks for it
-    private List<Runnable> atEnd;                    // null for none
-    private boolean paused;                          // no command is followed for a while
-    private boolean following;                       // commands are being followed in this very call
-    private boolean watched;                         // a look at a full connection is due
-    private int leftThen;                            // bytes of answers not taken at the last look, and since when
+    private Session session;                         // null until it is requested
+    private List<Runnable> atEnd;
+    private boolean paused;                          // no command is handled for a while
+    private boolean following;                       // guards against reentrant command handling
+    private boolean watched;                         // a check of a full read-ahead buffer is scheduled
+    private int leftThen;                            // unflushed reply bytes at the last check, and since when
     private double leftSince;
 
     ClientConnection(AsynchronousSocketChannel channel, Answers front, Crowd crowd, EventLoop loop) {
@@ -69,30 +70,30 @@
         try {
             return channel.getRemoteAddress() instanceof InetSocketAddress at && at.getAddress().isLoopbackAddress();
         } catch (IOException e) {
-            return false;                            // it has left already
+            return false;                            // already disconnected
         }
     }
 
     /** Whether the terminal is on this machine. */
     boolean isFromHere() { return fromHere; }
 
-    /** Since when nothing is open here, or nothing new has come of a large body. */
+    /** Since when no command is open, or no more of a large body has arrived. */
     double quietSince() { return quietSince; }
 
-    /** When the command now being read began; infinite for none. */
+    /** When the command that is being read began; infinity for none. */
     double begunAt() { return begunAt; }
 
     boolean hasBegun() { return begunAt < Double.POSITIVE_INFINITY; }
 
-    /** Whether it owes no answer. */
+    /** Whether no reply is owed. */
     boolean owesNothing() { return slots.isEmpty(); }
 
-    /** Whether the system has not taken all bytes of its answers yet. */
+    /** Whether the system has not accepted all reply bytes yet. */
     boolean owesBytes() { return link.queued() > 0; }
 
     @Override
     public boolean keeps(Link from) {
-        // Guards the end of a process against a terminal whose requests overlap: it would find more to answer for ever.
+        // At the end of a process, a terminal whose requests overlap would otherwise send more commands for ever.
         if (life == Life.READING && !slots.isEmpty() && front.departure().hasRead(loop.now())) { life = Life.DEAF; }
         return life == Life.READING;
     }
@@ -115,7 +116,7 @@
     private void follow() throws Malformed {
         for (int taken = 0; mayFollow(); taken++) {
             if (taken == TURN_COMMANDS) {
-                // Guards the others against one that sends hundreds of commands at once.
+                // One connection with hundreds of pipelined commands must not delay the others.
                 pause(NEXT_TURN_MS);
                 return;
             }
@@ -142,7 +143,7 @@
         }
     }
 
-    /** A large body comes: it is read once there is room for it. True where that is there at once. */
+    /** A large body begins: it is read once buffer space is available. Returns true if that is the case at once. */
     private boolean opensBody() throws Malformed {
         double now = loop.now();
         if (!front.bodies().fits(link.decoder().bodyLength())) { throw new Malformed("invalid bulk length"); }
@@ -168,18 +169,18 @@
         return bodyOpen;
     }
 
-    /** Follows what was read, where it may again. */
+    /** Resumes handling and reading commands where possible. */
     private void goOn() {
         readable(link);
         link.readMore();
     }
 
-    /** Nothing is open, and nothing that was read is to be answered any more. */
+    /** Whether no command is open and no input is to be handled any more. */
     private boolean isDone() {
         if (!slots.isEmpty()) { return false; }
         return switch (life) {
             case READING -> front.isLeaving() && link.decoder().isEmpty();
-            case DEAF -> mayFollow();                // what is left is no whole command
+            case DEAF -> mayFollow();                // what is left is an incomplete command
             case LOST -> true;
             case OVER -> false;
         };
@@ -196,15 +197,15 @@
         loop.deadlines().at(loop.now() + FLOOD_MS, () -> {
             watched = false;
             if (life == Life.OVER || link.isClosed()) { return; }
-            // Guards against a terminal that sends much at once and goes: its end lies behind what is not read.
+            // The disconnect of a terminal that sends much at once and leaves would stay unseen behind the unread input.
             if (reads == link.reads() && !link.isReading() && !slots.isEmpty() && (body == null || bodyOpen)) {
                 lose("too many commands at once");
             }
-            link.readMore();                         // or is told anew that it is full
+            link.readMore();                         // or reports again that the buffer is full
         });
     }
 
-    /** What was held for a command that will not come. */
+    /** Releases the buffer space of a command that will not complete. */
     private void dropBody() {
         if (body != null) { body.run(); }
         body = null;
@@ -215,7 +216,7 @@
                 && link.queued() < MOST_UNREAD;
     }
 
-    /** Framing is lost: what came before is still answered in order, then the connection closes. */
+    /** The framing is lost: earlier commands are still answered in order, then the connection closes. */
     void lose(String why) {
         if (life.compareTo(Life.LOST) >= 0) { return; }
         dropBody();
@@ -229,7 +230,7 @@
         slot.put(new Encoder(64).failure("ERR Protocol error: " + why).toBytes());
     }
 
-    /** One more command that means nothing; after some the connection ends. */
+    /** Counts a malformed command and delays the next one. After a number of them the connection closes. */
     void rejects() {
         front.commands().spoilt();
         rejected++;
@@ -240,7 +241,7 @@
         pause(REJECTED_MS * rejected);
     }
 
-    /** A command that means something. */
+    /** A valid command. */
     void accepts() { rejected = 0; }
 
     void pause(double ms) {
@@ -270,7 +271,7 @@
         if (!following && (slots.isEmpty() || !link.decoder().isEmpty())) { goOn(); }
     }
 
-    /** Whether it has taken no byte of its answers for so long, in ms; asked again and again. */
+    /** Whether the terminal has read no reply bytes for this long; called periodically. */
     boolean takesNothing(double forMs, double now) {
         if (link.queued() != leftThen) {
             leftThen = link.queued();
@@ -288,27 +289,30 @@
             then.run();
         }
         if (!link.decoder().isEmpty()) { goOn(); }
-        // Guards an answer against the close of an idle connection: it is one only once the system has taken all bytes.
+        // A connection is idle only once the system has accepted all reply bytes. Closing it before could lose a reply.
         if (life == Life.OVER || !slots.isEmpty() || owesBytes()) { return; }
         quietSince = loop.now();
-        if (hasBegun()) { begunAt = quietSince; }    // till now it may have been held up from here
+        if (hasBegun()) { begunAt = quietSince; }    // until now it may have been held back on this side
         crowd.isIdle(this, quietSince);
     }
 
     void closeIfIdle() {
-        // Who has begun a command ends it and has its answer; who never ends it is cut off as ever.
+        // A command that has begun is read to its end and answered, unless reading has stopped for good.
         boolean cut = front.isClosing() && front.departure().hasRead(loop.now());
         if (slots.isEmpty() && (cut || link.decoder().isEmpty())) { finish(); }
     }
 
-    /** A value cannot be finished: the connection ends behind what is there of it, so that the terminal sees that it is not whole. */
+    /**
+     * A value cannot be completed: the connection closes after the bytes sent so far, so that the terminal sees that it is
+     * truncated.
+     */
     void abort() {
         if (life == Life.OVER) { return; }
         ended(link);
         crowd.finishes(link, loop.now(), front.isLeaving());
     }
 
-    /** Ends it behind its last bytes. Guards them, and what is just coming, against the reset of a close over unread bytes. */
+    /** Closes after the last bytes are flushed. A close with unread input would reset the connection and lose them. */
     void finish() {
         if (life == Life.OVER) { return; }
         leave();
@@ -337,7 +341,7 @@
         if (told != null) { told.forEach(loop::afterwards); }
     }
 
-    /** This connection, for what belongs to it as a whole. */
+    /** The session object of this connection. */
     Session session() {
         if (session == null) { session = this::atEnd; }
         return session;
--- a/src/main/java/yardusher/net/Departure.java
+++ b/src/main/java/yardusher/net/Departure.java
@@ -1,21 +1,21 @@
 package yardusher.net;
 
 /**
- * When a front lets its connections go: while its terminals are sent away for a time, or because the next version of this
- * program takes them. Times in ms of the turns' clock, passed in; knows no connection.
+ * Decides when a frontend closes its connections: while terminals are asked to disconnect, or when the next version of this
+ * program takes them over. Times are in ms of the event loop's clock and passed in; it holds no connections.
  */
 final class Departure {
-    private static final double AWAY_AFTER_MS = 500; // a front that hears no still sends new connections 0.3 s
-    private static final double AWAY_BY_MS = 3500;   // nothing is idle 4 s after the call
-    private static final double AWAY_READ_MS = 1800; // nothing that is open then came in the last 2 s
-    private static final double LEFT_READ_MS = 600;  // what comes 0.7 s after SIGTERM is owed its answer whatever it takes
-    private static final double CLOSED_READ_MS = 100; // the same, since the door closes half a second after SIGTERM
-    private static final double LEAVE_IDLE_MS = 200; // who has been idle so long has likely nothing on its way
+    private static final double AWAY_AFTER_MS = 500; // a client that gets an error reply to PING still opens connections for 0.3 s
+    private static final double AWAY_BY_MS = 3500;   // no connection is idle 4 s after the call
+    private static final double AWAY_READ_MS = 1800; // no command that is still open 4 s after the call came in the last 2 s
+    private static final double LEFT_READ_MS = 600;  // a command that comes 0.7 s after SIGTERM must get its reply however long that takes
+    private static final double CLOSED_READ_MS = 100; // the same, since the listener closes half a second after SIGTERM
+    private static final double LEAVE_IDLE_MS = 200; // after being idle this long, a connection likely has no command on its way
 
     private boolean forGood;
-    private double awayAt = Double.POSITIVE_INFINITY; // since when terminals are sent away
-    private double leaveFrom = Double.POSITIVE_INFINITY; // connections close behind their answers
-    private double leaveBy = Double.POSITIVE_INFINITY; // and all idle ones
+    private double awayAt = Double.POSITIVE_INFINITY; // since when terminals are asked to disconnect
+    private double leaveFrom = Double.POSITIVE_INFINITY; // connections close after their replies from here on
+    private double leaveBy = Double.POSITIVE_INFINITY; // and idle ones from here on
 
     boolean isAway() { return awayAt < Double.POSITIVE_INFINITY; }
 
@@ -28,7 +28,7 @@
         leaveBy = awayAt + AWAY_READ_MS;
     }
 
-    /** For good; gives until when commands that come on old connections are read. */
+    /** Starts a handover, which cannot be undone. Returns the time until which commands are read on old connections. */
     double leave(double now) {
         forGood = true;
         leaveFrom = now;
@@ -36,21 +36,21 @@
         return leaveBy;
     }
 
-    /** The door closes at the end of this process: a little later no more is read behind what is open. Gives that time. */
+    /** The process shuts down: soon no more commands are read while earlier ones are unanswered. Returns that time. */
     double close(double now) {
         leaveBy = Math.min(leaveBy, now + CLOSED_READ_MS);
         return leaveBy;
     }
 
-    /** Whether connections close behind their answers. */
+    /** Whether connections close after their replies. */
     boolean isUnderWay(double now) { return now >= leaveFrom; }
 
-    /** Whether one that still owes answers reads no more commands. */
+    /** Whether a connection that still owes replies reads no more commands. */
     boolean hasRead(double now) { return now >= leaveBy; }
 
-    /** Whether one with nothing open may go that has been quiet since then. */
+    /** Whether a connection without an open command, quiet since that time, may close. */
     boolean letsGo(double now, double quietSince) { return now >= leaveBy || now - quietSince >= LEAVE_IDLE_MS; }
 
-    /** Whether all that have nothing open end now, whatever may be on its way. */
+    /** Whether all connections without an open command close now, whatever may be on its way. */
     boolean isLast(double now) { return now >= awayAt + AWAY_BY_MS; }
 }
--- a/src/main/java/yardusher/net/Lines.java
+++ b/src/main/java/yardusher/net/Lines.java
@@ -5,13 +5,13 @@
 import yardusher.error.WireError;
 import yardusher.resp.Inbound;
 
-/** Takes lines out of bytes cut anywhere. One fixed buffer, the longest line and its end. */
+/** Splits a byte stream into lines, in one fixed buffer that holds the longest line and its end. */
 public final class Lines implements Inbound {
     private final byte[] bytes;
     private int start;
     private int end;
 
-    /** For lines of so many bytes at the most, without their end. */
+    /** Creates a reader for lines of at most this many bytes, without their end. */
     public Lines(int most) { bytes = new byte[most + 2]; }
 
     @Override
@@ -28,8 +28,8 @@
     public boolean isEmpty() { return start == end; }
 
     /**
-     * The next line without its end (LF or CR LF), or null while it is not whole. A {@link WireError}
-     * for one that is too long.
+     * Returns the next line without its end (LF or CR LF), or null while it is incomplete. Throws a {@link WireError} if it is
+     * too long.
      */
     public String next() {
         for (int i = start; i < end; i++) {
--- a/src/main/java/yardusher/net/Link.java
+++ b/src/main/java/yardusher/net/Link.java
@@ -11,46 +11,49 @@
 import yardusher.resp.Inbound;
 
 /**
- * One connection: reads into its decoder and writes what is queued, by completion handlers, each of them a
- * turn. All methods are called within loop.
+ * One TCP connection: reads into its decoder and writes what is queued, by completion handlers, each of which is an event loop
+ * task. All methods are called on the event loop.
  */
 public final class Link {
-    /** What the owner of a connection is told, each within a turn. */
+    /** Callbacks to the owner of a connection, each on the event loop. */
     public interface Owner {
         /**
-         * More bytes stand in the decoder. False stops reading until {@link Link#readMore}; on a connection that reads ahead
-         * it changes nothing.
+         * The decoder has more bytes. Returning false stops reading until {@link Connection#readMore}; on a connection that
+         * reads ahead the result is ignored.
          */
         boolean readable(Link link);
 
-        /** Whether what comes on a connection that reads ahead is kept; once it is not, it never is again, and is dropped. */
+        /**
+         * Whether further input of a connection that reads ahead is kept. Once false it must stay false, and the input is
+         * dropped.
+         */
         default boolean keeps(Link link) { return true; }
 
-        /** Whether the owner of a connection that reads ahead takes nothing out of the decoder for now. */
+        /** Whether the owner of a connection that reads ahead currently takes nothing out of the decoder. */
         default boolean holdsBack(Link link) { return false; }
 
-        /** A connection that reads ahead holds all it may; told each time that it would read on. */
+        /** A connection that reads ahead has filled its buffer; called each time it would continue to read. */
         default void full(Link link) { }
 
-        /** All that was queued has been written. */
+        /** All queued bytes have been written. */
         default void written(Link link) { }
 
-        /** The connection has ended from outside; told once, and not after {@link Link#close}. */
+        /** The peer or an I/O error ended the connection; called once, and not after {@link Connection#close}. */
         void ended(Link link);
     }
 
-    private static final int MOST_QUEUED = (4 << 20) + 256 * 1024; // one large body, and what small answers may wait
-    private static final int PIECE = 16 * 1024;      // of a large body, at once: the size of a cached native buffer
-    private static final int MERGED = 128 * 1024;    // what is queued in one turn goes out together up to here
+    private static final int MOST_QUEUED = (4 << 20) + 256 * 1024; // one large body, and small replies that wait
+    private static final int PIECE = 16 * 1024;      // of a large body, per write: the size of a cached native buffer
+    private static final int MERGED = 128 * 1024;    // bytes queued in one task are merged into one write up to this size
     private static final long MOST_DRAINED = 96L << 20;
     private static final double DRAIN_MS = 3000;
     private static final int LITTLE = 4 * 1024;
-    /** What drained bytes go into: nobody looks at them, so all connections share it, without a copy. */
+    /** Target of drained bytes. Nobody reads it, so all connections share it, without a copy. */
     private static final ByteBuffer SCRATCH = ByteBuffer.allocateDirect(64 * 1024);
 
     /**
-     * OPEN, then either FINISHING (the last bytes go out) or LEAVING (the write under way goes out, the rest is dropped), then
-     * DRAINING (the sending has ended, what comes is dropped) and CLOSED; from each of them CLOSED.
+     * OPEN, then either FINISHING (the last bytes are flushed) or LEAVING (the current write completes, the rest is dropped),
+     * then DRAINING (output is shut down, input is dropped) and CLOSED; each can go to CLOSED directly.
      */
     private enum Stage { OPEN, FINISHING, LEAVING, DRAINING, CLOSED }
 
@@ -69,18 +72,18 @@
     private Deadlines.Entry drainEnd;
     private Runnable whenClosed = () -> { };
     private boolean writeFailed;
-    private final Ahead all;                         // null for one that does not read ahead
-    private int counted;                             // what stands in there for this connection
-    private final int ahead;                         // bytes held at the most by reading on; 0 reads only what the owner asks for
-    private byte[] landing;                          // what a connection that reads ahead waits with, null for none
-    private boolean landed;                          // the read under way goes there
-    private boolean wasted;                          // the read under way is for nobody
-    private boolean more;                            // the last read was filled, so more has likely come
+    private final Ahead all;                         // null for a connection that does not read ahead
+    private int counted;                             // this connection's share of that budget
+    private final int ahead;                         // maximum number of bytes read ahead; 0 reads only on request
+    private byte[] landing;                          // receive buffer of a connection that reads ahead, null until needed
+    private boolean landed;                          // the pending read goes to that buffer
+    private boolean wasted;                          // the pending read is dropped
+    private boolean more;                            // the last read filled its buffer, so more input is likely
     private boolean untold;                          // the owner has not been told of the last bytes yet
-    private int asked;                               // the size of the read under way
+    private int asked;                               // the buffer size of the pending read
     private long reads;
 
-    /** A connection that carries RESP. */
+    /** Creates a connection for RESP. */
     public Link(AsynchronousSocketChannel channel, EventLoop loop, Owner owner) { this(channel, loop, owner, new Decoder()); }
 
     public Link(AsynchronousSocketChannel channel, EventLoop loop, Owner owner, Inbound inbound) {
@@ -97,14 +100,15 @@
     }
 
     /**
-     * A connection that carries RESP and goes on reading while its owner takes nothing, up to so many bytes held, so that the
-     * peer's end is seen; what came is told once nothing more is to be had at once, and not at all where the end has come behind it.
+     * Creates a RESP connection that keeps reading while its owner takes nothing, up to {@code maxReadAhead} bytes, so that the
+     * peer's disconnect is seen. Input is reported once no more is available at once, and not at all if it is followed by the
+     * disconnect.
      */
     static Link ahead(AsynchronousSocketChannel channel, EventLoop loop, Owner owner, int most, Ahead all) {
         return new Link(channel, loop, owner, new Decoder(), most, all);
     }
 
-    /** Bytes that connections hold of what they read ahead, together, and the most of them. In turns only. */
+    /** Limits the bytes that connections read ahead together. Used on the event loop only. */
     static final class Ahead {
         private final long most;
         private long held;
@@ -120,29 +124,30 @@
         counted = held;
     }
 
-    /** Of a connection that carries RESP. */
+    /** The decoder of a RESP connection. */
     public Decoder decoder() { return (Decoder) inbound; }
 
     public boolean isClosed() { return stage == Stage.CLOSED; }
 
-    /** Reads done so far: one that is full and stays at its number has come no further. */
+    /** The number of completed reads: if it is unchanged, a full connection has made no progress. */
     long reads() { return reads; }
 
-    /** Whether a read is under way: then the peer's end is seen. */
+    /** Whether a read is pending, so that a disconnect of the peer is seen. */
     boolean isReading() { return reading; }
 
-    /** Whether it holds all it may of what it read ahead. */
+    /** Whether the read-ahead buffer is full. */
     boolean isFull() {
         if (ahead == 0) { return false; }
         count(decoder().held());
-        // Guards the heap against many that send much at once: then each holds little, but for the command that it is in.
+        // Many connections that send much at once must not fill the heap: beyond the common limit each one buffers little more
+        // than its current command.
         return counted >= ahead || counted >= LITTLE && all.held >= all.most && (untold || owner.holdsBack(this));
     }
 
-    /** Whether it ended in a write: then the last byte was never written. */
+    /** Whether the connection ended in a failed write: then the last byte was never written. */
     public boolean writeFailed() { return writeFailed; }
 
-    /** Bytes that wait to be written. */
+    /** The number of bytes that wait to be written. */
     public int queued() { return queued; }
 
     public void readMore() {
@@ -158,7 +163,8 @@
             return;
         }
         landed = !wasted && !more;
-        // A wait of its own small size: one in the decoder's room would keep all of that while nothing comes.
+        // A read waits in a small buffer of its own: a wait in the decoder's buffer would keep all of that allocated while no
+        // input comes.
         if (landed && landing == null) { landing = new byte[Decoder.ROOM]; }
         ByteBuffer room = wasted ? SCRATCH.duplicate() : landed ? ByteBuffer.wrap(landing) : inbound.room();
         asked = room.remaining();
@@ -176,24 +182,24 @@
 
     public void write(byte[] bytes) { write(ByteBuffer.wrap(bytes)); }
 
-    /** Queues what is left in it; the bytes have to stay as they are until the owner is told that all is written. */
+    /** Queues the buffer's remaining bytes. They must not change until the owner is told that all bytes are written. */
     public void write(ByteBuffer bytes) {
         if (stage != Stage.OPEN) { return; }
         queue.add(bytes);
         queued += bytes.remaining();
-        // Guards against a terminal that asks and never reads: answers would fill the heap.
+        // A terminal that sends requests and never reads would fill the heap with replies.
         if (queued > MOST_QUEUED) {
             end();
         } else if (!writing) {
             writing = true;
-            loop.afterwards(this::flush); // what one turn queues goes out together
+            loop.afterwards(this::flush); // bytes queued in one task are written together
         }
     }
 
     /**
-     * Closes once what is queued has been written and the peer has ended too. Guards against a close with unread
-     * bytes: it would reset the connection and destroy the last answer on its way. What still comes is dropped,
-     * and a peer that never ends is cut off after a time and a number of bytes. The owner is told nothing more.
+     * Closes after the queued bytes are written and the peer has closed too. A close with unread input would reset the
+     * connection and destroy the last reply on its way. Further input is dropped, and a peer that never closes is cut off after
+     * a time and a number of bytes. The owner gets no more callbacks.
      */
     public void finish(Runnable then) {
         if (isClosed()) {
@@ -212,8 +218,8 @@
     }
 
     /**
-     * Ends the sending and waits, for as long as it takes, until the peer has closed its side too; {@code then} runs once
-     * it has. What still waits to be written is dropped, and so is what comes. The owner is told nothing more.
+     * Shuts down the output and waits, for as long as it takes, until the peer has closed its side too; {@code then} runs after
+     * that. Bytes that wait to be written are dropped, and so is further input. The owner gets no more callbacks.
      */
     public void leave(Runnable then) {
         if (isClosed()) {
@@ -223,7 +229,7 @@
         whenClosed = then;
         patient = true;
         stage = Stage.LEAVING;
-        if (!writing) { drain(); }                   // else what is under way ends first
+        if (!writing) { drain(); }                   // otherwise after the pending write
     }
 
     private void drain() {
@@ -259,7 +265,7 @@
         loop.afterwards(whenClosed);
         try {
             channel.close();
-        } catch (IOException e) { /* it is gone either way */ }
+        } catch (IOException e) { /* closed either way */ }
     }
 
     private void end() {
@@ -286,7 +292,7 @@
             queue.add(first);
         }
         try {
-            // Guards the native memory: a buffer as large as a body would be copied there whole.
+            // A write of a whole large body would copy it into native memory as a whole.
             sliced = first.remaining() > MERGED;
             channel.write(sliced ? first.slice(first.position(), PIECE) : first, this, WRITTEN);
         } catch (RuntimeException e) {
@@ -301,7 +307,7 @@
             drained(count);
             return;
         }
-        if (stage != Stage.OPEN) { return; }         // it is read again once the last bytes have gone out
+        if (stage != Stage.OPEN) { return; }         // reading resumes after the last bytes are written
         if (count < 0) {
             end();
             return;
@@ -328,8 +334,8 @@
         } else {
             inbound.filled(count);
         }
-        // Guards against what a client asks and takes back by its end right behind it: that may lie in the system already, and then
-        // this read comes back at once, before the owner is told.
+        // A client may cancel its requests by disconnecting right after them. The disconnect may already have arrived; then
+        // this read completes at once, before the owner handles the requests.
         untold = true;
         readMore();
         long last = reads;
@@ -358,7 +364,7 @@
         queued -= count;
         if (sliced) { queue.peek().position(queue.peek().position() + count); }
         if (!queue.peek().hasRemaining()) { queue.poll(); }
-        if (stage == Stage.FINISHING) { limitDrain(); } // a slow peer that takes its last answer has its time for each piece
+        if (stage == Stage.FINISHING) { limitDrain(); } // a slow peer gets the full time for each piece of its last reply
         if (!queue.isEmpty()) {
             flush();
             return;
--- a/src/main/java/yardusher/net/Sockets.java
+++ b/src/main/java/yardusher/net/Sockets.java
@@ -17,11 +17,12 @@
 import yardusher.error.ConfigError;
 import yardusher.error.WireError;
 
-/** Opens connections and listens, on one channel group with one thread of its own. */
+/** Opens connections and listeners on one channel group with a single thread. */
 public final class Sockets {
     static {
-        // Guards the look ahead of {@link Link}: past so many completions at once (16 if not said) the platform leaves what is
-        // there to the next poll. None of them runs on the stack of another, since a turn puts off what comes within it.
+        // {@link Connection} reads ahead to see disconnects. Beyond this number of nested completions (default 16) the JDK
+        // defers the rest to the next poll. The completions do not nest on the stack, since the event loop defers tasks that
+        // come within a task.
         if (System.getProperty("sun.nio.ch.maxCompletionHandlersOnStack") == null) {
             System.setProperty("sun.nio.ch.maxCompletionHandlersOnStack", "64");
         }
@@ -32,7 +33,7 @@
 
     public Sockets(EventLoop loop) throws IOException {
         this.loop = loop;
-        // One fixed thread polls and runs the handlers itself; a pool given from outside would cost a hop each.
+        // A single fixed thread polls and runs the handlers itself; an external pool would cost a thread hop per completion.
         group = AsynchronousChannelGroup.withFixedThreadPool(1, work -> {
             Thread thread = new Thread(work, "sockets");
             thread.setDaemon(true);
@@ -42,7 +43,10 @@
 
     public EventLoop loop() { return loop; }
 
-    /** An address of digits and a port, such as 127.0.0.4:6379. Names are not looked up. Else a {@link ConfigError}. */
+    /**
+     * Parses a numeric address and port, such as 127.0.0.4:6379. Host names are not resolved. Throws a {@link ConfigError} for
+     * other text.
+     */
     public static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
@@ -56,7 +60,7 @@
         }
     }
 
-    /** The other way round, for messages. */
+    /** Formats an address for messages. */
     public static String text(InetSocketAddress at) { return at.getAddress().getHostAddress() + ":" + at.getPort(); }
 
     /** A listening socket. */
@@ -67,7 +71,7 @@
         private final InetSocketAddress at;
         private boolean accepting;
         private boolean bound;
-        private double guestAt;                      // when the last one came
+        private double guestAt;                      // when the last connection was accepted
 
         private Door(AsynchronousServerSocketChannel channel, InetSocketAddress at,
                 Consumer<AsynchronousSocketChannel> guests, Predicate<Void> room) {
@@ -79,7 +83,7 @@
 
         public InetSocketAddress address() throws IOException { return (InetSocketAddress) channel.getLocalAddress(); }
 
-        /** Listens; until then nobody can come. A {@link WireError} where another process holds the address. */
+        /** Starts listening. Throws a {@link WireError} if another process holds the address. */
         public void bind() throws IOException {
             try {
                 channel.bind(at, 1024);
@@ -89,16 +93,16 @@
             bound = true;
         }
 
-        /** Goes on accepting while there is room; called again when room comes back. */
+        /** Accepts connections while there is room; called again when there is room again. */
         public void open() {
-            // Guards against running out of descriptors: who finds no room waits in the backlog.
+            // Connections without room wait in the backlog, so that the process does not run out of descriptors.
             if (accepting || !bound || !channel.isOpen()) { return; }
             boolean fits = false;
-            accepting = true;                        // also while room is made, which may open the door again
+            accepting = true;                        // also while room is made, which may call this method again
             try {
                 fits = room.test(null);
             } finally {
-                accepting = fits;                    // guards the door against a fault while room is made: it may be opened again
+                accepting = fits;                    // after a fault in hasRoom the listener must be able to accept again
             }
             if (!fits) { return; }
             channel.accept(this, new CompletionHandler<AsynchronousSocketChannel, Door>() {
@@ -124,8 +128,8 @@
         }
 
         /**
-         * Closes once nobody has come for so long, or at that time: whoever waits to be accepted when it closes is reset,
-         * and who comes while it is open is accepted at once.
+         * Closes after no connection has come for {@code quietMs}, or at {@code deadlineMs}: connections in the accept queue
+         * are reset when it closes, and those that come while it is open are accepted at once.
          */
         public void closeWhenQuiet(double quietMs, double by) {
             double now = loop.now();
@@ -135,13 +139,13 @@
             });
         }
 
-        /** Whether nobody can come any more. */
+        /** Whether no more connections can come. */
         public boolean isShut() { return !channel.isOpen(); }
 
         public void close() {
             try {
                 channel.close();
-            } catch (IOException e) { /* it is gone either way */ }
+            } catch (IOException e) { /* closed either way */ }
         }
     }
 
@@ -153,8 +157,8 @@
     }
 
     /**
-     * A door that does not listen yet. With {@code shared} the next version of this program can listen there as well,
-     * before this one ends.
+     * Creates a listener that does not listen yet. With {@code reusePort} the next version of this program can listen on the
+     * same address before this one ends.
      */
     public Door door(InetSocketAddress at, boolean shared, Consumer<AsynchronousSocketChannel> guests,
             Predicate<Void> room) throws IOException {
@@ -166,14 +170,14 @@
         return new Door(channel, at, guests, room);
     }
 
-    /** Connects within the time given; one of the two is called, in a turn. The result gives it up. */
+    /** Connects with a timeout; one of the two callbacks runs, on the event loop. The returned callback cancels the attempt. */
     public Runnable connect(InetSocketAddress to, double withinMs, Consumer<AsynchronousSocketChannel> then,
             Runnable orElse) {
         boolean[] over = new boolean[1];
         AsynchronousSocketChannel channel;
         try {
             channel = AsynchronousSocketChannel.open(group);
-        } catch (IOException e) {                    // no descriptor left: as if nobody had answered
+        } catch (IOException e) {                    // no descriptor left: treated as no answer
             loop.afterwards(() -> {
                 if (!over[0]) { orElse.run(); }
             });
@@ -218,8 +222,8 @@
     }
 
     /**
-     * Connects, however long the system tries; one of the two is called, in a turn. For whoever must know how a dial ended
-     * after having given it up: a channel that is closed on the way may have been accepted all the same.
+     * Connects without a timeout of its own; one of the two callbacks runs, on the event loop. For callers that must know how a
+     * connect ended after they have given it up: a channel that is closed while connecting may have been accepted all the same.
      */
     public void dial(InetSocketAddress to, Consumer<AsynchronousSocketChannel> then, Runnable orElse) {
         AsynchronousSocketChannel channel;
@@ -251,13 +255,13 @@
     private static void quick(AsynchronousSocketChannel channel) {
         try {
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-        } catch (IOException e) { /* the first read or write will tell */ }
+        } catch (IOException e) { /* the first read or write reports it */ }
     }
 
     private static void shut(AsynchronousSocketChannel channel) {
         try {
             channel.close();
-        } catch (IOException e) { /* it is gone either way */ }
+        } catch (IOException e) { /* closed either way */ }
     }
 
     public void shutdown() {
