--- a/src/main/java/yardusher/resp/Call.java
+++ b/src/main/java/yardusher/resp/Call.java
@@ -9,8 +9,8 @@
 import yardusher.error.CommandError;
 
 /**
- * A platform command, CALL.GET or CALL.POST, decoded once: customer, id, the list of names and values, body.
- * A region gets it unchanged but for {@code d}, which says how long this ingress will wait.
+ * A parsed platform command, CALL.GET or CALL.POST: customer, id, list of names and values, body. It is forwarded to a region
+ * unchanged except for {@code d}, the time for which this ingress waits.
  */
 public final class Call implements Cargo {
     private static final byte[] GET = "CALL.GET".getBytes(StandardCharsets.US_ASCII);
@@ -18,11 +18,11 @@
 
     private static final byte[] END = {'\r', '\n'};
     private static final int MOST_LIST = 512;
-    private static final long MOST_WAIT_MS = 86_400_000; // as the settings allow it for a class
+    private static final long MOST_WAIT_MS = 86_400_000; // the limit that the settings have for a class
 
     private final byte[][] words;
     private final String list;
-    private final UnitWord unit;                     // null where it says nothing of one
+    private final UnitWord unit;                     // null for none
     public final long id;
     public final String key;
     public final long customer;
@@ -49,18 +49,18 @@
         this.first = first;
     }
 
-    /** Whether the words are a platform command at all, well-formed or not. */
+    /** Whether the words are a platform command, valid or not. */
     public static boolean is(byte[][] words) { return word(words[0], GET) || word(words[0], POST); }
 
-    /** Whether it is the form for classes that are safe to repeat. */
+    /** Whether it is CALL.GET, the form for classes that are safe to repeat. */
     public boolean isGet() { return word(words[0], GET); }
 
-    /** Whether it brings a body. */
+    /** Whether the command has a body. */
     public boolean hasBody() { return words.length == 5; }
 
     /**
-     * Reads a command; a {@link CommandError} says what is wrong with it. Guards the regions, which
-     * take a form that no client sends as a fault of the ingress: every word is read to its end.
+     * Parses a command; throws a {@link CommandError} that describes what is wrong with it. Every word is validated completely,
+     * since regions count an invalid command as a fault of the ingress.
      */
     public static Call of(byte[][] words) {
         if (words.length < 4 || words.length > 5) { throw new CommandError.Argument("wrong number of arguments"); }
@@ -107,12 +107,12 @@
     }
 
     /**
-     * Reads a command whose list may also say what it is to a unit of work: {@code u} the unit's name, {@code p} the part's
-     * number, {@code b} a boundary. These are taken out of what a region is told unless {@code passOn}. An
-     * {@link CommandError.Argument} says what is wrong.
+     * Parses a command whose list may also refer to a unit of work: {@code u} the unit's name, {@code p} the part's number,
+     * {@code b} a boundary. These entries are removed from what a region receives unless {@code forwardUnit}. Throws a {@link
+     * CommandError.Argument} that describes what is wrong.
      */
     public static Call withUnit(byte[][] words, boolean passOn) {
-        if (words.length < 4 || words[3].length > MOST_LIST) { return of(words); } // says what is wrong
+        if (words.length < 4 || words[3].length > MOST_LIST) { return of(words); } // throws the error
         String list = new String(words[3], StandardCharsets.ISO_8859_1);
         String[] found = new String[3];
         StringBuilder rest = null;
@@ -147,7 +147,7 @@
             default -> throw new CommandError.Argument("b is open, end or abandon");
         };
         boolean fits = switch (said) {
-            case OPEN -> p == null;                  // with u it is an opening inside a unit, which has its own answer
+            case OPEN -> p == null;                  // with u it opens a unit inside a unit, which has a reply of its own
             case NONE -> u != null && part > 0;
             case END -> u != null && (p == null || part > 0);
             case ABANDON -> u != null && p == null;
@@ -166,8 +166,8 @@
     }
 
     /**
-     * A name of the settings, as UTF-8 gives it; the settings decide whether there is such a one, so any character may stand
-     * in it but those of control.
+     * Validates and decodes the name of a class or plan in UTF-8. Any character but control characters is allowed; the settings
+     * decide whether the name exists.
      */
     private static String name(String value) {
         boolean ascii = true;
@@ -193,7 +193,7 @@
         return number;
     }
 
-    /** Sixteen digits, as every number of this protocol is written. */
+    /** Parses sixteen hex digits, the form of every number of this protocol. */
     private static long hex(byte[] digits, String what) {
         long number = 0;
         for (byte b : digits) {
@@ -239,7 +239,7 @@
         int end = list.indexOf(',', d);
         String told = list.substring(0, d) + "d=" + wait + (end < 0 ? "" : list.substring(end));
         out.bulk(told.getBytes(StandardCharsets.ISO_8859_1));
-        if (large) {                                 // never copied: every attempt is written from where it was read
+        if (large) {                                 // never copied: every attempt is written from the buffer it was read into
             return new ByteBuffer[] {ByteBuffer.wrap(out.bulkHead(words[4].length).toBytes()), ByteBuffer.wrap(words[4]),
                 ByteBuffer.wrap(END)};
         }
--- a/src/main/java/yardusher/resp/Decoder.java
+++ b/src/main/java/yardusher/resp/Decoder.java
@@ -7,36 +7,36 @@
 import java.util.List;
 
 /**
- * The one RESP2 parser, for commands and for replies. Bytes are read into its buffer as they come; a value is
- * taken out once it is whole. Everything is bounded: line, bulk string, items, depth and the value as a whole.
+ * The RESP2 parser for commands and replies. Bytes are read into its buffer as they arrive; a value is taken out once it is
+ * complete. All sizes are limited: line, bulk string, number of items, nesting depth and the value as a whole.
  */
 public final class Decoder implements Inbound {
-    /** A bulk string holds no more (PROTOCOL). */
+    /** Maximum length of a bulk string, except for large values and bodies (by the platform's protocol). */
     public static final int MOST_BULK = 64 * 1024;
     private static final int MOST_VALUE = MOST_BULK + 8 * 1024;
     private static final int MOST_ITEMS = 64;
     private static final int MOST_DEPTH = 4;
     private static final int MOST_LINE = 512;
     private static final int SMALL = 1024;
-    /** What {@link #add} takes at once, at the most. */
+    /** Maximum number of bytes per call of {@link #add}. */
     public static final int ROOM = SMALL;
-    /** A value that comes in parts holds no more. */
+    /** Maximum length of a large value or body. */
     public static final long MOST_LARGE = 4 << 20;
-    private static final int BODY = 4;               // the place of a platform command's body
-    private static final int PART = 16 * SMALL;      // what is passed on at once: the size of a cached native buffer
+    private static final int BODY = 4;               // the index of the body in a platform command
+    private static final int PART = 16 * SMALL;      // chunk of a large value: the size of a cached native buffer
 
     private byte[] bytes = new byte[SMALL];
     private int start;
     private int end;
     private int at;
-    private int largeAt;                             // where a large value's bytes begin
-    private long large;                              // and how many they are; 0 for none
+    private int largeAt;                             // where the bytes of a large value begin
+    private long large;                              // the length of a large value, 0 for none
     private boolean shrinks;
-    private byte[][] bodied;                         // a command whose last word is a large body still to come
-    private long bodyLength;                         // the body's bytes; 0 for no such command
+    private byte[][] bodied;                         // a command whose last word is a large body that is being read
+    private long bodyLength;                         // the length of that body, 0 for none
     private int bodyFilled;
-    private boolean intoBody;                        // the room last given lies in that body
-    private int largeItems;                          // what follows it in its array
+    private boolean intoBody;                        // the buffer last returned by readBuffer is part of that body
+    private int largeItems;                          // items after the large value in its array
 
     @Override
     public ByteBuffer room() {
@@ -58,11 +58,15 @@
         if (bytes.length - end < count) { bytes = Arrays.copyOf(bytes, bytes.length * 2); }
     }
 
-    /** Where nothing is held, gives back what a large value took. Not while a read into {@link #room} is under way. */
+    /**
+     * Releases the memory of a large value if the buffer is empty. Not to be called while a read into {@link #readBuffer} is
+     * pending.
+     */
     public void shrink() {
         if (start != end) { return; }
         start = end = 0;
-        if (bytes.length > PART || bytes.length > SMALL && large == 0 && shrinks) { bytes = new byte[SMALL]; } // one large value keeps no memory
+        // a large value keeps no memory after it
+        if (bytes.length > PART || bytes.length > SMALL && large == 0 && shrinks) { bytes = new byte[SMALL]; }
         shrinks = false;
     }
 
@@ -76,7 +80,7 @@
         }
     }
 
-    /** Takes so many bytes, no more than {@link #ROOM}, from the front of an array instead of the room. */
+    /** Copies input from an array instead of {@link #readBuffer}, at most {@link #MAX_ADD_BYTES}. */
     public void add(byte[] from, int count) {
         shrink();
         fits(ROOM);
@@ -85,7 +89,7 @@
         soak();
     }
 
-    /** What was read before a body had its room goes there. */
+    /** Moves the bytes of a large body that were read before its buffer was allocated. */
     private void soak() {
         byte[] body = bodied == null ? null : bodied[bodied.length - 1];
         if (body == null) { return; }
@@ -95,10 +99,10 @@
         bodyFilled += count;
     }
 
-    /** Bytes that were read and not taken out, a large body's apart. */
+    /** The number of buffered bytes, without a large body. */
     public int held() { return end - start; }
 
-    /** Nothing of what was read is wanted any more. */
+    /** Drops all buffered input. */
     public void discard() {
         start = end;
         bodied = null;
@@ -107,12 +111,12 @@
     public boolean isEmpty() { return start == end && bodied == null; }
 
     /**
-     * The bytes of a large body that the command now being read ends with, else 0. No more of it is read before room for
-     * them is given by {@link #openBody}.
+     * The length of the large body at the end of the command that is being read, else 0. No more of it is read before {@link
+     * #allocateBody} is called.
      */
     public long bodyLength() { return bodied == null ? 0 : bodyLength; }
 
-    /** Room for the large body is there: its bytes are read into place. */
+    /** Allocates the large body, so that its bytes are read into place. */
     public void openBody() {
         bodied[bodied.length - 1] = new byte[(int) bodyLength];
         bodyFilled = 0;
@@ -129,7 +133,7 @@
         return whole;
     }
 
-    /** The next command as its words, or null while it is not whole. */
+    /** Returns the next command as its words, or null while it is incomplete. */
     public byte[][] command() throws Malformed {
         if (bodied != null) { return bodied(); }
         if (start == end) { return null; }
@@ -156,14 +160,15 @@
             words[i] = bulk(length);
             if (words[i] == null) { return incomplete(); }
         }
-        if (at - start > MOST_VALUE) { throw new Malformed("value too large"); } // however much of it came at once
+        if (at - start > MOST_VALUE) { throw new Malformed("value too large"); } // regardless of how much of it came in one read
         start = at;
         return words;
     }
 
     /**
-     * The bytes of a large value, where the reply that begins here is an array that begins with one (then {@link #value}
-     * gives null), else 0. From now on its bytes come by {@link #part}, and what is behind them by {@link #rest}.
+     * Returns the length of a large value if the reply that begins here is an array that begins with one ({@link #nextValue}
+     * then returned null), else 0. Its bytes are then read by {@link #nextChunk}, and the items after it by {@link
+     * #finishLargeValue}.
      */
     public long openLarge() {
         if (large == 0) { return 0; }
@@ -172,7 +177,10 @@
         return large;
     }
 
-    /** What is there of a large value, no more than so many bytes; null for nothing. It stays until {@link #room}. */
+    /**
+     * Returns buffered bytes of a large value, at most {@code max}, or null for none. They are valid until the next {@link
+     * #readBuffer}.
+     */
     public ByteBuffer part(long most) {
         int count = (int) Math.min(most, end - start);
         if (count == 0) { return null; }
@@ -180,7 +188,7 @@
         return ByteBuffer.wrap(bytes, start - count, count);
     }
 
-    /** What follows a large value in its array, or null while it is not whole. */
+    /** Returns the items after a large value in its array, or null while they are incomplete. */
     public List<Value> rest() throws Malformed {
         at = start;
         if (end - at < 2) { return null; }
@@ -201,7 +209,7 @@
         return items;
     }
 
-    /** The next reply, or null while it is not whole. */
+    /** Returns the next reply, or null while it is incomplete. */
     public Value value() throws Malformed {
         at = start;
         large = 0;
@@ -215,7 +223,7 @@
     }
 
     private byte[][] incomplete() throws Malformed {
-        // Guards against a peer that never ends a value: the buffer would grow without bound.
+        // A peer that never completes a value must not grow the buffer without limit.
         if (end - start > MOST_VALUE) { throw new Malformed("value too large"); }
         return null;
     }
@@ -261,7 +269,7 @@
         }
     }
 
-    /** Whether a bulk string of more than MOST_BULK and no more than MOST_LARGE bytes begins here. */
+    /** Whether a bulk string longer than MAX_BULK_BYTES and up to MAX_LARGE_BYTES begins here. */
     private boolean opensLarge(int count) throws Malformed {
         int from = at;
         if (at < end && bytes[at] == '$') {
@@ -305,7 +313,7 @@
         return i > from ? -number : number;
     }
 
-    /** Passes over a line; returns where its text ends, or -1 while it is not whole. */
+    /** Skips a line; returns the end of its text, or -1 while it is incomplete. */
     private int line() throws Malformed {
         for (int i = at; i < end; i++) {
             if (bytes[i] == '\n') {
--- a/src/main/java/yardusher/resp/Encoder.java
+++ b/src/main/java/yardusher/resp/Encoder.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** The one RESP2 encoder: values are appended to a growing array. */
+/** The RESP2 encoder; appends values to a growing array. */
 public final class Encoder {
     private byte[] bytes;
     private int length;
@@ -19,14 +19,14 @@
         return raw(body).raw(CRLF);
     }
 
-    /** The head of a bulk string whose bytes, and line end, are to follow apart. */
+    /** Writes the head of a bulk string. Its bytes and the line end follow separately. */
     public Encoder bulkHead(long length) { return header('$', length); }
 
     public Encoder bulk(String text) { return bulk(text.getBytes(StandardCharsets.UTF_8)); }
 
     public Encoder simple(String text) { return ascii('+').text(text).raw(CRLF); }
 
-    /** An error line; line ends in the text would break the framing and become spaces. */
+    /** Writes an error line. Line ends in the text would break the framing and become spaces. */
     public Encoder failure(String text) {
         return ascii('-').text(text.replace('\r', ' ').replace('\n', ' ')).raw(CRLF);
     }
--- a/src/main/java/yardusher/resp/Inbound.java
+++ b/src/main/java/yardusher/resp/Inbound.java
@@ -2,11 +2,11 @@
 
 import java.nio.ByteBuffer;
 
-/** Where a connection puts the bytes that it reads. */
+/** The buffer that a connection reads into. */
 public interface Inbound {
-    /** Room to read into, never empty; what lies there counts only after {@link #filled}. */
+    /** Returns a buffer to read into, never empty. Its content counts only after {@link #advance}. */
     ByteBuffer room();
 
-    /** So many bytes were read into the room last given. */
+    /** This number of bytes was read into the buffer last returned. */
     void filled(int count);
 }
--- a/src/main/java/yardusher/resp/Value.java
+++ b/src/main/java/yardusher/resp/Value.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** One decoded RESP2 value. A null bulk string or array holds null. */
+/** A decoded RESP2 value. A null bulk string or array holds null. */
 public sealed interface Value {
     record Simple(String text) implements Value { }
 
