--- a/src/main/java/yardusher/clients/PlatformFront.java
+++ b/src/main/java/yardusher/clients/PlatformFront.java
@@ -27,7 +27,7 @@
 import yardusher.resp.Call;
 import yardusher.resp.Encoder;
 
-/** The front for the platform's protocol: CALL.GET, CALL.POST and PING. */
+/** The frontend for the platform's protocol: CALL.GET, CALL.POST and PING. */
 public final class PlatformFront implements Answers.Commands {
     private static final byte[] AWAY = new Encoder(32).failure("ERR clients are sent away").toBytes();
     private static final byte[] BUSY = new Encoder(16).failure("BUSY").toBytes();
@@ -37,11 +37,11 @@
     private final Map<String, Integer> classes = new HashMap<>();
     private final Map<String, Integer> plans = new HashMap<>();
     private final Answers answers;
-    private boolean unitsOn;                         // names of units are read in the list
+    private boolean unitsOn;                         // names of units are read in lists
     private boolean unitsPassOn;
-    private LongFunction<String> keyShown;           // null where keys are off
+    private LongFunction<String> keyShown;           // null where idempotency keys are off
     private Supplier<String> keyLine;
-    /** The ids of transactions without their final answer: a second one under such an id is somebody else's. */
+    /** Ids of requests without their final answer; a second request with such an id is rejected. */
     private final Set<Long> ids = new HashSet<>();
 
     public PlatformFront(Sockets sockets, InetSocketAddress at, Ingress ingress, Intake intake,
@@ -60,7 +60,7 @@
         if (Call.is(words)) {
             call(words, slot);
         } else if (keyLine != null && keys(words, slot)) {
-            return;                                  // answered
+            return;
         } else if (answers.isAway() && Answers.isPing(words)) {
             slot.answer(AWAY);
         } else {
@@ -78,13 +78,13 @@
     @Override
     public void spoilt() { ingress.counters().invalid++; }
 
-    /** From now on KEYS.SHOW and KEYS.STATS are answered, to callers on this machine. */
+    /** Enables KEYS.SHOW and KEYS.STATS for callers on this machine. */
     public void answerKeys(LongFunction<String> shown, Supplier<String> line) {
         keyShown = shown;
         keyLine = line;
     }
 
-    /** From now on the names u, p and b are read in lists, and regions are told of them or not. */
+    /** Enables the names u, p and b in lists; {@code forward} passes them on to regions. */
     public void readUnits(boolean passOn) {
         unitsOn = true;
         unitsPassOn = passOn;
@@ -128,7 +128,7 @@
         return index;
     }
 
-    /** Whether a command that can be read is also one that a client of these settings sends; its id is then held. */
+    /** Checks that a parsed command fits the settings; its id is then reserved. */
     private void check(Call call, int classIndex) {
         Api.Settings settings = ingress.settings();
         Api.Effect effect = settings.classes().get(classIndex).effect();
--- a/src/main/java/yardusher/limits/LimitsConfig.java
+++ b/src/main/java/yardusher/limits/LimitsConfig.java
@@ -10,19 +10,19 @@
 import yardusher.net.Sockets;
 
 /**
- * What deploy/limits.toml says of the limits front: where it listens (nowhere, if left out), the class of its
- * transactions, and each partner's plan and set.
+ * The content of deploy/limits.toml: where the limits frontend listens (nowhere if left out), the class of its requests, and
+ * the plan and the set of ingresses of each customer.
  */
 public record LimitsConfig(InetSocketAddress listen, String className, long waitMs, int queriesPerS,
         Map<String, Partner> partners, Partner others) {
-    /** A partner: its number, its plan and the ingresses through which its transactions come. */
+    /** A customer: its number, its plan and the ingresses that receive its requests. */
     public record Partner(long customer, String plan, int first, int spread) { }
 
     private static final Set<String> KEYS =
             Set.of("listen", "class", "wait_ms", "queries_per_s", "partner", "others");
     private static final Set<String> PARTNER_KEYS = Set.of("key", "customer", "plan", "first", "spread");
 
-    /** Reads the file; a {@link ConfigError} says in one line what is wrong with it. */
+    /** Reads the file; a {@link ConfigError} describes in one line what is wrong with it. */
     public static LimitsConfig read(Path file) { return Toml.read(file, LimitsConfig::of); }
 
     private static LimitsConfig of(Toml toml) {
@@ -47,7 +47,7 @@
         return new Partner(customer, one.text("plan"), one.whole("first", 0, 0, 10_000), one.whole("spread", 1, 1, 10_000));
     }
 
-    /** The partner of a key: by name, or, where others are let in, by the customer's number itself. */
+    /** The customer of a key: by its name in the file, or, where others are admitted, by the customer number itself. */
     Partner partner(String key) {
         Partner named = partners.get(key);
         if (named != null || others == null || !key.matches("[0-9a-f]{16}")) { return named; }
@@ -61,7 +61,7 @@
         return number;
     }
 
-    /** A customer's number; -1 where it is none. */
+    /** Parses a customer number; -1 if the text is none. */
     private static long number(String hex) {
         long number = hex.matches("[0-9a-f]{1,16}") ? Long.parseUnsignedLong(hex, 16) : -1;
         return number < 1L << 33 ? number : -1;
--- a/src/main/java/yardusher/limits/LimitsFront.java
+++ b/src/main/java/yardusher/limits/LimitsFront.java
@@ -20,15 +20,15 @@
 import yardusher.resp.Encoder;
 
 /**
- * The front that answers RESP commands for limits, as redis-cell's CL.THROTTLE. Quantity 0 asks the module and
- * changes nothing; quantity 1 and more is a transaction through all stages, allowed only once it was sent on
- * and served. No limit is worked out here: every figure is the module's.
+ * The frontend that answers RESP commands for limits, as redis-cell's CL.THROTTLE. Quantity 0 queries the decision module and
+ * consumes nothing; quantity 1 and more is a request through all stages, allowed only after it was sent to a region and served.
+ * No limit is computed here: all figures come from the module.
  */
 public final class LimitsFront implements Answers.Commands {
-    /** Connections held at the most. */
+    /** Maximum number of connections. */
     public static final int MOST_TERMINALS = 64;
-    private static final double FLOOD_PAUSE_MS = 50; // the flood waits in its own connection
-    private static final int MOST_OPEN = 128;        // transactions of this front at once
+    private static final double FLOOD_PAUSE_MS = 50; // the client that exceeds the query rate waits on its own connection
+    private static final int MOST_OPEN = 128;        // open requests of this frontend
 
     private final Ingress ingress;
     private final LimitsConfig config;
@@ -36,7 +36,7 @@
     private final int classIndex;
     private final String className;
     private final Sockets sockets;
-    private final Ids ids = new Ids();               // order nodes drop repeats by id: none may come twice
+    private final Ids ids = new Ids();               // regions drop repeats by id, so that no id may be used twice
     private final Answers answers;
     private double queries;
     private double queriesAt;
@@ -56,7 +56,7 @@
         this.answers = new Answers(sockets, config.listen(), true, MOST_TERMINALS, new Budget(0), this);
     }
 
-    /** Whether the file fits the settings: classes, plans and sets that exist. */
+    /** Checks the file against the settings: classes, plans and sets of ingresses must exist. */
     public static void check(LimitsConfig config, Api.Settings settings, List<String> classNames, List<String> planNames) {
         int ingresses = settings.gateways();
         classIndex(config, settings, classNames);
@@ -64,7 +64,7 @@
         if (config.others() != null) { check("others", config.others(), planNames, ingresses); }
     }
 
-    /** The class named, or where none is the first that is safe to repeat. */
+    /** The index of the configured class, or without one the first class that is safe to repeat. */
     private static int classIndex(LimitsConfig config, Api.Settings settings, List<String> classNames) {
         int index = classNames.indexOf(config.className());
         for (int i = 0; config.className().isEmpty() && index < 0 && i < classNames.size(); i++) {
@@ -133,7 +133,7 @@
     }
 
     private void query(LimitsConfig.Partner partner, int plan, Answers.Slot slot) {
-        // Guards place-order against a flood of questions: past this rate they cost next to nothing.
+        // Limits the rate of queries, so that a flood of them does not slow down requests; above it they cost next to nothing.
         double now = sockets.loop().now();
         queries = Math.min(config.queriesPerS(), queries + config.queriesPerS() * (now - queriesAt) / 1000);
         queriesAt = now;
@@ -149,7 +149,7 @@
 
     private void use(Throttle asked, LimitsConfig.Partner partner, int plan, Answers.Slot slot) {
         double most = ingress.settings().mostUnits();
-        if (most > 0 && asked.quantity() > most) { // 0: not bounded
+        if (most > 0 && asked.quantity() > most) { // 0: no maximum
             throw new CommandError.Argument("quantity is at most " + (long) most);
         }
         if (open >= MOST_OPEN) {
@@ -189,7 +189,7 @@
             slot.answer(told(standing(), false));
         }
 
-        /** The value's bytes are nobody's here: allowed is what counts. */
+        /** The value itself is not used here, only that the request was served. */
         @Override
         public Flow begin(long length) {
             return new Flow() {
@@ -208,7 +208,7 @@
         public void reject(long retryAfterMs, boolean mayHaveRun) {
             open--;
             if (mayHaveRun) {
-                // Guards against "limited" for a partner with room: this was a failure or a time-out of a region.
+                // A failure or timeout of a region is not reported as "limited", since the customer may have units left.
                 error(slot, "sent on and not served, come back in " + retryAfterMs + " ms");
                 return;
             }
@@ -228,7 +228,7 @@
         }
     }
 
-    /** redis-cell's answer: limited, limit, remaining, seconds to retry (-1 when allowed), seconds to reset. */
+    /** Encodes redis-cell's reply: limited, limit, remaining, seconds to retry (-1 when allowed), seconds to reset. */
     private static byte[] told(Api.Standing standing, boolean limited) {
         long retry = limited ? Math.max(1, (long) Math.ceil(standing.retryAfterMs() / 1000)) : -1;
         return new Encoder(48).array(5).whole(limited ? 1 : 0).whole((long) Math.floor(standing.limit() + 1e-9))
--- a/src/main/java/yardusher/limits/Throttle.java
+++ b/src/main/java/yardusher/limits/Throttle.java
@@ -4,11 +4,11 @@
 import yardusher.Api;
 import yardusher.error.CommandError;
 
-/** One CL.THROTTLE command, decoded once: key max_burst count period [quantity]. */
+/** A parsed CL.THROTTLE command: key max_burst count period [quantity]. */
 record Throttle(String key, long maxBurst, long count, long periodS, int quantity) {
     private static final long MOST = 1_000_000_000;
 
-    /** Reads a command; a {@link CommandError} says what is wrong with it. */
+    /** Parses a command; a {@link CommandError} describes what is wrong with it. */
     static Throttle of(byte[][] words) {
         if (words.length < 5 || words.length > 6) {
             throw new CommandError.Argument("wrong number of arguments for 'cl.throttle' command");
@@ -24,17 +24,17 @@
         if (digits.length <= 10) {
             try {
                 number = Long.parseLong(new String(digits, StandardCharsets.US_ASCII));
-            } catch (NumberFormatException e) { /* said below */ }
+            } catch (NumberFormatException e) { /* reported below */ }
         }
         if (number < least || number > MOST) { throw new CommandError.Argument("invalid " + name); }
         return number;
     }
 
-    /** Whether these limits are the plan's: its whole burst, and its rate rounded to a whole count a period. */
+    /** Whether these limits are those of the plan: its whole burst, and its rate rounded to a whole count per period. */
     boolean agreesWith(Api.Plan plan) {
         return maxBurst + 1 == limit(plan) && Math.abs(count - plan.ratePerS() * periodS) <= 0.5;
     }
 
-    /** The plan's burst in whole units: what redis-cell calls the limit, max_burst + 1. */
+    /** The plan's burst in whole units, which redis-cell calls the limit: max_burst + 1. */
     static long limit(Api.Plan plan) { return Math.max(1, (long) Math.floor(plan.burst() + 1e-9)); }
 }
