--- a/src/main/java/yardusher/wire/Codec.java
+++ b/src/main/java/yardusher/wire/Codec.java
@@ -12,21 +12,21 @@
 import yardusher.Api;
 import yardusher.error.WireError;
 
-/** Translates between the wire's messages and the types of {@link Api}. Unknown keys are skipped. */
+/** Translates between the JSON messages of the platform and the types of {@link Api}. Unknown keys are ignored. */
 public final class Codec {
-    private static final double MOST_WHOLE = 0x1p63; // a whole number up to here fits a long
+    private static final double MOST_WHOLE = 0x1p63; // whole numbers below this fit into a long
 
     private Codec() { }
 
     /**
-     * A JSON object with typed access; a needed value that is absent, and any value of another type, is a
-     * {@link WireError.Malformed} that names the key with all that it stands in. A null counts as absent.
+     * A JSON object with typed access. A required value that is absent, and any value of another type, is a {@link
+     * WireError.Malformed} that names the key with its full path. A null counts as absent.
      */
     public static final class Fields {
         private final Map<String, Object> values = new HashMap<>();
-        private Fields in;                           // where this was asked for, null at the top
+        private Fields in;                           // the object that contains this one, null at the top
         private String as;
-        private int at = -1;                         // its place in the array there, -1 where it stands alone
+        private int at = -1;                         // index in the parent's array, -1 outside of an array
 
         private WireError.Malformed needs(String what, String key) {
             return new WireError.Malformed(null, "needs " + what + " in \"" + path() + key + "\"");
@@ -56,7 +56,7 @@
             return values.get(key) == null ? absent : number(key);
         }
 
-        /** Guards against a figure that is cut to a whole one, or wraps round, and then means something else. */
+        /** Rejects numbers that are not whole or would overflow, instead of changing their meaning by a cast. */
         public long whole(String key) {
             if (values.get(key) instanceof Integer || values.get(key) instanceof Long) {
                 return ((Number) values.get(key)).longValue();
@@ -76,10 +76,10 @@
 
         public boolean has(String key) { return values.get(key) != null; }
 
-        /** All keys that have a value, null or not. */
+        /** All keys that are present, including those with a null value. */
         public Set<String> keys() { return values.keySet(); }
 
-        /** Absent is false. */
+        /** Returns a boolean; false if absent. */
         public boolean flag(String key) {
             Object value = values.get(key);
             if (value == null || value instanceof Boolean) { return Boolean.TRUE.equals(value); }
@@ -100,7 +100,7 @@
             throw needs("an object", key);
         }
 
-        /** The same, with nothing in it where the key is absent. */
+        /** The same, empty if the key is absent. */
         public Fields objectOrNone(String key) { return has(key) ? object(key) : new Fields().asked(this, key, -1); }
 
         public List<Fields> objects(String key) {
@@ -112,7 +112,7 @@
             return found;
         }
 
-        /** The same, none where the key is absent. */
+        /** The same, empty if the key is absent. */
         public List<Fields> objectsOrNone(String key) { return has(key) ? objects(key) : List.of(); }
 
         public List<?> list(String key) {
@@ -122,7 +122,7 @@
             throw needs("an array", key);
         }
 
-        /** Texts of an array; none where the key is absent. */
+        /** The strings of an array; empty if the key is absent. */
         public List<String> texts(String key) {
             List<String> texts = new ArrayList<>();
             for (Object item : has(key) ? list(key) : List.of()) {
@@ -232,7 +232,7 @@
                 domain.number("most_units", 1), prices.number("cross_zone", 0), prices.number("peer", 0));
     }
 
-    /** Translates one event; null for a kind that the module has no use for. */
+    /** Translates an event; null for a kind that the module does not use. */
     static Api.Event event(Fields e) {
         return switch (e.text("event_type")) {
             case "request" -> new Api.Request(e.whole("rid"), e.small("grade"),
--- a/src/main/java/yardusher/wire/SettingsNotes.java
+++ b/src/main/java/yardusher/wire/SettingsNotes.java
@@ -9,14 +9,14 @@
 import yardusher.error.ConfigError;
 
 /**
- * Holds an operator's settings against what the program does with them: figures that no deployment can have are an error,
- * and what the program does not honour is named, so that nobody finds it out in service. See {@code docs/operators/}.
+ * Checks an operator's settings: values that are out of range are an error, and settings that the program does not honour are
+ * listed, so that they are known before they matter in production. See {@code docs/operators/}.
  */
 public final class SettingsNotes {
-    private static final int MOST_TOLD = 8;          // unknown keys named in one line
-    private static final int MOST_NAME = 200;        // a class's and a plan's have to fit into a request's list
+    private static final int MOST_TOLD = 8;          // unknown keys listed in one line
+    private static final int MOST_NAME = 200;        // names of classes and plans have to fit into a request's list
     private static final double MOST_MS = 86_400_000, MOST = 1e9;
-    /** Keys that no note is due for: they are read, or name things that nothing is decided by. */
+    /** Keys without a note: they are read, or are names that no decision depends on. */
     private static final Map<String, Set<String>> KNOWN = Map.ofEntries(
             Map.entry("", Set.of("classes", "clients", "contracts", "domain", "goal", "kinds", "layers", "limits", "me", "membership_mode",
                     "peers_total", "prices", "report", "resolution_ms", "rules", "service_type", "tier", "weights", "zone", "zones")),
@@ -37,7 +37,7 @@
 
     private SettingsNotes() { }
 
-    /** Figures that cannot be: a {@link ConfigError} with the key and what is allowed. */
+    /** Returns the settings, or throws a {@link ConfigError} with the key and the allowed range. */
     public static Api.Settings verified(Api.Settings s, int zones) {
         within("peers_total", s.gateways(), 1, 10_000);
         within("me", s.self(), 0, s.gateways() - 1);
@@ -64,7 +64,7 @@
             within(at + "late_value", c.lateValue(), 0, 1);
             within(at + "worth", c.worth(), 0, MOST);
         }
-        // Guards against a start that turns every request away: each one has to name a plan.
+        // Every request has to name a plan; without plans all requests would be rejected.
         if (s.plans().isEmpty()) { throw new ConfigError.Missing(null, "contracts", "at least one entry in \"contracts\""); }
         for (int i = 0; i < s.plans().size(); i++) {
             Api.Plan p = s.plans().get(i);
@@ -82,8 +82,8 @@
     }
 
     /**
-     * Names that requests give by, in the order of the array {@code key}. A {@link ConfigError} where one cannot stand in a
-     * request's list, or stands twice.
+     * The names in the array {@code key}, in order, by which requests refer to its entries. Throws a {@link ConfigError} for a
+     * name that cannot be written in a request's list, or that is used twice.
      */
     public static List<String> names(Codec.Fields settings, String key) {
         List<String> names = new ArrayList<>();
@@ -98,7 +98,7 @@
         return names;
     }
 
-    /** Whether a text holds a character that would end a line, or begin one of its own, where it is told. */
+    /** Whether a text holds a control character, which could end or forge a line where the text is logged. */
     public static boolean hasControl(String text) {
         for (int i = 0; i < text.length(); i++) {
             if (Character.isISOControl(text.charAt(i))) { return true; }
@@ -106,7 +106,7 @@
         return false;
     }
 
-    /** A figure out of its range is a {@link ConfigError} with the key, the figure and the range. */
+    /** Returns the value, or throws a {@link ConfigError} with the key, the value and the range. */
     public static double within(String key, double value, double least, double most) {
         if (!(value >= least && value <= most)) {
             throw new ConfigError.Range(null, key, plain(value), plain(least) + " to " + plain(most));
@@ -119,8 +119,8 @@
     }
 
     /**
-     * What these settings give or ask for that the program does not use, each in a few words; empty where it uses all. A key
-     * that no page names is told too: a misspelt one must not pass for a default.
+     * Lists what these settings contain or request that the program does not use, a short note for each. Unknown keys are
+     * listed too, so that a misspelt one is not silently replaced by its default.
      */
     public static List<String> unused(Codec.Fields config) {
         List<String> notes = new ArrayList<>();
@@ -130,17 +130,17 @@
         if (limits.flag("probes")) { notes.add("limits.probes (backends are not probed)"); }
         if (limits.number("max_streams", 1) > 1) { notes.add("limits.max_streams (one attempt on a connection at a time)"); }
         if (limits.has("retry_after") && !limits.flag("retry_after")) {
-            notes.add("limits.retry_after false (a refusal names a time to come again all the same)");
+            notes.add("limits.retry_after false (refusals include a retry time nevertheless)");
         }
-        if (limits.number("max_open", 0) > 0) { notes.add("limits.max_open (the descriptors and the memory bound what is open)"); }
+        if (limits.number("max_open", 0) > 0) { notes.add("limits.max_open (open requests are limited by descriptors and memory)"); }
         if (limits.number("cpu_us_per_s", 0) > 0) { notes.add("limits.cpu_us_per_s (not measured)"); }
         if (limits.number("cpu_us_per_request", 0) > 0) { notes.add("limits.cpu_us_per_request (not measured)"); }
-        if (domain.flag("counter")) { notes.add("domain.counter, with count_fee and count_limit_ms (ingresses tell one another)"); }
-        if (domain.number("meter_ms", 0) > 0) { notes.add("domain.meter_ms (use told in answers is not read)"); }
-        if (domain.flag("cost_after")) { notes.add("domain.cost_after (units settled later are not read on sockets: quotas go by the guess)"); }
+        if (domain.flag("counter")) { notes.add("domain.counter, with count_fee and count_limit_ms (ingresses exchange their counts)"); }
+        if (domain.number("meter_ms", 0) > 0) { notes.add("domain.meter_ms (usage reported in answers is not read)"); }
+        if (domain.flag("cost_after")) { notes.add("domain.cost_after (units settled later are not read on sockets: quotas use the estimate)"); }
         if (report.has("how") && report.text("how").equals("on_probe")) { notes.add("report (reports come on probes alone)"); }
         for (String name : report.texts("names")) {
-            if (!List.of("pending", "cpu_share").contains(name)) { notes.add("report." + name + " (read, and not used to choose)"); }
+            if (!List.of("pending", "cpu_share").contains(name)) { notes.add("report." + name + " (read, but not used to choose a backend)"); }
         }
         if (config.objectOrNone("clients").flag("marks_retry")) { notes.add("clients.marks_retry (a retry counts like any request)"); }
         if (config.has("membership_mode") && !config.text("membership_mode").equals("push")) {
@@ -150,26 +150,26 @@
             notes.add("service_type " + config.text("service_type") + " (served as gate)");
         }
         if (config.has("weights") && !List.of("off", "nominal").contains(config.text("weights"))) {
-            notes.add("weights " + config.text("weights") + " (a size is taken as it stands)");
+            notes.add("weights " + config.text("weights") + " (sizes are used unchanged)");
         }
-        if (rules.number("drain_grace_ms", 0) > 0) { notes.add("rules.drain_grace_ms (a backend that drains gets nothing new at once)"); }
+        if (rules.number("drain_grace_ms", 0) > 0) { notes.add("rules.drain_grace_ms (a draining backend gets no new requests from the start)"); }
         if (rules.number("answer_slack_ms", 0) > 0) { notes.add("rules.answer_slack_ms (answers are due before the deadline)"); }
         if (config.number("resolution_ms", 0) > 0) { notes.add("resolution_ms (what comes on sockets is answered as it comes)"); }
-        positive("prices.", prices, List.of("cross_zone", "peer"), notes, "not weighed");
-        positive("goal.", goal, List.of(), notes, "not weighed");
+        positive("prices.", prices, List.of("cross_zone", "peer"), notes, "not used in decisions");
+        positive("goal.", goal, List.of(), notes, "not used in decisions");
         for (Codec.Fields c : config.objects("classes")) {
-            if (c.number("aim_stretch", 0) > 0) { notes.add("classes." + c.text("name") + ".aim_stretch (the aim is taken as it stands)"); }
+            if (c.number("aim_stretch", 0) > 0) { notes.add("classes." + c.text("name") + ".aim_stretch (the aim is used unchanged)"); }
         }
         for (Codec.Fields p : config.objects("contracts")) {
             if (p.number("beyond_earns", 0) > 0) {
-                notes.add("contracts." + p.text("name") + ".beyond_earns (what goes beyond a quota is weighed by beyond_costs alone)");
+                notes.add("contracts." + p.text("name") + ".beyond_earns (use beyond a quota is weighted by beyond_costs only)");
             }
         }
         unknown(config, notes);
         return notes;
     }
 
-    /** One note for all figures of a table above 0 but those that are read. Plain loops: all this is run at each start. */
+    /** Adds one note for all positive values of a table that are not read. Plain loops, since this code runs at each start. */
     private static void positive(String at, Codec.Fields of, List<String> read, List<String> notes, String why) {
         Set<String> found = new TreeSet<>();
         for (String key : of.keys()) {
--- a/src/main/java/yardusher/wire/WireHost.java
+++ b/src/main/java/yardusher/wire/WireHost.java
@@ -20,7 +20,10 @@
 import yardusher.Policy;
 import yardusher.error.WireError;
 
-/** Hosts instances of the module on the simulator's wire: a batch a line in, a reply a line out. */
+/**
+ * Runs instances of the decision module for the simulator, over standard streams: one batch per input line, one reply per
+ * output line.
+ */
 public final class WireHost {
     private static final JsonFactory JSON = new JsonFactory();
     private final Map<Integer, Policy> instances = new HashMap<>();
