--- a/src/main/java/yardusher/mesh/DatagramMesh.java
+++ b/src/main/java/yardusher/mesh/DatagramMesh.java
@@ -14,10 +14,10 @@
 import yardusher.net.Sockets;
 
 /**
- * The mesh on one UDP port of its own. NIO.2 has no asynchronous datagrams, so one thread waits in receive and gives each
- * datagram a turn, as {@code peers.PeerSocket} does. A frame: two marks, the kind, a hash of the installation's name, the
- * CRC32C of what follows the checksum's place, the body. The checksum and the name guard against accidents, not against an
- * enemy: the port belongs on a network of the installation's own.
+ * The mesh on a UDP port of its own. NIO.2 has no asynchronous datagrams, so one thread blocks in receive and passes each
+ * datagram to the event loop, as {@code peers.PeerSocket} does. A frame has two marker bytes, the kind, a hash of the
+ * installation's name, a CRC32C checksum of what follows it, and the body. The checksum and the name protect against accidents,
+ * not against attackers: the port belongs on a private network of the installation.
  */
 public final class DatagramMesh implements Mesh {
     private static final byte MARK = 'y';
@@ -36,9 +36,9 @@
     private long sentBytes;
     private long heard;
     private long foreign;                            // of another installation, version or program
-    private long spoilt;                             // cut, oversized, or with a wrong checksum
-    private long unheard;                            // of a kind that is off here
-    private long unsent;                             // refused by the system
+    private long spoilt;                             // truncated, oversized, or with a wrong checksum
+    private long unheard;                            // of a kind without a handler
+    private long unsent;                             // rejected by the system
 
     public DatagramMesh(InetSocketAddress listen, String installation, EventLoop loop) {
         this.listen = listen;
@@ -46,7 +46,7 @@
         this.loop = loop;
     }
 
-    /** Takes the port; a {@link ViewError.Listen} where it cannot be had. In a turn. */
+    /** Binds the port; throws a {@link ViewError.Listen} if it is not available. Called on the event loop. */
     public void open() throws IOException {
         if (channel != null) { return; }
         DatagramChannel opened = DatagramChannel.open();
@@ -76,12 +76,12 @@
                 in.get(datagram);
                 loop.turn(() -> take(sender, datagram));
             } catch (IOException e) {
-                if (!from.isOpen()) { return; }      // else one refused datagram: the next may be fine
+                if (!from.isOpen()) { return; }      // otherwise a failed receive: the next may succeed
             }
         }
     }
 
-    /** Looks a datagram over and hands its body on. */
+    /** Validates a datagram and passes its body to the handler of its kind. */
     void take(InetSocketAddress sender, byte[] datagram) {
         ByteBuffer in = ByteBuffer.wrap(datagram);
         if (datagram.length < HEAD || in.get() != MARK || in.get() != VERSION) {
@@ -117,7 +117,7 @@
 
     @Override
     public void send(InetSocketAddress to, Kind kind, byte[] body) {
-        if (body.length > MOST_BODY) { throw new IllegalArgumentException("a body of " + body.length + " bytes"); }
+        if (body.length > MOST_BODY) { throw new IllegalArgumentException("body of " + body.length + " bytes exceeds the maximum of " + MOST_BODY); }
         if (channel == null) { return; }
         out.clear();
         out.put(MARK).put(VERSION).put((byte) kind.ordinal()).putLong(installation).putInt(sum(kind.ordinal(), ByteBuffer.wrap(body)));
@@ -127,7 +127,7 @@
             sent++;
             sentBytes += HEAD + body.length;
         } catch (IOException e) {
-            unsent++;                                // as good as lost on the way
+            unsent++;                                // treated as lost in transit
         }
     }
 
@@ -140,11 +140,11 @@
                 + " mesh_spoilt=" + spoilt + " mesh_unheard=" + unheard + " mesh_unsent=" + unsent;
     }
 
-    /** Gives the port up. In a turn. */
+    /** Closes the port. Called on the event loop. */
     public void close() {
         try {
             if (channel != null) { channel.close(); }
-        } catch (IOException e) { /* it is gone either way */ }
+        } catch (IOException e) { /* closed either way */ }
         channel = null;
     }
 }
--- a/src/main/java/yardusher/mesh/Mesh.java
+++ b/src/main/java/yardusher/mesh/Mesh.java
@@ -3,31 +3,34 @@
 import java.net.InetSocketAddress;
 
 /**
- * Datagrams between the ingresses of one installation, for what they keep together: their view of one another, units of
- * work, parts of connections, rates. Any may be lost, doubled, late or out of order; none is believed that is of another
- * installation, cut or made up by chance. In turns only.
+ * Datagrams between the ingresses of an installation, for membership, units of work, connection shares and rates. They may be
+ * lost, duplicated, delayed or reordered; those of another installation, truncated or corrupt ones are dropped. Used on the
+ * event loop only.
  */
 public interface Mesh {
-    /** Bytes of a body at the most; a longer one is an {@link IllegalArgumentException}. With the frame it fits one Ethernet packet. */
+    /**
+     * Maximum length of a body in bytes; a longer one is an {@link IllegalArgumentException}. With the frame it fits one
+     * Ethernet packet.
+     */
     int MOST_BODY = 1200;
 
-    /** Whose message it is. */
+    /** The subsystem that a message belongs to. The ordinal is part of the wire format. */
     enum Kind { VIEW, UNITS, PARTS, RATES }
 
-    /** What is done with a body that came whole from that address, in a turn. */
+    /** Handles a complete body from a peer's address, on the event loop. */
     interface Hearer {
         void heard(InetSocketAddress from, byte[] body);
     }
 
-    /** Where others reach this one. */
+    /** The address at which peers reach this ingress. */
     InetSocketAddress address();
 
-    /** Sends a body; whether it arrives is not told. */
+    /** Sends a body, without confirmation of its delivery. */
     void send(InetSocketAddress to, Kind kind, byte[] body);
 
-    /** Bodies of this kind go there from now on; those of a kind that nobody hears are counted and dropped. */
+    /** Sets the handler for bodies of this kind. Bodies of a kind without a handler are counted and dropped. */
     void hear(Kind kind, Hearer hearer);
 
-    /** Names and values for the counters line: sent, heard, and what was dropped by reason. */
+    /** Counters as names and values: sent, received, and dropped by reason. */
     String line();
 }
--- a/src/main/java/yardusher/peers/PeerSocket.java
+++ b/src/main/java/yardusher/peers/PeerSocket.java
@@ -16,26 +16,26 @@
 import yardusher.net.Sockets;
 
 /**
- * Datagrams between ingresses. NIO.2 has no asynchronous datagram channel (PeersStoryTest shows it), so one thread
- * waits in receive and gives each datagram a turn, as a completion handler would.
+ * Datagrams between ingresses. NIO.2 has no asynchronous datagram channel (PeersStoryTest demonstrates it), so one thread
+ * blocks in receive and passes each datagram to the event loop, as a completion handler would.
  */
 public final class PeerSocket implements Neighbours {
-    /** A longer datagram voids the run. */
+    /** Maximum length of a datagram; the platform declares a run with a longer one void. */
     static final int MOST_BYTES = 256;
 
     private final InetSocketAddress listen;
-    private DatagramChannel channel;                 // null while the port is not this process's
+    private DatagramChannel channel;                 // null while this process does not hold the port
     private final List<InetSocketAddress> peers;
     private final Map<SocketAddress, Integer> numbers = new HashMap<>();
     private final EventLoop loop;
     private final ByteBuffer out = ByteBuffer.allocateDirect(MOST_BYTES);
 
-    /** What is done with a datagram of the ingress of that number, in a turn. */
+    /** Handles a datagram of the peer with that number, on the event loop. */
     public interface Hearer {
         void heard(int from, String body);
     }
 
-    /** Neither speaks nor listens until it is opened. */
+    /** Creates a socket that neither sends nor receives until it is opened. */
     public PeerSocket(InetSocketAddress listen, List<InetSocketAddress> peers, EventLoop loop) {
         this.listen = listen;
         this.peers = peers;
@@ -43,7 +43,7 @@
         for (InetSocketAddress peer : peers) { numbers.put(peer, numbers.size()); }
     }
 
-    /** Takes the port, which the process that had it before may still hold for a moment. In a turn. */
+    /** Binds the port, which the previous process may still hold for a moment. Called on the event loop. */
     public void open(Hearer hearer) throws IOException {
         if (channel != null) { return; }
         DatagramChannel opened = DatagramChannel.open();
@@ -68,13 +68,13 @@
             try {
                 in.clear();
                 Integer number = numbers.get(from.receive(in));
-                if (number == null || in.position() > MOST_BYTES) { continue; } // nobody of this tier
+                if (number == null || in.position() > MOST_BYTES) { continue; } // not from a known peer, or too long
                 byte[] bytes = new byte[in.flip().remaining()];
                 in.get(bytes);
                 String body = new String(bytes, StandardCharsets.UTF_8);
                 loop.turn(() -> hearer.heard(number, body));
             } catch (IOException e) {
-                if (!from.isOpen()) { return; }      // else one refused datagram: the next may be fine
+                if (!from.isOpen()) { return; }      // otherwise a failed receive: the next may succeed
             }
         }
     }
@@ -86,14 +86,14 @@
         try {
             out.clear();
             channel.send(out.put(bytes).flip(), peers.get(to));
-        } catch (IOException e) { /* as good as lost on the way; the next one heals it */ }
+        } catch (IOException e) { /* treated as lost in transit; the next message makes up for it */ }
     }
 
-    /** Gives the port up; it can be taken again. In a turn. */
+    /** Closes the port; it can be opened again. Called on the event loop. */
     public void close() {
         try {
             if (channel != null) { channel.close(); }
-        } catch (IOException e) { /* it is gone either way */ }
+        } catch (IOException e) { /* closed either way */ }
         channel = null;
     }
 }
