--- a/src/test/java/yardusher/core/CeilingDelayTest.java
+++ b/src/test/java/yardusher/core/CeilingDelayTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import yardusher.Api;
 
-/** Requests under a ceiling whose attempts wait for a connection, in a real core on a scripted clock. */
+/** Requests under a ceiling whose attempts wait for a connection, with a real core and a scripted clock. */
 class CeilingDelayTest {
     private static final double CEILING_RATE = 20;
     private static final double CEILING_BURST = 20;
@@ -17,7 +17,7 @@
     private static final double FULL_MS = 60_000;
     private static final double WAIT_MS = 5000;
 
-    /** A core whose connections all come up late: what begins stays until the script hands it over. */
+    /** A core without open connections: started attempts wait until the test writes them. */
     private static final class World implements Backends, Terminal {
         double now = 1000;
         final EventLoop loop = new EventLoop(() -> now, e -> { throw new AssertionError(e); });
@@ -40,7 +40,7 @@
             now += FULL_MS;
         }
 
-        /** How many of so many requests were sent on. */
+        /** Submits this many requests and returns how many were sent on. */
         int admitted(int tries) {
             int before = waiting.size();
             for (int i = 0; i < tries; i++) { loop.turn(() -> ingress.take(new Order(0, 0, 7, 1, 0, 1, WAIT_MS, new Command(++ids), this))); }
@@ -53,7 +53,7 @@
         @Override
         public void begin(Attempt attempt, ByteBuffer... cargo) { waiting.add(attempt); }
 
-        /** The connections come up: all that waits is written. */
+        /** The connections open: all waiting attempts are written. */
         int write() {
             int written = 0;
             for (Attempt attempt : List.copyOf(waiting)) {
@@ -86,7 +86,7 @@
         public long print() { return id; }
     }
 
-    /** Guards against units that are earned anew while requests that hold the earlier ones still wait for a connection. */
+    /** Guards against counting units as free again while the requests that hold them still wait for a connection. */
     @Test
     void whatWaitsForAConnectionHoldsItsUnitsUntilItIsWritten() {
         World world = new World();
--- a/src/test/java/yardusher/core/CourseTest.java
+++ b/src/test/java/yardusher/core/CourseTest.java
@@ -17,16 +17,16 @@
 import net.jqwik.api.constraints.Size;
 import yardusher.Api;
 
-/** One final answer, and nothing after it: all orders of endings against a real core on a scripted clock. */
+/** Each request gets one final answer and nothing after it: orders of events against a real core with a scripted clock. */
 class CourseTest {
-    /** What ends an attempt or a request, or what an end crosses. */
+    /** Events that end an attempt or a request, or that happen at the same time as an end. */
     enum End { DEADLINE, TIME_OUT, GONE, ANSWER, BUSY, ERROR, RESET, DRAIN, DIAL_UP, DIAL_FAILED, WRITE_FAILED, PART, RECORDED,
         UNRECORDED, NO_DISK, PAST_WINDOW }
 
     private static final double WAIT_MS = 2000;
     private static final double WINDOW_MS = 300;
 
-    /** One request of an ingress with two backends; its attempts stay as the script leaves them. */
+    /** An ingress with one request and eight backends; its attempts stay in the state that the events put them in. */
     private final class World implements Backends, OrderLog, Terminal {
         double now = 1_000_000;
         final EventLoop loop = new EventLoop(() -> now, e -> { throw new AssertionError(e); });
@@ -39,8 +39,8 @@
         Request request;
         int answers;
         boolean left;
-        boolean wentOn;                              // a value is being passed on
-        Attempt out;                                 // handed over and not ended
+        boolean wentOn;                              // a value is being streamed
+        Attempt out;                                 // written to a socket and not ended
         double ranAt = Double.NaN;
 
         World(Api.Effect effect, boolean records) {
@@ -80,7 +80,7 @@
             begun.add(attempt);
         }
 
-        /** The instant in which a connection would write. */
+        /** The moment at which a connection writes the attempt. */
         void hand(Attempt attempt) {
             boolean wasOver = over() || attempt.isOver() || now >= request.deadline;
             if (!attempt.hand(now)) {
@@ -103,7 +103,7 @@
 
         void end(Attempt attempt, Api.Outcome outcome) {
             boolean wasOut = attempt == out && !attempt.isOver();
-            // The connection of an attempt tells these only of what it was handed.
+            // A backend connection reports these outcomes only for attempts that were written.
             boolean fits = outcome.neverRan() || wasOut;
             if (!fits) { return; }
             if (wasOut && !outcome.neverRan() && Double.isNaN(ranAt)) { ranAt = handedAt; }
@@ -163,7 +163,7 @@
             loop.turn(this::noteOut);
         }
 
-        /** What the core itself ended, by a time-out or as given up, may have run where it was handed over. */
+        /** An attempt that the core itself ended, by a timeout or a cancel, may have run if it was written to a socket. */
         private void noteOut() {
             if (out != null && out.isOver()) {
                 if (Double.isNaN(ranAt)) { ranAt = handedAt; }
@@ -231,7 +231,7 @@
         World world = new World(effect, records);
         for (Step step : steps) { world.play(step.end(), step.attempt()); }
         for (int i = 0; i < 20; i++) { world.pass(WAIT_MS / 8); }
-        if (world.wentOn && !world.over()) {         // no deadline cuts it off: its connection ends at last
+        if (world.wentOn && !world.over()) {         // no deadline ends a stream: its connection closes at last
             world.loop.turn(() -> world.begun.forEach(one -> world.end(one, Api.Outcome.CONNECTION_LOST)));
         }
         assertThat(world.answers).as("one final answer, or none to who has gone").isEqualTo(world.left ? 0 : 1);
@@ -246,7 +246,7 @@
         run(effect, records, steps);
     }
 
-    /** All orders of three endings, behind an attempt that is dialled or out, alone or as a repeat. */
+    /** All sequences of three events, after an attempt that is connecting or written, first or repeated. */
     @Example
     void allOrdersOfTwoAndThreeEndings() {
         List<List<End>> before = List.of(List.of(), List.of(End.DIAL_UP), List.of(End.DIAL_UP, End.RESET),
@@ -271,7 +271,7 @@
         assertThat(played).isEqualTo(3 * 6 * 16 * 16 * 16);
     }
 
-    /** The machine alone, called in any order: an answer once, nothing handed over twice or after the end. */
+    /** The state machine alone, with calls in any order: one answer, and nothing is written twice or after the end. */
     @Property(tries = 2000)
     void theMachineAnswersOnceWhateverIsCalled(@ForAll Api.Effect effect, @ForAll @Size(max = 30) List<@IntRange(max = 9) Integer> calls) {
         Course course = new Course(new Api.RequestClass(100, 200, 1, 0, effect, Api.Group.ALL, 10, false), 100);
--- a/src/test/java/yardusher/core/EventLoopTest.java
+++ b/src/test/java/yardusher/core/EventLoopTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What is thrown in a turn takes nothing else with it. */
+/** An exception in one task does not affect other tasks. */
 class EventLoopTest {
     private final List<Throwable> faults = new ArrayList<>();
     private final EventLoop loop = new EventLoop(() -> System.nanoTime() / 1e6, faults::add);
@@ -31,7 +31,7 @@
         assertThat(faults).hasSize(2);
     }
 
-    /** Danger: without the thread that keeps the time, a process stands open and nothing in it ever ends. */
+    /** Without the timer thread, a process keeps running but no deadline in it ever expires. */
     @Test
     void theTimeIsKeptBehindAnErrorInADeadline() throws Exception {
         BlockingQueue<String> done = new LinkedBlockingQueue<>();
@@ -45,7 +45,7 @@
         assertThat(timer.isAlive()).isTrue();
     }
 
-    /** As where no memory is left to print with. */
+    /** For example when no memory is left for the message. */
     @Test
     void aFaultThatCannotBeToldIsNoFaultMore() {
         List<String> done = new ArrayList<>();
--- a/src/test/java/yardusher/mesh/DatagramMeshTest.java
+++ b/src/test/java/yardusher/mesh/DatagramMeshTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import yardusher.core.EventLoop;
 
-/** Datagrams between ingresses on real sockets: what passes and what is counted and dropped. */
+/** Datagrams between ingresses on real sockets: which are delivered, and which are counted and dropped. */
 class DatagramMeshTest {
     private final EventLoop loop = new EventLoop(() -> System.nanoTime() / 1e6, fault -> { throw new AssertionError(fault); });
     private final LinkedBlockingQueue<byte[]> heard = new LinkedBlockingQueue<>();
@@ -94,7 +94,7 @@
             for (int i = 0; i < counts.length; i += 2) {
                 if (counts[i].equals("mesh_foreign") || counts[i].equals("mesh_spoilt")) { counted += Long.parseLong(counts[i + 1]); }
             }
-            assertThat(counted).isEqualTo(1 + dropped + 1); // the installation's other, and the oversized one
+            assertThat(counted).isEqualTo(1 + dropped + 1); // the datagram of the other installation, and the oversized one
         }
         assertThat(heard).isEmpty();
         loop.turn(foreign::close);
--- a/src/test/java/yardusher/net/DoorTest.java
+++ b/src/test/java/yardusher/net/DoorTest.java
@@ -11,8 +11,12 @@
 import org.junit.jupiter.api.Test;
 import yardusher.core.EventLoop;
 
+/** Accepting connections. */
 class DoorTest {
-    /** Danger: a fault while room is made for one guest left the door as if it were accepting, and nobody was let in any more. */
+    /**
+     * Regression: after a fault while room was made for one connection, the listener counted as accepting and accepted no
+     * others.
+     */
     @Test
     void aFaultWhileRoomIsMadeShutsTheDoorForNobodyElse() throws Exception {
         AtomicInteger faults = new AtomicInteger(), asked = new AtomicInteger();
--- a/src/test/java/yardusher/net/EndingsTest.java
+++ b/src/test/java/yardusher/net/EndingsTest.java
@@ -25,20 +25,23 @@
 import yardusher.core.EventLoop;
 import yardusher.resp.Encoder;
 
-/** One client connection on a scripted channel and clock: whatever ends it, in whatever order, each command has one end. */
+/**
+ * A client connection on a scripted channel and clock: each command ends exactly once, whatever order of events ends the
+ * connection.
+ */
 class EndingsTest {
-    /** What happens, each to its end before the next. */
+    /** Events, each processed completely before the next. */
     enum Event { ASKS, ASKS_HALF, ASKS_AND_CLOSES, ASKS_AND_RESETS, MALFORMED, ANSWER, LAST_ANSWER, CLOSES, RESETS, SHUTDOWN, EVICTION, WRITE_FAILS, TAKES, TIME }
 
-    /** What the system does with bytes that are written. */
+    /** How the channel treats written bytes. */
     enum Writes { TAKEN, HELD, FAILING }
 
     private static final byte[] ASKED = new Encoder(16).array(1).bulk("ASK").toBytes();
-    /** One that is answered at once, with one behind it, cut in two. */
+    /** A command that is answered at once and one after it, split in two. */
     private static final byte[][] HALVES = {"*1\r\n$3\r".getBytes(StandardCharsets.US_ASCII),
         "\nNOW\r\n*1\r\n$3\r\nASK\r\n".getBytes(StandardCharsets.US_ASCII)};
 
-    /** A channel whose reads and writes end as told, at once where they can, as on the thread that polls. */
+    /** A channel whose reads and writes complete as scripted, at once where possible, as on the thread that polls. */
     private static final class Scripted extends AsynchronousSocketChannel {
         private record Pending(ByteBuffer bytes, Object with, CompletionHandler<Integer, Object> then) { }
 
@@ -165,7 +168,7 @@
                 CompletionHandler<Long, ? super A> then) { throw new UnsupportedOperationException(); }
     }
 
-    /** A connection, its front and its clock. */
+    /** A connection with its server and clock. */
     private static final class World implements Answers.Commands, AutoCloseable {
         private double now = 1000;
         private final List<Throwable> faults = new ArrayList<>();
@@ -221,7 +224,7 @@
                 case ASKS -> channel.comes(ASKED);
                 case ASKS_HALF -> channel.comes(HALVES[halves++ % 2]);
                 case ASKS_AND_CLOSES, ASKS_AND_RESETS -> {
-                    channel.hasEnded = true;         // before anybody looks
+                    channel.hasEnded = true;         // before the connection reads
                     channel.isReset |= event == Event.ASKS_AND_RESETS;
                     channel.comes(ASKED);
                     channel.ends(channel.isReset);
@@ -263,9 +266,9 @@
             }
         }
 
-        /** What has to hold in the end, whatever came before. */
+        /** Checks that must hold at the end of any sequence of events. */
         void ends() {
-            boolean fails = channel.writes == Writes.FAILING || channel.hasEnded; // who has gone takes nothing more
+            boolean fails = channel.writes == Writes.FAILING || channel.hasEnded; // a client that has left reads nothing more
             happens(Event.TAKES);
             for (int i = 0; !open.isEmpty() && i < 100; i++) { happens(Event.ANSWER); }
             time(25_000);
@@ -324,7 +327,10 @@
         }
     }
 
-    /** What was begun when the shutdown came has a moment to end, and is answered; later it is dropped, and the end is no reset. */
+    /**
+     * A command that has begun at shutdown is answered if it completes shortly after; later it is dropped, without a connection
+     * reset.
+     */
     @Test
     void halfACommandAtTheShutdownIsAnsweredIfTheRestComesAtOnce() throws IOException {
         for (double wait : new double[] {0, 250}) {
@@ -347,12 +353,15 @@
         }
     }
 
-    /** Pipelined commands that came before the last moments are answered, however long those before them take; what comes then is not. */
+    /**
+     * Pipelined commands that arrived before reading stops are answered, however long the earlier ones take; later ones are
+     * not.
+     */
     @Test
     void whatCameBeforeTheLastMomentsIsAnsweredBehindWhatIsOpen() throws IOException {
         try (World world = new World()) {
             for (int i = 0; i < 100; i++) { world.happens(Event.ASKS); }
-            world.time(200);                         // past its share of a turn
+            world.time(200);                         // longer than one event loop task may handle
             assertThat(world.followed).isEqualTo(64);
             world.happens(Event.SHUTDOWN);
             world.time(200);
@@ -368,7 +377,7 @@
         }
     }
 
-    /** Many that send much at once: together they hold no more than their part of the heap, and each has its one end. */
+    /** Many connections that send much at once stay within the common read-ahead limit, and each command ends once. */
     @Test
     void whatManyHoldTogetherIsBounded() throws IOException {
         try (World world = new World()) {
@@ -380,7 +389,7 @@
                 Scripted channel = new Scripted();
                 channels.add(channel);
                 world.loop.turn(() -> new ClientConnection(channel, world.answers, world.crowd, world.loop));
-                channel.comes(much);                 // 32 are followed, then it is the others' turn
+                channel.comes(much);                 // 32 are handled, then other connections have their turn
             }
             assertThat(world.answers.ahead().held()).isLessThan(most + 128 * 1024 + channels.size() * 8 * 1024L);
             assertThat(world.faults).isEmpty();
--- a/src/test/java/yardusher/resp/DecoderTest.java
+++ b/src/test/java/yardusher/resp/DecoderTest.java
@@ -13,6 +13,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
+/** Decoding of RESP input that arrives in pieces, and its limits. */
 class DecoderTest {
     private static void feed(Decoder decoder, byte[] bytes, int from, int to) {
         for (int at = from; at < to;) {
@@ -64,11 +65,11 @@
         }
     }
 
-    /** Pieces that commands are made of, whole and spoilt. */
+    /** Fragments of commands, valid and invalid. */
     private static final String[] PIECES = {"*", "$", "\r\n", "\n", "-1", "0", "1", "2", "5", "64", "65", "4194304", "70000", "99999999999999999999",
         "*1\r\n$4\r\nPING\r\n", "*5\r\n$9\r\nCALL.POST\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n", "$70000\r\n", "\0", "PING\r\n", "+OK\r\n", ":1\r\n"};
 
-    /** Whatever comes and however it is cut: commands, an end or a plain error, and no more held than the bound. */
+    /** Any input, split anywhere, yields commands, their end or a format error, and the buffer stays within its limit. */
     @Property(tries = 3000)
     void anyBytesCutAnywhereGiveCommandsOrAPlainError(@ForAll @Size(max = 40) List<@IntRange(min = -2, max = 20) Integer> pieces,
             @ForAll Random random, @ForAll boolean adds) {
@@ -105,7 +106,7 @@
         }
     }
 
-    /** Read ahead or not, before its room is there or after: a large body is the same. */
+    /** A large body arrives intact, whether or not it is read ahead, before its buffer is allocated or after. */
     @Property(tries = 300)
     void aLargeBodyCutAnywhereIsTheSame(@ForAll Random random) throws Exception {
         byte[] body = new byte[65_537 + random.nextInt(200_000)];
@@ -121,7 +122,7 @@
             int count = Math.min(bytes.length - at, 1 + random.nextInt(20_000));
             boolean adds = random.nextBoolean();
             java.nio.ByteBuffer room = adds ? null : decoder.room();
-            // Room may come while a read is under way.
+            // The body may be allocated while a read is pending.
             if (!opened && decoder.bodyLength() > 0 && at > roomAt) {
                 decoder.openBody();
                 opened = true;
--- a/src/test/java/yardusher/wire/SettingsKeysTest.java
+++ b/src/test/java/yardusher/wire/SettingsKeysTest.java
@@ -17,11 +17,14 @@
 import org.junit.jupiter.api.io.TempDir;
 import yardusher.cli.Config;
 
-/** Every key that the platform's pages name: it changes what the program decides by, or is told as not used, or is a name alone. */
+/**
+ * Every key of the platform's documentation is read and changes the configuration, or is reported as unused, or is a plain
+ * name.
+ */
 class SettingsKeysTest {
     private static final Path GIVEN = Path.of("src/test/resources/ingress.json");
 
-    /** Keys that are read, each with a value other than that of the resource. */
+    /** Keys that are read, each with a value that differs from the resource. */
     private static final Map<String, String> READ = new TreeMap<>(Map.ofEntries(
             Map.entry("settings.me", "1"), Map.entry("settings.peers_total", "4"), Map.entry("settings.zone", "1"),
             Map.entry("settings.zones", "[\"hall-a\",\"hall-b\"]"),
@@ -49,7 +52,7 @@
             Map.entry("admin_addr", "\"127.0.0.2:1\""), Map.entry("seed", "\"01\""), Map.entry("limits.sockets", "999"),
             Map.entry("peer_listen", "\"127.0.0.2:0\""), Map.entry("peers", "[\"127.0.0.1:3\",\"127.0.0.1:4\",\"127.0.0.1:5\"]")));
 
-    /** Keys that nothing is decided by, each with a value for which that is told, and the words that tell it. */
+    /** Keys that no decision depends on, each with a value for which it is reported, and a part of the report. */
     private static final Map<String, String[]> TOLD = new TreeMap<>(Map.ofEntries(
             told("settings.classes[0].aim_stretch", "2", "classes.lookup.aim_stretch"),
             told("settings.clients.marks_retry", "true", "clients.marks_retry"),
@@ -75,7 +78,10 @@
             told("misspelt", "3", "misspelt (not known here)"), told("limits.socket", "3", "limits.socket (of the machine; not known here)"),
             told("peers", "[\"127.0.0.1:3\"]", "peers (1 addresses for 3 ingresses")));
 
-    /** Names alone, or the system's: the start script reads the memory, and the system holds the program to its part of a core. */
+    /**
+     * Plain names, and limits that the system enforces: the start script reads the memory, and the system limits the program's
+     * share of a core.
+     */
     private static final Set<String> NAMES = Set.of("settings.kinds", "settings.layers", "settings.tier", "limits.cores", "limits.memory_mb",
             "counter", "peers_all", "known.revision", "known.complete", "known.members");
 
@@ -84,7 +90,7 @@
 
     private static Map.Entry<String, String[]> told(String key, String value, String words) { return Map.entry(key, new String[] {value, words}); }
 
-    /** The file with one value set: replaced where the key is there, else added to the object that it stands in. */
+    /** The base configuration with one value replaced, or added to its object if the key is absent. */
     private Config with(String key, String value) throws IOException {
         String text = Files.readString(GIVEN);
         Path file = folder.resolve("config.json");
@@ -126,7 +132,7 @@
         assertThat(Config.read(file.toString()).unused()).isEmpty();
     }
 
-    /** Guards the lists above: a key of the resource that stands in none of them is one that nobody has looked at. */
+    /** Guards against a key of the resource that none of the lists above contains. */
     @Test
     void everyKeyOfAConfigurationStandsInOneOfTheLists() throws IOException {
         Set<String> listed = new TreeSet<>(NAMES);
@@ -177,7 +183,7 @@
             throw new IllegalArgumentException(path);
         }
 
-        /** Where a key's value begins and ends in the object that begins at {@code open}; null where it has no such key. */
+        /** The start and end of a key's value in the object that begins at {@code open}; null if it has no such key. */
         private static int[] find(String text, int open, String key) throws IOException {
             try (JsonParser parser = new JsonFactory().createParser(text.substring(open))) {
                 parser.nextToken();
--- a/src/test/java/yardusher/wire/SettingsNotesTest.java
+++ b/src/test/java/yardusher/wire/SettingsNotesTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import yardusher.error.YardusherError;
 
-/** Settings that no deployment can have, and what is told of those that are not used. */
+/** Settings that are out of range are rejected, and settings that are not used are reported. */
 class SettingsNotesTest {
     private static Codec.Fields settings(String from, String to) throws IOException {
         String text = Files.readString(Path.of("src/test/resources/ingress.json"));
--- a/src/test/java/yardusher/wire/WireHostTest.java
+++ b/src/test/java/yardusher/wire/WireHostTest.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The adapter, end to end over its standard streams. */
+/** The simulator host, end to end over its standard streams. */
 class WireHostTest {
     private static final String CONFIG = "{'classes':[{'aim_ms':500,'effect':'idempotent','group':'all',"
             + "'hard_limit_ms':2000,'late_value':0,'name':'a','streamed':false,'window_ms':0,'worth':1,'new':[1,{}]}],"
