--- /dev/null
+++ b/src/main/java/yardusher/clients/package-info.java
@@ -0,0 +1,2 @@
+/** The frontend that the platform's clients connect to. */
+package yardusher.clients;
--- /dev/null
+++ b/src/main/java/yardusher/limits/package-info.java
@@ -0,0 +1,2 @@
+/** The frontend that answers CL.THROTTLE commands, and its configuration file. */
+package yardusher.limits;
--- /dev/null
+++ b/src/main/java/yardusher/wire/package-info.java
@@ -0,0 +1,2 @@
+/** The platform's JSON: settings, their validation, and the simulator's messages. */
+package yardusher.wire;
