--- a/src/main/java/yardusher/net/Answers.java
+++ b/src/main/java/yardusher/net/Answers.java
@@ -89,8 +89,8 @@
      * clients: the one that has been silent for longest is closed, instead of accepting no new connections.
      */
     private boolean room() {
-        // After a handover this process may hold half of the descriptors only. Connections that wait in its accept queue are
-        // accepted all the same, since they would be reset.
+        // During a handover this process's half of the descriptors may be full. Connections that wait in its accept queue would
+        // be reset, so they are accepted beyond that limit.
         if (crowd.hasRoom(departure.isForGood())) { return true; }
         ClientConnection longest = crowd.givesWay(loop.now());
         if (longest == null) {
