--- a/lab/src/yardusher/lab/fleet/Installation.java
+++ b/lab/src/yardusher/lab/fleet/Installation.java
@@ -26,7 +26,7 @@
 
 /**
  * An installation of real processes of this program: agents with instances, each agent on a loopback address of its own
- * and every way from one agent to another through a {@link Relay}. Each process's output goes to a file that its next
+ * and every way from one agent to another through a {@link ResponseStage}. Each process's output goes to a file that its next
  * lives write on in. Ends every process it has started.
  */
 public final class Installation implements AutoCloseable {
@@ -222,8 +222,8 @@
     public String ask(int agent, int withinMs, String... words) {
         try {
             Value answer = Asking.ask(text(controls[agent]), withinMs, words);
-            return answer instanceof Value.Bulk bulk ? bulk.text() : answer instanceof Value.Failure no ? "-" + no.text()
-                    : answer instanceof Value.Many many ? many.items().stream().map(one -> ((Value.Bulk) one).text())
+            return answer instanceof Value.BulkString bulk ? bulk.text() : answer instanceof Value.ErrorReply no ? "-" + no.text()
+                    : answer instanceof Value.ArrayValue many ? many.items().stream().map(one -> ((Value.BulkString) one).text())
                             .reduce("", (a, b) -> a + b + "\n") : answer.toString();
         } catch (WireError e) {
             return null;
--- a/lab/src/yardusher/lab/parts/PartsRun.java
+++ b/lab/src/yardusher/lab/parts/PartsRun.java
@@ -22,7 +22,7 @@
 import yardusher.lab.Region;
 import yardusher.lab.Seeds;
 import yardusher.lab.Terminals;
-import yardusher.resp.Malformed;
+import yardusher.resp.MalformedRespException;
 import yardusher.resp.Value;
 
 /**
@@ -126,11 +126,11 @@
     static double figure(Group group, int i, String name) {
         try (Terminals.Connection connection = group.terminals().connect(i)) {
             Value said = connection.ask(2000, "INFO");
-            String line = said instanceof Value.Bulk bulk ? bulk.text() : String.valueOf(said);
+            String line = said instanceof Value.BulkString bulk ? bulk.text() : String.valueOf(said);
             for (String pair : line.split("\\s")) {
                 if (pair.startsWith(name + "=")) { return Double.parseDouble(pair.substring(name.length() + 1)); }
             }
-        } catch (IOException | Malformed e) { /* as good as no figure */ }
+        } catch (IOException | MalformedRespException e) { /* as good as no figure */ }
         return 0;
     }
 
--- a/lab/src/yardusher/lab/view/ViewGroup.java
+++ b/lab/src/yardusher/lab/view/ViewGroup.java
@@ -162,7 +162,7 @@
         Map<String, Long> counters = new HashMap<>();
         String line;
         try {
-            line = Asking.ask(text(group.listen(i)), ASK_MS, "INFO") instanceof Value.Bulk info ? info.text() : "";
+            line = Asking.ask(text(group.listen(i)), ASK_MS, "INFO") instanceof Value.BulkString info ? info.text() : "";
         } catch (yardusher.error.YardusherError e) {
             return counters;
         }
--- a/lab/src/yardusher/units/UnitsScript.java
+++ b/lab/src/yardusher/units/UnitsScript.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
-import yardusher.core.UnitWord;
+import yardusher.core.UnitDirective;
 import yardusher.units.UnitsWorld.Try;
 import yardusher.units.UnitsWorld.Wire;
 import yardusher.units.UnitsWorld.Without;
@@ -63,7 +63,7 @@
         if (world.nodes[at].mode == Mode.SESSION && random.nextInt(4) > 0) {
             Wire wire = world.connect(at);
             if (random.nextInt(3) == 0) {
-                world.send(wire, customer, UnitsWorld.LOOKUP, 0, new UnitWord(null, 0, UnitWord.Said.OPEN), 500, opened -> {
+                world.send(wire, customer, UnitsWorld.LOOKUP, 0, new UnitDirective(null, 0, UnitDirective.Boundary.OPEN), 500, opened -> {
                     if (opened.served) { parts(wire, customer, opened.answer, 1, 1 + random.nextInt(3), again); } else { again.run(); }
                 });
             } else {
@@ -72,7 +72,7 @@
             if (wire.closed) { again.run(); }
             return;
         }
-        Try opening = world.send(world.connect(at), customer, UnitsWorld.ORDER, 1, new UnitWord(null, 0, UnitWord.Said.OPEN), 500, opened -> {
+        Try opening = world.send(world.connect(at), customer, UnitsWorld.ORDER, 1, new UnitDirective(null, 0, UnitDirective.Boundary.OPEN), 500, opened -> {
             if (opened.served) { parts(null, customer, opened.answer, 1, 1 + random.nextInt(4), again); } else { again.run(); }
         });
         if (opening == null) { again.run(); } else { giveUp(opening, again); }
@@ -83,7 +83,7 @@
         world.later(one.waitMs + 60, () -> {
             if (one.answers == 0 && !one.left) {
                 one.left = true;
-                if (one.stay != null && one.wire.life == world.nodes[one.wire.node].lives) { world.nodes[one.wire.node].turn(one.stay::gone); }
+                if (one.stay != null && one.wire.life == world.nodes[one.wire.node].lives) { world.nodes[one.wire.node].turn(one.stay::terminalLeft); }
                 then.run();
             }
         });
@@ -125,7 +125,7 @@
         }
         if (random.nextInt(30) == 0) {               // an end that crosses what follows, a part too early, one too late, or one of nobody's
             Wire other = world.connect(node());
-            UnitWord word = switch (random.nextInt(4)) {
+            UnitDirective word = switch (random.nextInt(4)) {
                 case 0 -> UnitsWorld.end(unit);
                 case 1 -> UnitsWorld.part(unit, part + 1);
                 case 2 -> UnitsWorld.part(unit, Math.max(1, part - 1));
@@ -134,7 +134,7 @@
             world.send(other, customer, UnitsWorld.LOOKUP, 0, word, 400, any -> { });
         }
         boolean last = part == count && random.nextInt(3) == 0;
-        UnitWord word = new UnitWord(unit, part, last ? UnitWord.Said.END : UnitWord.Said.NONE);
+        UnitDirective word = new UnitDirective(unit, part, last ? UnitDirective.Boundary.END : UnitDirective.Boundary.NONE);
         tries(home, customer, clazz(), random.nextLong(), word, 4, ok -> {
             if (ok && last) {
                 wholeUnits++;
@@ -149,7 +149,7 @@
         });
     }
 
-    private void tries(Wire home, long customer, int classIndex, long key, UnitWord word, int left, java.util.function.Consumer<Boolean> then) {
+    private void tries(Wire home, long customer, int classIndex, long key, UnitDirective word, int left, java.util.function.Consumer<Boolean> then) {
         Wire wire = home != null && !home.closed && random.nextInt(3) == 0 ? home : world.connect(node());
         boolean[] gone = {false};
         Runnable next = () -> {
@@ -186,7 +186,7 @@
             if (how > 1) { return; }
         }
         world.send(world.connect(node()), customer, UnitsWorld.LOOKUP, 0, UnitsWorld.end(unit), 500, any -> { });
-        if (how == 5) { world.send(world.connect(node()), customer, UnitsWorld.LOOKUP, 0, new UnitWord(unit, 0, UnitWord.Said.ABANDON), 500, any -> { }); }
+        if (how == 5) { world.send(world.connect(node()), customer, UnitsWorld.LOOKUP, 0, new UnitDirective(unit, 0, UnitDirective.Boundary.ABANDON), 500, any -> { }); }
     }
 
     private void faults(double until) {
--- a/lab/src/yardusher/units/UnitsWorld.java
+++ b/lab/src/yardusher/units/UnitsWorld.java
@@ -17,17 +17,17 @@
 import java.util.function.Consumer;
 import yardusher.Api;
 import yardusher.core.Attempt;
-import yardusher.core.Cargo;
+import yardusher.core.BackendCommand;
 import yardusher.core.Counters;
 import yardusher.core.Ingress;
-import yardusher.core.Order;
-import yardusher.core.OrderLog;
+import yardusher.core.IncomingRequest;
+import yardusher.core.RequestLog;
 import yardusher.core.Backends;
 import yardusher.core.Session;
-import yardusher.core.Stay;
+import yardusher.core.RequestHandle;
 import yardusher.core.Terminal;
 import yardusher.core.EventLoop;
-import yardusher.core.UnitWord;
+import yardusher.core.UnitDirective;
 import yardusher.lab.units.UnitsChecker;
 import yardusher.log.Events;
 import yardusher.mesh.Mesh;
@@ -99,29 +99,29 @@
         }
 
         @Override
-        public void atEnd(Runnable then) { if (closed) { then.run(); } else { atEnd.add(then); } }
+        public void onClose(Runnable then) { if (closed) { then.run(); } else { atEnd.add(then); } }
 
         /** The terminal closes it. */
         void close() {
             if (closed) { return; }
             closed = true;
             later(0.1, () -> onNode(node, life, () -> {
-                atEnd.forEach(nodes[node].loop::afterwards);
+                atEnd.forEach(nodes[node].loop::defer);
                 for (Try one : List.copyOf(open)) {
                     one.left = true;
-                    if (one.stay != null) { one.stay.gone(); }
+                    if (one.stay != null) { one.stay.terminalLeft(); }
                 }
             }));
         }
     }
 
     /** One request of a terminal. */
-    final class Try implements Terminal, Cargo {
+    final class Try implements Terminal, BackendCommand {
         final long id = ++ids;
         final long customer;
         final int classIndex;
         final long key;
-        final UnitWord word;
+        final UnitDirective word;
         final double waitMs;
         final Wire wire;
         final double sentMs = now;
@@ -131,10 +131,10 @@
         boolean busy;
         boolean left;
         String answer = "";
-        Stay stay;
+        RequestHandle stay;
         Consumer<Try> then = any -> { };
 
-        Try(Wire wire, long customer, int classIndex, long key, UnitWord word, double waitMs) {
+        Try(Wire wire, long customer, int classIndex, long key, UnitDirective word, double waitMs) {
             this.wire = wire;
             this.customer = customer;
             this.classIndex = classIndex;
@@ -180,14 +180,14 @@
         public String key() { return classIndex == ORDER ? String.format("%016x", key) : null; }
 
         @Override
-        public long print() { return key; }
+        public long fingerprint() { return key; }
 
         @Override
-        public UnitWord unit() { return word; }
+        public UnitDirective unit() { return word; }
 
         String line() {
-            return word == null ? "" : "," + (word.unit() == null ? "" : "u=" + word.unit()) + (word.part() > 0 ? ",p=" + word.part() : "")
-                    + switch (word.said()) {
+            return word == null ? "" : "," + (word.unitName() == null ? "" : "u=" + word.unitName()) + (word.part() > 0 ? ",p=" + word.part() : "")
+                    + switch (word.boundary()) {
                         case OPEN -> ",b=open";
                         case END -> ",b=end";
                         case ABANDON -> ",b=abandon";
@@ -209,7 +209,7 @@
         EventLoop loop;
         Ingress core;
         UnitsIntake intake;
-        private Mesh.Hearer hearer;
+        private Mesh.MessageHandler hearer;
         private Consumer<Change> follower;
         private final Map<Attempt, RunAt> runs = new HashMap<>();
         private final double[] heardAt;
@@ -242,14 +242,14 @@
                 seen[i] = nodes[i] != null && nodes[i].up;
             }
             loop = new EventLoop(() -> now, e -> problems.add(name + ": " + stack(e)));
-            loop.turn(() -> {
-                UnitLog log = new UnitLog(OrderLog.NONE);
+            loop.execute(() -> {
+                UnitLog log = new UnitLog(RequestLog.NONE);
                 core = new Ingress(site(index), seed * 31 + index * 7 + lives, loop, this, (to, body) -> { }, new Counters(), log);
-                core.tell(list());
+                core.deliver(list());
                 long life = without == Without.LIVES ? 1000 + index : 1000 + index + 100L * lives;
                 UnitsIntake.Place place = new UnitsIntake.Place(name, life, loop, core, log, new UnitsIntake.Regions() {
                     @Override
-                    public int zoneOf(long region) { return knows(region) ? regions.get(region).zone : -1; }
+                    public int zoneOf(long region) { return isAvailable(region) ? regions.get(region).zone : -1; }
 
                     @Override
                     public boolean hasZone(int zone) { return regions.values().stream().anyMatch(one -> one.listed && one.zone == zone); }
@@ -300,7 +300,7 @@
         /** Does work in a turn, or once it goes on. */
         void turn(Runnable work) {
             if (!up) { return; }
-            if (paused) { held.add(work); } else { loop.turn(work); }
+            if (paused) { held.add(work); } else { loop.execute(work); }
         }
 
         void resume() {
@@ -308,41 +308,41 @@
             if (!up) { return; }
             List<Runnable> waited = new ArrayList<>(held);
             held.clear();
-            waited.forEach(loop::turn);
+            waited.forEach(loop::execute);
         }
 
         // Backends.
 
         @Override
-        public boolean knows(long region) { return regions.containsKey(region) && regions.get(region).listed; }
+        public boolean isAvailable(long region) { return regions.containsKey(region) && regions.get(region).listed; }
 
         @Override
-        public void begin(Attempt attempt, ByteBuffer... cargo) {
+        public void start(Attempt attempt, ByteBuffer... cargo) {
             RegionAt region = regions.get(attempt.backend);
             int life = lives;
-            String id = String.format("%016x", attempt.request.order.cargo().id());
+            String id = String.format("%016x", attempt.request.incoming.command().id());
             boolean[] open = {true};
             RunAt[] run = new RunAt[1];
-            attempt.giveUp = () -> {
+            attempt.abort = () -> {
                 open[0] = false;
                 if (run[0] != null) { run[0].outMs = Math.min(run[0].outMs, now); }
             };
             later(0.2 + random.nextDouble(), () -> {
                 if (!up || lives != life || !open[0]) { return; }
                 if (!region.alive) {
-                    onNode(index, life, () -> core.ended(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED)));
+                    onNode(index, life, () -> core.attemptEnded(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED)));
                     return;
                 }
-                if (!attempt.hand(now)) {
-                    onNode(index, life, () -> core.ended(attempt, Attempt.Result.of(Api.Outcome.NOT_SENT)));
+                if (!attempt.handToSocket(now)) {
+                    onNode(index, life, () -> core.attemptEnded(attempt, Attempt.Result.of(Api.Outcome.NOT_SENT)));
                     return;
                 }
-                onNode(index, life, () -> core.written(attempt));
+                onNode(index, life, () -> core.attemptWritten(attempt));
                 run[0] = new RunAt(region, id, now);
                 allRuns.add(run[0]);
                 runs.put(attempt, run[0]);
                 // The one thing that is assumed of a region: it ends what is given up within the settling time.
-                double takes = Math.min(region.leastMs + random.nextDouble() * (region.mostMs - region.leastMs), attempt.sentAt + attempt.waitMs + SETTLE_MS - 5 - now);
+                double takes = Math.min(region.leastMs + random.nextDouble() * (region.mostMs - region.leastMs), attempt.sentAtMs + attempt.waitMs + SETTLE_MS - 5 - now);
                 later(takes, () -> {
                     if (run[0].over) { return; }
                     run[0].over = true;
@@ -350,7 +350,7 @@
                     run[0].outMs = Math.min(run[0].outMs, now);
                     later(0.2 + random.nextDouble(), () -> {
                         if (open[0]) {
-                            onNode(index, life, () -> core.ended(attempt, new Attempt.Result(Api.Outcome.SERVED, ("value " + id).getBytes(StandardCharsets.UTF_8), null)));
+                            onNode(index, life, () -> core.attemptEnded(attempt, new Attempt.Result(Api.Outcome.SERVED, ("value " + id).getBytes(StandardCharsets.UTF_8), null)));
                         }
                     });
                 });
@@ -359,7 +359,7 @@
                     run[0].over = true;
                     run[0].toMs = now;
                     run[0].outMs = Math.min(run[0].outMs, now);
-                    if (open[0]) { onNode(index, life, () -> core.ended(attempt, Attempt.Result.of(Api.Outcome.CONNECTION_LOST))); }
+                    if (open[0]) { onNode(index, life, () -> core.attemptEnded(attempt, Attempt.Result.of(Api.Outcome.CONNECTION_LOST))); }
                 });
             });
         }
@@ -379,16 +379,16 @@
                 byte[] bytes = body.clone();
                 if (random.nextDouble() < spoilt) { bytes[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8)); }
                 later(late, () -> nodes[other].turn(() -> {
-                    if (nodes[other].hearer != null) { nodes[other].hearer.heard(address(), bytes); }
+                    if (nodes[other].hearer != null) { nodes[other].hearer.onMessage(address(), bytes); }
                 }));
             }
         }
 
         @Override
-        public void hear(Mesh.Kind kind, Mesh.Hearer by) { hearer = by; }
+        public void setHandler(Mesh.Kind kind, Mesh.MessageHandler by) { hearer = by; }
 
         @Override
-        public String line() { return ""; }
+        public String countersLine() { return ""; }
 
         // View.
 
@@ -410,7 +410,7 @@
                     (there ? came : gone).add(told(i));
                 }
             }
-            if ((!came.isEmpty() || !gone.isEmpty()) && follower != null) { loop.turn(() -> follower.accept(new Change(picture(), came, gone))); }
+            if ((!came.isEmpty() || !gone.isEmpty()) && follower != null) { loop.execute(() -> follower.accept(new Change(picture(), came, gone))); }
         }
 
         @Override
@@ -531,7 +531,7 @@
 
     /** Everybody hears of the list as it is. */
     void listAnew() {
-        for (Node node : nodes) { node.turn(() -> node.core.tell(list())); }
+        for (Node node : nodes) { node.turn(() -> node.core.deliver(list())); }
     }
 
     void later(double inMs, Runnable what) { events.add(new Event(now + inMs, order++, what)); }
@@ -551,7 +551,7 @@
             }
             now = next;
             for (Node node : nodes) {
-                if (node.up && !node.paused) { node.loop.turn(() -> { }); }
+                if (node.up && !node.paused) { node.loop.execute(() -> { }); }
             }
             if (lookedAt + 20 <= (long) now) {
                 lookedAt = (long) now;
@@ -568,7 +568,7 @@
     }
 
     /** Sends on a connection; null where it has ended. */
-    Try send(Wire wire, long customer, int classIndex, long key, UnitWord word, double waitMs, Consumer<Try> then) {
+    Try send(Wire wire, long customer, int classIndex, long key, UnitDirective word, double waitMs, Consumer<Try> then) {
         if (wire.closed || !nodes[wire.node].up || nodes[wire.node].lives != wire.life) { return null; }
         Try one = new Try(wire, customer, classIndex, key, word, waitMs);
         one.then = then;
@@ -577,14 +577,14 @@
         Node node = nodes[wire.node];
         later(0.1, () -> onNode(wire.node, wire.life, () -> {
             if (wire.closed) { return; }
-            one.stay = node.intake.take(new Order(classIndex, 0, customer, 1, 0, 8, waitMs, one, one));
+            one.stay = node.intake.accept(new IncomingRequest(classIndex, 0, customer, 1, 0, 8, waitMs, one, one));
         }));
         return one;
     }
 
     // What a test says in one line.
 
-    Try ask(int node, long customer, int classIndex, UnitWord word) {
+    Try ask(int node, long customer, int classIndex, UnitDirective word) {
         Try one = send(connect(node), customer, classIndex, ids + 77, word, 600, any -> { });
         if (one == null) { throw new IllegalStateException("n" + node + " is not there"); }
         return one;
@@ -592,15 +592,15 @@
 
     /** Opens a unit and gives its name. */
     String open(int node, long customer) {
-        Try opening = ask(node, customer, LOOKUP, new UnitWord(null, 0, UnitWord.Said.OPEN));
+        Try opening = ask(node, customer, LOOKUP, new UnitDirective(null, 0, UnitDirective.Boundary.OPEN));
         run(5);
         if (!opening.served) { throw new IllegalStateException(opening.answer); }
         return opening.answer;
     }
 
-    static UnitWord part(String unit, int number) { return new UnitWord(unit, number, UnitWord.Said.NONE); }
+    static UnitDirective part(String unit, int number) { return new UnitDirective(unit, number, UnitDirective.Boundary.NONE); }
 
-    static UnitWord end(String unit) { return new UnitWord(unit, 0, UnitWord.Said.END); }
+    static UnitDirective end(String unit) { return new UnitDirective(unit, 0, UnitDirective.Boundary.END); }
 
     // Faults.
 
--- a/src/main/java/yardusher/cli/Subsystems.java
+++ b/src/main/java/yardusher/cli/Subsystems.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Objects;
 import java.util.stream.Collectors;
-import yardusher.core.Intake;
-import yardusher.core.OrderLog;
+import yardusher.core.RequestAcceptor;
+import yardusher.core.RequestLog;
 import yardusher.core.EventLoop;
 import yardusher.journal.JournalSubsystem;
 import yardusher.keys.KeysSubsystem;
@@ -46,14 +46,14 @@
         return new Subsystems(all, view == null ? null : view.mesh(), view == null ? null : view.view());
     }
 
-    OrderLog orders() {
-        OrderLog log = OrderLog.NONE;
+    RequestLog orders() {
+        RequestLog log = RequestLog.NONE;
         for (Subsystem one : all) { log = one.orders(log); }
         return log;
     }
 
-    Intake intake(Site site, Intake core) throws IOException {
-        Intake intake = core;
+    RequestAcceptor intake(Site site, RequestAcceptor core) throws IOException {
+        RequestAcceptor intake = core;
         for (Subsystem one : all) { intake = one.intake(site, intake); }
         return intake;
     }
--- a/src/main/java/yardusher/core/Cargo.java
+++ b/src/main/java/yardusher/core/BackendCommand.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 
 /** The command that a backend receives for a request. The core reads its identifying fields only, never its content. */
-public interface Cargo {
+public interface BackendCommand {
     /** Encodes the command, including how long the backend's answer is awaited, as buffers to be written one after another. */
     ByteBuffer[] encoded(long waitMs);
 
@@ -14,8 +14,8 @@
     String key();
 
     /** A fingerprint of the request's content: equal for equal requests, whatever their ids and times. */
-    long print();
+    long fingerprint();
 
     /** The unit of work that the request refers to; null for none. */
-    default UnitWord unit() { return null; }
+    default UnitDirective unit() { return null; }
 }
--- a/src/main/java/yardusher/core/EventLoop.java
+++ b/src/main/java/yardusher/core/EventLoop.java
@@ -13,18 +13,18 @@
  */
 public final class EventLoop {
     private final ReentrantLock lock = new ReentrantLock();
-    private final Condition sooner = lock.newCondition();
-    private final ArrayDeque<Runnable> later = new ArrayDeque<>();
+    private final Condition timerWakeup = lock.newCondition();
+    private final ArrayDeque<Runnable> deferred = new ArrayDeque<>();
     private final DoubleSupplier clock;
-    private final Consumer<Throwable> faults;
+    private final Consumer<Throwable> faultHandler;
     private final Deadlines deadlines = new Deadlines();
-    private double wakeAt = Double.POSITIVE_INFINITY;
+    private double wakeAtMs = Double.POSITIVE_INFINITY;
     private boolean stopped;
 
     /** The clock gives milliseconds and never goes back. */
-    public EventLoop(DoubleSupplier clock, Consumer<Throwable> faults) {
+    public EventLoop(DoubleSupplier clock, Consumer<Throwable> faultHandler) {
         this.clock = clock;
-        this.faults = faults;
+        this.faultHandler = faultHandler;
     }
 
     public double now() { return clock.getAsDouble(); }
@@ -34,35 +34,35 @@
     /**
      * Runs a task. If called from within a task, for example by a completion that came at once, it runs after the current one.
      */
-    public void turn(Runnable work) {
+    public void execute(Runnable work) {
         lock.lock();
         try {
             if (lock.getHoldCount() > 1) {
-                later.add(work);
+                deferred.add(work);
                 return;
             }
-            sweep();
+            runDueTasks();
             run(work);
-            sweep();
-            if (deadlines.next() < wakeAt) { sooner.signal(); }
+            runDueTasks();
+            if (deadlines.nextAtMs() < wakeAtMs) { timerWakeup.signal(); }
         } finally {
             lock.unlock();
         }
     }
 
     /** Called within a task: defers work until the current work is done, before the task ends. */
-    public void afterwards(Runnable work) { later.add(work); }
+    public void defer(Runnable work) { deferred.add(work); }
 
-    private void sweep() {
-        for (Runnable due; (due = deadlines.due(now())) != null;) { run(due); }
+    private void runDueTasks() {
+        for (Runnable due; (due = deadlines.pollDue(now())) != null;) { run(due); }
     }
 
     private void run(Runnable work) {
-        for (Runnable next = work; next != null; next = later.poll()) {
+        for (Runnable next = work; next != null; next = deferred.poll()) {
             try {
                 next.run();
             } catch (Throwable e) {
-                tell(e);                             // one faulty message must not stop the ingress
+                reportFault(e);                             // one faulty message must not stop the ingress
             }
         }
     }
@@ -71,15 +71,15 @@
      * Reports a fault. An error of the handler itself, for example when no memory is left, must not stop the remaining work or
      * the timer thread.
      */
-    private void tell(Throwable e) {
+    private void reportFault(Throwable e) {
         try {
-            faults.accept(e);
+            faultHandler.accept(e);
         } catch (Throwable unsaid) { /* the handler has counted the fault, or cannot */ }
     }
 
     /** Starts the thread that runs due timers when nothing else happens. */
     public Thread startTimer() {
-        Thread thread = new Thread(this::keepTime, "deadlines");
+        Thread thread = new Thread(this::runTimer, "deadlines");
         thread.setDaemon(true);
         thread.start();
         return thread;
@@ -89,26 +89,26 @@
         lock.lock();
         try {
             stopped = true;
-            sooner.signal();
+            timerWakeup.signal();
         } finally {
             lock.unlock();
         }
     }
 
-    private void keepTime() {
+    private void runTimer() {
         lock.lock();
         try {
             while (!stopped) {
-                wakeAt = deadlines.next();
-                double wait = wakeAt - now();
-                if (wait <= 0) {
-                    sweep();
-                } else if (wakeAt == Double.POSITIVE_INFINITY) {
-                    sooner.await();
+                wakeAtMs = deadlines.nextAtMs();
+                double waitMs = wakeAtMs - now();
+                if (waitMs <= 0) {
+                    runDueTasks();
+                } else if (wakeAtMs == Double.POSITIVE_INFINITY) {
+                    timerWakeup.await();
                 } else {
-                    sooner.awaitNanos((long) (Math.min(wait, 60_000) * 1e6) + 1);
+                    timerWakeup.awaitNanos((long) (Math.min(waitMs, 60_000) * 1e6) + 1);
                 }
-                wakeAt = Double.NEGATIVE_INFINITY;
+                wakeAtMs = Double.NEGATIVE_INFINITY;
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/yardusher/core/Ids.java
+++ b/src/main/java/yardusher/core/IdGenerator.java
@@ -9,16 +9,16 @@
  * two processes or ingresses collide only if their counters start within each other's range: for a thousand processes with a
  * thousand million ids each, the probability is about 1 in 18,000. The configured seed is not used.
  */
-public final class Ids {
-    private long next;
+public final class IdGenerator {
+    private long counter;
 
-    public Ids() { this(ByteBuffer.wrap(new SecureRandom().generateSeed(Long.BYTES)).getLong()); }
+    public IdGenerator() { this(ByteBuffer.wrap(new SecureRandom().generateSeed(Long.BYTES)).getLong()); }
 
-    Ids(long first) { next = first; }
+    IdGenerator(long first) { counter = first; }
 
     /** Returns the next number; all 64 bits may be set. */
     public long next() {
-        long z = next++;
+        long z = counter++;
         z = (z ^ z >>> 30) * 0xBF58476D1CE4E5B9L;
         z = (z ^ z >>> 27) * 0x94D049BB133111EBL;
         return z ^ z >>> 31;
--- a/src/main/java/yardusher/core/Order.java
+++ b/src/main/java/yardusher/core/IncomingRequest.java
@@ -6,10 +6,10 @@
  * A request as a frontend submits it. Class and plan are indexes into the settings; {@code binding} restricts where it may run,
  * null for no restriction.
  */
-public record Order(int classIndex, int plan, long customer, double units, int first, int spread,
-        double waitMs, Cargo cargo, Terminal terminal, Api.Binding only) {
+public record IncomingRequest(int classIndex, int plan, long customer, double units, int first, int spread,
+        double waitMs, BackendCommand command, Terminal terminal, Api.Binding binding) {
     /** Creates a request that may run anywhere. */
-    public Order(int classIndex, int plan, long customer, double units, int first, int spread, double waitMs, Cargo cargo,
+    public IncomingRequest(int classIndex, int plan, long customer, double units, int first, int spread, double waitMs, BackendCommand cargo,
             Terminal terminal) {
         this(classIndex, plan, customer, units, first, spread, waitMs, cargo, terminal, null);
     }
--- a/src/main/java/yardusher/core/Neighbours.java
+++ b/src/main/java/yardusher/core/PeerSender.java
@@ -1,6 +1,6 @@
 package yardusher.core;
 
 /** Sends messages to the other ingresses. */
-public interface Neighbours {
-    void tell(int to, String body);
+public interface PeerSender {
+    void send(int to, String body);
 }
--- a/src/main/java/yardusher/core/Request.java
+++ b/src/main/java/yardusher/core/Request.java
@@ -4,42 +4,42 @@
 import yardusher.Api;
 
 /** One request from its acceptance to its final answer. Written on the event loop only. */
-public final class Request implements Stay {
+public final class Request implements RequestHandle {
     public final long number;
-    public final Order order;
-    public final double arrivedAt;
-    public final double deadline;
+    public final IncomingRequest incoming;
+    public final double arrivedAtMs;
+    public final double deadlineMs;
     /** Whether the request's plan has a ceiling. */
     boolean hasCeiling;
-    int attempts;
-    Attempt attempt;
-    final Course course;
+    int attemptCount;
+    Attempt newestAttempt;
+    final RequestState state;
     /** The stream of a large value; null for none. */
-    Flow flow;
+    ResponseStream stream;
     /** Whether the request log records this request. If not, no later event of it is logged. */
     boolean recorded;
     /** Used by the request log only: whether an event of this request has been logged. */
-    public boolean noted;
-    Deadlines.Entry lastCall;
+    public boolean logged;
+    Deadlines.Entry deadlineEntry;
 
     /** Called when the terminal leaves. */
-    private final Consumer<Request> leaves;
+    private final Consumer<Request> onTerminalLeft;
 
-    Request(long number, Order order, Api.RequestClass of, double arrivedAt, Consumer<Request> leaves) {
-        this.leaves = leaves;
+    Request(long number, IncomingRequest incoming, Api.RequestClass requestClass, double arrivedAtMs, Consumer<Request> onTerminalLeft) {
+        this.onTerminalLeft = onTerminalLeft;
         this.number = number;
-        this.order = order;
-        this.arrivedAt = arrivedAt;
-        this.deadline = arrivedAt + order.waitMs();
-        course = new Course(of, deadline);
+        this.incoming = incoming;
+        this.arrivedAtMs = arrivedAtMs;
+        this.deadlineMs = arrivedAtMs + incoming.waitMs();
+        state = new RequestState(requestClass, deadlineMs);
     }
 
     @Override
-    public Order order() { return order; }
+    public IncomingRequest incoming() { return incoming; }
 
     @Override
-    public boolean mayHaveRun() { return course.mayHaveRun(); }
+    public boolean mayHaveRun() { return state.mayHaveRun(); }
 
     @Override
-    public void gone() { leaves.accept(this); }
+    public void terminalLeft() { onTerminalLeft.accept(this); }
 }
--- a/src/main/java/yardusher/core/Stay.java
+++ b/src/main/java/yardusher/core/RequestHandle.java
@@ -1,12 +1,12 @@
 package yardusher.core;
 
 /** An accepted request, as its frontend sees it. */
-public interface Stay {
-    Order order();
+public interface RequestHandle {
+    IncomingRequest incoming();
 
     /** Whether an attempt may have run, or is written and may still run. */
     boolean mayHaveRun();
 
     /** The terminal has left and needs no answer. */
-    void gone();
+    void terminalLeft();
 }
--- a/src/main/java/yardusher/core/Course.java
+++ b/src/main/java/yardusher/core/RequestState.java
@@ -8,30 +8,30 @@
  * after that. At most one attempt is active at a time, and each ends once. Methods that perform a transition return whether it
  * was performed; if not, nothing has changed.
  */
-final class Course {
+final class RequestState {
     /** State of the request. PASSING: a large value is being streamed, and no other attempt may follow. */
-    enum Stage { OPEN, PASSING, ANSWERED, GONE }
+    enum Stage { OPEN, STREAMING, ANSWERED, GONE }
 
     /**
      * State of the newest attempt. PARKED: its intent is not recorded yet; BEGUN: passed to the backend side; HANDED: written
      * to a socket.
      */
-    private enum Out { NONE, PARKED, BEGUN, HANDED }
+    private enum AttemptStage { NONE, PARKED, BEGUN, HANDED }
 
     private final Api.Effect effect;
     private final double windowMs;
-    private final double deadline;
+    private final double deadlineMs;
     private Stage stage = Stage.OPEN;
-    private Out out = Out.NONE;
-    private int number = -1;                         // number of the newest attempt
-    private double handedAt;
+    private AttemptStage attemptStage = AttemptStage.NONE;
+    private int newestAttempt = -1;                         // number of the newest attempt
+    private double handedAtMs;
     private boolean mayHaveRun;
-    private double ranAt;                            // when the first attempt that may have run was written to a socket
+    private double mayHaveRunSinceMs;                            // when the first attempt that may have run was written to a socket
 
-    Course(Api.RequestClass of, double deadline) {
-        effect = of.effect();
-        windowMs = of.windowMs();
-        this.deadline = deadline;
+    RequestState(Api.RequestClass requestClass, double deadlineMs) {
+        effect = requestClass.effect();
+        windowMs = requestClass.windowMs();
+        this.deadlineMs = deadlineMs;
     }
 
     Stage stage() { return stage; }
@@ -40,32 +40,32 @@
     boolean isOver() { return stage == Stage.ANSWERED || stage == Stage.GONE; }
 
     /** Whether an attempt is active, from its parking to its end. */
-    boolean isOut() { return out != Out.NONE; }
+    boolean isAttemptActive() { return attemptStage != AttemptStage.NONE; }
 
-    boolean isOut(int attempt) { return out != Out.NONE && attempt == number; }
+    boolean isActive(int attempt) { return attemptStage != AttemptStage.NONE && attempt == newestAttempt; }
 
-    boolean isParked(int attempt) { return out == Out.PARKED && attempt == number; }
+    boolean isParked(int attempt) { return attemptStage == AttemptStage.PARKED && attempt == newestAttempt; }
 
-    boolean isHanded(int attempt) { return out == Out.HANDED && attempt == number; }
+    boolean isHanded(int attempt) { return attemptStage == AttemptStage.HANDED && attempt == newestAttempt; }
 
     /** Whether an attempt may have run, or is written and may still run. */
-    boolean mayHaveRun() { return mayHaveRun || out == Out.HANDED; }
+    boolean mayHaveRun() { return mayHaveRun || attemptStage == AttemptStage.HANDED; }
 
     /** Whether an attempt that has ended may have run. */
-    boolean mayHaveRunBefore() { return mayHaveRun; }
+    boolean endedAttemptMayHaveRun() { return mayHaveRun; }
 
     /** Parks a new attempt; its number must be higher than those before. */
     boolean park(int attempt) {
-        if (stage != Stage.OPEN || out != Out.NONE || attempt <= number) { return false; }
-        number = attempt;
-        out = Out.PARKED;
+        if (stage != Stage.OPEN || attemptStage != AttemptStage.NONE || attempt <= newestAttempt) { return false; }
+        newestAttempt = attempt;
+        attemptStage = AttemptStage.PARKED;
         return true;
     }
 
     /** Passes a parked attempt to the backend side. */
-    boolean begin(int attempt) {
-        if (stage != Stage.OPEN || attempt != number || out != Out.PARKED) { return false; }
-        out = Out.BEGUN;
+    boolean beginAttempt(int attempt) {
+        if (stage != Stage.OPEN || attempt != newestAttempt || attemptStage != AttemptStage.PARKED) { return false; }
+        attemptStage = AttemptStage.BEGUN;
         return true;
     }
 
@@ -73,37 +73,37 @@
      * The attempt's bytes are handed to a socket: from here on it may have run. The repeat rules are checked at this moment,
      * since an attempt that was chosen in time may since have waited for its record or for a connection.
      */
-    boolean hand(int attempt, double now) {
-        if (stage != Stage.OPEN || attempt != number || out != Out.BEGUN || now >= deadline || !mayRepeat(now)) { return false; }
-        out = Out.HANDED;
-        handedAt = now;
+    boolean handToSocket(int attempt, double nowMs) {
+        if (stage != Stage.OPEN || attempt != newestAttempt || attemptStage != AttemptStage.BEGUN || nowMs >= deadlineMs || !mayRepeat(nowMs)) { return false; }
+        attemptStage = AttemptStage.HANDED;
+        handedAtMs = nowMs;
         return true;
     }
 
-    private boolean mayRepeat(double now) {
-        return !mayHaveRun || effect == Api.Effect.IDEMPOTENT || effect == Api.Effect.DEDUPLICATED && now - ranAt < windowMs;
+    private boolean mayRepeat(double nowMs) {
+        return !mayHaveRun || effect == Api.Effect.IDEMPOTENT || effect == Api.Effect.DEDUPLICATED && nowMs - mayHaveRunSinceMs < windowMs;
     }
 
     /** The write of an attempt failed: its last byte was never accepted. */
-    void unwritten(int attempt) {
-        if (isHanded(attempt)) { out = Out.BEGUN; }
+    void writeFailed(int attempt) {
+        if (isHanded(attempt)) { attemptStage = AttemptStage.BEGUN; }
     }
 
     /** Ends an attempt. An attempt that was never handed to a socket never ran, whatever its outcome. */
-    boolean end(int attempt, Api.Outcome outcome) {
-        if (!isOut(attempt)) { return false; }
-        if (out == Out.HANDED && !outcome.neverRan() && !mayHaveRun) {
+    boolean endAttempt(int attempt, Api.Outcome outcome) {
+        if (!isActive(attempt)) { return false; }
+        if (attemptStage == AttemptStage.HANDED && !outcome.neverRan() && !mayHaveRun) {
             mayHaveRun = true;
-            ranAt = handedAt;
+            mayHaveRunSinceMs = handedAtMs;
         }
-        out = Out.NONE;
+        attemptStage = AttemptStage.NONE;
         return true;
     }
 
     /** The attempt's answer is too large to be buffered, and streaming begins. */
-    boolean pass(int attempt) {
+    boolean beginStreaming(int attempt) {
         if (stage != Stage.OPEN || !isHanded(attempt)) { return false; }
-        stage = Stage.PASSING;
+        stage = Stage.STREAMING;
         return true;
     }
 
@@ -115,7 +115,7 @@
     }
 
     /** The client has left and gets no answer. */
-    boolean leave() {
+    boolean abandon() {
         if (isOver()) { return false; }
         stage = Stage.GONE;
         return true;
--- a/src/main/java/yardusher/core/Flow.java
+++ b/src/main/java/yardusher/core/ResponseStream.java
@@ -6,16 +6,16 @@
  * Streams a large value to a terminal chunk by chunk, without buffering it as a whole. Exactly one of {@link #end} and {@link
  * #fail} is called, once, unless the terminal leaves before. Used on the event loop only.
  */
-public interface Flow {
+public interface ResponseStream {
     /**
      * Writes the next chunk. It is passed only after the previous one was written; its bytes must not change until {@code
      * onWritten} runs.
      */
-    void part(ByteBuffer bytes, Runnable taken);
+    void write(ByteBuffer bytes, Runnable onWritten);
 
     /** All chunks were passed and the value is complete. */
     void end();
 
     /** The value cannot be completed. The terminal can detect this. */
-    void broken();
+    void fail();
 }
--- a/src/main/java/yardusher/core/Session.java
+++ b/src/main/java/yardusher/core/Session.java
@@ -6,5 +6,5 @@
  */
 public interface Session {
     /** Runs the callback once when the connection has closed, whichever side closed it; at once if it is closed already. */
-    void atEnd(Runnable then);
+    void onClose(Runnable callback);
 }
--- a/src/main/java/yardusher/core/Terminal.java
+++ b/src/main/java/yardusher/core/Terminal.java
@@ -8,7 +8,7 @@
      * A served value of this length will be streamed instead of passed to {@link #served}. Returns null if this terminal does
      * not accept streams; the attempt has then failed.
      */
-    default Flow begin(long length) { return null; }
+    default ResponseStream beginStream(long length) { return null; }
 
     /**
      * Short-on-capacity reply. A retry is harmless after {@code retryAfterMs}, 0 for no advice. The request may have run if an
--- a/src/main/java/yardusher/handover/Word.java
+++ b/src/main/java/yardusher/handover/Word.java
@@ -40,7 +40,7 @@
 
     private static String coded(String body) { return Base64.getEncoder().encodeToString(body.getBytes(StandardCharsets.UTF_8)); }
 
-    /** Reads a line without its end; a {@link WireError.Malformed} for one that is none of these. */
+    /** Reads a line without its end; a {@link WireError.MalformedRespException} for one that is none of these. */
     static Word of(String line) {
         String[] words = line.split(" ", -1);
         String name = words[0] + " " + (words.length - 1);
--- a/src/main/java/yardusher/mesh/Mesh.java
+++ b/src/main/java/yardusher/mesh/Mesh.java
@@ -12,14 +12,14 @@
      * Maximum length of a body in bytes; a longer one is an {@link IllegalArgumentException}. With the frame it fits one
      * Ethernet packet.
      */
-    int MOST_BODY = 1200;
+    int MAX_BODY_BYTES = 1200;
 
     /** The subsystem that a message belongs to. The ordinal is part of the wire format. */
     enum Kind { VIEW, UNITS, PARTS, RATES }
 
     /** Handles a complete body from a peer's address, on the event loop. */
-    interface Hearer {
-        void heard(InetSocketAddress from, byte[] body);
+    interface MessageHandler {
+        void onMessage(InetSocketAddress from, byte[] body);
     }
 
     /** The address at which peers reach this ingress. */
@@ -29,8 +29,8 @@
     void send(InetSocketAddress to, Kind kind, byte[] body);
 
     /** Sets the handler for bodies of this kind. Bodies of a kind without a handler are counted and dropped. */
-    void hear(Kind kind, Hearer hearer);
+    void setHandler(Kind kind, MessageHandler handler);
 
     /** Counters as names and values: sent, received, and dropped by reason. */
-    String line();
+    String countersLine();
 }
--- a/src/main/java/yardusher/net/ClientConnection.java
+++ b/src/main/java/yardusher/net/ClientConnection.java
@@ -9,297 +9,297 @@
 import yardusher.core.Session;
 import yardusher.core.EventLoop;
 import yardusher.resp.Encoder;
-import yardusher.resp.Malformed;
+import yardusher.resp.MalformedRespException;
 
 /**
  * A terminal's connection: reads commands, gives each a slot in the order of replies, waits for buffer space for large bodies,
  * and writes the replies in that order, whatever the order in which they come. While commands are held back it keeps reading up
  * to a limit, so that the terminal's disconnect is seen. Used on the event loop only.
  */
-final class ClientConnection implements Link.Owner {
-    private static final int MOST_UNANSWERED = 64; // per connection; further commands are handled when some are answered
-    private static final int MOST_UNREAD = 256 * 1024; // bytes of replies that the terminal has not read yet
-    private static final int MOST_AHEAD = 128 * 1024; // bytes read and not handled yet: about 900 typical commands
-    private static final double FLOOD_MS = 100;    // full for this long while a request is open is treated as a flood
-    private static final int TURN_COMMANDS = 32;   // of one connection per event loop task; then others have their turn
-    private static final double NEXT_TURN_MS = 1;
-    private static final int MOST_REJECTED = 16;   // malformed commands on one connection
-    private static final double REJECTED_MS = 5;   // delay of the next command, for each malformed one before it
-    private static final double BODY_MS = 10_000;  // until the end of a large body, including the wait for buffer space
+final class ClientConnection implements Connection.Owner {
+    private static final int MAX_UNANSWERED = 64; // per connection; further commands are handled when some are answered
+    private static final int MAX_UNREAD_BYTES = 256 * 1024; // bytes of replies that the terminal has not read yet
+    private static final int MAX_READ_AHEAD_BYTES = 128 * 1024; // bytes read and not handled yet: about 900 typical commands
+    private static final double FLOOD_TIMEOUT_MS = 100;    // full for this long while a request is open is treated as a flood
+    private static final int MAX_COMMANDS_PER_TASK = 32;   // of one connection per event loop task; then others have their turn
+    private static final double NEXT_TASK_DELAY_MS = 1;
+    private static final int MAX_REJECTED = 16;   // malformed commands on one connection
+    private static final double REJECTED_DELAY_MS = 5;   // delay of the next command, for each malformed one before it
+    private static final double BODY_TIMEOUT_MS = 10_000;  // until the end of a large body, including the wait for buffer space
 
     /**
      * READING, then one or more of the others in this order. DEAF: further input is dropped, commands read before are handled.
      * LOST: open commands are answered, no others are handled. OVER: the terminal has left, or its last bytes are being
      * flushed.
      */
-    private enum Life { READING, DEAF, LOST, OVER }
+    private enum Stage { READING, INPUT_IGNORED, FINISHING, CLOSED }
 
-    private final Answers front;
-    private final Crowd crowd;
+    private final RespServer server;
+    private final ConnectionRegistry connections;
     private final EventLoop loop;
-    private final Link link;
-    private final boolean fromHere;
-    private final ArrayDeque<Answers.Slot> slots = new ArrayDeque<>(2);
-    private Life life = Life.READING;
-    private double quietSince;
-    private double begunAt = Double.POSITIVE_INFINITY; // start of the command that is being read
-    private Runnable body;                           // releases the buffer space of the large body that is being read
-    private boolean bodyOpen;
-    private double bodyFrom;
-    private int rejected;
+    private final Connection connection;
+    private final boolean local;
+    private final ArrayDeque<RespServer.Slot> slots = new ArrayDeque<>(2);
+    private Stage stage = Stage.READING;
+    private double quietSinceMs;
+    private double commandBegunAtMs = Double.POSITIVE_INFINITY; // start of the command that is being read
+    private Runnable releaseBody;                           // releases the buffer space of the large body that is being read
+    private boolean bodyGranted;
+    private double bodyRequestedAtMs;
+    private int rejectedCount;
     private Session session;                         // null until it is requested
-    private List<Runnable> atEnd;
+    private List<Runnable> closeCallbacks;
     private boolean paused;                          // no command is handled for a while
-    private boolean following;                       // guards against reentrant command handling
-    private boolean watched;                         // a check of a full read-ahead buffer is scheduled
-    private int leftThen;                            // unflushed reply bytes at the last check, and since when
-    private double leftSince;
-
-    ClientConnection(AsynchronousSocketChannel channel, Answers front, Crowd crowd, EventLoop loop) {
-        this.front = front;
-        this.crowd = crowd;
+    private boolean handlingCommands;                       // guards against reentrant command handling
+    private boolean fullCheckScheduled;                         // a check of a full read-ahead buffer is scheduled
+    private int unflushedAtLastCheck;                            // unflushed reply bytes at the last check, and since when
+    private double unflushedSinceMs;
+
+    ClientConnection(AsynchronousSocketChannel channel, RespServer server, ConnectionRegistry connections, EventLoop loop) {
+        this.server = server;
+        this.connections = connections;
         this.loop = loop;
-        quietSince = loop.now();
-        link = Link.ahead(channel, loop, this, MOST_AHEAD, front.ahead());
-        fromHere = isFromHere(channel);
-        crowd.joins(this);
-        link.readMore();
+        quietSinceMs = loop.now();
+        connection = Connection.createReadingAhead(channel, loop, this, MAX_READ_AHEAD_BYTES, server.readAheadBudget());
+        local = isLocal(channel);
+        connections.add(this);
+        connection.readMore();
     }
 
-    private static boolean isFromHere(AsynchronousSocketChannel channel) {
+    private static boolean isLocal(AsynchronousSocketChannel channel) {
         try {
-            return channel.getRemoteAddress() instanceof InetSocketAddress at && at.getAddress().isLoopbackAddress();
+            return channel.getRemoteAddress() instanceof InetSocketAddress address && address.getAddress().isLoopbackAddress();
         } catch (IOException e) {
             return false;                            // already disconnected
         }
     }
 
     /** Whether the terminal is on this machine. */
-    boolean isFromHere() { return fromHere; }
+    boolean isLocal() { return local; }
 
     /** Since when no command is open, or no more of a large body has arrived. */
-    double quietSince() { return quietSince; }
+    double quietSinceMs() { return quietSinceMs; }
 
     /** When the command that is being read began; infinity for none. */
-    double begunAt() { return begunAt; }
+    double commandBegunAtMs() { return commandBegunAtMs; }
 
-    boolean hasBegun() { return begunAt < Double.POSITIVE_INFINITY; }
+    boolean hasBegunCommand() { return commandBegunAtMs < Double.POSITIVE_INFINITY; }
 
     /** Whether no reply is owed. */
-    boolean owesNothing() { return slots.isEmpty(); }
+    boolean owesNoReply() { return slots.isEmpty(); }
 
     /** Whether the system has not accepted all reply bytes yet. */
-    boolean owesBytes() { return link.queued() > 0; }
+    boolean hasUnflushedBytes() { return connection.queuedBytes() > 0; }
 
     @Override
-    public boolean keeps(Link from) {
+    public boolean keepsInput(Connection from) {
         // At the end of a process, a terminal whose requests overlap would otherwise send more commands for ever.
-        if (life == Life.READING && !slots.isEmpty() && front.departure().hasRead(loop.now())) { life = Life.DEAF; }
-        return life == Life.READING;
+        if (stage == Stage.READING && !slots.isEmpty() && server.drainSchedule().hasStoppedReading(loop.now())) { stage = Stage.INPUT_IGNORED; }
+        return stage == Stage.READING;
     }
 
     @Override
-    public boolean readable(Link from) {
-        if (following || life == Life.OVER) { return false; }
-        following = true;
+    public boolean onReadable(Connection from) {
+        if (handlingCommands || stage == Stage.CLOSED) { return false; }
+        handlingCommands = true;
         try {
-            follow();
-        } catch (Malformed e) {
-            lose(e.getMessage());
+            handleCommands();
+        } catch (MalformedRespException e) {
+            closeWithError(e.getMessage());
         } finally {
-            following = false;
+            handlingCommands = false;
         }
         if (isDone()) { finish(); }
         return false;
     }
 
-    private void follow() throws Malformed {
-        for (int taken = 0; mayFollow(); taken++) {
-            if (taken == TURN_COMMANDS) {
+    private void handleCommands() throws MalformedRespException {
+        for (int handled = 0; mayHandleCommands(); handled++) {
+            if (handled == MAX_COMMANDS_PER_TASK) {
                 // One connection with hundreds of pipelined commands must not delay the others.
-                pause(NEXT_TURN_MS);
+                pause(NEXT_TASK_DELAY_MS);
                 return;
             }
-            byte[][] words = link.decoder().command();
-            if (words == null && link.decoder().bodyLength() > 0) {
-                if (opensBody()) { continue; }
+            byte[][] words = connection.decoder().nextCommand();
+            if (words == null && connection.decoder().bodyLength() > 0) {
+                if (acquireBody()) { continue; }
                 return;
             }
             if (words == null) {
-                if (link.decoder().isEmpty()) {
-                    begunAt = Double.POSITIVE_INFINITY;
-                } else if (begunAt == Double.POSITIVE_INFINITY || taken > 0) {
-                    begunAt = loop.now();
+                if (connection.decoder().isEmpty()) {
+                    commandBegunAtMs = Double.POSITIVE_INFINITY;
+                } else if (commandBegunAtMs == Double.POSITIVE_INFINITY || handled > 0) {
+                    commandBegunAtMs = loop.now();
                 }
                 return;
             }
-            begunAt = Double.POSITIVE_INFINITY;
-            crowd.isBusy(this);
-            Answers.Slot slot = new Answers.Slot(this);
+            commandBegunAtMs = Double.POSITIVE_INFINITY;
+            connections.markBusy(this);
+            RespServer.Slot slot = new RespServer.Slot(this);
             slots.add(slot);
-            slot.body = body;
-            body = null;
-            front.commands().command(words, slot);
+            slot.releaseBody = releaseBody;
+            releaseBody = null;
+            server.commandHandler().handle(words, slot);
         }
     }
 
     /** A large body begins: it is read once buffer space is available. Returns true if that is the case at once. */
-    private boolean opensBody() throws Malformed {
-        double now = loop.now();
-        if (!front.bodies().fits(link.decoder().bodyLength())) { throw new Malformed("invalid bulk length"); }
-        if (body != null) {
-            if (now < bodyFrom + BODY_MS) { begunAt = quietSince = now; }
+    private boolean acquireBody() throws MalformedRespException {
+        double nowMs = loop.now();
+        if (!server.bodyBudget().fits(connection.decoder().bodyLength())) { throw new MalformedRespException("invalid bulk length"); }
+        if (releaseBody != null) {
+            if (nowMs < bodyRequestedAtMs + BODY_TIMEOUT_MS) { commandBegunAtMs = quietSinceMs = nowMs; }
             return false;
         }
-        bodyFrom = begunAt = quietSince = now;
-        bodyOpen = false;
-        boolean[] here = {true};
-        body = front.bodies().take(link.decoder().bodyLength(), () -> {
-            bodyOpen = true;
-            if (link.isClosed() || life.compareTo(Life.LOST) >= 0) { return; }
-            link.decoder().openBody();
-            if (!here[0]) {
-                loop.afterwards(() -> {
-                    begunAt = quietSince = loop.now();
-                    goOn();
+        bodyRequestedAtMs = commandBegunAtMs = quietSinceMs = nowMs;
+        bodyGranted = false;
+        boolean[] immediate = {true};
+        releaseBody = server.bodyBudget().acquire(connection.decoder().bodyLength(), () -> {
+            bodyGranted = true;
+            if (connection.isClosed() || stage.compareTo(Stage.FINISHING) >= 0) { return; }
+            connection.decoder().allocateBody();
+            if (!immediate[0]) {
+                loop.defer(() -> {
+                    commandBegunAtMs = quietSinceMs = loop.now();
+                    resume();
                 });
             }
         });
-        here[0] = false;
-        return bodyOpen;
+        immediate[0] = false;
+        return bodyGranted;
     }
 
     /** Resumes handling and reading commands where possible. */
-    private void goOn() {
-        readable(link);
-        link.readMore();
+    private void resume() {
+        onReadable(connection);
+        connection.readMore();
     }
 
     /** Whether no command is open and no input is to be handled any more. */
     private boolean isDone() {
         if (!slots.isEmpty()) { return false; }
-        return switch (life) {
-            case READING -> front.isLeaving() && link.decoder().isEmpty();
-            case DEAF -> mayFollow();                // what is left is an incomplete command
-            case LOST -> true;
-            case OVER -> false;
+        return switch (stage) {
+            case READING -> server.closesAfterReplies() && connection.decoder().isEmpty();
+            case INPUT_IGNORED -> mayHandleCommands();                // what is left is an incomplete command
+            case FINISHING -> true;
+            case CLOSED -> false;
         };
     }
 
     @Override
-    public boolean holdsBack(Link from) { return !mayFollow(); }
+    public boolean isHoldingBack(Connection from) { return !mayHandleCommands(); }
 
     @Override
-    public void full(Link from) {
-        if (watched) { return; }
-        watched = true;
-        long reads = link.reads();
-        loop.deadlines().at(loop.now() + FLOOD_MS, () -> {
-            watched = false;
-            if (life == Life.OVER || link.isClosed()) { return; }
+    public void onReadAheadFull(Connection from) {
+        if (fullCheckScheduled) { return; }
+        fullCheckScheduled = true;
+        long readCount = connection.readCount();
+        loop.deadlines().schedule(loop.now() + FLOOD_TIMEOUT_MS, () -> {
+            fullCheckScheduled = false;
+            if (stage == Stage.CLOSED || connection.isClosed()) { return; }
             // The disconnect of a terminal that sends much at once and leaves would stay unseen behind the unread input.
-            if (reads == link.reads() && !link.isReading() && !slots.isEmpty() && (body == null || bodyOpen)) {
-                lose("too many commands at once");
+            if (readCount == connection.readCount() && !connection.isReading() && !slots.isEmpty() && (releaseBody == null || bodyGranted)) {
+                closeWithError("too many commands at once");
             }
-            link.readMore();                         // or reports again that the buffer is full
+            connection.readMore();                         // or reports again that the buffer is full
         });
     }
 
     /** Releases the buffer space of a command that will not complete. */
-    private void dropBody() {
-        if (body != null) { body.run(); }
-        body = null;
+    private void releaseBody() {
+        if (releaseBody != null) { releaseBody.run(); }
+        releaseBody = null;
     }
 
-    private boolean mayFollow() {
-        return life.compareTo(Life.LOST) < 0 && !paused && !link.isClosed() && slots.size() < MOST_UNANSWERED
-                && link.queued() < MOST_UNREAD;
+    private boolean mayHandleCommands() {
+        return stage.compareTo(Stage.FINISHING) < 0 && !paused && !connection.isClosed() && slots.size() < MAX_UNANSWERED
+                && connection.queuedBytes() < MAX_UNREAD_BYTES;
     }
 
     /** The framing is lost: earlier commands are still answered in order, then the connection closes. */
-    void lose(String why) {
-        if (life.compareTo(Life.LOST) >= 0) { return; }
-        dropBody();
-        life = Life.LOST;
-        link.decoder().discard();
-        front.commands().spoilt();
-        begunAt = Double.POSITIVE_INFINITY;
-        crowd.isBusy(this);
-        Answers.Slot slot = new Answers.Slot(this);
+    void closeWithError(String reason) {
+        if (stage.compareTo(Stage.FINISHING) >= 0) { return; }
+        releaseBody();
+        stage = Stage.FINISHING;
+        connection.decoder().discard();
+        server.commandHandler().onInvalidCommand();
+        commandBegunAtMs = Double.POSITIVE_INFINITY;
+        connections.markBusy(this);
+        RespServer.Slot slot = new RespServer.Slot(this);
         slots.add(slot);
-        slot.put(new Encoder(64).failure("ERR Protocol error: " + why).toBytes());
+        slot.complete(new Encoder(64).error("ERR Protocol error: " + reason).toBytes());
     }
 
     /** Counts a malformed command and delays the next one. After a number of them the connection closes. */
-    void rejects() {
-        front.commands().spoilt();
-        rejected++;
-        if (rejected >= MOST_REJECTED && life.compareTo(Life.LOST) < 0) {
-            life = Life.LOST;
-            link.decoder().discard();
+    void onCommandRejected() {
+        server.commandHandler().onInvalidCommand();
+        rejectedCount++;
+        if (rejectedCount >= MAX_REJECTED && stage.compareTo(Stage.FINISHING) < 0) {
+            stage = Stage.FINISHING;
+            connection.decoder().discard();
         }
-        pause(REJECTED_MS * rejected);
+        pause(REJECTED_DELAY_MS * rejectedCount);
     }
 
     /** A valid command. */
-    void accepts() { rejected = 0; }
+    void onCommandAccepted() { rejectedCount = 0; }
 
-    void pause(double ms) {
+    void pause(double delayMs) {
         if (paused) { return; }
         paused = true;
-        loop.deadlines().at(loop.now() + ms, () -> {
+        loop.deadlines().schedule(loop.now() + delayMs, () -> {
             paused = false;
-            goOn();
+            resume();
         });
     }
 
-    void send() {
-        for (Answers.Slot first; (first = slots.peek()) != null;) {
-            if (first.part != null) {
-                if (first.head != null) { link.write(first.head); }
-                link.write(first.part);
-                first.head = null;
-                first.part = null;
+    void sendReplies() {
+        for (RespServer.Slot first; (first = slots.peek()) != null;) {
+            if (first.nextChunk != null) {
+                if (first.streamHead != null) { connection.write(first.streamHead); }
+                connection.write(first.nextChunk);
+                first.streamHead = null;
+                first.nextChunk = null;
             }
-            if (first.bytes == null) { break; }
-            link.write(slots.poll().bytes);
+            if (first.reply == null) { break; }
+            connection.write(slots.poll().reply);
         }
-        if (slots.isEmpty() && life != Life.OVER) {
-            leftThen = 0;
-            crowd.isTaking(this);
+        if (slots.isEmpty() && stage != Stage.CLOSED) {
+            unflushedAtLastCheck = 0;
+            connections.markFlushing(this);
         }
-        if (!following && (slots.isEmpty() || !link.decoder().isEmpty())) { goOn(); }
+        if (!handlingCommands && (slots.isEmpty() || !connection.decoder().isEmpty())) { resume(); }
     }
 
     /** Whether the terminal has read no reply bytes for this long; called periodically. */
-    boolean takesNothing(double forMs, double now) {
-        if (link.queued() != leftThen) {
-            leftThen = link.queued();
-            leftSince = now;
+    boolean hasReadNothing(double durationMs, double nowMs) {
+        if (connection.queuedBytes() != unflushedAtLastCheck) {
+            unflushedAtLastCheck = connection.queuedBytes();
+            unflushedSinceMs = nowMs;
         }
-        return now - leftSince >= forMs;
+        return nowMs - unflushedSinceMs >= durationMs;
     }
 
     @Override
-    public void written(Link from) {
-        Answers.Slot first = slots.peek();
-        if (first != null && first.part == null && first.taken != null) {
-            Runnable then = first.taken;
-            first.taken = null;
+    public void onFlushed(Connection from) {
+        RespServer.Slot first = slots.peek();
+        if (first != null && first.nextChunk == null && first.onChunkWritten != null) {
+            Runnable then = first.onChunkWritten;
+            first.onChunkWritten = null;
             then.run();
         }
-        if (!link.decoder().isEmpty()) { goOn(); }
+        if (!connection.decoder().isEmpty()) { resume(); }
         // A connection is idle only once the system has accepted all reply bytes. Closing it before could lose a reply.
-        if (life == Life.OVER || !slots.isEmpty() || owesBytes()) { return; }
-        quietSince = loop.now();
-        if (hasBegun()) { begunAt = quietSince; }    // until now it may have been held back on this side
-        crowd.isIdle(this, quietSince);
+        if (stage == Stage.CLOSED || !slots.isEmpty() || hasUnflushedBytes()) { return; }
+        quietSinceMs = loop.now();
+        if (hasBegunCommand()) { commandBegunAtMs = quietSinceMs; }    // until now it may have been held back on this side
+        connections.markIdle(this, quietSinceMs);
     }
 
     void closeIfIdle() {
         // A command that has begun is read to its end and answered, unless reading has stopped for good.
-        boolean cut = front.isClosing() && front.departure().hasRead(loop.now());
-        if (slots.isEmpty() && (cut || link.decoder().isEmpty())) { finish(); }
+        boolean readingStopped = server.isClosing() && server.drainSchedule().hasStoppedReading(loop.now());
+        if (slots.isEmpty() && (readingStopped || connection.decoder().isEmpty())) { finish(); }
     }
 
     /**
@@ -307,52 +307,52 @@
      * truncated.
      */
     void abort() {
-        if (life == Life.OVER) { return; }
-        ended(link);
-        crowd.finishes(link, loop.now(), front.isLeaving());
+        if (stage == Stage.CLOSED) { return; }
+        onClosed(connection);
+        connections.closeAfterFlush(connection, loop.now(), server.closesAfterReplies());
     }
 
     /** Closes after the last bytes are flushed. A close with unread input would reset the connection and lose them. */
     void finish() {
-        if (life == Life.OVER) { return; }
-        leave();
-        crowd.finishes(link, loop.now(), front.isLeaving());
+        if (stage == Stage.CLOSED) { return; }
+        deregister();
+        connections.closeAfterFlush(connection, loop.now(), server.closesAfterReplies());
     }
 
     @Override
-    public void ended(Link from) {
-        leave();
-        for (Answers.Slot slot : slots) {
-            slot.dropBody();
-            if (slot.bytes == null) {
-                slot.bytes = new byte[0];
-                front.commands().gone(slot);
+    public void onClosed(Connection from) {
+        deregister();
+        for (RespServer.Slot slot : slots) {
+            slot.releaseBody();
+            if (slot.reply == null) {
+                slot.reply = new byte[0];
+                server.commandHandler().onTerminalLeft(slot);
             }
         }
         slots.clear();
     }
 
-    private void leave() {
-        dropBody();
-        if (crowd.leaves(this)) { front.hasRoomAgain(); }
-        life = Life.OVER;
-        List<Runnable> told = atEnd;
-        atEnd = null;
-        if (told != null) { told.forEach(loop::afterwards); }
+    private void deregister() {
+        releaseBody();
+        if (connections.remove(this)) { server.onRoomAvailable(); }
+        stage = Stage.CLOSED;
+        List<Runnable> callbacks = closeCallbacks;
+        closeCallbacks = null;
+        if (callbacks != null) { callbacks.forEach(loop::defer); }
     }
 
     /** The session object of this connection. */
     Session session() {
-        if (session == null) { session = this::atEnd; }
+        if (session == null) { session = this::addCloseCallback; }
         return session;
     }
 
-    private void atEnd(Runnable then) {
-        if (life == Life.OVER) {
-            loop.afterwards(then);
+    private void addCloseCallback(Runnable callback) {
+        if (stage == Stage.CLOSED) {
+            loop.defer(callback);
             return;
         }
-        if (atEnd == null) { atEnd = new ArrayList<>(1); }
-        atEnd.add(then);
+        if (closeCallbacks == null) { closeCallbacks = new ArrayList<>(1); }
+        closeCallbacks.add(callback);
     }
 }
--- /dev/null
+++ b/src/main/java/yardusher/net/Connection.java
@@ -0,0 +1,400 @@
+package yardusher.net;
+
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.channels.AsynchronousSocketChannel;
+import java.nio.channels.CompletionHandler;
+import java.util.ArrayDeque;
+import yardusher.core.Deadlines;
+import yardusher.core.EventLoop;
+import yardusher.resp.Decoder;
+import yardusher.resp.InboundBuffer;
+
+/**
+ * One TCP connection: reads into its decoder and writes what is queued, by completion handlers, each of which is an event loop
+ * task. All methods are called on the event loop.
+ */
+public final class Connection {
+    /** Callbacks to the owner of a connection, each on the event loop. */
+    public interface Owner {
+        /**
+         * The decoder has more bytes. Returning false stops reading until {@link Connection#readMore}; on a connection that
+         * reads ahead the result is ignored.
+         */
+        boolean onReadable(Connection connection);
+
+        /**
+         * Whether further input of a connection that reads ahead is kept. Once false it must stay false, and the input is
+         * dropped.
+         */
+        default boolean keepsInput(Connection connection) { return true; }
+
+        /** Whether the owner of a connection that reads ahead currently takes nothing out of the decoder. */
+        default boolean isHoldingBack(Connection connection) { return false; }
+
+        /** A connection that reads ahead has filled its buffer; called each time it would continue to read. */
+        default void onReadAheadFull(Connection connection) { }
+
+        /** All queued bytes have been written. */
+        default void onFlushed(Connection connection) { }
+
+        /** The peer or an I/O error ended the connection; called once, and not after {@link Connection#close}. */
+        void onClosed(Connection connection);
+    }
+
+    private static final int MAX_QUEUED_BYTES = (4 << 20) + 256 * 1024; // one large body, and small replies that wait
+    private static final int WRITE_SLICE_BYTES = 16 * 1024;      // of a large body, per write: the size of a cached native buffer
+    private static final int MAX_MERGED_BYTES = 128 * 1024;    // bytes queued in one task are merged into one write up to this size
+    private static final long MAX_DRAINED_BYTES = 96L << 20;
+    private static final double DRAIN_TIMEOUT_MS = 3000;
+    private static final int MIN_READ_AHEAD_BYTES = 4 * 1024;
+    /** Target of drained bytes. Nobody reads it, so all connections share it, without a copy. */
+    private static final ByteBuffer DRAIN_BUFFER = ByteBuffer.allocateDirect(64 * 1024);
+
+    /**
+     * OPEN, then either FINISHING (the last bytes are flushed) or LEAVING (the current write completes, the rest is dropped),
+     * then DRAINING (output is shut down, input is dropped) and CLOSED; each can go to CLOSED directly.
+     */
+    private enum Stage { OPEN, FINISHING, COMPLETING_WRITE, DRAINING, CLOSED }
+
+    private final AsynchronousSocketChannel channel;
+    private final EventLoop loop;
+    private final Owner owner;
+    private final InboundBuffer inbound;
+    private final ArrayDeque<ByteBuffer> queue = new ArrayDeque<>(4);
+    private int queuedBytes;
+    private boolean writing;
+    private boolean writingSlice;
+    private boolean reading;
+    private Stage stage = Stage.OPEN;
+    private boolean drainsWithoutLimit;                         // drains for as long as the peer takes
+    private long droppedBytes;
+    private Deadlines.Entry drainEnd;
+    private Runnable onClosed = () -> { };
+    private boolean writeFailed;
+    private final ReadAheadBudget readAheadBudget;                         // null for a connection that does not read ahead
+    private int countedBytes;                             // this connection's share of that budget
+    private final int maxReadAhead;                         // maximum number of bytes read ahead; 0 reads only on request
+    private byte[] receiveBuffer;                          // receive buffer of a connection that reads ahead, null until needed
+    private boolean usingReceiveBuffer;                          // the pending read goes to that buffer
+    private boolean droppingRead;                          // the pending read is dropped
+    private boolean lastReadFilled;                            // the last read filled its buffer, so more input is likely
+    private boolean ownerNotNotified;                          // the owner has not been told of the last bytes yet
+    private int requestedBytes;                               // the buffer size of the pending read
+    private long readCount;
+
+    /** Creates a connection for RESP. */
+    public Connection(AsynchronousSocketChannel channel, EventLoop loop, Owner owner) { this(channel, loop, owner, new Decoder()); }
+
+    public Connection(AsynchronousSocketChannel channel, EventLoop loop, Owner owner, InboundBuffer inbound) {
+        this(channel, loop, owner, inbound, 0, null);
+    }
+
+    private Connection(AsynchronousSocketChannel channel, EventLoop loop, Owner owner, InboundBuffer inbound, int maxReadAhead, ReadAheadBudget readAheadBudget) {
+        this.readAheadBudget = readAheadBudget;
+        this.inbound = inbound;
+        this.channel = channel;
+        this.loop = loop;
+        this.owner = owner;
+        this.maxReadAhead = maxReadAhead;
+    }
+
+    /**
+     * Creates a RESP connection that keeps reading while its owner takes nothing, up to {@code maxReadAhead} bytes, so that the
+     * peer's disconnect is seen. Input is reported once no more is available at once, and not at all if it is followed by the
+     * disconnect.
+     */
+    static Connection createReadingAhead(AsynchronousSocketChannel channel, EventLoop loop, Owner owner, int maxReadAhead, ReadAheadBudget readAheadBudget) {
+        return new Connection(channel, loop, owner, new Decoder(), maxReadAhead, readAheadBudget);
+    }
+
+    /** Limits the bytes that connections read ahead together. Used on the event loop only. */
+    static final class ReadAheadBudget {
+        private final long maxBytes;
+        private long heldBytes;
+
+        ReadAheadBudget(long maxBytes) { this.maxBytes = maxBytes; }
+
+        long heldBytes() { return heldBytes; }
+    }
+
+    private void countHeld(int heldBytes) {
+        if (readAheadBudget == null) { return; }
+        readAheadBudget.heldBytes += heldBytes - countedBytes;
+        countedBytes = heldBytes;
+    }
+
+    /** The decoder of a RESP connection. */
+    public Decoder decoder() { return (Decoder) inbound; }
+
+    public boolean isClosed() { return stage == Stage.CLOSED; }
+
+    /** The number of completed reads: if it is unchanged, a full connection has made no progress. */
+    long readCount() { return readCount; }
+
+    /** Whether a read is pending, so that a disconnect of the peer is seen. */
+    boolean isReading() { return reading; }
+
+    /** Whether the read-ahead buffer is full. */
+    boolean isFull() {
+        if (maxReadAhead == 0) { return false; }
+        countHeld(decoder().bufferedBytes());
+        // Many connections that send much at once must not fill the heap: beyond the common limit each one buffers little more
+        // than its current command.
+        return countedBytes >= maxReadAhead || countedBytes >= MIN_READ_AHEAD_BYTES && readAheadBudget.heldBytes >= readAheadBudget.maxBytes && (ownerNotNotified || owner.isHoldingBack(this));
+    }
+
+    /** Whether the connection ended in a failed write: then the last byte was never written. */
+    public boolean writeFailed() { return writeFailed; }
+
+    /** The number of bytes that wait to be written. */
+    public int queuedBytes() { return queuedBytes; }
+
+    public void readMore() {
+        if (reading || stage != Stage.OPEN) { return; }
+        if (maxReadAhead == 0) {
+            read(inbound.readBuffer());
+            return;
+        }
+        countHeld(decoder().bufferedBytes());
+        droppingRead = !owner.keepsInput(this);
+        if (!droppingRead && isFull()) {
+            owner.onReadAheadFull(this);
+            return;
+        }
+        usingReceiveBuffer = !droppingRead && !lastReadFilled;
+        // A read waits in a small buffer of its own: a wait in the decoder's buffer would keep all of that allocated while no
+        // input comes.
+        if (usingReceiveBuffer && receiveBuffer == null) { receiveBuffer = new byte[Decoder.MAX_ADD_BYTES]; }
+        ByteBuffer buffer = droppingRead ? DRAIN_BUFFER.duplicate() : usingReceiveBuffer ? ByteBuffer.wrap(receiveBuffer) : inbound.readBuffer();
+        requestedBytes = buffer.remaining();
+        read(buffer);
+    }
+
+    private void read(ByteBuffer buffer) {
+        reading = true;
+        try {
+            channel.read(buffer, this, READ_HANDLER);
+        } catch (RuntimeException e) {
+            closeAndNotify();
+        }
+    }
+
+    public void write(byte[] bytes) { write(ByteBuffer.wrap(bytes)); }
+
+    /** Queues the buffer's remaining bytes. They must not change until the owner is told that all bytes are written. */
+    public void write(ByteBuffer bytes) {
+        if (stage != Stage.OPEN) { return; }
+        queue.add(bytes);
+        queuedBytes += bytes.remaining();
+        // A terminal that sends requests and never reads would fill the heap with replies.
+        if (queuedBytes > MAX_QUEUED_BYTES) {
+            closeAndNotify();
+        } else if (!writing) {
+            writing = true;
+            loop.defer(this::flush); // bytes queued in one task are written together
+        }
+    }
+
+    /**
+     * Closes after the queued bytes are written and the peer has closed too. A close with unread input would reset the
+     * connection and destroy the last reply on its way. Further input is dropped, and a peer that never closes is cut off after
+     * a time and a number of bytes. The owner gets no more callbacks.
+     */
+    public void finish(Runnable callback) {
+        if (isClosed()) {
+            callback.run();
+            return;
+        }
+        onClosed = callback;
+        stage = Stage.FINISHING;
+        limitDrain();
+        if (!writing && queue.isEmpty()) { drain(); }
+    }
+
+    private void limitDrain() {
+        loop.deadlines().cancel(drainEnd);
+        drainEnd = loop.deadlines().schedule(loop.now() + DRAIN_TIMEOUT_MS, this::close);
+    }
+
+    /**
+     * Shuts down the output and waits, for as long as it takes, until the peer has closed its side too; {@code then} runs after
+     * that. Bytes that wait to be written are dropped, and so is further input. The owner gets no more callbacks.
+     */
+    public void shutdownAndAwaitPeer(Runnable callback) {
+        if (isClosed()) {
+            callback.run();
+            return;
+        }
+        onClosed = callback;
+        drainsWithoutLimit = true;
+        stage = Stage.COMPLETING_WRITE;
+        if (!writing) { drain(); }                   // otherwise after the pending write
+    }
+
+    private void drain() {
+        queue.clear();
+        queuedBytes = 0;
+        stage = Stage.DRAINING;
+        countHeld(0);
+        try {
+            channel.shutdownOutput();
+        } catch (IOException e) {
+            close();
+            return;
+        }
+        if (!reading) { read(DRAIN_BUFFER.duplicate()); }
+    }
+
+    private void onDrained(int count) {
+        droppedBytes += Math.max(0, count);
+        if (count < 0 || droppedBytes > MAX_DRAINED_BYTES && !drainsWithoutLimit) {
+            close();
+        } else {
+            read(DRAIN_BUFFER.duplicate());
+        }
+    }
+
+    public void close() {
+        if (isClosed()) { return; }
+        stage = Stage.CLOSED;
+        countHeld(0);
+        queue.clear();
+        queuedBytes = 0;
+        loop.deadlines().cancel(drainEnd);
+        loop.defer(onClosed);
+        try {
+            channel.close();
+        } catch (IOException e) { /* closed either way */ }
+    }
+
+    private void closeAndNotify() {
+        boolean owned = stage == Stage.OPEN;
+        close();
+        if (owned) { owner.onClosed(this); }
+    }
+
+    private void flush() {
+        if (isClosed()) { return; }
+        if (stage == Stage.COMPLETING_WRITE) {
+            writing = false;
+            drain();
+            return;
+        }
+        ByteBuffer next = queue.peek();
+        if (queue.size() > 1 && queuedBytes <= MAX_MERGED_BYTES) {
+            int size = 0;
+            for (ByteBuffer part : queue) { size += part.remaining(); }
+            next = ByteBuffer.allocate(size);
+            for (ByteBuffer part : queue) { next.put(part); }
+            next.flip();
+            queue.clear();
+            queue.add(next);
+        }
+        try {
+            // A write of a whole large body would copy it into native memory as a whole.
+            writingSlice = next.remaining() > MAX_MERGED_BYTES;
+            channel.write(writingSlice ? next.slice(next.position(), WRITE_SLICE_BYTES) : next, this, WRITE_HANDLER);
+        } catch (RuntimeException e) {
+            closeAndNotify();
+        }
+    }
+
+    private void read(int count) {
+        reading = false;
+        if (isClosed()) { return; }
+        if (stage == Stage.DRAINING) {
+            onDrained(count);
+            return;
+        }
+        if (stage != Stage.OPEN) { return; }         // reading resumes after the last bytes are written
+        if (count < 0) {
+            closeAndNotify();
+            return;
+        }
+        readCount++;
+        if (maxReadAhead > 0) {
+            onReadAhead(count);
+            return;
+        }
+        inbound.advance(count);
+        if (owner.onReadable(this)) { readMore(); }
+    }
+
+    private void onReadAhead(int count) {
+        lastReadFilled = count == requestedBytes;
+        if (droppingRead || !owner.keepsInput(this)) {
+            droppedBytes += count;
+            if (droppedBytes > MAX_DRAINED_BYTES) {
+                closeAndNotify();
+                return;
+            }
+        } else if (usingReceiveBuffer) {
+            decoder().add(receiveBuffer, count);
+        } else {
+            inbound.advance(count);
+        }
+        // A client may cancel its requests by disconnecting right after them. The disconnect may already have arrived; then
+        // this read completes at once, before the owner handles the requests.
+        ownerNotNotified = true;
+        readMore();
+        long readsBefore = readCount;
+        loop.defer(() -> {
+            if (readsBefore == readCount) { notifyOwner(); }
+        });
+    }
+
+    private void notifyOwner() {
+        ownerNotNotified = false;
+        if (stage != Stage.OPEN) { return; }
+        owner.onReadable(this);
+        if (stage != Stage.OPEN) { return; }
+        countHeld(decoder().bufferedBytes());
+        if (!reading || usingReceiveBuffer || droppingRead) { decoder().shrink(); }
+        readMore();
+    }
+
+    private void onWritten(int count) {
+        if (isClosed()) { return; }
+        if (stage == Stage.COMPLETING_WRITE) {
+            writing = false;
+            drain();
+            return;
+        }
+        queuedBytes -= count;
+        if (writingSlice) { queue.peek().position(queue.peek().position() + count); }
+        if (!queue.peek().hasRemaining()) { queue.poll(); }
+        if (stage == Stage.FINISHING) { limitDrain(); } // a slow peer gets the full time for each piece of its last reply
+        if (!queue.isEmpty()) {
+            flush();
+            return;
+        }
+        writing = false;
+        if (stage == Stage.FINISHING) {
+            drain();
+        } else {
+            owner.onFlushed(this);
+        }
+    }
+
+    private static final CompletionHandler<Integer, Connection> READ_HANDLER = new CompletionHandler<>() {
+        @Override
+        public void completed(Integer count, Connection link) { link.loop.execute(() -> link.read(count)); }
+
+        @Override
+        public void failed(Throwable why, Connection link) { link.loop.execute(link::closeAndNotify); }
+    };
+
+    private static final CompletionHandler<Integer, Connection> WRITE_HANDLER = new CompletionHandler<>() {
+        @Override
+        public void completed(Integer count, Connection link) { link.loop.execute(() -> link.onWritten(count)); }
+
+        @Override
+        public void failed(Throwable why, Connection link) {
+            link.loop.execute(() -> {
+                link.writeFailed = true;
+                link.closeAndNotify();
+            });
+        }
+    };
+}
--- /dev/null
+++ b/src/main/java/yardusher/net/RespServer.java
@@ -0,0 +1,291 @@
+package yardusher.net;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.Locale;
+import java.util.function.Supplier;
+import yardusher.core.ResponseStream;
+import yardusher.core.Session;
+import yardusher.core.RequestHandle;
+import yardusher.core.EventLoop;
+import yardusher.resp.Encoder;
+
+/**
+ * A RESP server for one frontend: accepts terminal connections, reads commands, and writes the replies in the order of the
+ * commands, whatever the order in which they are answered. The frontend interprets the commands.
+ */
+public final class RespServer {
+    /** A frontend's command handler. */
+    public interface CommandHandler {
+        /** Handles a command. The slot is answered once, now or later. */
+        void handle(byte[][] words, Slot slot);
+
+        /** The terminal left before this command was answered. */
+        void onTerminalLeft(Slot slot);
+
+        /** A command was malformed, or the framing of a connection was lost. */
+        default void onInvalidCommand() { }
+    }
+
+    private static final byte[] CRLF = {'\r', '\n'};
+    private static final byte[] FAILED_REPLY = new Encoder(16).error("ERR failed").toBytes();
+    private static final int READ_AHEAD_HEAP_SHARE = 16;        // share of the heap for commands that are read and not handled yet
+    /**
+     * Maximum number of bytes that all connections together read ahead: a share of the heap, at least 4 MiB and at most 16 MiB.
+     */
+    static final long MAX_READ_AHEAD_BYTES = Math.max(4 << 20, Math.min(16 << 20, Runtime.getRuntime().maxMemory() / READ_AHEAD_HEAP_SHARE));
+    private static final double ACCEPT_RETRY_MS = 10;
+    private static final double MAINTENANCE_INTERVAL_MS = 100;
+    private static final double ACCEPT_QUIET_MS = 30;
+
+    private final CommandHandler commandHandler;
+    private final EventLoop loop;
+    private final Sockets.Listener listener;
+    private final ConnectionRegistry connections = new ConnectionRegistry();
+    private final DrainSchedule drainSchedule = new DrainSchedule();
+    private final BodyBudget bodyBudget;
+    private final Connection.ReadAheadBudget readAheadBudget = new Connection.ReadAheadBudget(MAX_READ_AHEAD_BYTES);
+    private boolean acceptRetryScheduled;
+    private boolean closing;
+
+    public RespServer(Sockets sockets, InetSocketAddress address, int maxTerminals, CommandHandler commandHandler) throws IOException {
+        this(sockets, address, false, maxTerminals, new BodyBudget(0), commandHandler);
+        bind();
+    }
+
+    /**
+     * Creates a server that listens once {@link #bind} is called. Large bodies are buffered within the budget. With {@code
+     * reusePort} the next version of this program can listen on the same address.
+     */
+    public RespServer(Sockets sockets, InetSocketAddress address, boolean reusePort, int maxTerminals, BodyBudget bodyBudget, CommandHandler commandHandler)
+            throws IOException {
+        this.bodyBudget = bodyBudget;
+        this.commandHandler = commandHandler;
+        setMaxConnections(maxTerminals);
+        this.loop = sockets.loop();
+        listener = sockets.createListener(address, reusePort, channel -> new ClientConnection(channel, this, connections, loop), nothing -> makeRoom());
+        loop.deadlines().schedule(loop.now() + MAINTENANCE_INTERVAL_MS, this::maintain);
+    }
+
+    /** Sets the maximum number of connections. Connections above the limit are closed, longest idle first. */
+    public final void setMaxConnections(int maxConnections) { connections.setMaxConnections(maxConnections); }
+
+    public void bind() throws IOException { listener.bind(); }
+
+    public InetSocketAddress address() throws IOException { return listener.address(); }
+
+    public void startAccepting() { listener.accept(); }
+
+    /** The number of connections that may still send commands or whose last bytes the system has not accepted. */
+    public int terminalCount() { return connections.size() + connections.unflushedCount(); }
+
+    /** Whether no connection is left, including those that only flush their last bytes, and none can come. */
+    public boolean isFinished() { return connections.totalCount() == 0 && listener.isClosed(); }
+
+    /**
+     * Whether one more connection is accepted; may evict one. Connections that are kept open unused must not lock out other
+     * clients: the one that has been silent for longest is closed, instead of accepting no new connections.
+     */
+    private boolean makeRoom() {
+        // During a handover this process's half of the descriptors may be full. Connections that wait in its accept queue would
+        // be reset, so they are accepted beyond that limit.
+        if (connections.hasRoom(drainSchedule.isHandover())) { return true; }
+        ClientConnection longest = connections.evictionCandidate(loop.now());
+        if (longest == null) {
+            if (!acceptRetryScheduled) {
+                acceptRetryScheduled = true;
+                loop.deadlines().schedule(loop.now() + ACCEPT_RETRY_MS, () -> {
+                    acceptRetryScheduled = false;
+                    listener.accept();
+                });
+            }
+            return false;
+        }
+        longest.finish();
+        return true;
+    }
+
+    /** Closes connections that have been silent or idle too long, and those that never complete a command. */
+    private void maintain() {
+        double now = loop.now();
+        loop.deadlines().schedule(now + MAINTENANCE_INTERVAL_MS, this::maintain);
+        connections.reap(now);
+        closeDraining(now);
+        if (closing && drainSchedule.hasStoppedReading(now)) { closeIdle(); }
+        listener.accept();                                 // no effect once the listener is closed
+    }
+
+    /** Whether terminals are asked to disconnect. */
+    public boolean isDraining() { return drainSchedule.isDraining(); }
+
+    /**
+     * Asks terminals to disconnect, or accepts them again. The listener stays open for those that connect all the same. A
+     * connection is closed right after a reply, when its terminal is least likely to have sent the next command.
+     */
+    public void setDraining(boolean draining) { drainSchedule.setDraining(draining, loop.now()); }
+
+    /**
+     * The next version of this program takes new connections. This one accepts what waits in its accept queue, answers the
+     * commands it has received and closes its connections. PING is answered as before, since the ingress as a whole keeps
+     * running.
+     */
+    public void startHandover() {
+        if (drainSchedule.isHandover()) { return; }
+        double now = loop.now();
+        listener.closeWhenQuiet(ACCEPT_QUIET_MS, drainSchedule.startHandover(now));
+        closeDraining(now);
+    }
+
+    CommandHandler commandHandler() { return commandHandler; }
+
+    BodyBudget bodyBudget() { return bodyBudget; }
+
+    Connection.ReadAheadBudget readAheadBudget() { return readAheadBudget; }
+
+    DrainSchedule drainSchedule() { return drainSchedule; }
+
+    boolean isClosing() { return closing; }
+
+    /** Whether connections close after their replies. */
+    boolean closesAfterReplies() { return closing || drainSchedule.closesAfterReplies(loop.now()); }
+
+    /** One more connection can be accepted. */
+    void onRoomAvailable() {
+        listener.accept();
+    }
+
+    private void closeDraining(double now) {
+        if (!drainSchedule.closesAfterReplies(now) || closing) { return; }
+        boolean closesAllIdle = drainSchedule.closesAllIdle(now);
+        for (ClientConnection terminal : connections.all()) {
+            if (!terminal.owesNoReply()) { continue; } // closes after its reply
+            if (closesAllIdle) {
+                terminal.finish();
+            } else if (drainSchedule.mayCloseIdle(now, terminal.quietSinceMs())) {
+                terminal.closeIfIdle();
+            }
+        }
+        if (closesAllIdle) { connections.closeFlushed(now); }
+    }
+
+    /**
+     * Accepts the connections in the accept queue, and then no more. Connections are closed as soon as all their commands are
+     * answered. A terminal whose requests overlap on one connection would keep it open until the process is killed, with the
+     * last of them unanswered; so after a short time no more commands are read while earlier ones are unanswered.
+     */
+    public void close() {
+        double now = loop.now();
+        if (!closing) {
+            closing = true;
+            // A connection that waits to be accepted, with a request already written, would be reset if the listener closed at
+            // once.
+            listener.closeWhenQuiet(ACCEPT_QUIET_MS, drainSchedule.startShutdown(now));
+            listener.accept();
+        }
+        closeIdle();
+    }
+
+    private void closeIdle() {
+        for (ClientConnection terminal : connections.all()) { terminal.closeIfIdle(); }
+    }
+
+    public static boolean isPing(byte[][] words) {
+        return words.length == 1 && new String(words[0], StandardCharsets.ISO_8859_1).equalsIgnoreCase("PING");
+    }
+
+    /** Answers the commands that every RESP client may send; INFO returns the counters. */
+    public static void handleCommon(byte[][] words, Supplier<String> counters, Slot slot) {
+        Encoder out = new Encoder(48);
+        switch (new String(words[0], StandardCharsets.ISO_8859_1).toUpperCase(Locale.ROOT)) {
+            case "PING" -> slot.answer(words.length > 1 ? out.bulk(words[1]).toBytes() : out.simpleString("PONG").toBytes());
+            case "INFO" -> slot.answer(out.bulk(counters.get()).toBytes());
+            case "CLIENT", "SELECT" -> slot.answer(out.simpleString("OK").toBytes());
+            default -> slot.reject("unknown command");
+        }
+    }
+
+    /** The position of one reply on its connection. */
+    public static final class Slot {
+        private final ClientConnection connection;
+        byte[] reply;
+        Runnable releaseBody;                               // returns the buffer space of its large body
+        byte[] streamHead;                                 // of a streamed value
+        ByteBuffer nextChunk;                             // the next chunk, until its turn to be written
+        Runnable onChunkWritten;                              // called when that chunk is written
+        /** The request that is being processed for this command; null for none. */
+        public RequestHandle request;
+
+        Slot(ClientConnection connection) { this.connection = connection; }
+
+        void releaseBody() {
+            if (releaseBody != null) { releaseBody.run(); }
+            releaseBody = null;
+        }
+
+        public boolean isAnswered() { return reply != null; }
+
+        /** Whether the terminal is on this machine. */
+        public boolean isLocal() { return connection.isLocal(); }
+
+        /** The connection on which the command came. */
+        public Session session() { return connection.session(); }
+
+        /** Handles no more commands of this terminal for a while. */
+        public void pauseReading(double ms) { connection.pause(ms); }
+
+        /**
+         * Rejects a malformed command. The reply is sent at once, but each such command delays the next one of the connection
+         * longer, and after a number of them the connection is closed. Otherwise a client that resends its command as soon as
+         * it is rejected would crowd out others.
+         */
+        public void reject(String why) {
+            connection.onCommandRejected();
+            complete(new Encoder(64).error("ERR " + why).toBytes());
+        }
+
+        /** Starts a reply that is streamed, between this head and a line end. */
+        public ResponseStream startStream(byte[] head) {
+            connection.onCommandAccepted();
+            streamHead = head;
+            return new ResponseStream() {
+                @Override
+                public void write(ByteBuffer next, Runnable then) {
+                    nextChunk = next;
+                    onChunkWritten = then;
+                    connection.sendReplies();
+                }
+
+                @Override
+                public void end() { complete(CRLF); }
+
+                @Override
+                public void fail() {
+                    if (streamHead == null) {
+                        connection.abort();
+                        return;
+                    }
+                    // Nothing of this reply was sent yet, so the connection, and the replies before it, can be kept.
+                    streamHead = null;
+                    nextChunk = null;
+                    onChunkWritten = null;
+                    complete(FAILED_REPLY);
+                }
+            };
+        }
+
+        public void answer(byte[] bytes) {
+            connection.onCommandAccepted();
+            complete(bytes);
+        }
+
+        void complete(byte[] bytes) {
+            if (reply != null) { return; }
+            reply = bytes;
+            request = null;
+            releaseBody();
+            connection.sendReplies();
+        }
+    }
+}
--- a/src/main/java/yardusher/net/Sockets.java
+++ b/src/main/java/yardusher/net/Sockets.java
@@ -47,7 +47,7 @@
      * Parses a numeric address and port, such as 127.0.0.4:6379. Host names are not resolved. Throws a {@link ConfigError} for
      * other text.
      */
-    public static InetSocketAddress address(String text) {
+    public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
         if (!host.matches("[0-9.]+|\\[[0-9a-fA-F:.]+]")) {
@@ -61,24 +61,24 @@
     }
 
     /** Formats an address for messages. */
-    public static String text(InetSocketAddress at) { return at.getAddress().getHostAddress() + ":" + at.getPort(); }
+    public static String formatAddress(InetSocketAddress address) { return address.getAddress().getHostAddress() + ":" + address.getPort(); }
 
     /** A listening socket. */
-    public final class Door {
+    public final class Listener {
         private final AsynchronousServerSocketChannel channel;
-        private final Consumer<AsynchronousSocketChannel> guests;
-        private final Predicate<Void> room;
-        private final InetSocketAddress at;
+        private final Consumer<AsynchronousSocketChannel> onAccept;
+        private final Predicate<Void> hasRoom;
+        private final InetSocketAddress address;
         private boolean accepting;
         private boolean bound;
-        private double guestAt;                      // when the last connection was accepted
+        private double lastAcceptedAtMs;                      // when the last connection was accepted
 
-        private Door(AsynchronousServerSocketChannel channel, InetSocketAddress at,
-                Consumer<AsynchronousSocketChannel> guests, Predicate<Void> room) {
+        private Listener(AsynchronousServerSocketChannel channel, InetSocketAddress address,
+                Consumer<AsynchronousSocketChannel> onAccept, Predicate<Void> hasRoom) {
             this.channel = channel;
-            this.at = at;
-            this.guests = guests;
-            this.room = room;
+            this.address = address;
+            this.onAccept = onAccept;
+            this.hasRoom = hasRoom;
         }
 
         public InetSocketAddress address() throws IOException { return (InetSocketAddress) channel.getLocalAddress(); }
@@ -86,42 +86,42 @@
         /** Starts listening. Throws a {@link WireError} if another process holds the address. */
         public void bind() throws IOException {
             try {
-                channel.bind(at, 1024);
+                channel.bind(address, 1024);
             } catch (SocketException e) {
-                throw new WireError.Listen(text(at), e.getMessage(), e);
+                throw new WireError.Listen(formatAddress(address), e.getMessage(), e);
             }
             bound = true;
         }
 
         /** Accepts connections while there is room; called again when there is room again. */
-        public void open() {
+        public void accept() {
             // Connections without room wait in the backlog, so that the process does not run out of descriptors.
             if (accepting || !bound || !channel.isOpen()) { return; }
-            boolean fits = false;
+            boolean mayAccept = false;
             accepting = true;                        // also while room is made, which may call this method again
             try {
-                fits = room.test(null);
+                mayAccept = hasRoom.test(null);
             } finally {
-                accepting = fits;                    // after a fault in hasRoom the listener must be able to accept again
+                accepting = mayAccept;                    // after a fault in hasRoom the listener must be able to accept again
             }
-            if (!fits) { return; }
-            channel.accept(this, new CompletionHandler<AsynchronousSocketChannel, Door>() {
+            if (!mayAccept) { return; }
+            channel.accept(this, new CompletionHandler<AsynchronousSocketChannel, Listener>() {
                 @Override
-                public void completed(AsynchronousSocketChannel guest, Door door) {
-                    loop.turn(() -> {
+                public void completed(AsynchronousSocketChannel guest, Listener door) {
+                    loop.execute(() -> {
                         accepting = false;
-                        guestAt = loop.now();
-                        quick(guest);
-                        guests.accept(guest);
-                        open();
+                        lastAcceptedAtMs = loop.now();
+                        setNoDelay(guest);
+                        onAccept.accept(guest);
+                        accept();
                     });
                 }
 
                 @Override
-                public void failed(Throwable why, Door door) {
-                    loop.turn(() -> {
+                public void failed(Throwable why, Listener door) {
+                    loop.execute(() -> {
                         accepting = false;
-                        loop.deadlines().at(loop.now() + 50, Door.this::open);
+                        loop.deadlines().schedule(loop.now() + 50, Listener.this::accept);
                     });
                 }
             });
@@ -131,16 +131,16 @@
          * Closes after no connection has come for {@code quietMs}, or at {@code deadlineMs}: connections in the accept queue
          * are reset when it closes, and those that come while it is open are accepted at once.
          */
-        public void closeWhenQuiet(double quietMs, double by) {
-            double now = loop.now();
-            double at = Math.min(by, Math.max(now, guestAt) + quietMs);
-            loop.deadlines().at(at, () -> {
-                if (guestAt < now || loop.now() >= by) { close(); } else { closeWhenQuiet(quietMs, by); }
+        public void closeWhenQuiet(double quietMs, double deadlineMs) {
+            double nowMs = loop.now();
+            double closeAtMs = Math.min(deadlineMs, Math.max(nowMs, lastAcceptedAtMs) + quietMs);
+            loop.deadlines().schedule(closeAtMs, () -> {
+                if (lastAcceptedAtMs < nowMs || loop.now() >= deadlineMs) { close(); } else { closeWhenQuiet(quietMs, deadlineMs); }
             });
         }
 
         /** Whether no more connections can come. */
-        public boolean isShut() { return !channel.isOpen(); }
+        public boolean isClosed() { return !channel.isOpen(); }
 
         public void close() {
             try {
@@ -149,75 +149,75 @@
         }
     }
 
-    public Door listen(InetSocketAddress at, Consumer<AsynchronousSocketChannel> guests, Predicate<Void> room)
+    public Listener listen(InetSocketAddress address, Consumer<AsynchronousSocketChannel> onAccept, Predicate<Void> hasRoom)
             throws IOException {
-        Door door = door(at, false, guests, room);
-        door.bind();
-        return door;
+        Listener listener = createListener(address, false, onAccept, hasRoom);
+        listener.bind();
+        return listener;
     }
 
     /**
      * Creates a listener that does not listen yet. With {@code reusePort} the next version of this program can listen on the
      * same address before this one ends.
      */
-    public Door door(InetSocketAddress at, boolean shared, Consumer<AsynchronousSocketChannel> guests,
-            Predicate<Void> room) throws IOException {
+    public Listener createListener(InetSocketAddress address, boolean reusePort, Consumer<AsynchronousSocketChannel> onAccept,
+            Predicate<Void> hasRoom) throws IOException {
         AsynchronousServerSocketChannel channel = AsynchronousServerSocketChannel.open(group);
         channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-        if (shared && channel.supportedOptions().contains(StandardSocketOptions.SO_REUSEPORT)) {
+        if (reusePort && channel.supportedOptions().contains(StandardSocketOptions.SO_REUSEPORT)) {
             channel.setOption(StandardSocketOptions.SO_REUSEPORT, true);
         }
-        return new Door(channel, at, guests, room);
+        return new Listener(channel, address, onAccept, hasRoom);
     }
 
     /** Connects with a timeout; one of the two callbacks runs, on the event loop. The returned callback cancels the attempt. */
-    public Runnable connect(InetSocketAddress to, double withinMs, Consumer<AsynchronousSocketChannel> then,
-            Runnable orElse) {
-        boolean[] over = new boolean[1];
+    public Runnable connect(InetSocketAddress to, double timeoutMs, Consumer<AsynchronousSocketChannel> onConnected,
+            Runnable onFailed) {
+        boolean[] finished = new boolean[1];
         AsynchronousSocketChannel channel;
         try {
             channel = AsynchronousSocketChannel.open(group);
         } catch (IOException e) {                    // no descriptor left: treated as no answer
-            loop.afterwards(() -> {
-                if (!over[0]) { orElse.run(); }
+            loop.defer(() -> {
+                if (!finished[0]) { onFailed.run(); }
             });
-            return () -> over[0] = true;
+            return () -> finished[0] = true;
         }
-        Runnable drop = () -> {
-            over[0] = true;
-            shut(channel);
+        Runnable cancel = () -> {
+            finished[0] = true;
+            closeQuietly(channel);
         };
-        Deadlines.Entry limit = loop.deadlines().at(loop.now() + withinMs, () -> {
-            if (!over[0]) {
-                drop.run();
-                orElse.run();
+        Deadlines.Entry timeout = loop.deadlines().schedule(loop.now() + timeoutMs, () -> {
+            if (!finished[0]) {
+                cancel.run();
+                onFailed.run();
             }
         });
         channel.connect(to, null, new CompletionHandler<Void, Void>() {
             @Override
             public void completed(Void nothing, Void none) {
-                loop.turn(() -> {
-                    loop.deadlines().cancel(limit);
-                    if (over[0]) { return; }
-                    over[0] = true;
-                    quick(channel);
-                    then.accept(channel);
+                loop.execute(() -> {
+                    loop.deadlines().cancel(timeout);
+                    if (finished[0]) { return; }
+                    finished[0] = true;
+                    setNoDelay(channel);
+                    onConnected.accept(channel);
                 });
             }
 
             @Override
             public void failed(Throwable why, Void none) {
-                loop.turn(() -> {
-                    loop.deadlines().cancel(limit);
-                    if (over[0]) { return; }
-                    drop.run();
-                    orElse.run();
+                loop.execute(() -> {
+                    loop.deadlines().cancel(timeout);
+                    if (finished[0]) { return; }
+                    cancel.run();
+                    onFailed.run();
                 });
             }
         });
         return () -> {
-            loop.deadlines().cancel(limit);
-            drop.run();
+            loop.deadlines().cancel(timeout);
+            cancel.run();
         };
     }
 
@@ -225,40 +225,40 @@
      * Connects without a timeout of its own; one of the two callbacks runs, on the event loop. For callers that must know how a
      * connect ended after they have given it up: a channel that is closed while connecting may have been accepted all the same.
      */
-    public void dial(InetSocketAddress to, Consumer<AsynchronousSocketChannel> then, Runnable orElse) {
+    public void dial(InetSocketAddress to, Consumer<AsynchronousSocketChannel> onConnected, Runnable onFailed) {
         AsynchronousSocketChannel channel;
         try {
             channel = AsynchronousSocketChannel.open(group);
         } catch (IOException e) {
-            loop.afterwards(orElse);
+            loop.defer(onFailed);
             return;
         }
         channel.connect(to, null, new CompletionHandler<Void, Void>() {
             @Override
             public void completed(Void nothing, Void none) {
-                loop.turn(() -> {
-                    quick(channel);
-                    then.accept(channel);
+                loop.execute(() -> {
+                    setNoDelay(channel);
+                    onConnected.accept(channel);
                 });
             }
 
             @Override
             public void failed(Throwable why, Void none) {
-                loop.turn(() -> {
-                    shut(channel);
-                    orElse.run();
+                loop.execute(() -> {
+                    closeQuietly(channel);
+                    onFailed.run();
                 });
             }
         });
     }
 
-    private static void quick(AsynchronousSocketChannel channel) {
+    private static void setNoDelay(AsynchronousSocketChannel channel) {
         try {
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         } catch (IOException e) { /* the first read or write reports it */ }
     }
 
-    private static void shut(AsynchronousSocketChannel channel) {
+    private static void closeQuietly(AsynchronousSocketChannel channel) {
         try {
             channel.close();
         } catch (IOException e) { /* closed either way */ }
--- a/src/main/java/yardusher/parts/Negotiator.java
+++ b/src/main/java/yardusher/parts/Negotiator.java
@@ -12,7 +12,7 @@
 /**
  * The decisions of one life of one ingress on its connections: what it needs, to whom it lends and gives back, what it tells
  * whom and when. Free of I/O and clock: times are milliseconds of Unix time that never go back, everything else comes and
- * goes by {@link World}. Nothing here can break the number, which {@link Ledger} keeps; what is decided on old news, on a
+ * goes by {@link ScriptedConnection}. Nothing here can break the number, which {@link Ledger} keeps; what is decided on old news, on a
  * wrong list of members or on made-up needs costs use only.
  */
 final class Negotiator {
--- a/src/main/java/yardusher/parts/PartsSubsystem.java
+++ b/src/main/java/yardusher/parts/PartsSubsystem.java
@@ -77,8 +77,8 @@
             throw new ConfigError.Value(null, "parts.folder", "a folder that can be written, which " + folder + " is not");
         }
         joined.pool().allow(this);
-        joined.table().follow(() -> loop.afterwards(this::listed)); // once the module has the list
-        joined.mesh().hear(Mesh.Kind.PARTS, this::heard);
+        joined.table().follow(() -> loop.defer(this::listed)); // once the module has the list
+        joined.mesh().setHandler(Mesh.Kind.PARTS, this::heard);
         if (joined.view() != null) { joined.view().follow(change -> members(change.now())); }
         listed();
     }
@@ -92,18 +92,18 @@
         try {
             if (!claim.take(loop.now(), settings.begins())) {
                 standBeside();
-                loop.deadlines().at(loop.now() + (guest == null ? CLAIM_MS : BESIDE_MS), this::claim);
+                loop.deadlines().schedule(loop.now() + (guest == null ? CLAIM_MS : BESIDE_MS), this::claim);
                 return;
             }
         } catch (IOException e) {
             site.events().warn("parts cannot be claimed", "why", String.valueOf(e.getMessage()));
-            loop.deadlines().at(loop.now() + CLAIM_MS, this::claim);
+            loop.deadlines().schedule(loop.now() + CLAIM_MS, this::claim);
             return;
         }
         claimState = "waits for its file";
         Thread thread = new Thread(() -> {           // no turn waits for a disk
             claim.sync();
-            loop.turn(this::claimed);
+            loop.execute(this::claimed);
         }, "parts-claim");
         thread.setDaemon(true);
         thread.start();
@@ -113,7 +113,7 @@
     private void claimed() {
         double wait = claim.wasClean() ? 0 : settings.endedMs();
         claimState = "waits until regions have seen the life before end";
-        if (wait == 0) { begin(); } else { loop.deadlines().at(loop.now() + wait, this::begin); }
+        if (wait == 0) { begin(); } else { loop.deadlines().schedule(loop.now() + wait, this::begin); }
     }
 
     /** The process before still has the claim: this one has open what that one gives it. */
@@ -186,7 +186,7 @@
         if (closed || at >= tickAt) { return; }
         loop.deadlines().cancel(nextTick);
         tickAt = at;
-        nextTick = loop.deadlines().at(at, this::tick);
+        nextTick = loop.deadlines().schedule(at, this::tick);
     }
 
     private void tick() {
@@ -283,14 +283,14 @@
     public int busy(long region) { return site.pool().busy(region); }
 
     @Override
-    public long refused() { return counters.reasons[Api.Reason.NO_SERVER.ordinal()]; }
+    public long refused() { return counters.refusalsByReason[Api.Reason.NO_SERVER.ordinal()]; }
 
     @Override
     public long begun() { return counters.attempts; }
 
     @Override
     public void room(long region, int most) {
-        if (!closed) { site.ingress().tell(new Api.Room(region, most)); }
+        if (!closed) { site.ingress().deliver(new Api.Room(region, most)); }
     }
 
     @Override
--- a/src/main/java/yardusher/rates/RatesSubsystem.java
+++ b/src/main/java/yardusher/rates/RatesSubsystem.java
@@ -7,9 +7,9 @@
 import yardusher.Api;
 import yardusher.core.EventLoop;
 import yardusher.core.Ingress;
-import yardusher.core.Intake;
-import yardusher.core.Order;
-import yardusher.core.Stay;
+import yardusher.core.RequestAcceptor;
+import yardusher.core.IncomingRequest;
+import yardusher.core.RequestHandle;
 import yardusher.mesh.Mesh;
 import yardusher.settings.Settings;
 import yardusher.subsystem.Site;
@@ -17,14 +17,14 @@
 import yardusher.view.View;
 
 /** Rates in the program: {@link Rates} with the mesh, the view's members, the loop's time and the module. */
-public final class RatesSubsystem implements Subsystem, Intake, Rates.World {
+public final class RatesSubsystem implements Subsystem, RequestAcceptor, Rates.World {
     private static final int FRAME_BYTES = 28 + 15;  // of UDP and IP, and of the mesh
 
     private final RateSettings settings;
     private final Map<Long, InetSocketAddress> addresses = new HashMap<>(); // of the members, by a hash of their names
     private EventLoop loop;
     private Ingress ingress;
-    private Intake inner;
+    private RequestAcceptor inner;
     private Mesh mesh;
     private Rates rates;
     private boolean closed;
@@ -35,21 +35,21 @@
     public String name() { return "rates"; }
 
     @Override
-    public Intake intake(Site site, Intake core) {
+    public RequestAcceptor intake(Site site, RequestAcceptor core) {
         inner = core;
         loop = site.loop();
         ingress = site.ingress();
         mesh = site.mesh();
         double[] quotas = site.settings().plans().stream().mapToDouble(Api.Plan::ratePerS).toArray();
         // Two lives of one name have one seed; what they draw has to differ all the same.
-        rates = new Rates(new Rates.Terms(settings.bytesPerS(), FRAME_BYTES, Mesh.MOST_BODY, quotas, 1000.0 * settings.horizonS()), id(site.name()), site.seed() ^ System.nanoTime(), loop.now(), this);
+        rates = new Rates(new Rates.Terms(settings.bytesPerS(), FRAME_BYTES, Mesh.MAX_BODY_BYTES, quotas, 1000.0 * settings.horizonS()), id(site.name()), site.seed() ^ System.nanoTime(), loop.now(), this);
         return this;
     }
 
     @Override
     public void join(Site site) {
-        ingress.tell(new Api.Wide(settings.from()));
-        mesh.hear(Mesh.Kind.RATES, (from, body) -> rates.heard(loop.now(), number(from), body));
+        ingress.deliver(new Api.Wide(settings.from()));
+        mesh.setHandler(Mesh.Kind.RATES, (from, body) -> rates.heard(loop.now(), number(from), body));
         site.view().follow(change -> members(change.now()));
         members(site.view().picture());
     }
@@ -60,7 +60,7 @@
     private void tick() {
         if (closed) { return; }
         rates.tick(loop.now());
-        loop.deadlines().at(loop.now() + Rates.TICK_MS, this::tick);
+        loop.deadlines().schedule(loop.now() + Rates.TICK_MS, this::tick);
     }
 
     static long id(String name) { return LongHashFunction.xx3().hashChars(name); }
@@ -86,13 +86,13 @@
     }
 
     @Override
-    public Stay take(Order order) {
+    public RequestHandle accept(IncomingRequest order) {
         if (order.spread() >= settings.from() && ingress.settings().plans().get(order.plan()).openCap() <= 0) {
             rates.asked(loop.now(), order.customer(), order.plan(), order.units());
             double perS = rates.askedPerS(loop.now(), order.customer(), order.plan());
-            if (perS > 0) { ingress.tell(new Api.Asked(order.customer(), order.plan(), perS)); }
+            if (perS > 0) { ingress.deliver(new Api.Asked(order.customer(), order.plan(), perS)); }
         }
-        return inner.take(order);
+        return inner.accept(order);
     }
 
     @Override
--- a/src/main/java/yardusher/register/Bans.java
+++ b/src/main/java/yardusher/register/Bans.java
@@ -23,7 +23,7 @@
 
     private Bans() { }
 
-    /** Reads the written form; a {@link WireError.Malformed} where it is none. */
+    /** Reads the written form; a {@link WireError.MalformedRespException} where it is none. */
     public static Bans of(String text) {
         Bans bans = new Bans();
         if (text.isEmpty()) { return bans; }
--- a/src/main/java/yardusher/register/Node.java
+++ b/src/main/java/yardusher/register/Node.java
@@ -41,7 +41,7 @@
 
 /**
  * One member's part of the register: the consensus library, its store, and the member's own copy. It knows no network
- * and no thread: messages go to {@link World}, and work runs where the executor says, a task at a time.
+ * and no thread: messages go to {@link ScriptedConnection}, and work runs where the executor says, a task at a time.
  */
 public final class Node {
     /** Heartbeats without a word of the leader, after which another may be chosen. */
@@ -53,7 +53,7 @@
     private static final int PART = 32 * 1024;       // bytes of a snapshot's part
 
     static {
-        if (Messages.MOST_BYTES > Decoder.MOST_BULK) { throw new IllegalStateException("messages longer than a bulk string"); }
+        if (Messages.MOST_BYTES > Decoder.MAX_BULK_BYTES) { throw new IllegalStateException("messages longer than a bulk string"); }
     }
 
     /** What a member needs of its surroundings. Called where the executor runs. */
--- a/src/main/java/yardusher/resp/Inbound.java
+++ b/src/main/java/yardusher/resp/InboundBuffer.java
@@ -3,10 +3,10 @@
 import java.nio.ByteBuffer;
 
 /** The buffer that a connection reads into. */
-public interface Inbound {
+public interface InboundBuffer {
     /** Returns a buffer to read into, never empty. Its content counts only after {@link #advance}. */
-    ByteBuffer room();
+    ByteBuffer readBuffer();
 
     /** This number of bytes was read into the buffer last returned. */
-    void filled(int count);
+    void advance(int count);
 }
--- a/src/main/java/yardusher/units/Asked.java
+++ b/src/main/java/yardusher/units/Asked.java
@@ -3,10 +3,10 @@
 import java.nio.ByteBuffer;
 import java.util.function.Consumer;
 import yardusher.core.Deadlines;
-import yardusher.core.Flow;
-import yardusher.core.Order;
+import yardusher.core.ResponseStream;
+import yardusher.core.IncomingRequest;
 import yardusher.core.Session;
-import yardusher.core.Stay;
+import yardusher.core.RequestHandle;
 import yardusher.core.Terminal;
 import yardusher.core.EventLoop;
 
@@ -15,10 +15,10 @@
  * under a grant. To the front it is what is under way, to the core it is the terminal. A part is over when its terminal has
  * its answer or has left, and no attempt of it is out.
  */
-final class Asked implements Stay, Terminal {
+final class Asked implements RequestHandle, Terminal {
     enum Stage { WAITS, RUNS, OVER }
 
-    final Order order;
+    final IncomingRequest order;
     final UnitName unit;
     final long ask;
     final int part;
@@ -34,7 +34,7 @@
     int due;                                         // where it has its place and waits: the part that is awaited, else 0
     Deadlines.Entry timer;
     // Of its run:
-    Stay stay;
+    RequestHandle stay;
     int grant;
     boolean toRegion;
     long server = -1;                                // where its attempts may go: told by the home, or where one may have run
@@ -49,7 +49,7 @@
     boolean mayHaveRun;
     double looseUntil = Double.NEGATIVE_INFINITY;
 
-    Asked(Order order, UnitName unit, long ask, int part, Ticket.Kind kind, EventLoop loop, Consumer<Asked> settles, Consumer<Asked> leaves) {
+    Asked(IncomingRequest order, UnitName unit, long ask, int part, Ticket.Kind kind, EventLoop loop, Consumer<Asked> settles, Consumer<Asked> leaves) {
         this.order = order;
         this.unit = unit;
         this.ask = ask;
@@ -62,13 +62,13 @@
     }
 
     @Override
-    public Order order() { return order; }
+    public IncomingRequest incoming() { return order; }
 
     @Override
     public boolean mayHaveRun() { return mayHaveRun || stay != null && stay.mayHaveRun(); }
 
     @Override
-    public void gone() {
+    public void terminalLeft() {
         if (answered) { return; }
         answered = true;
         leaves.accept(this);
@@ -107,11 +107,11 @@
     }
 
     @Override
-    public Flow begin(long length) {
-        Flow flow = order.terminal().begin(length);
-        return flow == null ? null : new Flow() {
+    public ResponseStream beginStream(long length) {
+        ResponseStream flow = order.terminal().beginStream(length);
+        return flow == null ? null : new ResponseStream() {
             @Override
-            public void part(ByteBuffer bytes, Runnable then) { flow.part(bytes, then); }
+            public void write(ByteBuffer bytes, Runnable then) { flow.write(bytes, then); }
 
             @Override
             public void end() {
@@ -121,9 +121,9 @@
             }
 
             @Override
-            public void broken() {
+            public void fail() {
                 mayHaveRun = true;
-                if (last()) { flow.broken(); }
+                if (last()) { flow.fail(); }
                 settles.accept(Asked.this);
             }
         };
--- a/src/main/java/yardusher/units/UnitLog.java
+++ b/src/main/java/yardusher/units/UnitLog.java
@@ -6,8 +6,8 @@
 import java.util.function.ToIntFunction;
 import yardusher.Api;
 import yardusher.core.Attempt;
-import yardusher.core.Cargo;
-import yardusher.core.OrderLog;
+import yardusher.core.BackendCommand;
+import yardusher.core.RequestLog;
 import yardusher.core.Request;
 
 /**
@@ -15,15 +15,15 @@
  * and the region must fit the unit's binding and the attempts before. What is not a part goes on to the log behind this one
  * as it came.
  */
-final class UnitLog implements OrderLog {
-    private final OrderLog inner;
-    private final Map<Cargo, Asked> running = new IdentityHashMap<>();
+final class UnitLog implements RequestLog {
+    private final RequestLog inner;
+    private final Map<BackendCommand, Asked> running = new IdentityHashMap<>();
     private ToIntFunction<Long> zones = region -> -1; // a region's zone, -1 where it is not listed
     private Consumer<Asked> settles = asked -> { };
     private double settleMs;
     long held;                                       // attempts that were not let out
 
-    UnitLog(OrderLog inner) { this.inner = inner; }
+    UnitLog(RequestLog inner) { this.inner = inner; }
 
     void join(ToIntFunction<Long> zonesOf, Consumer<Asked> then) {
         zones = zonesOf;
@@ -32,17 +32,17 @@
 
     void settleMs(double ms) { settleMs = ms; }
 
-    void runs(Asked asked) { running.put(asked.order.cargo(), asked); }
+    void runs(Asked asked) { running.put(asked.order.command(), asked); }
 
-    void over(Asked asked) { running.remove(asked.order.cargo(), asked); }
+    void over(Asked asked) { running.remove(asked.order.command(), asked); }
 
     int runningCount() { return running.size(); }
 
-    private Asked of(Request transaction) { return running.isEmpty() ? null : running.get(transaction.order.cargo()); }
+    private Asked of(Request transaction) { return running.isEmpty() ? null : running.get(transaction.incoming.command()); }
 
     @Override
-    public Admission take(Request transaction) {
-        Admission admission = inner.take(transaction);
+    public Admission admit(Request transaction) {
+        Admission admission = inner.admit(transaction);
         Asked asked = of(transaction);
         if (asked == null || admission == Admission.REFUSED) { return admission; }
         asked.recorded = admission == Admission.RECORDED;
@@ -50,10 +50,10 @@
     }
 
     @Override
-    public void intend(Attempt attempt, Consumer<Boolean> then) {
+    public void recordIntent(Attempt attempt, Consumer<Boolean> then) {
         Asked asked = of(attempt.request);
         if (asked == null) {
-            inner.intend(attempt, then);
+            inner.recordIntent(attempt, then);
             return;
         }
         asked.out++;
@@ -66,7 +66,7 @@
             asked.letOut = goes && !attempt.isOver();
             then.accept(goes);
         };
-        if (asked.recorded) { inner.intend(attempt, look); } else { look.accept(true); }
+        if (asked.recorded) { inner.recordIntent(attempt, look); } else { look.accept(true); }
     }
 
     private static boolean fits(Asked asked, long region, int zone) {
@@ -75,26 +75,26 @@
     }
 
     @Override
-    public void written(Attempt attempt) {
+    public void attemptWritten(Attempt attempt) {
         Asked asked = of(attempt.request);
-        if (asked == null || asked.recorded) { inner.written(attempt); }
+        if (asked == null || asked.recorded) { inner.attemptWritten(attempt); }
     }
 
     @Override
-    public void ended(Attempt attempt, Api.Outcome outcome) {
+    public void attemptEnded(Attempt attempt, Api.Outcome outcome) {
         Asked asked = of(attempt.request);
         if (asked == null) {
-            inner.ended(attempt, outcome);
+            inner.attemptEnded(attempt, outcome);
             return;
         }
-        if (asked.recorded) { inner.ended(attempt, outcome); }
+        if (asked.recorded) { inner.attemptEnded(attempt, outcome); }
         asked.out--;
         boolean ran = asked.letOut && !outcome.neverRan();
         if (ran) {
             asked.mayHaveRun |= outcome != Api.Outcome.SERVED;
             if (asked.toRegion) { asked.server = attempt.backend; } else { asked.zone = asked.outZone; }
             boolean heard = outcome == Api.Outcome.SERVED || outcome == Api.Outcome.SERVER_ERROR;
-            if (!heard) { asked.looseUntil = Math.max(asked.looseUntil, attempt.sentAt + attempt.waitMs + settleMs); }
+            if (!heard) { asked.looseUntil = Math.max(asked.looseUntil, attempt.sentAtMs + attempt.waitMs + settleMs); }
         }
         settles.accept(asked);
     }
--- a/src/main/java/yardusher/units/UnitsIntake.java
+++ b/src/main/java/yardusher/units/UnitsIntake.java
@@ -15,12 +15,12 @@
 import java.util.function.ToIntFunction;
 import yardusher.Api;
 import yardusher.core.Deadlines;
-import yardusher.core.Intake;
-import yardusher.core.Order;
+import yardusher.core.RequestAcceptor;
+import yardusher.core.IncomingRequest;
 import yardusher.core.Session;
-import yardusher.core.Stay;
+import yardusher.core.RequestHandle;
 import yardusher.core.EventLoop;
-import yardusher.core.UnitWord;
+import yardusher.core.UnitDirective;
 import yardusher.error.UnitError;
 import yardusher.log.Events;
 import yardusher.mesh.Mesh;
@@ -31,7 +31,7 @@
  * home for each part, and is itself the home of the units that were opened here. What names no unit, where the mode has
  * none, goes straight on. Used in turns only.
  */
-final class UnitsIntake implements Intake, Unit.Sink, Post.Ends {
+final class UnitsIntake implements RequestAcceptor, Unit.Sink, Post.Ends {
     /** What is known of regions: the zone of one, -1 where it is not listed; and whether a zone has any left. */
     interface Regions {
         int zoneOf(long region);
@@ -40,7 +40,7 @@
     }
 
     /** What it stands in. */
-    record Place(String self, long life, EventLoop loop, Intake inner, UnitLog log, Regions regions, Mesh mesh, View view, Events events,
+    record Place(String self, long life, EventLoop loop, RequestAcceptor inner, UnitLog log, Regions regions, Mesh mesh, View view, Events events,
             List<Api.RequestClass> classes, List<String> plans, LongSupplier nonces) { }
 
     private static final int MOST_HOPS = 4;
@@ -101,7 +101,7 @@
         this.post = new Post(place.self, place.life, place.nonces, this);
         set(settings);
         place.log.join(zones(), this::settle);
-        place.mesh.hear(Mesh.Kind.UNITS, (from, body) -> {
+        place.mesh.setHandler(Mesh.Kind.UNITS, (from, body) -> {
             post.heard(loop.now(), body);
             pulseBy(loop.now() + TICK_MS);
         });
@@ -132,11 +132,11 @@
     // Requests of fronts.
 
     @Override
-    public Stay take(Order order) {
-        UnitWord word = order.cargo().unit();
+    public RequestHandle accept(IncomingRequest order) {
+        UnitDirective word = order.command().unit();
         Mode mode = modes[order.plan()];
         if (word == null) { return plain(order, mode); }
-        return word.said() == UnitWord.Said.OPEN ? opening(order, word, mode) : named(order, word, mode);
+        return word.boundary() == UnitDirective.Boundary.OPEN ? opening(order, word, mode) : named(order, word, mode);
     }
 
     /** The unit that this connection holds for a customer, null for none. */
@@ -146,12 +146,12 @@
         return name == null ? null : table.find(name);
     }
 
-    private Stay plain(Order order, Mode mode) {
-        if (mode != Mode.SESSION && sessions.isEmpty()) { return at.inner.take(order); }
+    private RequestHandle plain(IncomingRequest order, Mode mode) {
+        if (mode != Mode.SESSION && sessions.isEmpty()) { return at.inner.accept(order); }
         Session session = order.terminal().session();
         Unit unit = held(session, order.customer());
         if (unit == null) {
-            if (session == null || Translation.PLAIN.at(mode) != Translation.Then.JOINS) { return at.inner.take(order); }
+            if (session == null || Translation.PLAIN.at(mode) != Translation.Then.JOINS) { return at.inner.accept(order); }
             unit = begin(session, order);
             if (unit == null) { return refused(order); }
         } else if (unit.state() != Unit.State.OPEN) { // order across a session's units has no counterpart elsewhere: one after another
@@ -160,12 +160,12 @@
         return asks(order, unit.name, 0, Ticket.Kind.PART);
     }
 
-    private Unit begin(Session session, Order order) {
+    private Unit begin(Session session, IncomingRequest order) {
         Unit unit = draining ? null : table.open(loop.now(), order.customer(), Mode.SESSION);
         if (unit == null) { return null; }
         if (!sessions.containsKey(session)) {
             sessions.put(session, new HashMap<>(2));
-            session.atEnd(() -> closed(session));
+            session.onClose(() -> closed(session));
         }
         sessions.get(session).put(order.customer(), unit.name);
         sessionOf.put(unit.name, session);
@@ -181,12 +181,12 @@
         pulseBy(loop.now() + TICK_MS);
     }
 
-    private Stay opening(Order order, UnitWord word, Mode mode) {
+    private RequestHandle opening(IncomingRequest order, UnitDirective word, Mode mode) {
         Session session = mode == Mode.SESSION ? order.terminal().session() : null;
         Unit unit = held(session, order.customer());
-        boolean nested = word.unit() != null || unit != null && (unit.isBegun() || unit.waitingCount() > 0 || unit.state() != Unit.State.OPEN);
+        boolean nested = word.unitName() != null || unit != null && (unit.isBegun() || unit.waitingCount() > 0 || unit.state() != Unit.State.OPEN);
         Translation.Then then = (nested ? Translation.NESTED : Translation.OPENING).at(mode);
-        if (nested) { return fails(order, new UnitError.Boundary(word.unit() == null ? unit.name : word.unit(), "a unit is opened inside it")); }
+        if (nested) { return fails(order, new UnitError.Boundary(word.unitName() == null ? unit.name : word.unitName(), "a unit is opened inside it")); }
         if (then == Translation.Then.REFUSES || then == Translation.Then.NAMES && session == null) {
             return fails(order, new UnitError.Mode("new", mode.name().toLowerCase(java.util.Locale.ROOT), "no unit can be opened here"));
         }
@@ -200,10 +200,10 @@
         return answers(order, unit.name.toString());
     }
 
-    private Stay named(Order order, UnitWord word, Mode mode) {
-        UnitName name = UnitName.of(word.unit());
-        if (name == null) { return fails(order, new UnitError.Unknown(word.unit())); }
-        Ticket.Kind kind = word.said() == UnitWord.Said.ABANDON ? Ticket.Kind.ABANDON : word.said() == UnitWord.Said.NONE ? Ticket.Kind.PART
+    private RequestHandle named(IncomingRequest order, UnitDirective word, Mode mode) {
+        UnitName name = UnitName.of(word.unitName());
+        if (name == null) { return fails(order, new UnitError.Unknown(word.unitName())); }
+        Ticket.Kind kind = word.boundary() == UnitDirective.Boundary.ABANDON ? Ticket.Kind.ABANDON : word.boundary() == UnitDirective.Boundary.NONE ? Ticket.Kind.PART
                 : word.part() > 0 ? Ticket.Kind.LAST : Ticket.Kind.END;
         Unit held = mode == Mode.SESSION ? held(order.terminal().session(), order.customer()) : null;
         if (kind.isPart() && held != null && !held.name.equals(name) && held.isBegun() && Translation.CROSSING.at(mode) == Translation.Then.REFUSES) {
@@ -214,30 +214,30 @@
     }
 
     /** Something that was answered at once. */
-    private record Over(Order order) implements Stay {
+    private record Over(IncomingRequest incoming) implements RequestHandle {
         @Override
         public boolean mayHaveRun() { return false; }
 
         @Override
-        public void gone() { }
+        public void terminalLeft() { }
     }
 
-    private Stay answers(Order order, String text) {
+    private RequestHandle answers(IncomingRequest order, String text) {
         order.terminal().served(text.getBytes(StandardCharsets.UTF_8));
         return new Over(order);
     }
 
-    private Stay later(Order order, long afterMs) {
+    private RequestHandle later(IncomingRequest order, long afterMs) {
         order.terminal().reject(afterMs, false);
         return new Over(order);
     }
 
     /** No unit can be opened now. */
-    private Stay refused(Order order) {
+    private RequestHandle refused(IncomingRequest order) {
         return draining ? later(order, NOT_NOW_MS) : fails(order, new UnitError.Full("new", settings.mostOpen()));
     }
 
-    private Stay fails(Order order, UnitError error) {
+    private RequestHandle fails(IncomingRequest order, UnitError error) {
         order.terminal().failed(text(error), false);
         return new Over(order);
     }
@@ -249,7 +249,7 @@
 
     // Asking a home.
 
-    private Stay asks(Order order, UnitName name, int part, Ticket.Kind kind) {
+    private RequestHandle asks(IncomingRequest order, UnitName name, int part, Ticket.Kind kind) {
         Asked asked = new Asked(order, name, ++lastAsk, part, kind, loop, this::settle, this::left);
         asks.put(asked.ask, asked);
         ask(asked);
@@ -335,7 +335,7 @@
                 if (!member.name().equals(at.self)) { post.send(loop.now(), member.name(), message, until); }
             }
             long life = asked.unit.life();
-            loop.deadlines().at(loop.now() + settings.askMs() / 2, () -> found(life));
+            loop.deadlines().schedule(loop.now() + settings.askMs() / 2, () -> found(life));
             pulseBy(loop.now() + TICK_MS);
         }
         found.add(asked);
@@ -355,7 +355,7 @@
 
     private void wait(Asked asked, double until) {
         loop.deadlines().cancel(asked.timer);
-        asked.timer = loop.deadlines().at(until, () -> tooLate(asked));
+        asked.timer = loop.deadlines().schedule(until, () -> tooLate(asked));
     }
 
     private void tooLate(Asked asked) {
@@ -398,7 +398,7 @@
             withdraw(asked);
         } else if (asked.stage == Asked.Stage.RUNS) {
             asked.mayHaveRun |= asked.stay != null && asked.stay.mayHaveRun();
-            if (asked.stay != null) { asked.stay.gone(); }
+            if (asked.stay != null) { asked.stay.terminalLeft(); }
             settle(asked);
         }
     }
@@ -436,10 +436,10 @@
         parts++;
         partsElsewhere += from == null ? 0 : 1;
         at.log.runs(asked);
-        trace("part begins", null, "unit", asked.unit, "part", asked.part, "grant", asked.grant, "id", String.format("%016x", asked.order.cargo().id()));
-        Order o = asked.order;
-        asked.stay = at.inner.take(new Order(o.classIndex(), o.plan(), o.customer(), o.units(), o.first(), o.spread(), left, o.cargo(), asked,
-                bound ? new Api.Binding(asked.server, asked.zone, -1) : o.only()));
+        trace("part begins", null, "unit", asked.unit, "part", asked.part, "grant", asked.grant, "id", String.format("%016x", asked.order.command().id()));
+        IncomingRequest o = asked.order;
+        asked.stay = at.inner.accept(new IncomingRequest(o.classIndex(), o.plan(), o.customer(), o.units(), o.first(), o.spread(), left, o.command(), asked,
+                bound ? new Api.Binding(asked.server, asked.zone, -1) : o.binding()));
         asked.taken = true;
         settle(asked);
     }
@@ -459,7 +459,7 @@
         trace("part over", null, "unit", asked.unit, "part", asked.part, "grant", asked.grant, "result", result);
         Message.Done done = new Message.Done(asked.unit, asked.grant, result, loose, asked.server, asked.zone, "", 0);
         // After what runs now: the home may let the next part out within it.
-        if (asked.home == null) { loop.afterwards(() -> word(done, null)); } else { word(done, asked.home); }
+        if (asked.home == null) { loop.defer(() -> word(done, null)); } else { word(done, asked.home); }
     }
 
     private void word(Message.Done done, String home) {
@@ -487,7 +487,7 @@
             if (!r.to().isEmpty()) { remember(gone, r.unit(), r.to()); }
             ask(asked);
         } else if (r.why() == Refusal.UNKNOWN && gone.containsKey(r.unit()) && asked.hops < MOST_HOPS) {
-            loop.deadlines().at(loop.now() + AGAIN_MS, () -> { // it may still be on its way there
+            loop.deadlines().schedule(loop.now() + AGAIN_MS, () -> { // it may still be on its way there
                 if (asked.stage == Asked.Stage.WAITS && !asked.answered) { ask(asked); }
             });
         } else if (r.why() == Refusal.LATER) {
@@ -523,7 +523,7 @@
         Message.Grant message = new Message.Grant(unit.name, ticket.ask(), grant, unit.mode == Mode.SESSION, unit.server(), unit.zone());
         trace("part granted", unit, "part", ticket.part(), "grant", grant, "to", ticket.holder());
         if (isHere(ticket)) {
-            loop.afterwards(() -> granted(message, null));
+            loop.defer(() -> granted(message, null));
         } else {
             holders.computeIfAbsent(unit.name, none -> new HashSet<>(2)).add(ticket.holder());
             say(ticket, message);
@@ -534,7 +534,7 @@
     public void refuse(Unit unit, Ticket ticket, Refusal why, long figure) {
         String to = why == Refusal.MOVED ? heir : "";
         if (isHere(ticket)) {
-            loop.afterwards(() -> {
+            loop.defer(() -> {
                 Asked asked = asks.get(ticket.ask());
                 if (asked != null) { refused(new Message.Refuse(asked.unit, ticket.ask(), why, figure, to), null); }
             });
@@ -559,7 +559,7 @@
     @Override
     public void told(Unit unit, Ticket ticket) {
         if (isHere(ticket)) {
-            loop.afterwards(() -> told(unit.name, ticket.ask(), unit.state(), unit.served()));
+            loop.defer(() -> told(unit.name, ticket.ask(), unit.state(), unit.served()));
         } else {
             say(ticket, new Message.Told(unit.name, ticket.ask(), unit.state(), unit.served()));
         }
@@ -606,7 +606,7 @@
     @Override
     public void transmit(String to, byte[] datagram) {
         View.Member member = at.view.member(to);
-        if (member != null && datagram.length <= Mesh.MOST_BODY) { at.mesh.send(member.at(), Mesh.Kind.UNITS, datagram); }
+        if (member != null && datagram.length <= Mesh.MAX_BODY_BYTES) { at.mesh.send(member.at(), Mesh.Kind.UNITS, datagram); }
     }
 
     @Override
@@ -811,7 +811,7 @@
         if (atMs >= pulseAt) { return; }
         loop.deadlines().cancel(pulse);
         pulseAt = atMs;
-        pulse = loop.deadlines().at(atMs, this::pulse);
+        pulse = loop.deadlines().schedule(atMs, this::pulse);
     }
 
     private void pulse() {
--- a/src/main/java/yardusher/units/UnitsSubsystem.java
+++ b/src/main/java/yardusher/units/UnitsSubsystem.java
@@ -2,9 +2,9 @@
 
 import java.io.IOException;
 import java.util.function.Supplier;
-import yardusher.core.Ids;
-import yardusher.core.Intake;
-import yardusher.core.OrderLog;
+import yardusher.core.IdGenerator;
+import yardusher.core.RequestAcceptor;
+import yardusher.core.RequestLog;
 import yardusher.discovery.DiscoveredBackends;
 import yardusher.settings.Settings;
 import yardusher.subsystem.Site;
@@ -15,7 +15,7 @@
     private static final int LIFE_BITS = 47;         // of a name's twelve digits
 
     private final UnitSettings settings;
-    private final Ids ids = new Ids();
+    private final IdGenerator ids = new IdGenerator();
     private UnitLog log;
     private UnitsIntake intake;
 
@@ -25,13 +25,13 @@
     public String name() { return "units"; }
 
     @Override
-    public OrderLog orders(OrderLog inner) {
+    public RequestLog orders(RequestLog inner) {
         log = new UnitLog(inner);
         return log;
     }
 
     @Override
-    public Intake intake(Site site, Intake inner) throws IOException {
+    public RequestAcceptor intake(Site site, RequestAcceptor inner) throws IOException {
         Supplier<DiscoveredBackends> table = site::table;
         long life = (ids.next() >>> 64 - LIFE_BITS) | 1;
         intake = new UnitsIntake(new UnitsIntake.Place(site.name(), life, site.loop(), inner, log, new UnitsIntake.Regions() {
@@ -46,7 +46,7 @@
 
     @Override
     public void join(Site site) {
-        if (site.front() != null) { site.front().readUnits(settings.passOn()); }
+        if (site.front() != null) { site.front().enableUnits(settings.passOn()); }
     }
 
     @Override
--- a/src/main/java/yardusher/view/ViewSettings.java
+++ b/src/main/java/yardusher/view/ViewSettings.java
@@ -51,7 +51,7 @@
 
     private static InetSocketAddress address(String key, String text) {
         try {
-            InetSocketAddress at = Sockets.address(text);
+            InetSocketAddress at = Sockets.parseAddress(text);
             if (key.equals("listen") || at.getPort() != 0 && !at.getAddress().isAnyLocalAddress()) { return at; }
         } catch (ConfigError e) { /* told below, with the key */ }
         throw bad(key, "an address in digits and a port, as 127.0.0.4:7946, not " + text);
--- a/src/main/java/yardusher/view/ViewSubsystem.java
+++ b/src/main/java/yardusher/view/ViewSubsystem.java
@@ -70,7 +70,7 @@
         } catch (IOException e) {
             throw new ViewError.Listen(settings.listen().getAddress().getHostAddress() + ":" + settings.listen().getPort(), e.getMessage(), e);
         }
-        mesh.hear(Mesh.Kind.VIEW, (from, body) -> {
+        mesh.setHandler(Mesh.Kind.VIEW, (from, body) -> {
             membership.heard(loop.now(), body);
             arm();
         });
@@ -84,7 +84,7 @@
         if (at == timerAt) { return; }
         loop.deadlines().cancel(timer);
         timerAt = at;
-        timer = at == Double.POSITIVE_INFINITY ? null : loop.deadlines().at(at, () -> {
+        timer = at == Double.POSITIVE_INFINITY ? null : loop.deadlines().schedule(at, () -> {
             timerAt = Double.POSITIVE_INFINITY;
             membership.tick(loop.now());
             arm();
@@ -95,7 +95,7 @@
     public String reload(Settings next) { return settings.equals(next.view()) ? null : "table view waits for a restart"; }
 
     @Override
-    public String line() { return membership.line() + " " + mesh.line(); }
+    public String line() { return membership.line() + " " + mesh.countersLine(); }
 
     @Override
     public String report(String call) { return call.equals("members") ? membership.report(loop.now()) : null; }
--- a/src/main/java/yardusher/view/Wire.java
+++ b/src/main/java/yardusher/view/Wire.java
@@ -77,7 +77,7 @@
 
     /** Writes one datagram; news is added to it as long as it fits. */
     static final class Writer {
-        private final ByteBuffer out = ByteBuffer.allocate(Mesh.MOST_BODY);
+        private final ByteBuffer out = ByteBuffer.allocate(Mesh.MAX_BODY_BYTES);
 
         Writer(Type type, News from, boolean taking, long digest, long table) {
             out.put((byte) type.ordinal()).put((byte) (taking ? 1 : 0));
--- a/src/test/java/yardusher/register/ScriptedTest.java
+++ b/src/test/java/yardusher/register/ScriptedTest.java
@@ -10,7 +10,7 @@
 import org.slf4j.LoggerFactory;
 import yardusher.lab.register.Scripted;
 
-/** The register's members on scripted time, by seed; thousands of seeds by {@code lab.register.Scripted}. */
+/** The register's members on scripted time, by seed; thousands of seeds by {@code lab.register.ScriptedChannel}. */
 class ScriptedTest {
     @BeforeAll
     static void quiet() { ((Logger) LoggerFactory.getLogger("io.microraft")).setLevel(Level.OFF); }
--- a/src/test/java/yardusher/units/HardCasesTest.java
+++ b/src/test/java/yardusher/units/HardCasesTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import yardusher.core.UnitWord;
+import yardusher.core.UnitDirective;
 import yardusher.units.UnitsWorld.Try;
 import yardusher.units.UnitsWorld.Wire;
 import yardusher.units.UnitsWorld.Without;
@@ -65,7 +65,7 @@
     void aCloseAndAnEndCrossAtTwoIngresses() {
         open(Mode.SESSION, Mode.UNIT);
         Wire wire = world.connect(0);
-        Try named = world.send(wire, 5, LOOKUP, 1, new UnitWord(null, 0, UnitWord.Said.OPEN), 500, any -> { });
+        Try named = world.send(wire, 5, LOOKUP, 1, new UnitDirective(null, 0, UnitDirective.Boundary.OPEN), 500, any -> { });
         world.run(5);
         Try part = sends(1, 5, named.answer, 1);
         world.run(30);
@@ -210,7 +210,7 @@
         world.run(60);
         assertThat(List.of(before.served, after.served, part.served)).containsOnly(true);
         assertThat(world.said.stream().filter(one -> one.what().equals("opened"))).hasSize(2);
-        Try refused = world.ask(0, 7, LOOKUP, new UnitWord(null, 0, UnitWord.Said.OPEN));
+        Try refused = world.ask(0, 7, LOOKUP, new UnitDirective(null, 0, UnitDirective.Boundary.OPEN));
         wire.close();
         Wire next = world.connect(0);
         plain(next, 5);                              // and what begins now stands alone
@@ -331,7 +331,7 @@
         open(Mode.UNIT, Mode.SINGLE);
         int refused = 0;
         for (int i = 0; i < 10_000; i++) {
-            Try opening = world.ask(0, 1000 + i % 500, LOOKUP, new UnitWord(null, 0, UnitWord.Said.OPEN));
+            Try opening = world.ask(0, 1000 + i % 500, LOOKUP, new UnitDirective(null, 0, UnitDirective.Boundary.OPEN));
             if (i % 100 == 99) { world.run(3); }
             refused += opening.answer.startsWith("UNIT_FULL") ? 1 : 0;
             assertThat(world.nodes[0].intake.table().size()).isLessThanOrEqualTo(1000);
@@ -346,11 +346,11 @@
     void boundariesThatAreNestedDoubledMissingCrossingOrLateHaveTheirOutcome() {
         open(Mode.UNIT, Mode.SESSION, Mode.SINGLE);
         String unit = world.open(0, 5);
-        Try nested = world.ask(0, 5, LOOKUP, new UnitWord(unit, 0, UnitWord.Said.OPEN));
+        Try nested = world.ask(0, 5, LOOKUP, new UnitDirective(unit, 0, UnitDirective.Boundary.OPEN));
         Wire wire = world.connect(1);
         plain(wire, 5);
         world.run(30);
-        Try insideASession = world.send(wire, 5, LOOKUP, 1, new UnitWord(null, 0, UnitWord.Said.OPEN), 500, any -> { });
+        Try insideASession = world.send(wire, 5, LOOKUP, 1, new UnitDirective(null, 0, UnitDirective.Boundary.OPEN), 500, any -> { });
         Try crossing = world.send(wire, 5, ORDER, 2, part(unit, 1), 500, any -> { });
         Try foreign = sends(0, 6, unit, 1);
         Try unopened = sends(2, 5, "n0.7b.1", 1);
--- a/src/test/java/yardusher/units/UnitsTest.java
+++ b/src/test/java/yardusher/units/UnitsTest.java
@@ -35,19 +35,19 @@
     @Test
     void wordsOfUnitsAreReadAndNotPassedOn() {
         String list = "u=n2.3f.1,c=lookup,t=basis,d=480,p=2,units=1,spread=1,first=0,b=end";
-        Call call = Call.withUnit(words(list), false);
+        Call call = Call.parseWithUnit(words(list), false);
         assertThat(call.unit()).hasToString("UnitWord[unit=n2.3f.1, part=2, said=END]");
         assertThat(told(call)).contains("\r\nc=lookup,t=basis,d=9,units=1,spread=1,first=0\r\n");
-        assertThat(told(Call.withUnit(words(list), true))).contains("u=n2.3f.1,c=lookup,t=basis,d=9,p=2,units=1,spread=1,first=0,b=end");
-        assertThat(Call.withUnit(words("c=lookup,t=basis,d=480,units=1,spread=1,first=0"), false).unit()).isNull();
-        assertThatThrownBy(() -> Call.of(words(list))).hasMessageContaining("unknown name in list"); // off
+        assertThat(told(Call.parseWithUnit(words(list), true))).contains("u=n2.3f.1,c=lookup,t=basis,d=9,p=2,units=1,spread=1,first=0,b=end");
+        assertThat(Call.parseWithUnit(words("c=lookup,t=basis,d=480,units=1,spread=1,first=0"), false).unit()).isNull();
+        assertThatThrownBy(() -> Call.parse(words(list))).hasMessageContaining("unknown name in list"); // off
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"p=1", "u=n.1.1", "u=n.1.1,p=0", "u=n.1.1,p=x", "u=n.1.1,p=1,p=2", "u=n.1.1,u=n.1.1,p=1", "b=shut,u=n.1.1", "b=end", "b=open,p=1",
         "b=abandon,u=n.1.1,p=1", "u=,p=1", "u=n.1.1,p=9999999"})
     void wordsThatDoNotGoTogetherAreTurnedAway(String words) {
-        assertThatThrownBy(() -> Call.withUnit(words("c=lookup,t=basis,d=480,units=1,spread=1,first=0," + words), false)).isInstanceOf(YardusherError.class);
+        assertThatThrownBy(() -> Call.parseWithUnit(words("c=lookup,t=basis,d=480,units=1,spread=1,first=0," + words), false)).isInstanceOf(YardusherError.class);
     }
 
     @Test
--- a/src/test/java/yardusher/view/WireTest.java
+++ b/src/test/java/yardusher/view/WireTest.java
@@ -59,7 +59,7 @@
         Wire.Type type = Wire.Type.values()[random.nextInt(Wire.Type.values().length)];
         List<News> told = new ArrayList<>();
         byte[] body = message(random, type, told);
-        assertThat(body.length).isLessThanOrEqualTo(Mesh.MOST_BODY);
+        assertThat(body.length).isLessThanOrEqualTo(Mesh.MAX_BODY_BYTES);
         Wire.Message read = WIRE.read(body);
         assertThat(read.type()).isEqualTo(type);
         assertThat(read.news().stream().map(WireTest::text)).isEqualTo(told.stream().map(WireTest::text).toList());
@@ -89,7 +89,7 @@
         Membership member = new Membership(new ViewSettings(new InetSocketAddress("127.0.0.1", 7), "site", List.of()), "self", "a",
                 new InetSocketAddress("127.0.0.1", 7), 1, 1000, new Membership.World() {
                     @Override
-                    public void send(InetSocketAddress to, byte[] body) { assertThat(body.length).isLessThanOrEqualTo(Mesh.MOST_BODY); }
+                    public void send(InetSocketAddress to, byte[] body) { assertThat(body.length).isLessThanOrEqualTo(Mesh.MAX_BODY_BYTES); }
 
                     @Override
                     public void wrong(ViewError error) { assertThat(error.getMessage()).isNotEmpty(); }
