--- a/src/main/java/yardusher/core/Counters.java
+++ b/src/main/java/yardusher/core/Counters.java
@@ -67,11 +67,12 @@
                     .append(refusalsByReason[reason.ordinal()]);
         }
         return text.append(" connections=").append(connectionsOpened).append(" connections_reused=")
-                .append(connectionsReused).append(" connections_failed=").append(connectionsFailed).append(" peer_out=").append(peerMessagesSent)
-                .append(" peer_in=").append(peerMessagesReceived).append(" list_asks=").append(listWatches)
+                .append(connectionsReused).append(" connections_failed=").append(connectionsFailed)
+                .append(" peer_out=").append(peerMessagesSent).append(" peer_in=").append(peerMessagesReceived).append(" list_asks=").append(listWatches)
                 .append(" list_whole=").append(completeLists).append(" list_bad=").append(malformedListLines)
                 .append(" list_changes=").append(listChanges)
-                .append(" large=").append(largeValues).append(" large_open=").append(largeValuesOpen).append(" large_most=").append(maxLargeValuesOpen)
+                .append(" large=").append(largeValues).append(" large_open=").append(largeValuesOpen)
+                .append(" large_most=").append(maxLargeValuesOpen)
                 .append(" reloads=").append(reloads).append(" answers_second=").append(duplicateAnswers)
                 .append(" faults=").append(faults).append(extraCounters.get()).toString();
     }
--- a/src/main/java/yardusher/core/DecisionStage.java
+++ b/src/main/java/yardusher/core/DecisionStage.java
@@ -16,8 +16,8 @@
 
     void submit(Request request) {
         IncomingRequest incoming = request.incoming;
-        deliver(new Api.Request(request.number, incoming.classIndex(), incoming.plan(), incoming.customer(), request.deadlineMs, incoming.units(), incoming.first(),
-                incoming.spread(), incoming.binding()));
+        deliver(new Api.Request(request.number, incoming.classIndex(), incoming.plan(), incoming.customer(), request.deadlineMs,
+                incoming.units(), incoming.first(), incoming.spread(), incoming.binding()));
     }
 
     /** Delivers an event to the module at the current time. The time passed to the module never goes back. */
--- a/src/main/java/yardusher/core/Ingress.java
+++ b/src/main/java/yardusher/core/Ingress.java
@@ -118,7 +118,8 @@
         cleanupStage.attemptEnded(attempt, result);
         Request request = attempt.request;
         if (result.outcome() == Api.Outcome.SERVED) { responseStage.served(request, result.value()); }
-        if (request.state.stage() == RequestState.Stage.STREAMING) { responseStage.streamFailed(request); } // no other attempt may follow a chunk
+        // No other attempt may follow a chunk.
+        if (request.state.stage() == RequestState.Stage.STREAMING) { responseStage.streamFailed(request); }
         boolean finished = request.state.isOver();
         if (finished) { cleanupStage.closeRequest(request); }
         decisionStage.deliver(new Api.AttemptDone(request.number, attempt.number, attempt.backend, result.outcome(),
@@ -155,7 +156,9 @@
 
     private void countForwarded(Attempt attempt) {
         counters.forwards += attempt.countedAsForwarded ? 0 : 1;
-        if (attempt.delayReported && !attempt.countedAsForwarded) { decisionStage.deliver(new Api.AttemptWritten(attempt.request.number, attempt.number)); }
+        if (attempt.delayReported && !attempt.countedAsForwarded) {
+            decisionStage.deliver(new Api.AttemptWritten(attempt.request.number, attempt.number));
+        }
         attempt.countedAsForwarded = true;
     }
 
--- a/src/main/java/yardusher/core/IntakeStage.java
+++ b/src/main/java/yardusher/core/IntakeStage.java
@@ -14,7 +14,8 @@
     private final List<Api.RequestClass> classes;
     private long lastNumber;
 
-    IntakeStage(EventLoop loop, List<Api.RequestClass> classes, Map<Long, Request> openRequests, Counters counters, Consumer<Request> onTerminalLeft) {
+    IntakeStage(EventLoop loop, List<Api.RequestClass> classes, Map<Long, Request> openRequests, Counters counters,
+            Consumer<Request> onTerminalLeft) {
         this.classes = classes;
         this.onTerminalLeft = onTerminalLeft;
         this.loop = loop;
--- a/src/main/java/yardusher/core/RequestState.java
+++ b/src/main/java/yardusher/core/RequestState.java
@@ -9,7 +9,7 @@
  * was performed; if not, nothing has changed.
  */
 final class RequestState {
-    /** State of the request. PASSING: a large value is being streamed, and no other attempt may follow. */
+    /** State of the request. STREAMING: a large value is being streamed, and no other attempt may follow. */
     enum Stage { OPEN, STREAMING, ANSWERED, GONE }
 
     /**
@@ -74,7 +74,8 @@
      * since an attempt that was chosen in time may since have waited for its record or for a connection.
      */
     boolean handToSocket(int attempt, double nowMs) {
-        if (stage != Stage.OPEN || attempt != newestAttempt || attemptStage != AttemptStage.BEGUN || nowMs >= deadlineMs || !mayRepeat(nowMs)) { return false; }
+        if (stage != Stage.OPEN || attempt != newestAttempt || attemptStage != AttemptStage.BEGUN || nowMs >= deadlineMs
+                || !mayRepeat(nowMs)) { return false; }
         attemptStage = AttemptStage.HANDED;
         handedAtMs = nowMs;
         return true;
--- a/src/main/java/yardusher/limits/LimitsFrontend.java
+++ b/src/main/java/yardusher/limits/LimitsFrontend.java
@@ -159,14 +159,16 @@
         Api.Effect effect = ingress.settings().classes().get(classIndex).effect();
         boolean safeToRepeat = effect == Api.Effect.IDEMPOTENT;
         String list = "c=" + className + ",t=" + customer.plan() + ",d=" + config.waitMs()
-                + (effect == Api.Effect.DEDUPLICATED ? ",k=" + newId() : "") + ",units=" + throttle.quantity() + ",spread=" + customer.spread() + ",first="
-                + customer.first();
+                + (effect == Api.Effect.DEDUPLICATED ? ",k=" + newId() : "") + ",units=" + throttle.quantity()
+                + ",spread=" + customer.spread() + ",first=" + customer.first();
         byte[] customerHex = ascii(String.format("%016x", customer.number()));
-        Call call = Call.parse(safeToRepeat ? new byte[][] {ascii("CALL.GET"), customerHex, ascii(newId()), list.getBytes(StandardCharsets.UTF_8)}
+        Call call = Call.parse(safeToRepeat
+                ? new byte[][] {ascii("CALL.GET"), customerHex, ascii(newId()), list.getBytes(StandardCharsets.UTF_8)}
                 : new byte[][] {ascii("CALL.POST"), customerHex, ascii(newId()), list.getBytes(StandardCharsets.UTF_8), new byte[0]});
         openCount++;
         slot.request = ingress.accept(new IncomingRequest(classIndex, plan, customer.number(), throttle.quantity(),
-                customer.first(), customer.spread(), config.waitMs(), call, new ThrottleTerminal(slot, customer, plan, throttle.quantity())));
+                customer.first(), customer.spread(), config.waitMs(), call,
+                new ThrottleTerminal(slot, customer, plan, throttle.quantity())));
         if (slot.isAnswered()) { slot.request = null; }
     }
 
--- a/src/main/java/yardusher/mesh/DatagramMesh.java
+++ b/src/main/java/yardusher/mesh/DatagramMesh.java
@@ -93,7 +93,8 @@
         int expectedChecksum = in.getInt();
         if (!sameInstallation) {
             foreign++;
-        } else if (datagram.length > HEADER_BYTES + MAX_BODY_BYTES || kind < 0 || kind >= KINDS.length || expectedChecksum != checksum(kind, in.duplicate())) {
+        } else if (datagram.length > HEADER_BYTES + MAX_BODY_BYTES || kind < 0 || kind >= KINDS.length
+                || expectedChecksum != checksum(kind, in.duplicate())) {
             corrupt++;
         } else if (!handlers.containsKey(KINDS[kind])) {
             unhandled++;
@@ -117,10 +118,13 @@
 
     @Override
     public void send(InetSocketAddress to, Kind kind, byte[] body) {
-        if (body.length > MAX_BODY_BYTES) { throw new IllegalArgumentException("body of " + body.length + " bytes exceeds the maximum of " + MAX_BODY_BYTES); }
+        if (body.length > MAX_BODY_BYTES) {
+            throw new IllegalArgumentException("body of " + body.length + " bytes exceeds the maximum of " + MAX_BODY_BYTES);
+        }
         if (channel == null) { return; }
         sendBuffer.clear();
-        sendBuffer.put(MAGIC).put(VERSION).put((byte) kind.ordinal()).putLong(installationHash).putInt(checksum(kind.ordinal(), ByteBuffer.wrap(body)));
+        sendBuffer.put(MAGIC).put(VERSION).put((byte) kind.ordinal()).putLong(installationHash)
+                .putInt(checksum(kind.ordinal(), ByteBuffer.wrap(body)));
         sendBuffer.put(body).flip();
         try {
             channel.send(sendBuffer, to);
--- a/src/main/java/yardusher/net/BodyBudget.java
+++ b/src/main/java/yardusher/net/BodyBudget.java
@@ -58,5 +58,7 @@
     }
 
     /** The bytes in use now and their maximum so far, as counters. */
-    public String countersLine() { return "body_kb=" + usedBytes / 1024 + " body_most_kb=" + peakBytes / 1024 + " body_waiting=" + waiting.size(); }
+    public String countersLine() {
+        return "body_kb=" + usedBytes / 1024 + " body_most_kb=" + peakBytes / 1024 + " body_waiting=" + waiting.size();
+    }
 }
--- a/src/main/java/yardusher/net/ClientConnection.java
+++ b/src/main/java/yardusher/net/ClientConnection.java
@@ -29,7 +29,7 @@
 
     /**
      * READING, then one or more of the others in this order. DEAF: further input is dropped, commands read before are handled.
-     * LOST: open commands are answered, no others are handled. OVER: the terminal has left, or its last bytes are being
+     * LOST: open commands are answered, no others are handled. CLOSED: the terminal has left, or its last bytes are being
      * flushed.
      */
     private enum Stage { READING, INPUT_IGNORED, FINISHING, CLOSED }
@@ -94,7 +94,9 @@
     @Override
     public boolean keepsInput(Connection from) {
         // At the end of a process, a terminal whose requests overlap would otherwise send more commands for ever.
-        if (stage == Stage.READING && !slots.isEmpty() && server.drainSchedule().hasStoppedReading(loop.now())) { stage = Stage.INPUT_IGNORED; }
+        if (stage == Stage.READING && !slots.isEmpty() && server.drainSchedule().hasStoppedReading(loop.now())) {
+            stage = Stage.INPUT_IGNORED;
+        }
         return stage == Stage.READING;
     }
 
@@ -198,7 +200,8 @@
             fullCheckScheduled = false;
             if (stage == Stage.CLOSED || connection.isClosed()) { return; }
             // The disconnect of a terminal that sends much at once and leaves would stay unseen behind the unread input.
-            if (readCount == connection.readCount() && !connection.isReading() && !slots.isEmpty() && (releaseBody == null || bodyGranted)) {
+            if (readCount == connection.readCount() && !connection.isReading() && !slots.isEmpty()
+                    && (releaseBody == null || bodyGranted)) {
                 closeWithError("too many commands at once");
             }
             connection.readMore();                         // or reports again that the buffer is full
--- a/src/main/java/yardusher/net/Connection.java
+++ b/src/main/java/yardusher/net/Connection.java
@@ -52,7 +52,7 @@
     private static final ByteBuffer DRAIN_BUFFER = ByteBuffer.allocateDirect(64 * 1024);
 
     /**
-     * OPEN, then either FINISHING (the last bytes are flushed) or LEAVING (the current write completes, the rest is dropped),
+     * OPEN, then either FINISHING (the last bytes are flushed) or COMPLETING_WRITE (the current write completes, the rest is dropped),
      * then DRAINING (output is shut down, input is dropped) and CLOSED; each can go to CLOSED directly.
      */
     private enum Stage { OPEN, FINISHING, COMPLETING_WRITE, DRAINING, CLOSED }
@@ -90,7 +90,8 @@
         this(channel, loop, owner, inbound, 0, null);
     }
 
-    private Connection(AsynchronousSocketChannel channel, EventLoop loop, Owner owner, InboundBuffer inbound, int maxReadAhead, ReadAheadBudget readAheadBudget) {
+    private Connection(AsynchronousSocketChannel channel, EventLoop loop, Owner owner, InboundBuffer inbound, int maxReadAhead,
+            ReadAheadBudget readAheadBudget) {
         this.readAheadBudget = readAheadBudget;
         this.inbound = inbound;
         this.channel = channel;
@@ -104,7 +105,8 @@
      * peer's disconnect is seen. Input is reported once no more is available at once, and not at all if it is followed by the
      * disconnect.
      */
-    static Connection createReadingAhead(AsynchronousSocketChannel channel, EventLoop loop, Owner owner, int maxReadAhead, ReadAheadBudget readAheadBudget) {
+    static Connection createReadingAhead(AsynchronousSocketChannel channel, EventLoop loop, Owner owner, int maxReadAhead,
+            ReadAheadBudget readAheadBudget) {
         return new Connection(channel, loop, owner, new Decoder(), maxReadAhead, readAheadBudget);
     }
 
@@ -141,7 +143,8 @@
         countHeld(decoder().bufferedBytes());
         // Many connections that send much at once must not fill the heap: beyond the common limit each one buffers little more
         // than its current command.
-        return countedBytes >= maxReadAhead || countedBytes >= MIN_READ_AHEAD_BYTES && readAheadBudget.heldBytes >= readAheadBudget.maxBytes && (ownerNotNotified || owner.isHoldingBack(this));
+        return countedBytes >= maxReadAhead || countedBytes >= MIN_READ_AHEAD_BYTES
+                && readAheadBudget.heldBytes >= readAheadBudget.maxBytes && (ownerNotNotified || owner.isHoldingBack(this));
     }
 
     /** Whether the connection ended in a failed write: then the last byte was never written. */
@@ -166,7 +169,8 @@
         // A read waits in a small buffer of its own: a wait in the decoder's buffer would keep all of that allocated while no
         // input comes.
         if (usingReceiveBuffer && receiveBuffer == null) { receiveBuffer = new byte[Decoder.MAX_ADD_BYTES]; }
-        ByteBuffer buffer = droppingRead ? DRAIN_BUFFER.duplicate() : usingReceiveBuffer ? ByteBuffer.wrap(receiveBuffer) : inbound.readBuffer();
+        ByteBuffer buffer = droppingRead ? DRAIN_BUFFER.duplicate()
+                : usingReceiveBuffer ? ByteBuffer.wrap(receiveBuffer) : inbound.readBuffer();
         requestedBytes = buffer.remaining();
         read(buffer);
     }
@@ -300,7 +304,7 @@
         }
     }
 
-    private void read(int count) {
+    private void onRead(int count) {
         reading = false;
         if (isClosed()) { return; }
         if (stage == Stage.DRAINING) {
@@ -379,7 +383,7 @@
 
     private static final CompletionHandler<Integer, Connection> READ_HANDLER = new CompletionHandler<>() {
         @Override
-        public void completed(Integer count, Connection link) { link.loop.execute(() -> link.read(count)); }
+        public void completed(Integer count, Connection link) { link.loop.execute(() -> link.onRead(count)); }
 
         @Override
         public void failed(Throwable why, Connection link) { link.loop.execute(link::closeAndNotify); }
--- a/src/main/java/yardusher/net/ConnectionRegistry.java
+++ b/src/main/java/yardusher/net/ConnectionRegistry.java
@@ -161,7 +161,8 @@
             // A client that has begun a command is not closed without a reply: a silent one gets an error, an idle one has its
             // full time.
             boolean hasBegun = connection.hasBegunCommand();
-            if (connection.commandBegunAtMs() < begunBeforeMs || hasBegun && candidates == silent && connection.quietSinceMs() < quietBeforeMs) {
+            if (connection.commandBegunAtMs() < begunBeforeMs
+                    || hasBegun && candidates == silent && connection.quietSinceMs() < quietBeforeMs) {
                 connection.closeWithError("command not ended");
             } else if (!hasBegun && connection.quietSinceMs() < quietBeforeMs) {
                 connection.finish();
--- a/src/main/java/yardusher/net/RespServer.java
+++ b/src/main/java/yardusher/net/RespServer.java
@@ -35,7 +35,8 @@
     /**
      * Maximum number of bytes that all connections together read ahead: a share of the heap, at least 4 MiB and at most 16 MiB.
      */
-    static final long MAX_READ_AHEAD_BYTES = Math.max(4 << 20, Math.min(16 << 20, Runtime.getRuntime().maxMemory() / READ_AHEAD_HEAP_SHARE));
+    static final long MAX_READ_AHEAD_BYTES =
+            Math.max(4 << 20, Math.min(16 << 20, Runtime.getRuntime().maxMemory() / READ_AHEAD_HEAP_SHARE));
     private static final double ACCEPT_RETRY_MS = 10;
     private static final double MAINTENANCE_INTERVAL_MS = 100;
     private static final double ACCEPT_QUIET_MS = 30;
@@ -59,13 +60,14 @@
      * Creates a server that listens once {@link #bind} is called. Large bodies are buffered within the budget. With {@code
      * reusePort} the next version of this program can listen on the same address.
      */
-    public RespServer(Sockets sockets, InetSocketAddress address, boolean reusePort, int maxTerminals, BodyBudget bodyBudget, CommandHandler commandHandler)
-            throws IOException {
+    public RespServer(Sockets sockets, InetSocketAddress address, boolean reusePort, int maxTerminals, BodyBudget bodyBudget,
+            CommandHandler commandHandler) throws IOException {
         this.bodyBudget = bodyBudget;
         this.commandHandler = commandHandler;
         setMaxConnections(maxTerminals);
         this.loop = sockets.loop();
-        listener = sockets.createListener(address, reusePort, channel -> new ClientConnection(channel, this, connections, loop), nothing -> makeRoom());
+        listener = sockets.createListener(address, reusePort,
+                channel -> new ClientConnection(channel, this, connections, loop), nothing -> makeRoom());
         loop.deadlines().schedule(loop.now() + MAINTENANCE_INTERVAL_MS, this::maintain);
     }
 
--- a/src/main/java/yardusher/net/Sockets.java
+++ b/src/main/java/yardusher/net/Sockets.java
@@ -61,7 +61,9 @@
     }
 
     /** Formats an address for messages. */
-    public static String formatAddress(InetSocketAddress address) { return address.getAddress().getHostAddress() + ":" + address.getPort(); }
+    public static String formatAddress(InetSocketAddress address) {
+        return address.getAddress().getHostAddress() + ":" + address.getPort();
+    }
 
     /** A listening socket. */
     public final class Listener {
--- a/src/main/java/yardusher/resp/Call.java
+++ b/src/main/java/yardusher/resp/Call.java
@@ -152,7 +152,9 @@
             case END -> unitName != null && (partText == null || part > 0);
             case ABANDON -> unitName != null && partText == null;
         };
-        if (!consistent || unitName != null && (unitName.isEmpty() || unitName.length() > 120)) { throw new CommandError.Argument("u, p and b do not go together"); }
+        if (!consistent || unitName != null && (unitName.isEmpty() || unitName.length() > 120)) {
+            throw new CommandError.Argument("u, p and b do not go together");
+        }
         return new UnitDirective(unitName, part, boundary);
     }
 
--- a/src/main/java/yardusher/resp/Decoder.java
+++ b/src/main/java/yardusher/resp/Decoder.java
@@ -66,7 +66,9 @@
         if (start != end) { return; }
         start = end = 0;
         // a large value keeps no memory after it
-        if (bytes.length > CHUNK_BYTES || bytes.length > SMALL_BUFFER_BYTES && largeLength == 0 && shrinkPending) { bytes = new byte[SMALL_BUFFER_BYTES]; }
+        if (bytes.length > CHUNK_BYTES || bytes.length > SMALL_BUFFER_BYTES && largeLength == 0 && shrinkPending) {
+            bytes = new byte[SMALL_BUFFER_BYTES];
+        }
         shrinkPending = false;
     }
 
@@ -160,7 +162,8 @@
             words[i] = parseBulk(length);
             if (words[i] == null) { return incomplete(); }
         }
-        if (position - start > MAX_VALUE_BYTES) { throw new MalformedRespException("value too large"); } // regardless of how much of it came in one read
+        // Regardless of how much of it came in one read.
+        if (position - start > MAX_VALUE_BYTES) { throw new MalformedRespException("value too large"); }
         start = position;
         return words;
     }
--- a/src/main/java/yardusher/wire/Codec.java
+++ b/src/main/java/yardusher/wire/Codec.java
@@ -36,7 +36,9 @@
             return new WireError.Malformed(null, "unknown " + key + " \"" + text(key) + "\" in \"" + path() + key + "\", allowed are " + allowed);
         }
 
-        private String path() { return parent == null ? "" : parent.path() + parentKey + (parentIndex < 0 ? "." : "[" + parentIndex + "]."); }
+        private String path() {
+            return parent == null ? "" : parent.path() + parentKey + (parentIndex < 0 ? "." : "[" + parentIndex + "].");
+        }
 
         private JsonObject withParent(JsonObject containing, String key, int index) {
             parent = containing;
--- a/src/main/java/yardusher/wire/SettingsValidator.java
+++ b/src/main/java/yardusher/wire/SettingsValidator.java
@@ -158,7 +158,9 @@
         notePositive("prices.", prices, List.of("cross_zone", "peer"), notes, "not used in decisions");
         notePositive("goal.", goal, List.of(), notes, "not used in decisions");
         for (Codec.JsonObject requestClass : config.objects("classes")) {
-            if (requestClass.number("aim_stretch", 0) > 0) { notes.add("classes." + requestClass.text("name") + ".aim_stretch (the aim is used unchanged)"); }
+            if (requestClass.number("aim_stretch", 0) > 0) {
+                notes.add("classes." + requestClass.text("name") + ".aim_stretch (the aim is used unchanged)");
+            }
         }
         for (Codec.JsonObject contract : config.objects("contracts")) {
             if (contract.number("beyond_earns", 0) > 0) {
@@ -183,7 +185,8 @@
         for (Map.Entry<String, Set<String>> known : KNOWN_KEYS.entrySet()) {
             String table = known.getKey();
             boolean isArray = table.equals("classes") || table.equals("contracts");
-            for (Codec.JsonObject entry : table.isEmpty() ? List.of(config) : isArray ? config.objects(table) : List.of(config.objectOrEmpty(table))) {
+            for (Codec.JsonObject entry : table.isEmpty() ? List.of(config)
+                    : isArray ? config.objects(table) : List.of(config.objectOrEmpty(table))) {
                 for (String key : entry.keys()) {
                     if (!known.getValue().contains(key)) { found.add(table.isEmpty() ? key : table + "." + key); }
                 }
--- a/src/test/java/yardusher/units/UnitsTest.java
+++ b/src/test/java/yardusher/units/UnitsTest.java
@@ -36,7 +36,7 @@
     void wordsOfUnitsAreReadAndNotPassedOn() {
         String list = "u=n2.3f.1,c=lookup,t=basis,d=480,p=2,units=1,spread=1,first=0,b=end";
         Call call = Call.parseWithUnit(words(list), false);
-        assertThat(call.unit()).hasToString("UnitWord[unit=n2.3f.1, part=2, said=END]");
+        assertThat(call.unit()).hasToString("UnitDirective[unitName=n2.3f.1, part=2, boundary=END]");
         assertThat(told(call)).contains("\r\nc=lookup,t=basis,d=9,units=1,spread=1,first=0\r\n");
         assertThat(told(Call.parseWithUnit(words(list), true))).contains("u=n2.3f.1,c=lookup,t=basis,d=9,p=2,units=1,spread=1,first=0,b=end");
         assertThat(Call.parseWithUnit(words("c=lookup,t=basis,d=480,units=1,spread=1,first=0"), false).unit()).isNull();
