--- a/src/main/java/yardusher/clients/PlatformFrontend.java
+++ b/src/main/java/yardusher/clients/PlatformFrontend.java
@@ -37,9 +37,9 @@
     private final Map<String, Integer> classIndexes = new HashMap<>();
     private final Map<String, Integer> planIndexes = new HashMap<>();
     private final RespServer server;
-    private boolean readsUnits;                         // names of units are read in lists
+    private boolean readsUnits;                      // names of units are read in lists
     private boolean forwardsUnits;
-    private LongFunction<String> describeKey;           // null where idempotency keys are off
+    private LongFunction<String> describeKey;        // null where idempotency keys are off
     private Supplier<String> keyCounters;
     /** Ids of requests without their final answer; a second request with such an id is rejected. */
     private final Set<Long> openIds = new HashSet<>();
--- a/src/main/java/yardusher/core/DispatchStage.java
+++ b/src/main/java/yardusher/core/DispatchStage.java
@@ -42,7 +42,7 @@
             if (attempt.isOver()) { return; }        // cancelled while it was parked
             if (!mayBeSent) {
                 onUnrecorded.accept(request);
-            } else if (!backends.isAvailable(backend)) {     // removed from the service table while it was parked
+            } else if (!backends.isAvailable(backend)) { // removed from the service table while it was parked
                 onEnded.accept(attempt, Attempt.Result.of(Api.Outcome.NOT_SENT));
             } else {
                 begin(attempt, (long) Math.max(1, Math.ceil(nowMs + waitMs - loop.now())));
--- a/src/main/java/yardusher/core/EventLoop.java
+++ b/src/main/java/yardusher/core/EventLoop.java
@@ -62,7 +62,7 @@
             try {
                 next.run();
             } catch (Throwable e) {
-                reportFault(e);                             // one faulty message must not stop the ingress
+                reportFault(e);                      // one faulty message must not stop the ingress
             }
         }
     }
--- a/src/main/java/yardusher/core/IncomingRequest.java
+++ b/src/main/java/yardusher/core/IncomingRequest.java
@@ -9,8 +9,8 @@
 public record IncomingRequest(int classIndex, int plan, long customer, double units, int first, int spread,
         double waitMs, BackendCommand command, Terminal terminal, Api.Binding binding) {
     /** Creates a request that may run anywhere. */
-    public IncomingRequest(int classIndex, int plan, long customer, double units, int first, int spread, double waitMs, BackendCommand cargo,
-            Terminal terminal) {
-        this(classIndex, plan, customer, units, first, spread, waitMs, cargo, terminal, null);
+    public IncomingRequest(int classIndex, int plan, long customer, double units, int first, int spread, double waitMs,
+            BackendCommand command, Terminal terminal) {
+        this(classIndex, plan, customer, units, first, spread, waitMs, command, terminal, null);
     }
 }
--- a/src/main/java/yardusher/core/Ingress.java
+++ b/src/main/java/yardusher/core/Ingress.java
@@ -67,11 +67,11 @@
 
     /** Accepts a request. Its terminal gets exactly one final answer. */
     @Override
-    public Request accept(IncomingRequest order) {
+    public Request accept(IncomingRequest incoming) {
         Request[] taken = new Request[1];
-        Request request = intakeStage.accept(order, () -> deadlinePassed(taken[0]), DEADLINE_GRACE_MS);
+        Request request = intakeStage.accept(incoming, () -> deadlinePassed(taken[0]), DEADLINE_GRACE_MS);
         taken[0] = request;
-        request.hasCeiling = settings.plans().get(order.plan()).ceilingRate() > 0;
+        request.hasCeiling = settings.plans().get(incoming.plan()).ceilingRate() > 0;
         RequestLog.Admission admission = log.admit(request);
         request.recorded = admission == RequestLog.Admission.RECORDED;
         if (admission == RequestLog.Admission.REFUSED) {
--- a/src/main/java/yardusher/core/RequestState.java
+++ b/src/main/java/yardusher/core/RequestState.java
@@ -23,10 +23,10 @@
     private final double deadlineMs;
     private Stage stage = Stage.OPEN;
     private AttemptStage attemptStage = AttemptStage.NONE;
-    private int newestAttempt = -1;                         // number of the newest attempt
+    private int newestAttempt = -1;                  // number of the newest attempt
     private double handedAtMs;
     private boolean mayHaveRun;
-    private double mayHaveRunSinceMs;                            // when the first attempt that may have run was written to a socket
+    private double mayHaveRunSinceMs;                // when the first attempt that may have run was written to a socket
 
     RequestState(Api.RequestClass requestClass, double deadlineMs) {
         effect = requestClass.effect();
--- a/src/main/java/yardusher/limits/LimitsFrontend.java
+++ b/src/main/java/yardusher/limits/LimitsFrontend.java
@@ -28,7 +28,7 @@
     /** Maximum number of connections. */
     public static final int MAX_TERMINALS = 64;
     private static final double FLOOD_PAUSE_MS = 50; // the client that exceeds the query rate waits on its own connection
-    private static final int MAX_OPEN = 128;        // open requests of this frontend
+    private static final int MAX_OPEN = 128;         // open requests of this frontend
 
     private final Ingress ingress;
     private final LimitsConfig config;
@@ -36,7 +36,7 @@
     private final int classIndex;
     private final String className;
     private final Sockets sockets;
-    private final IdGenerator ids = new IdGenerator();               // regions drop repeats by id, so that no id may be used twice
+    private final IdGenerator ids = new IdGenerator(); // regions drop repeats by id, so that no id may be used twice
     private final RespServer server;
     private double availableQueries;
     private double queriesUpdatedAtMs;
--- a/src/main/java/yardusher/mesh/DatagramMesh.java
+++ b/src/main/java/yardusher/mesh/DatagramMesh.java
@@ -36,9 +36,9 @@
     private long sentBytes;
     private long received;
     private long foreign;                            // of another installation, version or program
-    private long corrupt;                             // truncated, oversized, or with a wrong checksum
-    private long unhandled;                            // of a kind without a handler
-    private long sendFailures;                             // rejected by the system
+    private long corrupt;                            // truncated, oversized, or with a wrong checksum
+    private long unhandled;                          // of a kind without a handler
+    private long sendFailures;                       // rejected by the system
 
     public DatagramMesh(InetSocketAddress listen, String installation, EventLoop loop) {
         this.listen = listen;
@@ -118,9 +118,7 @@
 
     @Override
     public void send(InetSocketAddress to, Kind kind, byte[] body) {
-        if (body.length > MAX_BODY_BYTES) {
-            throw new IllegalArgumentException("body of " + body.length + " bytes exceeds the maximum of " + MAX_BODY_BYTES);
-        }
+        if (body.length > MAX_BODY_BYTES) { throw new IllegalArgumentException("body too long: " + body.length + " bytes"); }
         if (channel == null) { return; }
         sendBuffer.clear();
         sendBuffer.put(MAGIC).put(VERSION).put((byte) kind.ordinal()).putLong(installationHash)
@@ -131,7 +129,7 @@
             sent++;
             sentBytes += HEADER_BYTES + body.length;
         } catch (IOException e) {
-            sendFailures++;                                // treated as lost in transit
+            sendFailures++;                          // treated as lost in transit
         }
     }
 
--- a/src/main/java/yardusher/net/ClientConnection.java
+++ b/src/main/java/yardusher/net/ClientConnection.java
@@ -20,17 +20,17 @@
     private static final int MAX_UNANSWERED = 64; // per connection; further commands are handled when some are answered
     private static final int MAX_UNREAD_BYTES = 256 * 1024; // bytes of replies that the terminal has not read yet
     private static final int MAX_READ_AHEAD_BYTES = 128 * 1024; // bytes read and not handled yet: about 900 typical commands
-    private static final double FLOOD_TIMEOUT_MS = 100;    // full for this long while a request is open is treated as a flood
-    private static final int MAX_COMMANDS_PER_TASK = 32;   // of one connection per event loop task; then others have their turn
+    private static final double FLOOD_TIMEOUT_MS = 100; // full for this long while a request is open is treated as a flood
+    private static final int MAX_COMMANDS_PER_TASK = 32; // of one connection per event loop task; then others have their turn
     private static final double NEXT_TASK_DELAY_MS = 1;
-    private static final int MAX_REJECTED = 16;   // malformed commands on one connection
-    private static final double REJECTED_DELAY_MS = 5;   // delay of the next command, for each malformed one before it
-    private static final double BODY_TIMEOUT_MS = 10_000;  // until the end of a large body, including the wait for buffer space
+    private static final int MAX_REJECTED = 16;      // malformed commands on one connection
+    private static final double REJECTED_DELAY_MS = 5; // delay of the next command, for each malformed one before it
+    private static final double BODY_TIMEOUT_MS = 10_000; // until the end of a large body, including the wait for buffer space
 
     /**
-     * READING, then one or more of the others in this order. DEAF: further input is dropped, commands read before are handled.
-     * LOST: open commands are answered, no others are handled. CLOSED: the terminal has left, or its last bytes are being
-     * flushed.
+     * READING, then one or more of the others in this order. INPUT_IGNORED: further input is dropped, commands read before are
+     * handled. FINISHING: open commands are answered, no others are handled. CLOSED: the terminal has left, or its last bytes
+     * are being flushed.
      */
     private enum Stage { READING, INPUT_IGNORED, FINISHING, CLOSED }
 
@@ -43,16 +43,16 @@
     private Stage stage = Stage.READING;
     private double quietSinceMs;
     private double commandBegunAtMs = Double.POSITIVE_INFINITY; // start of the command that is being read
-    private Runnable releaseBody;                           // releases the buffer space of the large body that is being read
+    private Runnable releaseBody;                    // releases the buffer space of the large body that is being read
     private boolean bodyGranted;
     private double bodyRequestedAtMs;
     private int rejectedCount;
     private Session session;                         // null until it is requested
     private List<Runnable> closeCallbacks;
     private boolean paused;                          // no command is handled for a while
-    private boolean handlingCommands;                       // guards against reentrant command handling
-    private boolean fullCheckScheduled;                         // a check of a full read-ahead buffer is scheduled
-    private int unflushedAtLastCheck;                            // unflushed reply bytes at the last check, and since when
+    private boolean handlingCommands;                // guards against reentrant command handling
+    private boolean fullCheckScheduled;              // a check of a full read-ahead buffer is scheduled
+    private int unflushedAtLastCheck;                // unflushed reply bytes at the last check, and since when
     private double unflushedSinceMs;
 
     ClientConnection(AsynchronousSocketChannel channel, RespServer server, ConnectionRegistry connections, EventLoop loop) {
@@ -182,7 +182,7 @@
         if (!slots.isEmpty()) { return false; }
         return switch (stage) {
             case READING -> server.closesAfterReplies() && connection.decoder().isEmpty();
-            case INPUT_IGNORED -> mayHandleCommands();                // what is left is an incomplete command
+            case INPUT_IGNORED -> mayHandleCommands(); // what is left is an incomplete command
             case FINISHING -> true;
             case CLOSED -> false;
         };
@@ -204,7 +204,7 @@
                     && (releaseBody == null || bodyGranted)) {
                 closeWithError("too many commands at once");
             }
-            connection.readMore();                         // or reports again that the buffer is full
+            connection.readMore();                   // or reports again that the buffer is full
         });
     }
 
@@ -295,7 +295,7 @@
         // A connection is idle only once the system has accepted all reply bytes. Closing it before could lose a reply.
         if (stage == Stage.CLOSED || !slots.isEmpty() || hasUnflushedBytes()) { return; }
         quietSinceMs = loop.now();
-        if (hasBegunCommand()) { commandBegunAtMs = quietSinceMs; }    // until now it may have been held back on this side
+        if (hasBegunCommand()) { commandBegunAtMs = quietSinceMs; } // until now it may have been held back on this side
         connections.markIdle(this, quietSinceMs);
     }
 
--- a/src/main/java/yardusher/net/Connection.java
+++ b/src/main/java/yardusher/net/Connection.java
@@ -43,8 +43,8 @@
     }
 
     private static final int MAX_QUEUED_BYTES = (4 << 20) + 256 * 1024; // one large body, and small replies that wait
-    private static final int WRITE_SLICE_BYTES = 16 * 1024;      // of a large body, per write: the size of a cached native buffer
-    private static final int MAX_MERGED_BYTES = 128 * 1024;    // bytes queued in one task are merged into one write up to this size
+    private static final int WRITE_SLICE_BYTES = 16 * 1024; // of a large body, per write: the size of a cached native buffer
+    private static final int MAX_MERGED_BYTES = 128 * 1024; // bytes queued in one task are merged into one write up to this size
     private static final long MAX_DRAINED_BYTES = 96L << 20;
     private static final double DRAIN_TIMEOUT_MS = 3000;
     private static final int MIN_READ_AHEAD_BYTES = 4 * 1024;
@@ -67,20 +67,20 @@
     private boolean writingSlice;
     private boolean reading;
     private Stage stage = Stage.OPEN;
-    private boolean drainsWithoutLimit;                         // drains for as long as the peer takes
+    private boolean drainsWithoutLimit;              // drains for as long as the peer takes
     private long droppedBytes;
     private Deadlines.Entry drainEnd;
     private Runnable onClosed = () -> { };
     private boolean writeFailed;
-    private final ReadAheadBudget readAheadBudget;                         // null for a connection that does not read ahead
-    private int countedBytes;                             // this connection's share of that budget
-    private final int maxReadAhead;                         // maximum number of bytes read ahead; 0 reads only on request
-    private byte[] receiveBuffer;                          // receive buffer of a connection that reads ahead, null until needed
-    private boolean usingReceiveBuffer;                          // the pending read goes to that buffer
-    private boolean droppingRead;                          // the pending read is dropped
-    private boolean lastReadFilled;                            // the last read filled its buffer, so more input is likely
-    private boolean ownerNotNotified;                          // the owner has not been told of the last bytes yet
-    private int requestedBytes;                               // the buffer size of the pending read
+    private final ReadAheadBudget readAheadBudget;   // null for a connection that does not read ahead
+    private int countedBytes;                        // this connection's share of that budget
+    private final int maxReadAhead;                  // maximum number of bytes read ahead; 0 reads only on request
+    private byte[] receiveBuffer;                    // receive buffer of a connection that reads ahead, null until needed
+    private boolean usingReceiveBuffer;              // the pending read goes to that buffer
+    private boolean droppingRead;                    // the pending read is dropped
+    private boolean lastReadFilled;                  // the last read filled its buffer, so more input is likely
+    private boolean ownerNotNotified;                // the owner has not been told of the last bytes yet
+    private int requestedBytes;                      // the buffer size of the pending read
     private long readCount;
 
     /** Creates a connection for RESP. */
@@ -383,21 +383,21 @@
 
     private static final CompletionHandler<Integer, Connection> READ_HANDLER = new CompletionHandler<>() {
         @Override
-        public void completed(Integer count, Connection link) { link.loop.execute(() -> link.onRead(count)); }
+        public void completed(Integer count, Connection connection) { connection.loop.execute(() -> connection.onRead(count)); }
 
         @Override
-        public void failed(Throwable why, Connection link) { link.loop.execute(link::closeAndNotify); }
+        public void failed(Throwable cause, Connection connection) { connection.loop.execute(connection::closeAndNotify); }
     };
 
     private static final CompletionHandler<Integer, Connection> WRITE_HANDLER = new CompletionHandler<>() {
         @Override
-        public void completed(Integer count, Connection link) { link.loop.execute(() -> link.onWritten(count)); }
+        public void completed(Integer count, Connection connection) { connection.loop.execute(() -> connection.onWritten(count)); }
 
         @Override
-        public void failed(Throwable why, Connection link) {
-            link.loop.execute(() -> {
-                link.writeFailed = true;
-                link.closeAndNotify();
+        public void failed(Throwable cause, Connection connection) {
+            connection.loop.execute(() -> {
+                connection.writeFailed = true;
+                connection.closeAndNotify();
             });
         }
     };
--- a/src/main/java/yardusher/net/ConnectionRegistry.java
+++ b/src/main/java/yardusher/net/ConnectionRegistry.java
@@ -15,11 +15,11 @@
     // Until the end of a connection's first command, or of any command that has begun: a slow client may take 2 s, and a faulty
     // one must get a reply within 3 s.
     private static final double SILENT_TIMEOUT_MS = 2500;
-    private static final double IDLE_TIMEOUT_MS = 2000;    // an idle connection may be closed after this
+    private static final double IDLE_TIMEOUT_MS = 2000; // an idle connection may be closed after this
     private static final double UNCROWDED_IDLE_TIMEOUT_MS = 10_000; // the same where at most half of the connections are in use
     private static final double SILENT_EVICTION_MS = 30; // without free connections, a silent one may be evicted after this
     private static final double IDLE_EVICTION_MS = 250; // and an idle one after this
-    private static final double FINAL_READ_MS = 300;     // time for a client to read the last bytes, where all connections close
+    private static final double FINAL_READ_MS = 300; // time for a client to read the last bytes, where all connections close
     private static final double EXCESS_IDLE_MS = 100; // with too many idle connections, the longest idle is closed after this
 
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
--- a/src/main/java/yardusher/net/DrainSchedule.java
+++ b/src/main/java/yardusher/net/DrainSchedule.java
@@ -6,7 +6,7 @@
  */
 final class DrainSchedule {
     private static final double DRAIN_DELAY_MS = 500; // a client that gets an error reply to PING still opens connections for 0.3 s
-    private static final double DRAIN_CLOSE_ALL_MS = 3500;   // no connection is idle 4 s after the call
+    private static final double DRAIN_CLOSE_ALL_MS = 3500; // no connection is idle 4 s after the call
     private static final double DRAIN_READ_MS = 1800; // no command that is still open 4 s after the call came in the last 2 s
     private static final double HANDOVER_READ_MS = 600; // a command that comes 0.7 s after SIGTERM must get its reply however late
     private static final double SHUTDOWN_READ_MS = 100; // the same, since the listener closes half a second after SIGTERM
--- a/src/main/java/yardusher/net/RespServer.java
+++ b/src/main/java/yardusher/net/RespServer.java
@@ -31,7 +31,7 @@
 
     private static final byte[] CRLF = {'\r', '\n'};
     private static final byte[] FAILED_REPLY = new Encoder(16).error("ERR failed").toBytes();
-    private static final int READ_AHEAD_HEAP_SHARE = 16;        // share of the heap for commands that are read and not handled yet
+    private static final int READ_AHEAD_HEAP_SHARE = 16; // share of the heap for commands that are read and not handled yet
     /**
      * Maximum number of bytes that all connections together read ahead: a share of the heap, at least 4 MiB and at most 16 MiB.
      */
@@ -116,7 +116,7 @@
         connections.reap(now);
         closeDraining(now);
         if (closing && drainSchedule.hasStoppedReading(now)) { closeIdle(); }
-        listener.accept();                                 // no effect once the listener is closed
+        listener.accept();                           // no effect once the listener is closed
     }
 
     /** Whether terminals are asked to disconnect. */
@@ -161,12 +161,12 @@
     private void closeDraining(double now) {
         if (!drainSchedule.closesAfterReplies(now) || closing) { return; }
         boolean closesAllIdle = drainSchedule.closesAllIdle(now);
-        for (ClientConnection terminal : connections.all()) {
-            if (!terminal.owesNoReply()) { continue; } // closes after its reply
+        for (ClientConnection connection : connections.all()) {
+            if (!connection.owesNoReply()) { continue; } // closes after its reply
             if (closesAllIdle) {
-                terminal.finish();
-            } else if (drainSchedule.mayCloseIdle(now, terminal.quietSinceMs())) {
-                terminal.closeIfIdle();
+                connection.finish();
+            } else if (drainSchedule.mayCloseIdle(now, connection.quietSinceMs())) {
+                connection.closeIfIdle();
             }
         }
         if (closesAllIdle) { connections.closeFlushed(now); }
@@ -190,7 +190,7 @@
     }
 
     private void closeIdle() {
-        for (ClientConnection terminal : connections.all()) { terminal.closeIfIdle(); }
+        for (ClientConnection connection : connections.all()) { connection.closeIfIdle(); }
     }
 
     public static boolean isPing(byte[][] words) {
@@ -212,10 +212,10 @@
     public static final class Slot {
         private final ClientConnection connection;
         byte[] reply;
-        Runnable releaseBody;                               // returns the buffer space of its large body
-        byte[] streamHead;                                 // of a streamed value
-        ByteBuffer nextChunk;                             // the next chunk, until its turn to be written
-        Runnable onChunkWritten;                              // called when that chunk is written
+        Runnable releaseBody;                        // returns the buffer space of its large body
+        byte[] streamHead;                           // of a streamed value
+        ByteBuffer nextChunk;                        // the next chunk, until its turn to be written
+        Runnable onChunkWritten;                     // called when that chunk is written
         /** The request that is being processed for this command; null for none. */
         public RequestHandle request;
 
--- a/src/main/java/yardusher/net/Sockets.java
+++ b/src/main/java/yardusher/net/Sockets.java
@@ -73,7 +73,7 @@
         private final InetSocketAddress address;
         private boolean accepting;
         private boolean bound;
-        private double lastAcceptedAtMs;                      // when the last connection was accepted
+        private double lastAcceptedAtMs;             // when the last connection was accepted
 
         private Listener(AsynchronousServerSocketChannel channel, InetSocketAddress address,
                 Consumer<AsynchronousSocketChannel> onAccept, Predicate<Void> hasRoom) {
@@ -104,23 +104,23 @@
             try {
                 mayAccept = hasRoom.test(null);
             } finally {
-                accepting = mayAccept;                    // after a fault in hasRoom the listener must be able to accept again
+                accepting = mayAccept;               // after a fault in hasRoom the listener must be able to accept again
             }
             if (!mayAccept) { return; }
             channel.accept(this, new CompletionHandler<AsynchronousSocketChannel, Listener>() {
                 @Override
-                public void completed(AsynchronousSocketChannel guest, Listener door) {
+                public void completed(AsynchronousSocketChannel accepted, Listener listener) {
                     loop.execute(() -> {
                         accepting = false;
                         lastAcceptedAtMs = loop.now();
-                        setNoDelay(guest);
-                        onAccept.accept(guest);
+                        setNoDelay(accepted);
+                        onAccept.accept(accepted);
                         accept();
                     });
                 }
 
                 @Override
-                public void failed(Throwable why, Listener door) {
+                public void failed(Throwable cause, Listener listener) {
                     loop.execute(() -> {
                         accepting = false;
                         loop.deadlines().schedule(loop.now() + 50, Listener.this::accept);
@@ -208,7 +208,7 @@
             }
 
             @Override
-            public void failed(Throwable why, Void none) {
+            public void failed(Throwable cause, Void none) {
                 loop.execute(() -> {
                     loop.deadlines().cancel(timeout);
                     if (finished[0]) { return; }
@@ -245,7 +245,7 @@
             }
 
             @Override
-            public void failed(Throwable why, Void none) {
+            public void failed(Throwable cause, Void none) {
                 loop.execute(() -> {
                     closeQuietly(channel);
                     onFailed.run();
--- a/src/main/java/yardusher/resp/Call.java
+++ b/src/main/java/yardusher/resp/Call.java
@@ -22,7 +22,7 @@
 
     private final byte[][] words;
     private final String list;
-    private final UnitDirective unit;                     // null for none
+    private final UnitDirective unit;                // null for none
     public final long id;
     public final String key;
     public final long customer;
@@ -96,7 +96,7 @@
                 case "units" -> units = parseUnits(value);
                 case "spread" -> spread = (int) parseWhole(value, 10_000);
                 case "first" -> first = (int) parseWhole(value, 10_000);
-                default -> parseWhole(value, 1);          // r
+                default -> parseWhole(value, 1);     // r
             }
             from = to + 1;
         }
@@ -147,7 +147,7 @@
             default -> throw new CommandError.Argument("b is open, end or abandon");
         };
         boolean consistent = switch (boundary) {
-            case OPEN -> partText == null;                  // with u it opens a unit inside a unit, which has a reply of its own
+            case OPEN -> partText == null;           // with u it opens a unit inside a unit, which has a reply of its own
             case NONE -> unitName != null && part > 0;
             case END -> unitName != null && (partText == null || part > 0);
             case ABANDON -> unitName != null && partText == null;
@@ -241,7 +241,7 @@
         int waitEnd = list.indexOf(',', waitStart);
         String forwardedList = list.substring(0, waitStart) + "d=" + waitMs + (waitEnd < 0 ? "" : list.substring(waitEnd));
         out.bulk(forwardedList.getBytes(StandardCharsets.ISO_8859_1));
-        if (largeBody) {                                 // never copied: every attempt is written from the buffer it was read into
+        if (largeBody) {                             // never copied: every attempt is written from the buffer it was read into
             return new ByteBuffer[] {ByteBuffer.wrap(out.bulkHead(words[4].length).toBytes()), ByteBuffer.wrap(words[4]),
                 ByteBuffer.wrap(LINE_END)};
         }
--- a/src/main/java/yardusher/resp/Decoder.java
+++ b/src/main/java/yardusher/resp/Decoder.java
@@ -22,21 +22,21 @@
     public static final int MAX_ADD_BYTES = SMALL_BUFFER_BYTES;
     /** Maximum length of a large value or body. */
     public static final long MAX_LARGE_BYTES = 4 << 20;
-    private static final int BODY_INDEX = 4;               // the index of the body in a platform command
-    private static final int CHUNK_BYTES = 16 * SMALL_BUFFER_BYTES;      // chunk of a large value: the size of a cached native buffer
+    private static final int BODY_INDEX = 4;         // the index of the body in a platform command
+    private static final int CHUNK_BYTES = 16 * SMALL_BUFFER_BYTES; // chunk of a large value: the size of a cached native buffer
 
     private byte[] bytes = new byte[SMALL_BUFFER_BYTES];
     private int start;
     private int end;
     private int position;
-    private int largeStart;                             // where the bytes of a large value begin
-    private long largeLength;                              // the length of a large value, 0 for none
+    private int largeStart;                          // where the bytes of a large value begin
+    private long largeLength;                        // the length of a large value, 0 for none
     private boolean shrinkPending;
-    private byte[][] bodyCommand;                         // a command whose last word is a large body that is being read
+    private byte[][] bodyCommand;                    // a command whose last word is a large body that is being read
     private long bodyLength;                         // the length of that body, 0 for none
     private int bodyFilled;
-    private boolean readingBody;                        // the buffer last returned by readBuffer is part of that body
-    private int itemsAfterLarge;                          // items after the large value in its array
+    private boolean readingBody;                     // the buffer last returned by readBuffer is part of that body
+    private int itemsAfterLarge;                     // items after the large value in its array
 
     @Override
     public ByteBuffer readBuffer() {
@@ -130,9 +130,9 @@
         if (body == null || bodyFilled < body.length || end - start < 2) { return null; }
         if (bytes[start] != '\r' || bytes[start + 1] != '\n') { throw new MalformedRespException("bulk string without its end"); }
         start += 2;
-        byte[][] whole = bodyCommand;
+        byte[][] command = bodyCommand;
         bodyCommand = null;
-        return whole;
+        return command;
     }
 
     /** Returns the next command as its words, or null while it is incomplete. */
--- a/src/main/java/yardusher/wire/Codec.java
+++ b/src/main/java/yardusher/wire/Codec.java
@@ -24,9 +24,9 @@
      */
     public static final class JsonObject {
         private final Map<String, Object> values = new HashMap<>();
-        private JsonObject parent;                           // the object that contains this one, null at the top
+        private JsonObject parent;                   // the object that contains this one, null at the top
         private String parentKey;
-        private int parentIndex = -1;                         // index in the parent's array, -1 outside of an array
+        private int parentIndex = -1;                // index in the parent's array, -1 outside of an array
 
         private WireError.Malformed wrongType(String what, String key) {
             return new WireError.Malformed(null, "needs " + what + " in \"" + path() + key + "\"");
--- a/src/main/java/yardusher/wire/SettingsValidator.java
+++ b/src/main/java/yardusher/wire/SettingsValidator.java
@@ -13,8 +13,8 @@
  * listed, so that they are known before they matter in production. See {@code docs/operators/}.
  */
 public final class SettingsValidator {
-    private static final int MAX_LISTED_KEYS = 8;          // unknown keys listed in one line
-    private static final int MAX_NAME_LENGTH = 200;        // names of classes and plans have to fit into a request's list
+    private static final int MAX_LISTED_KEYS = 8;    // unknown keys listed in one line
+    private static final int MAX_NAME_LENGTH = 200;  // names of classes and plans have to fit into a request's list
     private static final double MAX_MS = 86_400_000, MAX_VALUE = 1e9;
     /** Keys without a note: they are read, or are names that no decision depends on. */
     private static final Map<String, Set<String>> KNOWN_KEYS = Map.ofEntries(
