--- a/src/main/java/yardusher/clients/PlatformFrontend.java
+++ b/src/main/java/yardusher/clients/PlatformFrontend.java
@@ -154,21 +154,21 @@
 
         @Override
         public ResponseStream beginStream(long length) {
-            ResponseStream flow = slot.startStream(new Encoder(24).bulkHead(length).toBytes());
+            ResponseStream stream = slot.startStream(new Encoder(24).bulkHead(length).toBytes());
             return new ResponseStream() {
                 @Override
-                public void write(ByteBuffer bytes, Runnable taken) { flow.write(bytes, taken); }
+                public void write(ByteBuffer bytes, Runnable onWritten) { stream.write(bytes, onWritten); }
 
                 @Override
                 public void end() {
                     frontend.openIds.remove(id);
-                    flow.end();
+                    stream.end();
                 }
 
                 @Override
                 public void fail() {
                     frontend.openIds.remove(id);
-                    flow.fail();
+                    stream.fail();
                 }
             };
         }
--- a/src/main/java/yardusher/core/DispatchStage.java
+++ b/src/main/java/yardusher/core/DispatchStage.java
@@ -14,7 +14,7 @@
     private final Consumer<Request> onUnrecorded;
     private final BiConsumer<Attempt, Attempt.Result> onEnded;
 
-    /** {@code onUnrecorded} is called with a request whose attempt must not be sent because its intent could not be recorded */
+    /** {@code onUnrecorded} is called with a request whose attempt must not be sent because its intent could not be recorded. */
     DispatchStage(EventLoop loop, Backends backends, Counters counters, RequestLog log, Consumer<Request> onUnrecorded,
             BiConsumer<Attempt, Attempt.Result> onEnded) {
         this.log = log;
--- a/src/main/java/yardusher/core/Ingress.java
+++ b/src/main/java/yardusher/core/Ingress.java
@@ -35,7 +35,7 @@
         this(settings, seed, loop.now(), loop, backends, peerSender, counters, log);
     }
 
-    /** {@code processStartMs} is the start of this process, when no other process of this ingress was running any more */
+    /** {@code processStartMs} is the start of this process, when no other process of this ingress was running any more. */
     public Ingress(Api.Settings settings, long seed, double processStartMs, EventLoop loop, Backends backends, PeerSender peerSender,
             Counters counters, RequestLog log) {
         this.log = log;
--- a/src/main/java/yardusher/core/RequestHandle.java
+++ b/src/main/java/yardusher/core/RequestHandle.java
@@ -4,7 +4,7 @@
 public interface RequestHandle {
     IncomingRequest incoming();
 
-    /** Whether an attempt may have run, or is written and may still run. */
+    /** Whether an attempt may have run, or is with a socket and may still run. */
     boolean mayHaveRun();
 
     /** The terminal has left and needs no answer. */
--- a/src/main/java/yardusher/core/RequestState.java
+++ b/src/main/java/yardusher/core/RequestState.java
@@ -13,7 +13,7 @@
     enum Stage { OPEN, STREAMING, ANSWERED, GONE }
 
     /**
-     * State of the newest attempt. PARKED: its intent is not recorded yet; BEGUN: passed to the backend side; HANDED: written
+     * State of the newest attempt. PARKED: its intent is not recorded yet; BEGUN: passed to the backend side; HANDED: handed
      * to a socket.
      */
     private enum AttemptStage { NONE, PARKED, BEGUN, HANDED }
@@ -26,7 +26,7 @@
     private int newestAttempt = -1;                  // number of the newest attempt
     private double handedAtMs;
     private boolean mayHaveRun;
-    private double mayHaveRunSinceMs;                // when the first attempt that may have run was written to a socket
+    private double mayHaveRunSinceMs;                // when the first attempt that may have run was handed to a socket
 
     RequestState(Api.RequestClass requestClass, double deadlineMs) {
         effect = requestClass.effect();
@@ -48,7 +48,7 @@
 
     boolean isHanded(int attempt) { return attemptStage == AttemptStage.HANDED && attempt == newestAttempt; }
 
-    /** Whether an attempt may have run, or is written and may still run. */
+    /** Whether an attempt may have run, or is with a socket and may still run. */
     boolean mayHaveRun() { return mayHaveRun || attemptStage == AttemptStage.HANDED; }
 
     /** Whether an attempt that has ended may have run. */
--- a/src/main/java/yardusher/core/ResponseStage.java
+++ b/src/main/java/yardusher/core/ResponseStage.java
@@ -32,10 +32,10 @@
         }
     }
 
-    void failed(Request request, String why) {
+    void failed(Request request, String reason) {
         if (recordAnswer(request, RequestLog.Answer.FAILED)) {
             counters.failed[request.incoming.classIndex()]++;
-            request.incoming.terminal().failed(why, request.mayHaveRun());
+            request.incoming.terminal().failed(reason, request.mayHaveRun());
         }
     }
 
--- a/src/main/java/yardusher/core/ResponseStream.java
+++ b/src/main/java/yardusher/core/ResponseStream.java
@@ -3,13 +3,13 @@
 import java.nio.ByteBuffer;
 
 /**
- * Streams a large value to a terminal chunk by chunk, without buffering it as a whole. Exactly one of {@link #end} and {@link
- * #fail} is called, once, unless the terminal leaves before. Used on the event loop only.
+ * Streams a large value to a terminal chunk by chunk, without buffering it as a whole. Exactly one of {@link #end} and
+ * {@link #fail} is called, once, unless the terminal leaves before. Used on the event loop only.
  */
 public interface ResponseStream {
     /**
-     * Writes the next chunk. It is passed only after the previous one was written; its bytes must not change until {@code
-     * onWritten} runs.
+     * Writes the next chunk. It is passed only after the previous one was written; its bytes must not change until
+     * {@code onWritten} runs.
      */
     void write(ByteBuffer bytes, Runnable onWritten);
 
--- a/src/main/java/yardusher/core/Terminal.java
+++ b/src/main/java/yardusher/core/Terminal.java
@@ -17,7 +17,7 @@
     void reject(long retryAfterMs, boolean mayHaveRun);
 
     /** Failure reply. The request may have run if an attempt was sent and no answer proves that it did not. */
-    void failed(String why, boolean mayHaveRun);
+    void failed(String reason, boolean mayHaveRun);
 
     /** The connection on which the request came; null if there is no lasting one. */
     default Session session() { return null; }
--- a/src/main/java/yardusher/limits/LimitsFrontend.java
+++ b/src/main/java/yardusher/limits/LimitsFrontend.java
@@ -196,7 +196,7 @@
         public ResponseStream beginStream(long length) {
             return new ResponseStream() {
                 @Override
-                public void write(ByteBuffer bytes, Runnable taken) { sockets.loop().defer(taken); }
+                public void write(ByteBuffer bytes, Runnable onWritten) { sockets.loop().defer(onWritten); }
 
                 @Override
                 public void end() { served(null); }
--- a/src/main/java/yardusher/net/RespServer.java
+++ b/src/main/java/yardusher/net/RespServer.java
@@ -31,12 +31,12 @@
 
     private static final byte[] CRLF = {'\r', '\n'};
     private static final byte[] FAILED_REPLY = new Encoder(16).error("ERR failed").toBytes();
-    private static final int READ_AHEAD_HEAP_SHARE = 16; // share of the heap for commands that are read and not handled yet
+    private static final int READ_AHEAD_HEAP_DIVISOR = 16; // one such part of the heap for commands not handled yet
     /**
      * Maximum number of bytes that all connections together read ahead: a share of the heap, at least 4 MiB and at most 16 MiB.
      */
     static final long MAX_READ_AHEAD_BYTES =
-            Math.max(4 << 20, Math.min(16 << 20, Runtime.getRuntime().maxMemory() / READ_AHEAD_HEAP_SHARE));
+            Math.max(4 << 20, Math.min(16 << 20, Runtime.getRuntime().maxMemory() / READ_AHEAD_HEAP_DIVISOR));
     private static final double ACCEPT_RETRY_MS = 10;
     private static final double MAINTENANCE_INTERVAL_MS = 100;
     private static final double ACCEPT_QUIET_MS = 30;
@@ -57,8 +57,8 @@
     }
 
     /**
-     * Creates a server that listens once {@link #bind} is called. Large bodies are buffered within the budget. With {@code
-     * reusePort} the next version of this program can listen on the same address.
+     * Creates a server that listens once {@link #bind} is called. Large bodies are buffered within the budget. With
+     * {@code reusePort} the next version of this program can listen on the same address.
      */
     public RespServer(Sockets sockets, InetSocketAddress address, boolean reusePort, int maxTerminals, BodyBudget bodyBudget,
             CommandHandler commandHandler) throws IOException {
@@ -235,16 +235,16 @@
         public Session session() { return connection.session(); }
 
         /** Handles no more commands of this terminal for a while. */
-        public void pauseReading(double ms) { connection.pause(ms); }
+        public void pauseReading(double delayMs) { connection.pause(delayMs); }
 
         /**
          * Rejects a malformed command. The reply is sent at once, but each such command delays the next one of the connection
          * longer, and after a number of them the connection is closed. Otherwise a client that resends its command as soon as
          * it is rejected would crowd out others.
          */
-        public void reject(String why) {
+        public void reject(String reason) {
             connection.onCommandRejected();
-            complete(new Encoder(64).error("ERR " + why).toBytes());
+            complete(new Encoder(64).error("ERR " + reason).toBytes());
         }
 
         /** Starts a reply that is streamed, between this head and a line end. */
@@ -253,9 +253,9 @@
             streamHead = head;
             return new ResponseStream() {
                 @Override
-                public void write(ByteBuffer next, Runnable then) {
-                    nextChunk = next;
-                    onChunkWritten = then;
+                public void write(ByteBuffer bytes, Runnable onWritten) {
+                    nextChunk = bytes;
+                    onChunkWritten = onWritten;
                     connection.sendReplies();
                 }
 
--- a/src/main/java/yardusher/resp/Call.java
+++ b/src/main/java/yardusher/resp/Call.java
@@ -108,8 +108,8 @@
 
     /**
      * Parses a command whose list may also refer to a unit of work: {@code u} the unit's name, {@code p} the part's number,
-     * {@code b} a boundary. These entries are removed from what a region receives unless {@code forwardUnit}. Throws a {@link
-     * CommandError.Argument} that describes what is wrong.
+     * {@code b} a boundary. These entries are removed from what a region receives unless {@code forwardUnit}. Throws a
+     * {@link CommandError.Argument} that describes what is wrong.
      */
     public static Call parseWithUnit(byte[][] words, boolean forwardUnit) {
         if (words.length < 4 || words[3].length > MAX_LIST_BYTES) { return parse(words); } // throws the error
--- a/src/main/java/yardusher/resp/Decoder.java
+++ b/src/main/java/yardusher/resp/Decoder.java
@@ -113,8 +113,8 @@
     public boolean isEmpty() { return start == end && bodyCommand == null; }
 
     /**
-     * The length of the large body at the end of the command that is being read, else 0. No more of it is read before {@link
-     * #allocateBody} is called.
+     * The length of the large body at the end of the command that is being read, else 0. No more of it is read before
+     * {@link #allocateBody} is called.
      */
     public long bodyLength() { return bodyCommand == null ? 0 : bodyLength; }
 
@@ -170,8 +170,8 @@
 
     /**
      * Returns the length of a large value if the reply that begins here is an array that begins with one ({@link #nextValue}
-     * then returned null), else 0. Its bytes are then read by {@link #nextChunk}, and the items after it by {@link
-     * #finishLargeValue}.
+     * then returned null), else 0. Its bytes are then read by {@link #nextChunk}, and the items after it by
+     * {@link #finishLargeValue}.
      */
     public long beginLargeValue() {
         if (largeLength == 0) { return 0; }
@@ -181,8 +181,8 @@
     }
 
     /**
-     * Returns buffered bytes of a large value, at most {@code max}, or null for none. They are valid until the next {@link
-     * #readBuffer}.
+     * Returns buffered bytes of a large value, at most {@code max}, or null for none. They are valid until the next
+     * {@link #readBuffer}.
      */
     public ByteBuffer nextChunk(long max) {
         int count = (int) Math.min(max, end - start);
--- a/src/main/java/yardusher/wire/Codec.java
+++ b/src/main/java/yardusher/wire/Codec.java
@@ -19,8 +19,8 @@
     private Codec() { }
 
     /**
-     * A JSON object with typed access. A required value that is absent, and any value of another type, is a {@link
-     * WireError.Malformed} that names the key with its full path. A null counts as absent.
+     * A JSON object with typed access. A required value that is absent, and any value of another type, is a
+     * {@link WireError.Malformed} that names the key with its full path. A null counts as absent.
      */
     public static final class JsonObject {
         private final Map<String, Object> values = new HashMap<>();
--- a/src/test/java/yardusher/core/CeilingDelayTest.java
+++ b/src/test/java/yardusher/core/CeilingDelayTest.java
@@ -51,7 +51,7 @@
         public boolean isAvailable(long backend) { return true; }
 
         @Override
-        public void start(Attempt attempt, ByteBuffer... cargo) { waiting.add(attempt); }
+        public void start(Attempt attempt, ByteBuffer... command) { waiting.add(attempt); }
 
         /** The connections open: all waiting attempts are written. */
         int writeWaiting() {
@@ -72,7 +72,7 @@
         public void reject(long retryAfterMs, boolean mayHaveRun) { }
 
         @Override
-        public void failed(String why, boolean mayHaveRun) { }
+        public void failed(String reason, boolean mayHaveRun) { }
     }
 
     private record Command(long id) implements BackendCommand {
@@ -92,10 +92,10 @@
         ScriptedCore core = new ScriptedCore();
         assertThat(core.countAdmitted(2 * MAX_ADMITTED)).isEqualTo(MAX_ADMITTED);
         core.nowMs += Api.WRITTEN_WITHIN_MS - 10;
-        assertThat(core.countAdmitted(MAX_ADMITTED)).as("earned while all units are held").isZero();
+        assertThat(core.countAdmitted(MAX_ADMITTED)).as("admitted while all units are reserved").isZero();
         assertThat(core.writeWaiting()).isEqualTo(MAX_ADMITTED);
         core.nowMs += 500;
-        assertThat(core.countAdmitted(MAX_ADMITTED)).as("earned since they were written").isEqualTo((int) (CEILING_RATE / 2));
+        assertThat(core.countAdmitted(MAX_ADMITTED)).as("units earned since the write").isEqualTo((int) (CEILING_RATE / 2));
     }
 
     @Test
--- a/src/test/java/yardusher/core/RequestStateTest.java
+++ b/src/test/java/yardusher/core/RequestStateTest.java
@@ -39,15 +39,16 @@
         Request request;
         int answers;
         boolean clientLeft;
-        boolean streaming;                              // a value is being streamed
-        Attempt activeAttempt;                                 // written to a socket and not ended
+        boolean streaming;                           // a value is being streamed
+        Attempt activeAttempt;                       // written to a socket and not ended
         double mayHaveRunSinceMs = Double.NaN;
 
         ScriptedCore(Api.Effect effect, boolean recorded) {
             this.effect = effect;
             this.recorded = recorded;
-            Api.RequestClass of = new Api.RequestClass(1900, WAIT_MS, 5, 0.1, effect, Api.Group.ALL, WINDOW_MS, false);
-            Api.Settings settings = new Api.Settings(0, 1, 0, 4, List.of(of), List.of(new Api.Plan(1000, 1000, 0, 1, 0, 0, 0)),
+            Api.RequestClass requestClass = new Api.RequestClass(1900, WAIT_MS, 5, 0.1, effect, Api.Group.ALL, WINDOW_MS, false);
+            Api.Settings settings = new Api.Settings(0, 1, 0, 4, List.of(requestClass),
+                    List.of(new Api.Plan(1000, 1000, 0, 1, 0, 0, 0)),
                     new Api.Limits(6, true, false, 2000), new Api.Rules(0.2, 1000, 3, 3000, 10_000), List.of(), false, 100, 2, 0, 0);
             loop.execute(() -> {
                 ingress = new Ingress(settings, 1, loop, this, (to, body) -> { }, counters, this);
@@ -74,9 +75,9 @@
         public boolean isAvailable(long backend) { return true; }
 
         @Override
-        public void start(Attempt attempt, ByteBuffer... cargo) {
+        public void start(Attempt attempt, ByteBuffer... command) {
             assertThat(isOver()).as("no attempt begins after the end").isFalse();
-            assertThat(startedAttempts).as("one at a time").allMatch(Attempt::isOver);
+            assertThat(startedAttempts).as("one active attempt at a time").allMatch(Attempt::isOver);
             startedAttempts.add(attempt);
         }
 
@@ -88,10 +89,10 @@
                 return;
             }
             assertThat(wasOver).as("nothing is sent after the end").isFalse();
-            assertThat(activeAttempt == null || activeAttempt.isOver()).as("never two out").isTrue();
+            assertThat(activeAttempt == null || activeAttempt.isOver()).as("never two active attempts").isTrue();
             if (!Double.isNaN(mayHaveRunSinceMs) && effect != Api.Effect.IDEMPOTENT) {
                 assertThat(effect).as("may have run").isEqualTo(Api.Effect.DEDUPLICATED);
-                assertThat(nowMs - mayHaveRunSinceMs).as("inside its window").isLessThan(WINDOW_MS);
+                assertThat(nowMs - mayHaveRunSinceMs).as("repeated within the window").isLessThan(WINDOW_MS);
             }
             activeAttempt = attempt;
             handedAtMs = nowMs;
@@ -111,25 +112,25 @@
             ingress.attemptEnded(attempt, new Attempt.Result(outcome, new byte[0], null));
         }
 
-        void apply(Event end, int attemptIndex) {
+        void apply(Event event, int attemptIndex) {
             Attempt attempt = startedAttempts.isEmpty() ? null : startedAttempts.get(Math.min(attemptIndex, startedAttempts.size() - 1));
             loop.execute(() -> {
                 noteEndedByCore();
-                switch (end) {
+                switch (event) {
                     case CLIENT_LEAVES -> {
                         clientLeft |= answers == 0;
                         request.terminalLeft();
                     }
                     case RECORDED, UNRECORDED, NO_DISK -> {
-                        if (!parkedAttempts.isEmpty()) { parkedAttempts.poll().accept(end == Event.RECORDED); }
+                        if (!parkedAttempts.isEmpty()) { parkedAttempts.poll().accept(event == Event.RECORDED); }
                     }
                     default -> {
-                        if (attempt != null) { apply(end, attempt); }
+                        if (attempt != null) { apply(event, attempt); }
                     }
                 }
                 noteEndedByCore();
             });
-            switch (end) {
+            switch (event) {
                 case DEADLINE -> advance(WAIT_MS + 10);
                 case TIME_OUT -> advance(WAIT_MS - 50);
                 case PAST_WINDOW -> advance(WINDOW_MS);
@@ -137,8 +138,8 @@
             }
         }
 
-        private void apply(Event end, Attempt attempt) {
-            switch (end) {
+        private void apply(Event event, Attempt attempt) {
+            switch (event) {
                 case ANSWER -> endAttempt(attempt, Api.Outcome.SERVED);
                 case BUSY -> endAttempt(attempt, Api.Outcome.REJECTED);
                 case ERROR -> endAttempt(attempt, Api.Outcome.SERVER_ERROR);
@@ -172,7 +173,7 @@
         }
 
         private void countAnswer() {
-            assertThat(isOver()).as("one final answer, and none to who has gone").isFalse();
+            assertThat(isOver()).as("one final answer, and none after the client has left").isFalse();
             answers++;
         }
 
@@ -183,13 +184,13 @@
         public void reject(long retryAfterMs, boolean mayHaveRun) { countAnswer(); }
 
         @Override
-        public void failed(String why, boolean mayHaveRun) { countAnswer(); }
+        public void failed(String reason, boolean mayHaveRun) { countAnswer(); }
 
         @Override
         public ResponseStream beginStream(long length) {
             return new ResponseStream() {
                 @Override
-                public void write(ByteBuffer bytes, Runnable taken) { }
+                public void write(ByteBuffer bytes, Runnable onWritten) { }
 
                 @Override
                 public void end() { countAnswer(); }
@@ -228,17 +229,17 @@
     }
 
     private ScriptedCore run(Api.Effect effect, boolean records, List<Step> steps) {
-        ScriptedCore world = new ScriptedCore(effect, records);
-        for (Step step : steps) { world.apply(step.event(), step.attempt()); }
-        for (int i = 0; i < 20; i++) { world.advance(WAIT_MS / 8); }
-        if (world.streaming && !world.isOver()) {         // no deadline ends a stream: its connection closes at last
-            world.loop.execute(() -> world.startedAttempts.forEach(one -> world.endAttempt(one, Api.Outcome.CONNECTION_LOST)));
+        ScriptedCore scripted = new ScriptedCore(effect, records);
+        for (Step step : steps) { scripted.apply(step.event(), step.attempt()); }
+        for (int i = 0; i < 20; i++) { scripted.advance(WAIT_MS / 8); }
+        if (scripted.streaming && !scripted.isOver()) { // no deadline ends a stream: its connection closes at last
+            scripted.loop.execute(() -> scripted.startedAttempts.forEach(one -> scripted.endAttempt(one, Api.Outcome.CONNECTION_LOST)));
         }
-        assertThat(world.answers).as("one final answer, or none to who has gone").isEqualTo(world.clientLeft ? 0 : 1);
-        assertThat(world.ingress.openCount()).isZero();
-        assertThat(world.startedAttempts).allMatch(Attempt::isOver);
-        assertThat(world.counters.duplicateAnswers).isZero();
-        return world;
+        assertThat(scripted.answers).as("one final answer, or none if the client has left").isEqualTo(scripted.clientLeft ? 0 : 1);
+        assertThat(scripted.ingress.openCount()).isZero();
+        assertThat(scripted.startedAttempts).allMatch(Attempt::isOver);
+        assertThat(scripted.counters.duplicateAnswers).isZero();
+        return scripted;
     }
 
     @Property(tries = 4000)
@@ -306,23 +307,23 @@
 
     @Example
     void aSecondFinalAnswerIsCountedAndNotSent() {
-        ScriptedCore world = new ScriptedCore(Api.Effect.IDEMPOTENT, false);
-        ResponseStage relay = new ResponseStage(world.counters, world);
-        relay.failed(world.request, "once");
-        relay.reject(world.request, 5);
-        relay.served(world.request, new byte[0]);
-        assertThat(world.answers).isEqualTo(1);
-        assertThat(world.counters.duplicateAnswers).isEqualTo(2);
-        assertThat(world.counters.line(0)).contains(" answers_second=2 ");
+        ScriptedCore scripted = new ScriptedCore(Api.Effect.IDEMPOTENT, false);
+        ResponseStage relay = new ResponseStage(scripted.counters, scripted);
+        relay.failed(scripted.request, "once");
+        relay.reject(scripted.request, 5);
+        relay.served(scripted.request, new byte[0]);
+        assertThat(scripted.answers).isEqualTo(1);
+        assertThat(scripted.counters.duplicateAnswers).isEqualTo(2);
+        assertThat(scripted.counters.line(0)).contains(" answers_second=2 ");
     }
 
     @Example
     void anAttemptThatTimesOutWaitingForItsRecordIsNotABackendFailure() {
-        ScriptedCore world = new ScriptedCore(Api.Effect.AT_MOST_ONCE, true);
-        world.apply(Event.DEADLINE, 0);
-        assertThat(world.answers).isEqualTo(1);
-        assertThat(world.startedAttempts).isEmpty();
-        assertThat(world.counters.attemptsByOutcome[Api.Outcome.NOT_SENT.ordinal()]).isEqualTo(1);
-        assertThat(world.counters.attemptsByOutcome[Api.Outcome.CONNECT_FAILED.ordinal()]).as("a backend would be held to be down").isZero();
+        ScriptedCore scripted = new ScriptedCore(Api.Effect.AT_MOST_ONCE, true);
+        scripted.apply(Event.DEADLINE, 0);
+        assertThat(scripted.answers).isEqualTo(1);
+        assertThat(scripted.startedAttempts).isEmpty();
+        assertThat(scripted.counters.attemptsByOutcome[Api.Outcome.NOT_SENT.ordinal()]).isEqualTo(1);
+        assertThat(scripted.counters.attemptsByOutcome[Api.Outcome.CONNECT_FAILED.ordinal()]).as("the backend would count as unreachable").isZero();
     }
 }
--- a/src/test/java/yardusher/net/ClientConnectionTest.java
+++ b/src/test/java/yardusher/net/ClientConnectionTest.java
@@ -31,7 +31,8 @@
  */
 class ClientConnectionTest {
     /** Events, each processed completely before the next. */
-    enum Event { COMMAND, HALF_COMMAND, COMMAND_THEN_CLOSE, COMMAND_THEN_RESET, MALFORMED, ANSWER, LAST_ANSWER, CLOSE, RESET, SHUTDOWN, EVICTION, WRITE_FAILURE, FLUSH, TIME_PASSES }
+    enum Event { COMMAND, HALF_COMMAND, COMMAND_THEN_CLOSE, COMMAND_THEN_RESET, MALFORMED, ANSWER,
+        LAST_ANSWER, CLOSE, RESET, SHUTDOWN, EVICTION, WRITE_FAILURE, FLUSH, TIME_PASSES }
 
     /** How the channel treats written bytes. */
     enum WriteMode { ACCEPTED, BLOCKED, FAILING }
@@ -41,7 +42,7 @@
     private static final byte[][] SPLIT_COMMANDS = {"*1\r\n$3\r".getBytes(StandardCharsets.US_ASCII),
         "\nNOW\r\n*1\r\n$3\r\nASK\r\n".getBytes(StandardCharsets.US_ASCII)};
 
-    /** A channel whose reads and writes complete as scripted, at once where possible, as on the thread that polls. */
+    /** A channel whose reads and writeMode complete as scripted, at once where possible, as on the thread that polls. */
     private static final class ScriptedChannel extends AsynchronousSocketChannel {
         private record Pending(ByteBuffer bytes, Object attachment, CompletionHandler<Integer, Object> handler) { }
 
@@ -175,7 +176,7 @@
         private final EventLoop loop = new EventLoop(() -> nowMs, faults::add);
         private final Sockets sockets;
         private final RespServer server;
-        private final ConnectionRegistry crowd = new ConnectionRegistry();
+        private final ConnectionRegistry connections = new ConnectionRegistry();
         private final ScriptedChannel channel = new ScriptedChannel();
         private final ClientConnection connection;
         private final List<RespServer.Slot> openSlots = new ArrayList<>();
@@ -189,10 +190,10 @@
         ScriptedConnection() throws IOException {
             sockets = new Sockets(loop);
             server = new RespServer(sockets, new InetSocketAddress("127.0.0.1", 0), false, 100, new BodyBudget(0), this);
-            crowd.setMaxConnections(100);
+            connections.setMaxConnections(100);
             ClientConnection[] made = new ClientConnection[1];
             loop.execute(() -> {
-                made[0] = new ClientConnection(channel, server, crowd, loop);
+                made[0] = new ClientConnection(channel, server, connections, loop);
                 made[0].session().onClose(() -> closeNotifications++);
             });
             connection = made[0];
@@ -200,8 +201,9 @@
 
         @Override
         public void handle(byte[][] words, RespServer.Slot slot) {
-            assertThat(channel.shutdowns + channel.closes).as("nothing is followed once it ends").isZero();
-            assertThat(channel.hasEnded && !channel.input.hasRemaining()).as("nothing is followed of who has gone").isFalse();
+            assertThat(channel.shutdowns + channel.closes).as("no command is handled once the connection ends").isZero();
+            assertThat(channel.hasEnded && !channel.input.hasRemaining())
+                    .as("no command is handled after the client has left").isFalse();
             handled++;
             openSlots.add(slot);
             if (words[0][0] == 'N') { answer(openSlots.size() - 1); }
@@ -209,7 +211,7 @@
 
         @Override
         public void onTerminalLeft(RespServer.Slot slot) {
-            assertThat(openSlots.remove(slot)).as("gone once, and never answered").isTrue();
+            assertThat(openSlots.remove(slot)).as("reported once as abandoned, and never answered").isTrue();
             abandoned++;
         }
 
@@ -236,12 +238,13 @@
                 case RESET -> channel.endInput(true);
                 case SHUTDOWN -> loop.execute(() -> {
                     server.close();
-                    crowd.all().forEach(ClientConnection::closeIfIdle);
+                    connections.all().forEach(ClientConnection::closeIfIdle);
                 });
                 case EVICTION -> loop.execute(() -> {
-                    ClientConnection longest = crowd.evictionCandidate(nowMs + 60_000);
+                    ClientConnection longest = connections.evictionCandidate(nowMs + 60_000);
                     if (longest == null) { return; }
-                    assertThat(longest.owesNoReply() && !longest.hasUnflushedBytes()).as("who is owed bytes gives way to nobody").isTrue();
+                    assertThat(longest.owesNoReply() && !longest.hasUnflushedBytes())
+                            .as("a connection with unflushed replies is not evicted").isTrue();
                     longest.finish();
                 });
                 case WRITE_FAILURE -> {
@@ -260,8 +263,10 @@
             for (double step = 0; step < ms; step += 50) {
                 nowMs += 50;
                 loop.execute(() -> {
-                    crowd.reap(nowMs);
-                    if (server.isClosing() && server.drainSchedule().hasStoppedReading(nowMs)) { crowd.all().forEach(ClientConnection::closeIfIdle); }
+                    connections.reap(nowMs);
+                    if (server.isClosing() && server.drainSchedule().hasStoppedReading(nowMs)) {
+                        connections.all().forEach(ClientConnection::closeIfIdle);
+                    }
                 });
             }
         }
@@ -273,16 +278,16 @@
             for (int i = 0; !openSlots.isEmpty() && i < 100; i++) { apply(Event.ANSWER); }
             advance(25_000);
             assertThat(faults).isEmpty();
-            assertThat(openSlots).as("each has one end").isEmpty();
+            assertThat(openSlots).as("each command ends once").isEmpty();
             assertThat(answered + abandoned).isEqualTo(handled);
-            assertThat(crowd.size() + crowd.unflushedCount()).isZero();
-            assertThat(closeNotifications).as("told once that it has ended").isEqualTo(1);
+            assertThat(connections.size() + connections.unflushedCount()).isZero();
+            assertThat(closeNotifications).as("one close notification").isEqualTo(1);
             assertThat(channel.closes).as("closed once").isEqualTo(1);
             assertThat(channel.shutdowns).isLessThanOrEqualTo(1);
-            assertThat(server.readAheadBudget().heldBytes()).as("held for nobody").isZero();
+            assertThat(server.readAheadBudget().heldBytes()).as("no read-ahead bytes left").isZero();
             String got = channel.written.toString(StandardCharsets.US_ASCII);
             if (!fails && abandoned == 0) {
-                assertThat(got.split("\\$\\d+\r\nanswer \\d+\r\n", -1)).as("answers that were taken whole").hasSize(answered + 1);
+                assertThat(got.split("\\$\\d+\r\nanswer \\d+\r\n", -1)).as("complete replies received").hasSize(answered + 1);
             }
         }
 
@@ -293,27 +298,28 @@
         }
     }
 
-    private static void run(WriteMode writes, List<Event> before, List<Event> events) throws IOException {
-        try (ScriptedConnection world = new ScriptedConnection()) {
-            world.channel.writeMode = writes;
-            for (Event event : before) { world.apply(event); }
-            for (Event event : events) { world.apply(event); }
-            world.assertAllEnded();
+    private static void run(WriteMode writeMode, List<Event> before, List<Event> events) throws IOException {
+        try (ScriptedConnection scripted = new ScriptedConnection()) {
+            scripted.channel.writeMode = writeMode;
+            for (Event event : before) { scripted.apply(event); }
+            for (Event event : events) { scripted.apply(event); }
+            scripted.assertAllEnded();
         } catch (AssertionError e) {
-            throw new AssertionError(writes + " " + before + " " + events + ": " + e.getMessage(), e);
+            throw new AssertionError(writeMode + " " + before + " " + events + ": " + e.getMessage(), e);
         }
     }
 
     private static final List<List<Event>> PREFIXES = List.of(List.of(), List.of(Event.COMMAND), List.of(Event.COMMAND, Event.COMMAND),
-            List.of(Event.COMMAND, Event.ANSWER), List.of(Event.COMMAND, Event.HALF_COMMAND), List.of(Event.COMMAND, Event.COMMAND, Event.LAST_ANSWER));
+            List.of(Event.COMMAND, Event.ANSWER), List.of(Event.COMMAND, Event.HALF_COMMAND),
+            List.of(Event.COMMAND, Event.COMMAND, Event.LAST_ANSWER));
 
     @Test
     void everyCommandEndsOnceForAllSequencesOfTwoAndThreeEvents() throws IOException {
-        for (WriteMode writes : new WriteMode[] {WriteMode.ACCEPTED, WriteMode.BLOCKED}) {
+        for (WriteMode writeMode : new WriteMode[] {WriteMode.ACCEPTED, WriteMode.BLOCKED}) {
             for (List<Event> before : PREFIXES) {
                 for (Event first : Event.values()) {
                     for (Event second : Event.values()) {
-                        run(writes, before, List.of(first, second));
+                        run(writeMode, before, List.of(first, second));
                     }
                 }
             }
@@ -334,21 +340,21 @@
     @Test
     void aPartialCommandAtShutdownIsAnsweredIfItCompletesAtOnce() throws IOException {
         for (double wait : new double[] {0, 250}) {
-            try (ScriptedConnection world = new ScriptedConnection()) {
-                world.channel.receive("*1\r\n$3\r\n".getBytes(StandardCharsets.US_ASCII));
-                world.apply(Event.SHUTDOWN);
-                assertThat(world.channel.shutdowns).isZero();
-                world.advance(wait);
-                world.channel.receive("ASK\r\n".getBytes(StandardCharsets.US_ASCII));
-                assertThat(world.handled).isEqualTo(wait > 0 ? 0 : 1);
+            try (ScriptedConnection scripted = new ScriptedConnection()) {
+                scripted.channel.receive("*1\r\n$3\r\n".getBytes(StandardCharsets.US_ASCII));
+                scripted.apply(Event.SHUTDOWN);
+                assertThat(scripted.channel.shutdowns).isZero();
+                scripted.advance(wait);
+                scripted.channel.receive("ASK\r\n".getBytes(StandardCharsets.US_ASCII));
+                assertThat(scripted.handled).isEqualTo(wait > 0 ? 0 : 1);
                 if (wait == 0) {
-                    assertThat(world.channel.shutdowns).isZero();
-                    world.apply(Event.ANSWER);
-                    assertThat(world.channel.written.toString(StandardCharsets.US_ASCII)).isEqualTo("$8\r\nanswer 1\r\n");
+                    assertThat(scripted.channel.shutdowns).isZero();
+                    scripted.apply(Event.ANSWER);
+                    assertThat(scripted.channel.written.toString(StandardCharsets.US_ASCII)).isEqualTo("$8\r\nanswer 1\r\n");
                 }
-                assertThat(world.channel.shutdowns).isEqualTo(1);
-                assertThat(world.channel.closes).as("drained first").isZero();
-                world.assertAllEnded();
+                assertThat(scripted.channel.shutdowns).isEqualTo(1);
+                assertThat(scripted.channel.closes).as("drained first").isZero();
+                scripted.assertAllEnded();
             }
         }
     }
@@ -359,28 +365,28 @@
      */
     @Test
     void pipelinedCommandsReadBeforeShutdownAreAnswered() throws IOException {
-        try (ScriptedConnection world = new ScriptedConnection()) {
-            for (int i = 0; i < 100; i++) { world.apply(Event.COMMAND); }
-            world.advance(200);                         // longer than one event loop task may handle
-            assertThat(world.handled).isEqualTo(64);
-            world.apply(Event.SHUTDOWN);
-            world.advance(200);
-            world.apply(Event.COMMAND);
+        try (ScriptedConnection scripted = new ScriptedConnection()) {
+            for (int i = 0; i < 100; i++) { scripted.apply(Event.COMMAND); }
+            scripted.advance(200);                   // longer than one event loop task may handle
+            assertThat(scripted.handled).isEqualTo(64);
+            scripted.apply(Event.SHUTDOWN);
+            scripted.advance(200);
+            scripted.apply(Event.COMMAND);
             for (int i = 0; i < 100; i++) {
-                world.apply(Event.ANSWER);
-                world.advance(50);
+                scripted.apply(Event.ANSWER);
+                scripted.advance(50);
             }
-            assertThat(world.answered).isEqualTo(100);
-            assertThat(world.handled).isEqualTo(100);
-            assertThat(world.channel.shutdowns).isEqualTo(1);
-            world.assertAllEnded();
+            assertThat(scripted.answered).isEqualTo(100);
+            assertThat(scripted.handled).isEqualTo(100);
+            assertThat(scripted.channel.shutdowns).isEqualTo(1);
+            scripted.assertAllEnded();
         }
     }
 
     /** Many connections that send much at once stay within the common read-ahead limit, and each command ends once. */
     @Test
     void readAheadOfAllConnectionsIsLimited() throws IOException {
-        try (ScriptedConnection world = new ScriptedConnection()) {
+        try (ScriptedConnection scripted = new ScriptedConnection()) {
             byte[] much = new byte[COMMAND.length * 20_000];
             for (int i = 0; i < much.length; i++) { much[i] = COMMAND[i % COMMAND.length]; }
             List<ScriptedChannel> channels = new ArrayList<>();
@@ -388,21 +394,21 @@
             for (int i = 0; i < most / 40_000; i++) {
                 ScriptedChannel channel = new ScriptedChannel();
                 channels.add(channel);
-                world.loop.execute(() -> new ClientConnection(channel, world.server, world.crowd, world.loop));
-                channel.receive(much);                 // 32 are handled, then other connections have their turn
+                scripted.loop.execute(() -> new ClientConnection(channel, scripted.server, scripted.connections, scripted.loop));
+                channel.receive(much);               // 32 are handled, then other connections have their turn
             }
-            assertThat(world.server.readAheadBudget().heldBytes()).isLessThan(most + 128 * 1024 + channels.size() * 8 * 1024L);
-            assertThat(world.faults).isEmpty();
+            assertThat(scripted.server.readAheadBudget().heldBytes()).isLessThan(most + 128 * 1024 + channels.size() * 8 * 1024L);
+            assertThat(scripted.faults).isEmpty();
             for (ScriptedChannel channel : channels) { channel.endInput(true); }
-            world.advance(300);
+            scripted.advance(300);
             for (ScriptedChannel channel : channels) { assertThat(channel.closes).isEqualTo(1); }
-            assertThat(world.server.readAheadBudget().heldBytes()).isZero();
-            assertThat(world.abandoned).isEqualTo(world.handled);
+            assertThat(scripted.server.readAheadBudget().heldBytes()).isZero();
+            assertThat(scripted.abandoned).isEqualTo(scripted.handled);
         }
     }
 
     @Property(tries = 300)
-    void everyCommandEndsOnceForLongEventSequences(@ForAll WriteMode writes, @ForAll @Size(max = 12) List<Event> events) throws IOException {
-        run(writes, List.of(), events);
+    void everyCommandEndsOnceForLongEventSequences(@ForAll WriteMode writeMode, @ForAll @Size(max = 12) List<Event> events) throws IOException {
+        run(writeMode, List.of(), events);
     }
 }
