--- a/src/main/java/yardusher/core/Deadlines.java
+++ b/src/main/java/yardusher/core/Deadlines.java
@@ -26,6 +26,7 @@
     private final TreeSet<Entry> entries = new TreeSet<>();
     private long nextSequence;
 
+    /** Schedules a task for a time in milliseconds of the event loop's clock. */
     public Entry schedule(double timeMs, Runnable task) {
         Entry entry = new Entry(timeMs, nextSequence++, task);
         entries.add(entry);
--- a/src/main/java/yardusher/core/EventLoop.java
+++ b/src/main/java/yardusher/core/EventLoop.java
@@ -27,6 +27,7 @@
         this.faultHandler = faultHandler;
     }
 
+    /** The current time in milliseconds. */
     public double now() { return clock.getAsDouble(); }
 
     public Deadlines deadlines() { return deadlines; }
--- a/src/main/java/yardusher/net/Connection.java
+++ b/src/main/java/yardusher/net/Connection.java
@@ -153,6 +153,7 @@
     /** The number of bytes that wait to be written. */
     public int queuedBytes() { return queuedBytes; }
 
+    /** Starts a read, unless one is pending. */
     public void readMore() {
         if (reading || stage != Stage.OPEN) { return; }
         if (maxReadAhead == 0) {
--- a/src/main/java/yardusher/net/RespServer.java
+++ b/src/main/java/yardusher/net/RespServer.java
@@ -74,6 +74,7 @@
     /** Sets the maximum number of connections. Connections above the limit are closed, longest idle first. */
     public final void setMaxConnections(int maxConnections) { connections.setMaxConnections(maxConnections); }
 
+    /** Starts listening, without accepting connections yet. */
     public void bind() throws IOException { listener.bind(); }
 
     public InetSocketAddress address() throws IOException { return listener.address(); }
@@ -193,6 +194,7 @@
         for (ClientConnection connection : connections.all()) { connection.closeIfIdle(); }
     }
 
+    /** Whether the command is a PING without an argument. */
     public static boolean isPing(byte[][] words) {
         return words.length == 1 && new String(words[0], StandardCharsets.ISO_8859_1).equalsIgnoreCase("PING");
     }
@@ -277,6 +279,7 @@
             };
         }
 
+        /** Answers the command with an encoded RESP value. */
         public void answer(byte[] bytes) {
             connection.onCommandAccepted();
             complete(bytes);
--- a/src/main/java/yardusher/net/Sockets.java
+++ b/src/main/java/yardusher/net/Sockets.java
@@ -151,6 +151,7 @@
         }
     }
 
+    /** Creates a listener and binds it; it accepts connections after {@link Listener#accept}. */
     public Listener listen(InetSocketAddress address, Consumer<AsynchronousSocketChannel> onAccept, Predicate<Void> hasRoom)
             throws IOException {
         Listener listener = createListener(address, false, onAccept, hasRoom);
--- a/src/test/java/yardusher/net/ClientConnectionTest.java
+++ b/src/test/java/yardusher/net/ClientConnectionTest.java
@@ -42,7 +42,7 @@
     private static final byte[][] SPLIT_COMMANDS = {"*1\r\n$3\r".getBytes(StandardCharsets.US_ASCII),
         "\nNOW\r\n*1\r\n$3\r\nASK\r\n".getBytes(StandardCharsets.US_ASCII)};
 
-    /** A channel whose reads and writeMode complete as scripted, at once where possible, as on the thread that polls. */
+    /** A channel whose reads and writes complete as scripted, at once where possible, as on the thread that polls. */
     private static final class ScriptedChannel extends AsynchronousSocketChannel {
         private record Pending(ByteBuffer bytes, Object attachment, CompletionHandler<Integer, Object> handler) { }
 
