--- a/src/test/java/yardusher/core/CeilingDelayTest.java
+++ b/src/test/java/yardusher/core/CeilingDelayTest.java
@@ -43,7 +43,9 @@
         /** Submits this many requests and returns how many were sent on. */
         int countAdmitted(int tries) {
             int before = waiting.size();
-            for (int i = 0; i < tries; i++) { loop.execute(() -> ingress.accept(new IncomingRequest(0, 0, 7, 1, 0, 1, WAIT_MS, new Command(++lastId), this))); }
+            for (int i = 0; i < tries; i++) {
+                loop.execute(() -> ingress.accept(new IncomingRequest(0, 0, 7, 1, 0, 1, WAIT_MS, new Command(++lastId), this)));
+            }
             return waiting.size() - before;
         }
 
--- a/src/test/java/yardusher/core/RequestStateTest.java
+++ b/src/test/java/yardusher/core/RequestStateTest.java
@@ -85,7 +85,9 @@
         void handToSocket(Attempt attempt) {
             boolean wasOver = isOver() || attempt.isOver() || nowMs >= request.deadlineMs;
             if (!attempt.handToSocket(nowMs)) {
-                if (!attempt.isOver() && attempt != activeAttempt) { ingress.attemptEnded(attempt, Attempt.Result.of(Api.Outcome.NOT_SENT)); }
+                if (!attempt.isOver() && attempt != activeAttempt) {
+                    ingress.attemptEnded(attempt, Attempt.Result.of(Api.Outcome.NOT_SENT));
+                }
                 return;
             }
             assertThat(wasOver).as("nothing is sent after the end").isFalse();
@@ -274,7 +276,8 @@
 
     /** The state machine alone, with calls in any order: one answer, and nothing is written twice or after the end. */
     @Property(tries = 2000)
-    void theStateMachineAnswersOnceForAnyOrderOfCalls(@ForAll Api.Effect effect, @ForAll @Size(max = 30) List<@IntRange(max = 9) Integer> calls) {
+    void theStateMachineAnswersOnceForAnyOrderOfCalls(@ForAll Api.Effect effect,
+            @ForAll @Size(max = 30) List<@IntRange(max = 9) Integer> calls) {
         RequestState course = new RequestState(new Api.RequestClass(100, 200, 1, 0, effect, Api.Group.ALL, 10, false), 100);
         int answered = 0;
         int newest = -1;
--- a/src/test/java/yardusher/mesh/DatagramMeshTest.java
+++ b/src/test/java/yardusher/mesh/DatagramMeshTest.java
@@ -56,7 +56,8 @@
             loop.execute(() -> other.send(mesh.address(), Mesh.Kind.VIEW, body));
             assertThat(received.poll(5, TimeUnit.SECONDS)).isEqualTo(body);
         }
-        assertThatIllegalArgumentException().isThrownBy(() -> other.send(mesh.address(), Mesh.Kind.VIEW, new byte[Mesh.MAX_BODY_BYTES + 1]));
+        assertThatIllegalArgumentException().isThrownBy(
+                () -> other.send(mesh.address(), Mesh.Kind.VIEW, new byte[Mesh.MAX_BODY_BYTES + 1]));
         loop.execute(other::close);
     }
 
--- a/src/test/java/yardusher/net/ClientConnectionTest.java
+++ b/src/test/java/yardusher/net/ClientConnectionTest.java
@@ -408,7 +408,8 @@
     }
 
     @Property(tries = 300)
-    void everyCommandEndsOnceForLongEventSequences(@ForAll WriteMode writeMode, @ForAll @Size(max = 12) List<Event> events) throws IOException {
+    void everyCommandEndsOnceForLongEventSequences(@ForAll WriteMode writeMode,
+            @ForAll @Size(max = 12) List<Event> events) throws IOException {
         run(writeMode, List.of(), events);
     }
 }
--- a/src/test/java/yardusher/net/ListenerTest.java
+++ b/src/test/java/yardusher/net/ListenerTest.java
@@ -25,7 +25,8 @@
         CountDownLatch accepted = new CountDownLatch(1);
         Sockets.Listener[] listener = new Sockets.Listener[1];
         try {
-            listener[0] = sockets.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), client -> accepted.countDown(), nothing -> {
+            listener[0] = sockets.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                    client -> accepted.countDown(), nothing -> {
                 if (roomChecks.incrementAndGet() == 1) { throw new IllegalStateException("made by this test"); }
                 return true;
             });
--- a/src/test/java/yardusher/resp/DecoderTest.java
+++ b/src/test/java/yardusher/resp/DecoderTest.java
@@ -28,7 +28,8 @@
     @Test
     void valuesSplitAcrossReadsDecodeEqually() throws Exception {
         byte[] body = "x\r\n$5\r\n*".repeat(700).getBytes(StandardCharsets.US_ASCII);
-        byte[] bytes = new Encoder(16).array(3).bulk(body).raw("$-1\r\n:-42\r\n".getBytes()).error("BUSY 7\r\nno").simpleString("OK").toBytes();
+        byte[] bytes = new Encoder(16).array(3).bulk(body).raw("$-1\r\n:-42\r\n".getBytes())
+                .error("BUSY 7\r\nno").simpleString("OK").toBytes();
         for (int cut = 0; cut < bytes.length; cut += cut < 40 || cut > bytes.length - 40 ? 1 : 97) {
             Decoder decoder = new Decoder();
             feed(decoder, bytes, 0, cut);
--- a/src/test/java/yardusher/wire/SettingsKeysTest.java
+++ b/src/test/java/yardusher/wire/SettingsKeysTest.java
@@ -57,25 +57,37 @@
             reported("settings.classes[0].aim_stretch", "2", "classes.lookup.aim_stretch"),
             reported("settings.clients.marks_retry", "true", "clients.marks_retry"),
             reported("settings.contracts[0].beyond_earns", "0.2", "contracts.basis.beyond_earns"),
-            reported("settings.domain.cost_after", "true", "domain.cost_after"), reported("settings.domain.count_fee", "0.1", "domain.counter, with count_fee"),
-            reported("settings.domain.count_limit_ms", "40", "count_limit_ms"), reported("settings.domain.counter", "true", "domain.counter"),
+            reported("settings.domain.cost_after", "true", "domain.cost_after"),
+            reported("settings.domain.count_fee", "0.1", "domain.counter, with count_fee"),
+            reported("settings.domain.count_limit_ms", "40", "count_limit_ms"),
+            reported("settings.domain.counter", "true", "domain.counter"),
             reported("settings.domain.meter_ms", "1000", "domain.meter_ms"),
             reported("settings.goal.whole", "0.4", "goal.whole"), reported("settings.goal.worst_class", "0.4", "worst_class"),
             reported("settings.goal.worst_tenant", "0.4", "worst_tenant"), reported("settings.goal.worst_window", "0.4", "worst_window"),
-            reported("settings.limits.cpu_us_per_request", "9", "limits.cpu_us_per_request"), reported("settings.limits.cpu_us_per_s", "9", "limits.cpu_us_per_s"),
-            reported("settings.limits.max_open", "9", "limits.max_open"), reported("settings.limits.max_streams", "9", "limits.max_streams"),
-            reported("settings.limits.probes", "true", "limits.probes"), reported("settings.limits.retry_after", "false", "limits.retry_after false"),
+            reported("settings.limits.cpu_us_per_request", "9", "limits.cpu_us_per_request"),
+            reported("settings.limits.cpu_us_per_s", "9", "limits.cpu_us_per_s"),
+            reported("settings.limits.max_open", "9", "limits.max_open"),
+            reported("settings.limits.max_streams", "9", "limits.max_streams"),
+            reported("settings.limits.probes", "true", "limits.probes"),
+            reported("settings.limits.retry_after", "false", "limits.retry_after false"),
             reported("settings.limits.second_copies", "true", "limits.second_copies"),
             reported("settings.prices.connection", "0.1", "prices.connection"), reported("settings.prices.fleet", "0.1", "fleet"),
             reported("settings.prices.handshake", "0.1", "handshake"), reported("settings.prices.late_fail", "0.1", "late_fail"),
             reported("settings.prices.membership_mode", "0.1", "membership_mode"), reported("settings.prices.moves", "0.1", "moves"),
-            reported("settings.prices.origin", "0.1", "origin"), reported("settings.prices.probe", "0.1", "probe"), reported("settings.prices.waste", "0.1", "waste"),
+            reported("settings.prices.origin", "0.1", "origin"),
+            reported("settings.prices.probe", "0.1", "probe"),
+            reported("settings.prices.waste", "0.1", "waste"),
             reported("settings.report.how", "\"on_probe\"", "report (reports come on probes alone)"),
-            reported("settings.rules.answer_slack_ms", "3", "rules.answer_slack_ms"), reported("settings.rules.drain_grace_ms", "3", "rules.drain_grace_ms"),
-            reported("settings.resolution_ms", "5", "resolution_ms (what comes on sockets"), reported("settings.service_type", "\"mesh\"", "service_type mesh"), reported("settings.weights", "\"live\"", "weights live"),
-            reported("settings.misspelt", "3", "misspelt (not known here)"), reported("settings.limits.max_attemps", "3", "limits.max_attemps (not known here)"),
+            reported("settings.rules.answer_slack_ms", "3", "rules.answer_slack_ms"),
+            reported("settings.rules.drain_grace_ms", "3", "rules.drain_grace_ms"),
+            reported("settings.resolution_ms", "5", "resolution_ms (what comes on sockets"),
+            reported("settings.service_type", "\"mesh\"", "service_type mesh"),
+            reported("settings.weights", "\"live\"", "weights live"),
+            reported("settings.misspelt", "3", "misspelt (not known here)"),
+            reported("settings.limits.max_attemps", "3", "limits.max_attemps (not known here)"),
             reported("settings.classes[1].efect", "3", "classes.efect (not known here)"),
-            reported("misspelt", "3", "misspelt (not known here)"), reported("limits.socket", "3", "limits.socket (of the machine; not known here)"),
+            reported("misspelt", "3", "misspelt (not known here)"),
+            reported("limits.socket", "3", "limits.socket (of the machine; not known here)"),
             reported("peers", "[\"127.0.0.1:3\"]", "peers (1 addresses for 3 ingresses")));
 
     /**
@@ -88,7 +100,9 @@
     @TempDir
     Path folder;
 
-    private static Map.Entry<String, String[]> reported(String key, String value, String words) { return Map.entry(key, new String[] {value, words}); }
+    private static Map.Entry<String, String[]> reported(String key, String value, String words) {
+        return Map.entry(key, new String[] {value, words});
+    }
 
     /** The base configuration with one value replaced, or added to its object if the key is absent. */
     private Config configWith(String key, String value) throws IOException {
