--- a/lab/src/yardusher/lab/scale/HollowIngress.java
+++ b/lab/src/yardusher/lab/scale/HollowIngress.java
@@ -38,7 +38,7 @@
  * An ingress without clients' and backends' sockets: the program's own core with its decision module, its own view, and both
  * their messages over datagrams at an address of its own. docs/lab.md lists what it leaves out. In turns of its process's loop only.
  */
-final class HollowIngress implements PeerSender, Membership.World, Rates.World {
+final class HollowIngress implements PeerSender, Membership.Environment, Rates.Transport {
     /** Bytes of IP's and UDP's heads, counted with each datagram. */
     static final int HEADS = 28;
     private static final int MOST_PEER_BYTES = 256;
@@ -125,9 +125,9 @@
         }
         if (sizes.ratesBytesPerS() > 0) {
             double[] quotas = settings.plans().stream().mapToDouble(Api.Plan::ratePerS).toArray();
-            rates = new Rates(new Rates.Terms(sizes.ratesBytesPerS(), HEADS + FRAME, Mesh.MAX_BODY_BYTES, quotas, RATES_HORIZON_MS), id(Configs.name(number)), own + 2, loop.now(), this);
-            membership.follow(change -> members(change.now()));
-            core.deliver(new Api.Wide(Configs.RATES_FROM));
+            rates = new Rates(new Rates.Parameters(sizes.ratesBytesPerS(), HEADS + FRAME, Mesh.MAX_BODY_BYTES, quotas, RATES_HORIZON_MS), id(Configs.name(number)), own + 2, loop.now(), this);
+            membership.subscribe(change -> members(change.snapshot()));
+            core.deliver(new Api.ExternalDemandThreshold(Configs.RATES_FROM));
         } else {
             rates = null;
         }
@@ -135,22 +135,22 @@
 
     private static long id(String name) { return LongHashFunction.xx3().hashChars(name); }
 
-    private void members(View.Picture picture) {
+    private void members(View.Snapshot picture) {
         addresses.clear();
-        picture.members().forEach(one -> addresses.put(id(one.name()), one.at()));
-        rates.members(addresses.keySet().stream().mapToLong(Long::longValue).toArray());
+        picture.members().forEach(one -> addresses.put(id(one.name()), one.address()));
+        rates.updateMembers(addresses.keySet().stream().mapToLong(Long::longValue).toArray());
     }
 
     private void tickRates() {
         if (vanished) { return; }
         rates.tick(loop.now());
-        loop.deadlines().schedule(loop.now() + Rates.TICK_MS, this::tickRates);
+        loop.deadlines().schedule(loop.now() + Rates.TICK_INTERVAL_MS, this::tickRates);
     }
 
     /** Its settings, as those that were decoded for another of the same run. */
     static Api.Settings settings(Api.Settings of, int number, int zone) {
-        return new Api.Settings(number, of.gateways(), zone, of.resolutionMs(), of.classes(), of.plans(), of.limits(), of.rules(), of.report(), of.askMembership(),
-                of.peerIntakePerS(), of.mostUnits(), of.crossZonePrice(), of.peerPrice());
+        return new Api.Settings(number, of.gateways(), zone, of.resolutionMs(), of.classes(), of.plans(), of.limits(), of.rules(), of.reportedMetrics(), of.mustSubscribe(),
+                of.peerIntakePerS(), of.maxUnits(), of.crossZonePrice(), of.peerPrice());
     }
 
     void open(Selector selector) throws IOException {
@@ -163,7 +163,7 @@
             joined = true;
             arm();
         });
-        if (rates != null) { loop.deadlines().schedule(loop.now() + number % Rates.TICK_MS, this::tickRates); }
+        if (rates != null) { loop.deadlines().schedule(loop.now() + number % Rates.TICK_INTERVAL_MS, this::tickRates); }
     }
 
     private DatagramChannel opened(Selector selector, int port) throws IOException {
@@ -201,9 +201,9 @@
     /** A client's request has come. */
     void take(int tenant, int plan, int first, int spread, int units, double waitMs, Api.Binding only) {
         if (rates != null && spread >= Configs.RATES_FROM) {
-            rates.asked(loop.now(), Demand.customer(tenant), plan, units);
-            double perS = rates.askedPerS(loop.now(), Demand.customer(tenant), plan);
-            if (perS > 0) { core.deliver(new Api.Asked(Demand.customer(tenant), plan, perS)); }
+            rates.recordDemand(loop.now(), Demand.customer(tenant), plan, units);
+            double perS = rates.overQuotaDemandPerS(loop.now(), Demand.customer(tenant), plan);
+            if (perS > 0) { core.deliver(new Api.ExternalDemand(Demand.customer(tenant), plan, perS)); }
         }
         core.accept(new IncomingRequest(0, plan, Demand.customer(tenant), units, first, spread, waitMs, CARGO, new Terminal() {
             @Override
@@ -288,15 +288,15 @@
         in.get(body);
         if (!joined || !ours || sum != sum(kind, body)) { return; }
         if (kind == Mesh.Kind.RATES.ordinal() && rates != null) {
-            rates.heard(loop.now(), addresses.entrySet().stream().filter(one -> one.getValue().equals(from)).mapToLong(Map.Entry::getKey).findFirst().orElse(0), body);
+            rates.receive(loop.now(), addresses.entrySet().stream().filter(one -> one.getValue().equals(from)).mapToLong(Map.Entry::getKey).findFirst().orElse(0), body);
         }
         if (kind != Mesh.Kind.VIEW.ordinal()) { return; }
-        membership.heard(loop.now(), body);
+        membership.receive(loop.now(), body);
         arm();
     }
 
     private void arm() {
-        double at = membership.next();
+        double at = membership.nextTickMs();
         if (at == timerAt) { return; }
         loop.deadlines().cancel(timer);
         timerAt = at;
@@ -309,5 +309,5 @@
     }
 
     @Override
-    public void wrong(ViewError error) { }
+    public void reportError(ViewError error) { }
 }
--- a/src/main/java/yardusher/Api.java
+++ b/src/main/java/yardusher/Api.java
@@ -23,7 +23,7 @@
     private Api() { }
 
     /** How long after its {@link Send} an attempt under a ceiling may still be written, in milliseconds. */
-    public static final double WRITTEN_WITHIN_MS = 260;
+    public static final double MAX_WRITE_DELAY_MS = 260;
 
     /** What a class of requests allows after an attempt that may have run. */
     public enum Effect { IDEMPOTENT, DEDUPLICATED, AT_MOST_ONCE }
@@ -58,21 +58,21 @@
      * A plan. A rate, cap or ceiling of 0 means that the plan has none; {@code overCost} is the part of its worth that
      * a request beyond the quota costs.
      */
-    public record Plan(double ratePerS, double burst, int openCap, double value, double ceilingRate,
-            double ceilingBurst, double ceilingSlack, double overCost) {
+    public record Plan(double ratePerS, double burst, int openCap, double value, double ceilingRatePerS,
+            double ceilingBurst, double ceilingSlack, double overQuotaCost) {
         /** A plan where each request beyond the quota costs its whole worth. */
-        public Plan(double ratePerS, double burst, int openCap, double value, double ceilingRate, double ceilingBurst,
+        public Plan(double ratePerS, double burst, int openCap, double value, double ceilingRatePerS, double ceilingBurst,
                 double ceilingSlack) {
-            this(ratePerS, burst, openCap, value, ceilingRate, ceilingBurst, ceilingSlack, 1);
+            this(ratePerS, burst, openCap, value, ceilingRatePerS, ceilingBurst, ceilingSlack, 1);
         }
     }
 
     /** What the site permits. */
-    public record Limits(int maxAttempts, boolean mayCancel, boolean peers,
+    public record Limits(int maxAttempts, boolean mayCancel, boolean mayMessagePeers,
             double maxRetryAfterMs) { }
 
     /** The figures of the rules for cold servers, and of membership that must be asked for. */
-    public record Rules(double coldFrom, double warmAfterMs, double overloadFactor, double overloadForMs,
+    public record Rules(double initialWarmth, double warmAfterMs, double overloadFactor, double overloadWindowMs,
             double mustAskMs) { }
 
     /**
@@ -83,7 +83,7 @@
      */
     public record Settings(int self, int gateways, int zone, double resolutionMs,
             List<RequestClass> classes, List<Plan> plans, Limits limits, Rules rules,
-            List<Metric> report, boolean askMembership, double peerIntakePerS, double mostUnits,
+            List<Metric> reportedMetrics, boolean mustSubscribe, double peerIntakePerS, double maxUnits,
             double crossZonePrice, double peerPrice) { }
 
     /** One server of a list. {@code startedAtMs} of 0 means long ago. */
@@ -92,7 +92,7 @@
 
     /** What a gateway is told. */
     public sealed interface Event permits ServerList, Request, FirstByte, AttemptDelayed, AttemptWritten, AttemptDone, ClientGone,
-            TimerFired, PeerMessage, Ban, Twin, Room, Wide, Asked { }
+            TimerFired, PeerMessage, Ban, SiblingProcess, AttemptLimit, ExternalDemandThreshold, ExternalDemand { }
 
     /** News of the servers. */
     public record ServerList(ListKind kind, List<Server> servers) implements Event { }
@@ -112,10 +112,10 @@
      * run, null for anywhere.
      */
     public record Request(long id, int classIndex, int plan, long customer, double dueMs, double units,
-            int firstGateway, int spread, Binding only) implements Event {
+            int firstGateway, int gatewayCount, Binding binding) implements Event {
         public Request(long id, int classIndex, int plan, long customer, double dueMs, double units, int firstGateway,
-                int spread) {
-            this(id, classIndex, plan, customer, dueMs, units, firstGateway, spread, null);
+                int gatewayCount) {
+            this(id, classIndex, plan, customer, dueMs, units, firstGateway, gatewayCount, null);
         }
     }
 
@@ -136,7 +136,7 @@
      * settled count of units, 0 for none; {@code load} follows the settings' report, null for none.
      */
     public record AttemptDone(long id, int attempt, long server, Outcome outcome, double tookMs,
-            boolean finished, double billed, double[] load) implements Event { }
+            boolean finished, double billedUnits, double[] load) implements Event { }
 
     /** The client left; nothing more is owed. */
     public record ClientGone(long id) implements Event { }
@@ -151,37 +151,37 @@
      * A server is kept out by hand, whatever the list says, or used again: as a cold one, of which nothing is known
      * any more. Repeats change nothing.
      */
-    public record Ban(long server, boolean out) implements Event { }
+    public record Ban(long server, boolean banned) implements Event { }
 
     /**
      * So many attempts may be out at a server at once, whatever else is known of it: none is begun beyond that. Said of
      * a server of the list; holds until it is said anew. A server of which it is not said has no such bound.
      */
-    public record Room(long server, int most) implements Event { }
+    public record AttemptLimit(long server, int maxOpen) implements Event { }
 
     /**
      * Another process of this very gateway is there or not. It speaks as a peer with this gateway's number; its rows
      * and sums are those of another life. What the gateway earns under a ceiling is this one's or the other's.
      */
-    public record Twin(boolean there, boolean owns) implements Event { }
+    public record SiblingProcess(boolean present, boolean ownsCeilings) implements Event { }
 
     /**
      * Sets of so many gateways and more are told by another part what they are asked, so this module tells none of their
      * counts, but for plans with a cap on requests open at once. Said once at the start; where it is not, all sets are this module's.
      */
-    public record Wide(int from) implements Event { }
+    public record ExternalDemandThreshold(int minGateways) implements Event { }
 
     /**
      * All gateways of a customer's wide set together are asked so many units a second, which is more than its quota, as far
      * as is known. Holds for a window; said before each request of the customer while it is so.
      */
-    public record Asked(long customer, int plan, double perS) implements Event { }
+    public record ExternalDemand(long customer, int plan, double unitsPerS) implements Event { }
 
     /**
      * How a customer stands with its quota: the limit and what is left of it, in units; when the units asked
      * about would fit, 0 for now; and when the whole limit is free again. Times are in milliseconds from now.
      */
-    public record Standing(double limit, double remaining, double retryAfterMs, double resetMs) { }
+    public record QuotaStatus(double limit, double remaining, double retryAfterMs, double resetMs) { }
 
     /** What a gateway does. */
     public sealed interface Action permits Send, Cancel, Refuse, Fail, SetTimer, Tell, Subscribe { }
--- a/src/main/java/yardusher/Sums.java
+++ b/src/main/java/yardusher/CustomerSums.java
@@ -1,4 +1,4 @@
 package yardusher;
 
 /** The sums of all that is known of a customer, to be told. */
-record Sums(Customer of) { }
+record CustomerSums(Customer customer) { }
--- a/src/main/java/yardusher/PendingRequest.java
+++ b/src/main/java/yardusher/PendingRequest.java
@@ -5,35 +5,35 @@
 /** A request that was sent on and has no final answer yet. */
 final class PendingRequest {
     final Request request;
-    final RequestClass of;
+    final RequestClass requestClass;
     final Customer customer;
-    final double arrivedAt;
+    final double arrivedAtMs;
     int attempts;
-    Host last;
-    double sentAt, ranAt;                            // ranAt, ranZone, ranCell: of the first attempt that may
+    Host lastHost;
+    double sentAtMs, ranAtMs;                            // ranAt, ranZone, ranCell: of the first attempt that may
     int ranZone, ranCell;                            // have run, also while it is out
-    boolean ran;                                     // whether one that has ended may have
-    int lone;                                        // attempts when one that hung by itself was given up
-    double waited;                                   // for that one
-    CeilingShare share;                              // of the ceiling that its units came from; null for none
-    int spentAt;                                     // the attempt with which its units were taken
-    boolean reserved;                                // its units: no attempt has reached a server yet
-    boolean gone, begun;                             // begun: a streamed answer, its own deadline
+    boolean mayHaveRun;                                     // whether one that has ended may have
+    int hungAttempts;                                        // attempts when one that hung by itself was given up
+    double hungMs;                                   // for that one
+    CeilingShare ceilingShare;                              // of the ceiling that its units came from; null for none
+    int spentAttempt;                                     // the attempt with which its units were taken
+    boolean unitsReserved;                                // its units: no attempt has reached a server yet
+    boolean clientGone, streaming;                             // begun: a streamed answer, its own deadline
 
-    PendingRequest(Request request, RequestClass of, Customer customer, double arrivedAt) {
-        this.request = request; this.of = of; this.customer = customer; this.arrivedAt = arrivedAt;
+    PendingRequest(Request request, RequestClass requestClass, Customer customer, double arrivedAtMs) {
+        this.request = request; this.requestClass = requestClass; this.customer = customer; this.arrivedAtMs = arrivedAtMs;
     }
 
     /** Notes the next attempt. Guards repeats against a list that moves a server meanwhile: the place is kept. */
-    void sent(Host host, double at) {
-        attempts++; last = host; sentAt = at; host.credit--;
-        if (!ran) { ranAt = at; ranZone = host.zone; ranCell = host.cell; }
+    void attemptSent(Host host, double nowMs) {
+        attempts++; lastHost = host; sentAtMs = nowMs; host.coldTokens--;
+        if (!mayHaveRun) { ranAtMs = nowMs; ranZone = host.zone; ranCell = host.cell; }
     }
 
-    PendingRequest begin(double at) { begun = true; last.quietSince = at; return this; }
+    PendingRequest beginStreaming(double nowMs) { streaming = true; lastHost.lastAnswerAtMs = nowMs; return this; }
 
     /** By when its answer is worth all. */
-    double aimAt() { return arrivedAt + of.aimMs(); }
+    double aimAtMs() { return arrivedAtMs + requestClass.aimMs(); }
 
-    boolean boundElsewhere(Host host) { return request.only() != null && !request.only().allows(host); }
+    boolean isBoundElsewhere(Host host) { return request.binding() != null && !request.binding().allows(host); }
 }
--- a/src/main/java/yardusher/RecallText.java
+++ b/src/main/java/yardusher/RecallMessage.java
@@ -4,7 +4,7 @@
  * Guards against a life of an ingress that earns what its former life lent: it asks its borrowers to give up what they hold of it, and
  * they confirm. The nonce is drawn by the new life and comes back with the confirmation.
  */
-record RecallText(boolean confirms, long nonce) implements CeilingMessage {
+record RecallMessage(boolean confirms, long nonce) implements CeilingMessage {
     @Override
     public void put(StringBuilder body, Api.Settings settings) {
         Digits.put(body, confirms ? CONFIRMATION : RECALL, 1);
@@ -12,8 +12,8 @@
     }
 
     /** What stands behind the kind, or null where it is cut short. */
-    static RecallText read(boolean confirms, Digits text) {
+    static RecallMessage read(boolean confirms, Digits text) {
         long nonce = text.get(NONCE_DIGITS);
-        return nonce < 0 ? null : new RecallText(confirms, nonce);
+        return nonce < 0 ? null : new RecallMessage(confirms, nonce);
     }
 }
--- a/src/main/java/yardusher/cli/Subsystems.java
+++ b/src/main/java/yardusher/cli/Subsystems.java
@@ -12,7 +12,7 @@
 import yardusher.keys.KeysSubsystem;
 import yardusher.log.Logs;
 import yardusher.mesh.Mesh;
-import yardusher.parts.PartsSubsystem;
+import yardusher.connectionquota.ConnectionQuotaSubsystem;
 import yardusher.rates.RatesSubsystem;
 import yardusher.settings.Settings;
 import yardusher.subsystem.Site;
@@ -41,7 +41,7 @@
                     config.plans(), loop, Logs.of(own.log(), config.name())));
         }
         if (own.keys() != null) { all.add(new KeysSubsystem(own.keys(), own.journal())); }
-        if (own.parts() != null) { all.add(new PartsSubsystem(own.parts())); }
+        if (own.parts() != null) { all.add(new ConnectionQuotaSubsystem(own.parts())); }
         if (own.units() != null) { all.add(new UnitsSubsystem(own.units())); } // outermost: what belongs together, then each key
         return new Subsystems(all, view == null ? null : view.mesh(), view == null ? null : view.view());
     }
--- a/src/main/java/yardusher/core/Attempt.java
+++ b/src/main/java/yardusher/core/Attempt.java
@@ -52,7 +52,7 @@
     }
 
     /** Whether the attempt waited longer than its units of a ceiling are reserved for it. */
-    public boolean isTooLateToWrite(double nowMs) { return request.hasCeiling && nowMs - sentAtMs > Api.WRITTEN_WITHIN_MS; }
+    public boolean isTooLateToWrite(double nowMs) { return request.hasCeiling && nowMs - sentAtMs > Api.MAX_WRITE_DELAY_MS; }
 
     /** Whether the bytes are with a socket and are few enough not to wait there for buffer space. */
     boolean isWrittenImmediately() { return handedToSocket && commandBytes <= MAX_IMMEDIATE_WRITE_BYTES; }
--- a/src/main/java/yardusher/core/Ingress.java
+++ b/src/main/java/yardusher/core/Ingress.java
@@ -63,7 +63,7 @@
     public int openCount() { return openRequests.size(); }
 
     /** The number of listed backends that get no attempts now, banned by an operator or avoided by the module. */
-    public int avoidedBackends() { return module.avoided(loop.now()); }
+    public int avoidedBackends() { return module.countAvoided(loop.now()); }
 
     /** Accepts a request. Its terminal gets exactly one final answer. */
     @Override
@@ -71,7 +71,7 @@
         Request[] taken = new Request[1];
         Request request = intakeStage.accept(incoming, () -> deadlinePassed(taken[0]), DEADLINE_GRACE_MS);
         taken[0] = request;
-        request.hasCeiling = settings.plans().get(incoming.plan()).ceilingRate() > 0;
+        request.hasCeiling = settings.plans().get(incoming.plan()).ceilingRatePerS() > 0;
         RequestLog.Admission admission = log.admit(request);
         request.recorded = admission == RequestLog.Admission.RECORDED;
         if (admission == RequestLog.Admission.REFUSED) {
@@ -95,9 +95,9 @@
      * Returns the limits and the current use of a customer. Asks the module only: nothing is consumed and no backend is
      * contacted.
      */
-    public Api.Standing standing(long customer, int plan, double units, int first, int spread) {
+    public Api.QuotaStatus standing(long customer, int plan, double units, int first, int spread) {
         counters.limitQueries++;
-        return module.standing(loop.now(), customer, plan, units, first, spread);
+        return module.quotaStatus(loop.now(), customer, plan, units, first, spread);
     }
 
     /** The terminal has left and gets no answer. */
--- a/src/main/java/yardusher/limits/LimitsFrontend.java
+++ b/src/main/java/yardusher/limits/LimitsFrontend.java
@@ -143,12 +143,12 @@
             return;
         }
         availableQueries--;
-        Api.Standing standing = ingress.standing(customer.number(), plan, 1, customer.first(), customer.spread());
+        Api.QuotaStatus standing = ingress.standing(customer.number(), plan, 1, customer.first(), customer.spread());
         slot.answer(encodeReply(standing, standing.retryAfterMs() > 0 || standing.remaining() < 1));
     }
 
     private void submit(ThrottleCommand throttle, LimitsConfig.Customer customer, int plan, RespServer.Slot slot) {
-        double maxUnits = ingress.settings().mostUnits();
+        double maxUnits = ingress.settings().maxUnits();
         if (maxUnits > 0 && throttle.quantity() > maxUnits) { // 0: no maximum
             throw new CommandError.Argument("quantity is at most " + (long) maxUnits);
         }
@@ -214,8 +214,8 @@
                 error(slot, "sent on and not served, come back in " + retryAfterMs + " ms");
                 return;
             }
-            Api.Standing standing = standing();
-            slot.answer(encodeReply(new Api.Standing(standing.limit(), standing.remaining(),
+            Api.QuotaStatus standing = standing();
+            slot.answer(encodeReply(new Api.QuotaStatus(standing.limit(), standing.remaining(),
                     Math.max(standing.retryAfterMs(), retryAfterMs), standing.resetMs()), true));
         }
 
@@ -225,13 +225,13 @@
             error(slot, why);
         }
 
-        private Api.Standing standing() {
+        private Api.QuotaStatus standing() {
             return ingress.standing(customer.number(), plan, quantity, customer.first(), customer.spread());
         }
     }
 
     /** Encodes redis-cell's reply: limited, limit, remaining, seconds to retry (-1 when allowed), seconds to reset. */
-    private static byte[] encodeReply(Api.Standing standing, boolean limited) {
+    private static byte[] encodeReply(Api.QuotaStatus standing, boolean limited) {
         long retry = limited ? Math.max(1, (long) Math.ceil(standing.retryAfterMs() / 1000)) : -1;
         return new Encoder(48).array(5).integer(limited ? 1 : 0).integer((long) Math.floor(standing.limit() + 1e-9))
                 .integer((long) Math.floor(standing.remaining() + 1e-9)).integer(retry)
--- a/src/main/java/yardusher/wire/SettingsValidator.java
+++ b/src/main/java/yardusher/wire/SettingsValidator.java
@@ -45,14 +45,14 @@
         requireRange("resolution_ms", settings.resolutionMs(), 0, MAX_MS);
         requireRange("limits.max_attempts", settings.limits().maxAttempts(), 1, 1000);
         requireRange("limits.max_retry_after_ms", settings.limits().maxRetryAfterMs(), 0, 3_600_000);
-        requireRange("domain.most_units", settings.mostUnits(), 0, MAX_VALUE);
+        requireRange("domain.most_units", settings.maxUnits(), 0, MAX_VALUE);
         requireRange("domain.peer_in_per_s", settings.peerIntakePerS(), 0, 1e6);
         requireRange("prices.cross_zone", settings.crossZonePrice(), 0, 1000);
         requireRange("prices.peer", settings.peerPrice(), 0, 1000);
-        requireRange("rules.cold_from", settings.rules().coldFrom(), 0, 1);
+        requireRange("rules.cold_from", settings.rules().initialWarmth(), 0, 1);
         requireRange("rules.warm_after_ms", settings.rules().warmAfterMs(), 0, 3_600_000);
         requireRange("rules.overload_factor", settings.rules().overloadFactor(), 0, 1e6);
-        requireRange("rules.overload_for_ms", settings.rules().overloadForMs(), 0, 3_600_000);
+        requireRange("rules.overload_for_ms", settings.rules().overloadWindowMs(), 0, 3_600_000);
         requireRange("rules.must_ask_in_ms", settings.rules().mustAskMs(), 0, MAX_MS);
         if (settings.classes().isEmpty()) { throw new ConfigError.Missing(null, "classes", "at least one entry in \"classes\""); }
         for (int i = 0; i < settings.classes().size(); i++) {
@@ -72,11 +72,11 @@
             requireRange(path + "units_per_s", plan.ratePerS(), 0, MAX_VALUE);
             requireRange(path + "peak_units", plan.burst(), plan.ratePerS() > 0 ? 0.001 : 0, MAX_VALUE);
             requireRange(path + "at_once", plan.openCap(), 0, MAX_VALUE);
-            requireRange(path + "ceiling_rate", plan.ceilingRate(), 0, MAX_VALUE);
-            requireRange(path + "hard_burst", plan.ceilingBurst(), plan.ceilingRate() > 0 ? 0.001 : 0, MAX_VALUE);
+            requireRange(path + "ceiling_rate", plan.ceilingRatePerS(), 0, MAX_VALUE);
+            requireRange(path + "hard_burst", plan.ceilingBurst(), plan.ceilingRatePerS() > 0 ? 0.001 : 0, MAX_VALUE);
             requireRange(path + "ceiling_slack", plan.ceilingSlack(), 0, MAX_VALUE);
             requireRange(path + "value_factor", plan.value(), 0, MAX_VALUE);
-            requireRange(path + "beyond_costs", plan.overCost(), 0, 1000);
+            requireRange(path + "beyond_costs", plan.overQuotaCost(), 0, 1000);
         }
         return settings;
     }
--- a/src/test/java/yardusher/core/CeilingDelayTest.java
+++ b/src/test/java/yardusher/core/CeilingDelayTest.java
@@ -93,7 +93,7 @@
     void unitsStayReservedUntilAWaitingAttemptIsWritten() {
         ScriptedCore core = new ScriptedCore();
         assertThat(core.countAdmitted(2 * MAX_ADMITTED)).isEqualTo(MAX_ADMITTED);
-        core.nowMs += Api.WRITTEN_WITHIN_MS - 10;
+        core.nowMs += Api.MAX_WRITE_DELAY_MS - 10;
         assertThat(core.countAdmitted(MAX_ADMITTED)).as("admitted while all units are reserved").isZero();
         assertThat(core.writeWaiting()).isEqualTo(MAX_ADMITTED);
         core.nowMs += 500;
@@ -104,7 +104,7 @@
     void anAttemptThatWaitedTooLongIsNotWritten() {
         ScriptedCore core = new ScriptedCore();
         assertThat(core.countAdmitted(1)).isEqualTo(1);
-        core.nowMs += Api.WRITTEN_WITHIN_MS + 1;
+        core.nowMs += Api.MAX_WRITE_DELAY_MS + 1;
         assertThat(core.writeWaiting()).isZero();
     }
 }
