--- a/src/main/java/yardusher/clients/PlatformFrontend.java
+++ b/src/main/java/yardusher/clients/PlatformFrontend.java
@@ -27,7 +27,7 @@
 import yardusher.resp.Call;
 import yardusher.resp.Encoder;
 
-/** The front for the platform's protocol: CALL.GET, CALL.POST and PING. */
+/** The frontend for the platform's protocol: CALL.GET, CALL.POST and PING. */
 public final class PlatformFrontend implements RespServer.CommandHandler {
     private static final byte[] DRAINING_REPLY = new Encoder(32).error("ERR clients are sent away").toBytes();
     private static final byte[] BUSY_REPLY = new Encoder(16).error("BUSY").toBytes();
@@ -37,11 +37,11 @@
     private final Map<String, Integer> classIndexes = new HashMap<>();
     private final Map<String, Integer> planIndexes = new HashMap<>();
     private final RespServer server;
-    private boolean readsUnits;                         // names of units are read in the list
+    private boolean readsUnits;                      // names of units are read in lists
     private boolean forwardsUnits;
-    private LongFunction<String> describeKey;           // null where keys are off
+    private LongFunction<String> describeKey;        // null where idempotency keys are off
     private Supplier<String> keyCounters;
-    /** The ids of transactions without their final answer: a second one under such an id is somebody else's. */
+    /** Ids of requests without their final answer; a second request with such an id is rejected. */
     private final Set<Long> openIds = new HashSet<>();
 
     public PlatformFrontend(Sockets sockets, InetSocketAddress address, Ingress ingress, RequestAcceptor requestAcceptor,
@@ -60,7 +60,7 @@
         if (Call.isCall(words)) {
             handleCall(words, slot);
         } else if (keyCounters != null && handleKeyCommand(words, slot)) {
-            return;                                  // answered
+            return;
         } else if (server.isDraining() && RespServer.isPing(words)) {
             slot.answer(DRAINING_REPLY);
         } else {
@@ -78,13 +78,13 @@
     @Override
     public void onInvalidCommand() { ingress.counters().invalidCommands++; }
 
-    /** From now on KEYS.SHOW and KEYS.STATS are answered, to callers on this machine. */
+    /** Enables KEYS.SHOW and KEYS.STATS for callers on this machine. */
     public void enableKeyCommands(LongFunction<String> describe, Supplier<String> counters) {
         describeKey = describe;
         keyCounters = counters;
     }
 
-    /** From now on the names u, p and b are read in lists, and regions are told of them or not. */
+    /** Enables the names u, p and b in lists; {@code forward} passes them on to regions. */
     public void enableUnits(boolean forward) {
         readsUnits = true;
         forwardsUnits = forward;
@@ -128,7 +128,7 @@
         return index;
     }
 
-    /** Whether a command that can be read is also one that a client of these settings sends; its id is then held. */
+    /** Checks that a parsed command fits the settings; its id is then reserved. */
     private void validate(Call call, int classIndex) {
         Api.Settings settings = ingress.settings();
         Api.Effect effect = settings.classes().get(classIndex).effect();
@@ -154,21 +154,21 @@
 
         @Override
         public ResponseStream beginStream(long length) {
-            ResponseStream flow = slot.startStream(new Encoder(24).bulkHead(length).toBytes());
+            ResponseStream stream = slot.startStream(new Encoder(24).bulkHead(length).toBytes());
             return new ResponseStream() {
                 @Override
-                public void write(ByteBuffer bytes, Runnable taken) { flow.write(bytes, taken); }
+                public void write(ByteBuffer bytes, Runnable onWritten) { stream.write(bytes, onWritten); }
 
                 @Override
                 public void end() {
                     frontend.openIds.remove(id);
-                    flow.end();
+                    stream.end();
                 }
 
                 @Override
                 public void fail() {
                     frontend.openIds.remove(id);
-                    flow.fail();
+                    stream.fail();
                 }
             };
         }
--- a/src/main/java/yardusher/core/Deadlines.java
+++ b/src/main/java/yardusher/core/Deadlines.java
@@ -2,9 +2,9 @@
 
 import java.util.TreeSet;
 
-/** All deadlines of the program in one sorted structure, swept each turn. Used in turns only. */
+/** All timers of the process in one sorted set, checked before and after each event loop task. Used on the event loop only. */
 public final class Deadlines {
-    /** One deadline; cancelled by {@link #cancel}. */
+    /** One scheduled task, cancelled by {@link #cancel}. */
     public static final class Entry implements Comparable<Entry> {
         final double timeMs;
         private final long sequence;
@@ -26,6 +26,7 @@
     private final TreeSet<Entry> entries = new TreeSet<>();
     private long nextSequence;
 
+    /** Schedules a task for a time in milliseconds of the event loop's clock. */
     public Entry schedule(double timeMs, Runnable task) {
         Entry entry = new Entry(timeMs, nextSequence++, task);
         entries.add(entry);
@@ -38,10 +39,10 @@
 
     public int size() { return entries.size(); }
 
-    /** When the next one falls due; infinity for none. */
+    /** The time of the next task; infinity if there is none. */
     double nextAtMs() { return entries.isEmpty() ? Double.POSITIVE_INFINITY : entries.first().timeMs; }
 
-    /** Takes out the next one that is due, or null. */
+    /** Removes and returns the next task that is due; null if there is none. */
     Runnable pollDue(double nowMs) {
         if (entries.isEmpty() || entries.first().timeMs > nowMs) { return null; }
         return entries.pollFirst().task;
--- a/src/main/java/yardusher/core/DecisionStage.java
+++ b/src/main/java/yardusher/core/DecisionStage.java
@@ -3,7 +3,7 @@
 import yardusher.Api;
 import yardusher.Policy;
 
-/** Second stage: the module is asked. What it decides comes back as actions. */
+/** Second stage: passes requests and events to the decision module, which answers with actions. */
 final class DecisionStage {
     private final EventLoop loop;
     private final Policy module;
@@ -16,11 +16,11 @@
 
     void submit(Request request) {
         IncomingRequest incoming = request.incoming;
-        deliver(new Api.Request(request.number, incoming.classIndex(), incoming.plan(), incoming.customer(), request.deadlineMs, incoming.units(), incoming.first(),
-                incoming.spread(), incoming.binding()));
+        deliver(new Api.Request(request.number, incoming.classIndex(), incoming.plan(), incoming.customer(), request.deadlineMs,
+                incoming.units(), incoming.first(), incoming.spread(), incoming.binding()));
     }
 
-    /** Gives the module an event at the present time, which never goes back. */
+    /** Delivers an event to the module at the current time. The time passed to the module never goes back. */
     void deliver(Api.Event event) {
         lastEventAtMs = Math.max(lastEventAtMs, loop.now());
         module.on(lastEventAtMs, event);
--- a/src/main/java/yardusher/core/DispatchStage.java
+++ b/src/main/java/yardusher/core/DispatchStage.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import yardusher.Api;
 
-/** Fourth stage, send: the attempt goes out, and its time-out stands among the deadlines. */
+/** Fourth stage: sends the attempt and schedules its timeout. */
 final class DispatchStage {
     private final EventLoop loop;
     private final Backends backends;
@@ -14,7 +14,7 @@
     private final Consumer<Request> onUnrecorded;
     private final BiConsumer<Attempt, Attempt.Result> onEnded;
 
-    /** {@code unrecorded} is told of a request whose attempt may not go out since its intent has no record. */
+    /** {@code onUnrecorded} is called with a request whose attempt must not be sent because its intent could not be recorded. */
     DispatchStage(EventLoop loop, Backends backends, Counters counters, RequestLog log, Consumer<Request> onUnrecorded,
             BiConsumer<Attempt, Attempt.Result> onEnded) {
         this.log = log;
@@ -39,10 +39,10 @@
             return;
         }
         log.recordIntent(attempt, mayBeSent -> {
-            if (attempt.isOver()) { return; }        // given up while it was parked
+            if (attempt.isOver()) { return; }        // cancelled while it was parked
             if (!mayBeSent) {
                 onUnrecorded.accept(request);
-            } else if (!backends.isAvailable(backend)) {     // left the service table while it was parked
+            } else if (!backends.isAvailable(backend)) { // removed from the service table while it was parked
                 onEnded.accept(attempt, Attempt.Result.of(Api.Outcome.NOT_SENT));
             } else {
                 begin(attempt, (long) Math.max(1, Math.ceil(nowMs + waitMs - loop.now())));
@@ -51,7 +51,7 @@
     }
 
     private void begin(Attempt attempt, long waitMs) {
-        if (!attempt.request.state.beginAttempt(attempt.number)) { // nothing of it begins after the request's end
+        if (!attempt.request.state.beginAttempt(attempt.number)) { // no attempt starts after the request's end
             onEnded.accept(attempt, Attempt.Result.of(Api.Outcome.NOT_SENT));
             return;
         }
@@ -62,7 +62,8 @@
 
     private void expire(Attempt attempt) {
         if (attempt.isOver()) { return; }
-        // What was never handed to a socket cannot have run. Guards a backend against blame for what waited for its record here.
+        // An attempt that was never handed to a socket cannot have run. If it was still waiting for its record, the backend
+        // must not be counted as unreachable.
         Api.Outcome neverSent = attempt.request.state.isParked(attempt.number) ? Api.Outcome.NOT_SENT : Api.Outcome.CONNECT_FAILED;
         Api.Outcome outcome = attempt.mayHaveBeenSent() ? Api.Outcome.TIMED_OUT : neverSent;
         attempt.abort.run();
--- a/src/main/java/yardusher/core/Ingress.java
+++ b/src/main/java/yardusher/core/Ingress.java
@@ -7,11 +7,11 @@
 import yardusher.Policy;
 
 /**
- * The core: requests, attempts and outcomes, in a chain of stages around the decision module. It knows no
- * wire. All methods are called within loop.
+ * The core: requests, attempts and outcomes, processed in a chain of stages around the decision module. It is independent of
+ * network protocols. All methods are called on the event loop.
  */
 public final class Ingress implements RequestAcceptor {
-    /** After the deadline the module's own answer may still come this late; then the core ends it. */
+    /** The module may still answer this long after the deadline; then the core ends the request. */
     private static final double DEADLINE_GRACE_MS = 8;
 
     private final Map<Long, Request> openRequests = new HashMap<>();
@@ -35,7 +35,7 @@
         this(settings, seed, loop.now(), loop, backends, peerSender, counters, log);
     }
 
-    /** In a process that began at {@code bornMs}, when no other one of this ingress was there any more. */
+    /** {@code processStartMs} is the start of this process, when no other process of this ingress was running any more. */
     public Ingress(Api.Settings settings, long seed, double processStartMs, EventLoop loop, Backends backends, PeerSender peerSender,
             Counters counters, RequestLog log) {
         this.log = log;
@@ -62,16 +62,16 @@
 
     public int openCount() { return openRequests.size(); }
 
-    /** How many listed backends get no attempts now, kept out by hand or by choice. */
+    /** The number of listed backends that get no attempts now, banned by an operator or avoided by the module. */
     public int avoidedBackends() { return module.countAvoided(loop.now()); }
 
-    /** A front brings a request. Its terminal gets exactly one final answer. */
+    /** Accepts a request. Its terminal gets exactly one final answer. */
     @Override
-    public Request accept(IncomingRequest order) {
+    public Request accept(IncomingRequest incoming) {
         Request[] taken = new Request[1];
-        Request request = intakeStage.accept(order, () -> deadlinePassed(taken[0]), DEADLINE_GRACE_MS);
+        Request request = intakeStage.accept(incoming, () -> deadlinePassed(taken[0]), DEADLINE_GRACE_MS);
         taken[0] = request;
-        request.hasCeiling = settings.plans().get(order.plan()).ceilingRatePerS() > 0;
+        request.hasCeiling = settings.plans().get(incoming.plan()).ceilingRatePerS() > 0;
         RequestLog.Admission admission = log.admit(request);
         request.recorded = admission == RequestLog.Admission.RECORDED;
         if (admission == RequestLog.Admission.REFUSED) {
@@ -83,7 +83,7 @@
             decisionStage.submit(request);
             runActions();
         } catch (RuntimeException e) {
-            // Guards against a fault in one decision that leaves its terminal, and all behind it, unanswered.
+            // A fault in one decision must not leave its terminal, and the requests behind it, without an answer.
             counters.faults++;
             responseStage.failed(request, "internal");
             cleanupStage.closeRequest(request);
@@ -91,13 +91,16 @@
         return request;
     }
 
-    /** How a customer stands: asks the module only, takes nothing and reaches no backend. */
+    /**
+     * Returns the limits and the current use of a customer. Asks the module only: nothing is consumed and no backend is
+     * contacted.
+     */
     public Api.QuotaStatus standing(long customer, int plan, double units, int first, int spread) {
         counters.limitQueries++;
         return module.quotaStatus(loop.now(), customer, plan, units, first, spread);
     }
 
-    /** The terminal left: nothing more is owed. */
+    /** The terminal has left and gets no answer. */
     private void terminalLeft(Request request) {
         if (!request.state.abandon()) { return; }
         counters.clientsGone++;
@@ -105,17 +108,18 @@
         releaseRequest(request);
     }
 
-    /** An attempt ended, as the backends' side saw it. */
+    /** Reports the end of an attempt, as seen by the backend side. */
     public void attemptEnded(Attempt attempt, Attempt.Result result) {
         if (!attempt.request.state.endAttempt(attempt.number, result.outcome())) { return; }
-        // An answer proves that it was written whole, also where it is read before the write's own end is told.
+        // An answer proves that the command was written completely, even if it is read before the write completion.
         boolean answered = result.outcome() == Api.Outcome.SERVED || result.outcome() == Api.Outcome.SERVER_ERROR;
         counters.largeValuesOpen -= attempt.firstByteMs >= 0 ? 1 : 0;
         if (answered && attempt.mayHaveBeenSent() || result.outcome() == Api.Outcome.REJECTED) { countForwarded(attempt); }
         cleanupStage.attemptEnded(attempt, result);
         Request request = attempt.request;
         if (result.outcome() == Api.Outcome.SERVED) { responseStage.served(request, result.value()); }
-        if (request.state.stage() == RequestState.Stage.STREAMING) { responseStage.streamFailed(request); } // no other attempt may follow a part
+        // No other attempt may follow a chunk.
+        if (request.state.stage() == RequestState.Stage.STREAMING) { responseStage.streamFailed(request); }
         boolean finished = request.state.isOver();
         if (finished) { cleanupStage.closeRequest(request); }
         decisionStage.deliver(new Api.AttemptDone(request.number, attempt.number, attempt.backend, result.outcome(),
@@ -124,8 +128,8 @@
     }
 
     /**
-     * A backend begins to answer with a value too large to be held: from here on it is its terminal's, and no deadline
-     * cuts it off. Null where nobody takes it.
+     * A backend begins an answer that is too large to be buffered. From here on it is streamed to the terminal, and no deadline
+     * cancels it. Returns null if the answer is not wanted.
      */
     public ResponseStream beginStream(Attempt attempt, long length) {
         Request request = attempt.request;
@@ -144,7 +148,7 @@
         return stream;
     }
 
-    /** The socket has taken an attempt's last byte. */
+    /** The attempt's last byte was written to the socket. */
     public void attemptWritten(Attempt attempt) {
         countForwarded(attempt);
         if (attempt.request.recorded && !attempt.isOver()) { log.attemptWritten(attempt); }
@@ -152,11 +156,13 @@
 
     private void countForwarded(Attempt attempt) {
         counters.forwards += attempt.countedAsForwarded ? 0 : 1;
-        if (attempt.delayReported && !attempt.countedAsForwarded) { decisionStage.deliver(new Api.AttemptWritten(attempt.request.number, attempt.number)); }
+        if (attempt.delayReported && !attempt.countedAsForwarded) {
+            decisionStage.deliver(new Api.AttemptWritten(attempt.request.number, attempt.number));
+        }
         attempt.countedAsForwarded = true;
     }
 
-    /** An intent could not be recorded: what is not recorded is not sent, and is given up at once. */
+    /** An intent could not be recorded. An attempt without a record is not sent, and the request ends at once. */
     private void intentNotRecorded(Request request) {
         if (request.state.endedAttemptMayHaveRun()) {
             responseStage.failed(request, "no record can be made");
@@ -166,7 +172,7 @@
         attemptEnded(request.newestAttempt, Attempt.Result.of(Api.Outcome.NOT_SENT));
     }
 
-    /** The service table changed, or another ingress spoke. */
+    /** Delivers an event: a change of the service table or a message of another ingress. */
     public void deliver(Api.Event event) {
         decisionStage.deliver(event);
         runActions();
@@ -178,7 +184,7 @@
         releaseRequest(request);
     }
 
-    /** Nothing is owed any more; an attempt still out is given up by the module. */
+    /** The request needs no further answer. An attempt that is still active is cancelled, unless the module did so. */
     private void releaseRequest(Request request) {
         cleanupStage.closeRequest(request);
         decisionStage.deliver(new Api.ClientGone(request.number));
@@ -186,7 +192,7 @@
         if (request.newestAttempt != null && !request.newestAttempt.isOver()) { cancel(request, request.newestAttempt.number); }
     }
 
-    /** Actions run after the module has returned, in the order in which it gave them. */
+    /** Runs the module's actions in order, after the module has returned. */
     private void runActions() {
         if (runningActions) { return; }
         runningActions = true;
@@ -222,7 +228,7 @@
             counters.peerMessagesSent++;
             peerSender.send(a.to(), a.body());
         }
-        // Subscribe asks for nothing: the service table is watched from the start.
+        // Subscribe needs no action: the service table is watched from the start.
     }
 
     private void send(Request request, Api.Send a) {
@@ -238,7 +244,7 @@
                 null));
     }
 
-    /** The module counts an attempt as written at once, unless it is told otherwise; only ceilings ask for this. */
+    /** The module counts an attempt as written at once unless told otherwise. Only plans with a ceiling need this. */
     private void reportDelay(Request request) {
         Attempt attempt = request.newestAttempt;
         if (!request.hasCeiling || attempt.isOver() || attempt.isWrittenImmediately()) { return; }
--- a/src/main/java/yardusher/core/IntakeStage.java
+++ b/src/main/java/yardusher/core/IntakeStage.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import yardusher.Api;
 
-/** First stage: an order becomes a request with a deadline, held until its one final answer. */
+/** First stage: creates the request with its deadline and keeps it until its one final answer. */
 final class IntakeStage {
     private final EventLoop loop;
     private final Map<Long, Request> openRequests;
@@ -14,7 +14,8 @@
     private final List<Api.RequestClass> classes;
     private long lastNumber;
 
-    IntakeStage(EventLoop loop, List<Api.RequestClass> classes, Map<Long, Request> openRequests, Counters counters, Consumer<Request> onTerminalLeft) {
+    IntakeStage(EventLoop loop, List<Api.RequestClass> classes, Map<Long, Request> openRequests, Counters counters,
+            Consumer<Request> onTerminalLeft) {
         this.classes = classes;
         this.onTerminalLeft = onTerminalLeft;
         this.loop = loop;
--- a/src/main/java/yardusher/core/Request.java
+++ b/src/main/java/yardusher/core/Request.java
@@ -3,27 +3,26 @@
 import java.util.function.Consumer;
 import yardusher.Api;
 
-/** One request from its taking in to its final answer. Written in turns only. */
+/** One request from its acceptance to its final answer. Written on the event loop only. */
 public final class Request implements RequestHandle {
     public final long number;
     public final IncomingRequest incoming;
     public final double arrivedAtMs;
     public final double deadlineMs;
-    /** Whether its plan has a ceiling. */
+    /** Whether the request's plan has a ceiling. */
     boolean hasCeiling;
     int attemptCount;
     Attempt newestAttempt;
-    /** Where it stands. */
     final RequestState state;
-    /** A large value that is being passed on, or null. */
+    /** The stream of a large value; null for none. */
     ResponseStream stream;
-    /** Whether the order log records it; all it is told after the taking in goes by this. */
+    /** Whether the request log records this request. If not, no later event of it is logged. */
     boolean recorded;
-    /** For the order log alone: whether it has told of this request yet. */
+    /** Used by the request log only: whether an event of this request has been logged. */
     public boolean logged;
     Deadlines.Entry deadlineEntry;
 
-    /** What is done when the terminal leaves. */
+    /** Called when the terminal leaves. */
     private final Consumer<Request> onTerminalLeft;
 
     Request(long number, IncomingRequest incoming, Api.RequestClass requestClass, double arrivedAtMs, Consumer<Request> onTerminalLeft) {
--- a/src/main/java/yardusher/core/RequestHandle.java
+++ b/src/main/java/yardusher/core/RequestHandle.java
@@ -1,12 +1,12 @@
 package yardusher.core;
 
-/** A request that was taken in, as its front sees it. */
+/** An accepted request, as its frontend sees it. */
 public interface RequestHandle {
     IncomingRequest incoming();
 
-    /** Whether an attempt of it may have run, or is out so that it may yet. */
+    /** Whether an attempt may have run, or is with a socket and may still run. */
     boolean mayHaveRun();
 
-    /** The terminal left: nothing more is owed. */
+    /** The terminal has left and needs no answer. */
     void terminalLeft();
 }
--- a/src/main/java/yardusher/core/RequestState.java
+++ b/src/main/java/yardusher/core/RequestState.java
@@ -3,16 +3,19 @@
 import yardusher.Api;
 
 /**
- * Where a request stands, with its attempts: the one owner of that, free of I/O and clock. Times are told in milliseconds of one
- * clock that never goes back. A request is open until its one final answer or its client's leave, whichever is first; nothing of
- * it begins after that. Of its attempts one at the most is out, and each ends once. Every method that may do a thing says
- * whether it was done; false changes nothing.
+ * The state machine of a request and its attempts, without I/O and clock. Times are in milliseconds of one clock that never
+ * goes back. A request is open until its one final answer or until its client leaves, whichever comes first; no attempt starts
+ * after that. At most one attempt is active at a time, and each ends once. Methods that perform a transition return whether it
+ * was performed; if not, nothing has changed.
  */
 final class RequestState {
-    /** Of the request. PASSING: a large value is being passed on, and no other attempt may follow. */
+    /** State of the request. STREAMING: a large value is being streamed, and no other attempt may follow. */
     enum Stage { OPEN, STREAMING, ANSWERED, GONE }
 
-    /** Of the attempt that is out. PARKED: its intent is not recorded; BEGUN: with the backends' side; HANDED: to a socket. */
+    /**
+     * State of the newest attempt. PARKED: its intent is not recorded yet; BEGUN: passed to the backend side; HANDED: handed
+     * to a socket.
+     */
     private enum AttemptStage { NONE, PARKED, BEGUN, HANDED }
 
     private final Api.Effect effect;
@@ -20,10 +23,10 @@
     private final double deadlineMs;
     private Stage stage = Stage.OPEN;
     private AttemptStage attemptStage = AttemptStage.NONE;
-    private int newestAttempt = -1;                         // of the newest attempt
+    private int newestAttempt = -1;                  // number of the newest attempt
     private double handedAtMs;
     private boolean mayHaveRun;
-    private double mayHaveRunSinceMs;                            // when the first that may have run was handed over
+    private double mayHaveRunSinceMs;                // when the first attempt that may have run was handed to a socket
 
     RequestState(Api.RequestClass requestClass, double deadlineMs) {
         effect = requestClass.effect();
@@ -33,10 +36,10 @@
 
     Stage stage() { return stage; }
 
-    /** Whether nothing is owed any more. */
+    /** Whether the request needs no further answer. */
     boolean isOver() { return stage == Stage.ANSWERED || stage == Stage.GONE; }
 
-    /** Whether an attempt is out, from its parking to its end. */
+    /** Whether an attempt is active, from its parking to its end. */
     boolean isAttemptActive() { return attemptStage != AttemptStage.NONE; }
 
     boolean isActive(int attempt) { return attemptStage != AttemptStage.NONE && attempt == newestAttempt; }
@@ -45,13 +48,13 @@
 
     boolean isHanded(int attempt) { return attemptStage == AttemptStage.HANDED && attempt == newestAttempt; }
 
-    /** Whether an attempt may have run, or is out so that it may yet. */
+    /** Whether an attempt may have run, or is with a socket and may still run. */
     boolean mayHaveRun() { return mayHaveRun || attemptStage == AttemptStage.HANDED; }
 
-    /** Whether an attempt that ended may have run. */
+    /** Whether an attempt that has ended may have run. */
     boolean endedAttemptMayHaveRun() { return mayHaveRun; }
 
-    /** An attempt is parked, with a number above those before. */
+    /** Parks a new attempt; its number must be higher than those before. */
     boolean park(int attempt) {
         if (stage != Stage.OPEN || attemptStage != AttemptStage.NONE || attempt <= newestAttempt) { return false; }
         newestAttempt = attempt;
@@ -59,7 +62,7 @@
         return true;
     }
 
-    /** A parked attempt goes to the backends' side. */
+    /** Passes a parked attempt to the backend side. */
     boolean beginAttempt(int attempt) {
         if (stage != Stage.OPEN || attempt != newestAttempt || attemptStage != AttemptStage.PARKED) { return false; }
         attemptStage = AttemptStage.BEGUN;
@@ -67,11 +70,12 @@
     }
 
     /**
-     * Its bytes are handed to a socket: from here on it may have run. Guards the repeat: what was chosen in time may have waited
-     * for a record or a dial since, and is counted at this instant.
+     * The attempt's bytes are handed to a socket: from here on it may have run. The repeat rules are checked at this moment,
+     * since an attempt that was chosen in time may since have waited for its record or for a connection.
      */
     boolean handToSocket(int attempt, double nowMs) {
-        if (stage != Stage.OPEN || attempt != newestAttempt || attemptStage != AttemptStage.BEGUN || nowMs >= deadlineMs || !mayRepeat(nowMs)) { return false; }
+        if (stage != Stage.OPEN || attempt != newestAttempt || attemptStage != AttemptStage.BEGUN || nowMs >= deadlineMs
+                || !mayRepeat(nowMs)) { return false; }
         attemptStage = AttemptStage.HANDED;
         handedAtMs = nowMs;
         return true;
@@ -81,12 +85,12 @@
         return !mayHaveRun || effect == Api.Effect.IDEMPOTENT || effect == Api.Effect.DEDUPLICATED && nowMs - mayHaveRunSinceMs < windowMs;
     }
 
-    /** The write of an attempt failed: its last byte was never taken. */
+    /** The write of an attempt failed: its last byte was never accepted. */
     void writeFailed(int attempt) {
         if (isHanded(attempt)) { attemptStage = AttemptStage.BEGUN; }
     }
 
-    /** An attempt ends. What was never handed over never ran, whatever the outcome. */
+    /** Ends an attempt. An attempt that was never handed to a socket never ran, whatever its outcome. */
     boolean endAttempt(int attempt, Api.Outcome outcome) {
         if (!isActive(attempt)) { return false; }
         if (attemptStage == AttemptStage.HANDED && !outcome.neverRan() && !mayHaveRun) {
@@ -97,21 +101,21 @@
         return true;
     }
 
-    /** The attempt's answer is too large to be held and begins to be passed on. */
+    /** The attempt's answer is too large to be buffered, and streaming begins. */
     boolean beginStreaming(int attempt) {
         if (stage != Stage.OPEN || !isHanded(attempt)) { return false; }
         stage = Stage.STREAMING;
         return true;
     }
 
-    /** The one transition that gives the final answer. */
+    /** The only transition that gives the final answer. */
     boolean answer() {
         if (isOver()) { return false; }
         stage = Stage.ANSWERED;
         return true;
     }
 
-    /** The client has gone, and is told nothing. */
+    /** The client has left and gets no answer. */
     boolean abandon() {
         if (isOver()) { return false; }
         stage = Stage.GONE;
--- a/src/main/java/yardusher/core/ResponseStage.java
+++ b/src/main/java/yardusher/core/ResponseStage.java
@@ -1,6 +1,6 @@
 package yardusher.core;
 
-/** Fifth stage: the one final answer goes to the terminal. */
+/** Fifth stage: sends the one final answer to the terminal. */
 final class ResponseStage {
     private final Counters counters;
     private final RequestLog log;
@@ -17,7 +17,7 @@
         }
     }
 
-    /** A value that was passed on in part cannot be finished. */
+    /** A value that was streamed in part cannot be completed. */
     void streamFailed(Request request) {
         if (recordAnswer(request, RequestLog.Answer.FAILED)) {
             counters.failed[request.incoming.classIndex()]++;
@@ -32,14 +32,14 @@
         }
     }
 
-    void failed(Request request, String why) {
+    void failed(Request request, String reason) {
         if (recordAnswer(request, RequestLog.Answer.FAILED)) {
             counters.failed[request.incoming.classIndex()]++;
-            request.incoming.terminal().failed(why, request.mayHaveRun());
+            request.incoming.terminal().failed(reason, request.mayHaveRun());
         }
     }
 
-    /** Guards against a second final answer, and one to a terminal that has left. */
+    /** Prevents a second final answer, and an answer to a terminal that has left. */
     private boolean recordAnswer(Request request, RequestLog.Answer answer) {
         boolean first = request.state.answer();
         counters.duplicateAnswers += !first && request.state.stage() == RequestState.Stage.ANSWERED ? 1 : 0;
--- a/src/main/java/yardusher/core/RoutingStage.java
+++ b/src/main/java/yardusher/core/RoutingStage.java
@@ -1,6 +1,6 @@
 package yardusher.core;
 
-/** Third stage: whether the backend that the module names can get this request's next attempt. */
+/** Third stage: checks whether the next attempt can be sent to the backend that the module chose. */
 final class RoutingStage {
     private final Backends backends;
     private final int maxAttempts;
@@ -11,8 +11,9 @@
     }
 
     boolean canSend(Request request, long backend, double nowMs) {
-        // Guards against a second copy: never two attempts of a request out at once.
+        // Two attempts of a request must never be active at the same time.
         boolean noActiveAttempt = !request.state.isAttemptActive();
-        return noActiveAttempt && request.state.stage() == RequestState.Stage.OPEN && request.attemptCount < maxAttempts && nowMs < request.deadlineMs && backends.isAvailable(backend);
+        return noActiveAttempt && request.state.stage() == RequestState.Stage.OPEN && request.attemptCount < maxAttempts
+                && nowMs < request.deadlineMs && backends.isAvailable(backend);
     }
 }
--- a/src/main/java/yardusher/limits/LimitsFrontend.java
+++ b/src/main/java/yardusher/limits/LimitsFrontend.java
@@ -20,15 +20,15 @@
 import yardusher.resp.Encoder;
 
 /**
- * The front that answers RESP commands for limits, as redis-cell's CL.THROTTLE. Quantity 0 asks the module and
- * changes nothing; quantity 1 and more is a transaction through all stages, allowed only once it was sent on
- * and served. No limit is worked out here: every figure is the module's.
+ * The frontend that answers RESP commands for limits, as redis-cell's CL.THROTTLE. Quantity 0 queries the decision module and
+ * consumes nothing; quantity 1 and more is a request through all stages, allowed only after it was sent to a region and served.
+ * No limit is computed here: all figures come from the module.
  */
 public final class LimitsFrontend implements RespServer.CommandHandler {
-    /** Connections held at the most. */
+    /** Maximum number of connections. */
     public static final int MAX_TERMINALS = 64;
-    private static final double FLOOD_PAUSE_MS = 50; // the flood waits in its own connection
-    private static final int MAX_OPEN = 128;        // transactions of this front at once
+    private static final double FLOOD_PAUSE_MS = 50; // the client that exceeds the query rate waits on its own connection
+    private static final int MAX_OPEN = 128;         // open requests of this frontend
 
     private final Ingress ingress;
     private final LimitsConfig config;
@@ -36,7 +36,7 @@
     private final int classIndex;
     private final String className;
     private final Sockets sockets;
-    private final IdGenerator ids = new IdGenerator();               // order nodes drop repeats by id: none may come twice
+    private final IdGenerator ids = new IdGenerator(); // regions drop repeats by id, so that no id may be used twice
     private final RespServer server;
     private double availableQueries;
     private double queriesUpdatedAtMs;
@@ -56,7 +56,7 @@
         this.server = new RespServer(sockets, config.listen(), true, MAX_TERMINALS, new BodyBudget(0), this);
     }
 
-    /** Whether the file fits the settings: classes, plans and sets that exist. */
+    /** Checks the file against the settings: classes, plans and sets of ingresses must exist. */
     public static void validate(LimitsConfig config, Api.Settings settings, List<String> classNames, List<String> planNames) {
         int ingresses = settings.gateways();
         classIndex(config, settings, classNames);
@@ -64,7 +64,7 @@
         if (config.others() != null) { validate("others", config.others(), planNames, ingresses); }
     }
 
-    /** The class named, or where none is the first that is safe to repeat. */
+    /** The index of the configured class, or without one the first class that is safe to repeat. */
     private static int classIndex(LimitsConfig config, Api.Settings settings, List<String> classNames) {
         int index = classNames.indexOf(config.className());
         for (int i = 0; config.className().isEmpty() && index < 0 && i < classNames.size(); i++) {
@@ -133,7 +133,7 @@
     }
 
     private void query(LimitsConfig.Customer customer, int plan, RespServer.Slot slot) {
-        // Guards place-order against a flood of questions: past this rate they cost next to nothing.
+        // Limits the rate of queries, so that a flood of them does not slow down requests; above it they cost next to nothing.
         double nowMs = sockets.loop().now();
         availableQueries = Math.min(config.queriesPerS(), availableQueries + config.queriesPerS() * (nowMs - queriesUpdatedAtMs) / 1000);
         queriesUpdatedAtMs = nowMs;
@@ -149,7 +149,7 @@
 
     private void submit(ThrottleCommand throttle, LimitsConfig.Customer customer, int plan, RespServer.Slot slot) {
         double maxUnits = ingress.settings().maxUnits();
-        if (maxUnits > 0 && throttle.quantity() > maxUnits) { // 0: not bounded
+        if (maxUnits > 0 && throttle.quantity() > maxUnits) { // 0: no maximum
             throw new CommandError.Argument("quantity is at most " + (long) maxUnits);
         }
         if (openCount >= MAX_OPEN) {
@@ -159,14 +159,16 @@
         Api.Effect effect = ingress.settings().classes().get(classIndex).effect();
         boolean safeToRepeat = effect == Api.Effect.IDEMPOTENT;
         String list = "c=" + className + ",t=" + customer.plan() + ",d=" + config.waitMs()
-                + (effect == Api.Effect.DEDUPLICATED ? ",k=" + newId() : "") + ",units=" + throttle.quantity() + ",spread=" + customer.spread() + ",first="
-                + customer.first();
+                + (effect == Api.Effect.DEDUPLICATED ? ",k=" + newId() : "") + ",units=" + throttle.quantity()
+                + ",spread=" + customer.spread() + ",first=" + customer.first();
         byte[] customerHex = ascii(String.format("%016x", customer.number()));
-        Call call = Call.parse(safeToRepeat ? new byte[][] {ascii("CALL.GET"), customerHex, ascii(newId()), list.getBytes(StandardCharsets.UTF_8)}
+        Call call = Call.parse(safeToRepeat
+                ? new byte[][] {ascii("CALL.GET"), customerHex, ascii(newId()), list.getBytes(StandardCharsets.UTF_8)}
                 : new byte[][] {ascii("CALL.POST"), customerHex, ascii(newId()), list.getBytes(StandardCharsets.UTF_8), new byte[0]});
         openCount++;
         slot.request = ingress.accept(new IncomingRequest(classIndex, plan, customer.number(), throttle.quantity(),
-                customer.first(), customer.spread(), config.waitMs(), call, new ThrottleTerminal(slot, customer, plan, throttle.quantity())));
+                customer.first(), customer.spread(), config.waitMs(), call,
+                new ThrottleTerminal(slot, customer, plan, throttle.quantity())));
         if (slot.isAnswered()) { slot.request = null; }
     }
 
@@ -189,12 +191,12 @@
             slot.answer(encodeReply(standing(), false));
         }
 
-        /** The value's bytes are nobody's here: allowed is what counts. */
+        /** The value itself is not used here, only that the request was served. */
         @Override
         public ResponseStream beginStream(long length) {
             return new ResponseStream() {
                 @Override
-                public void write(ByteBuffer bytes, Runnable taken) { sockets.loop().defer(taken); }
+                public void write(ByteBuffer bytes, Runnable onWritten) { sockets.loop().defer(onWritten); }
 
                 @Override
                 public void end() { served(null); }
@@ -208,7 +210,7 @@
         public void reject(long retryAfterMs, boolean mayHaveRun) {
             openCount--;
             if (mayHaveRun) {
-                // Guards against "limited" for a partner with room: this was a failure or a time-out of a region.
+                // A failure or timeout of a region is not reported as "limited", since the customer may have units left.
                 error(slot, "sent on and not served, come back in " + retryAfterMs + " ms");
                 return;
             }
@@ -228,7 +230,7 @@
         }
     }
 
-    /** redis-cell's answer: limited, limit, remaining, seconds to retry (-1 when allowed), seconds to reset. */
+    /** Encodes redis-cell's reply: limited, limit, remaining, seconds to retry (-1 when allowed), seconds to reset. */
     private static byte[] encodeReply(Api.QuotaStatus standing, boolean limited) {
         long retry = limited ? Math.max(1, (long) Math.ceil(standing.retryAfterMs() / 1000)) : -1;
         return new Encoder(48).array(5).integer(limited ? 1 : 0).integer((long) Math.floor(standing.limit() + 1e-9))
--- a/src/main/java/yardusher/net/ClientConnection.java
+++ b/src/main/java/yardusher/net/ClientConnection.java
@@ -12,24 +12,25 @@
 import yardusher.resp.MalformedRespException;
 
 /**
- * One terminal's connection: reads its commands, gives each a place in the order of answers, waits for room for a large body,
- * and writes the answers in that order however they come. What it does not follow yet it goes on reading within a bound, so that
- * the terminal's end is seen whatever holds its commands back. In loop.
+ * A terminal's connection: reads commands, gives each a slot in the order of replies, waits for buffer space for large bodies,
+ * and writes the replies in that order, whatever the order in which they come. While commands are held back it keeps reading up
+ * to a limit, so that the terminal's disconnect is seen. Used on the event loop only.
  */
 final class ClientConnection implements Connection.Owner {
-    private static final int MAX_UNANSWERED = 64; // on one connection; more are followed when some are answered
-    private static final int MAX_UNREAD_BYTES = 256 * 1024; // bytes of answers that the terminal has not taken yet
-    private static final int MAX_READ_AHEAD_BYTES = 128 * 1024; // bytes read and not followed yet: some 900 usual commands
-    private static final double FLOOD_TIMEOUT_MS = 100;    // held at that bound for so long behind an open request it is a flood
-    private static final int MAX_COMMANDS_PER_TASK = 32;   // of one connection in one turn; then it is the others' turn
+    private static final int MAX_UNANSWERED = 64; // per connection; further commands are handled when some are answered
+    private static final int MAX_UNREAD_BYTES = 256 * 1024; // bytes of replies that the terminal has not read yet
+    private static final int MAX_READ_AHEAD_BYTES = 128 * 1024; // bytes read and not handled yet: about 900 typical commands
+    private static final double FLOOD_TIMEOUT_MS = 100; // full for this long while a request is open is treated as a flood
+    private static final int MAX_COMMANDS_PER_TASK = 32; // of one connection per event loop task; then others have their turn
     private static final double NEXT_TASK_DELAY_MS = 1;
-    private static final int MAX_REJECTED = 16;   // commands on one connection that mean nothing
-    private static final double REJECTED_DELAY_MS = 5;   // the next is read so much later, for each before it
-    private static final double BODY_TIMEOUT_MS = 10_000;  // to the end of a large body, the wait for room with it
+    private static final int MAX_REJECTED = 16;      // malformed commands on one connection
+    private static final double REJECTED_DELAY_MS = 5; // delay of the next command, for each malformed one before it
+    private static final double BODY_TIMEOUT_MS = 10_000; // until the end of a large body, including the wait for buffer space
 
     /**
-     * READING, then one or more of these in this order. DEAF: what still comes is dropped, what was read before is answered.
-     * LOST: what is open is answered, nothing else is followed. OVER: the terminal has gone, or its last bytes go out.
+     * READING, then one or more of the others in this order. INPUT_IGNORED: further input is dropped, commands read before are
+     * handled. FINISHING: open commands are answered, no others are handled. CLOSED: the terminal has left, or its last bytes
+     * are being flushed.
      */
     private enum Stage { READING, INPUT_IGNORED, FINISHING, CLOSED }
 
@@ -41,17 +42,17 @@
     private final ArrayDeque<RespServer.Slot> slots = new ArrayDeque<>(2);
     private Stage stage = Stage.READING;
     private double quietSinceMs;
-    private double commandBegunAtMs = Double.POSITIVE_INFINITY; // when the command now being read began
-    private Runnable releaseBody;                           // gives back what is held for the large body now being read
+    private double commandBegunAtMs = Double.POSITIVE_INFINITY; // start of the command that is being read
+    private Runnable releaseBody;                    // releases the buffer space of the large body that is being read
     private boolean bodyGranted;
     private double bodyRequestedAtMs;
     private int rejectedCount;
-    private Session session;                         // null until somebody asks for it
-    private List<Runnable> closeCallbacks;                    // null for none
-    private boolean paused;                          // no command is followed for a while
-    private boolean handlingCommands;                       // commands are being followed in this very call
-    private boolean fullCheckScheduled;                         // a look at a full connection is due
-    private int unflushedAtLastCheck;                            // bytes of answers not taken at the last look, and since when
+    private Session session;                         // null until it is requested
+    private List<Runnable> closeCallbacks;
+    private boolean paused;                          // no command is handled for a while
+    private boolean handlingCommands;                // guards against reentrant command handling
+    private boolean fullCheckScheduled;              // a check of a full read-ahead buffer is scheduled
+    private int unflushedAtLastCheck;                // unflushed reply bytes at the last check, and since when
     private double unflushedSinceMs;
 
     ClientConnection(AsynchronousSocketChannel channel, RespServer server, ConnectionRegistry connections, EventLoop loop) {
@@ -69,31 +70,33 @@
         try {
             return channel.getRemoteAddress() instanceof InetSocketAddress address && address.getAddress().isLoopbackAddress();
         } catch (IOException e) {
-            return false;                            // it has left already
+            return false;                            // already disconnected
         }
     }
 
     /** Whether the terminal is on this machine. */
     boolean isLocal() { return local; }
 
-    /** Since when nothing is open here, or nothing new has come of a large body. */
+    /** Since when no command is open, or no more of a large body has arrived. */
     double quietSinceMs() { return quietSinceMs; }
 
-    /** When the command now being read began; infinite for none. */
+    /** When the command that is being read began; infinity for none. */
     double commandBegunAtMs() { return commandBegunAtMs; }
 
     boolean hasBegunCommand() { return commandBegunAtMs < Double.POSITIVE_INFINITY; }
 
-    /** Whether it owes no answer. */
+    /** Whether no reply is owed. */
     boolean owesNoReply() { return slots.isEmpty(); }
 
-    /** Whether the system has not taken all bytes of its answers yet. */
+    /** Whether the system has not accepted all reply bytes yet. */
     boolean hasUnflushedBytes() { return connection.queuedBytes() > 0; }
 
     @Override
     public boolean keepsInput(Connection from) {
-        // Guards the end of a process against a terminal whose requests overlap: it would find more to answer for ever.
-        if (stage == Stage.READING && !slots.isEmpty() && server.drainSchedule().hasStoppedReading(loop.now())) { stage = Stage.INPUT_IGNORED; }
+        // At the end of a process, a terminal whose requests overlap would otherwise send more commands for ever.
+        if (stage == Stage.READING && !slots.isEmpty() && server.drainSchedule().hasStoppedReading(loop.now())) {
+            stage = Stage.INPUT_IGNORED;
+        }
         return stage == Stage.READING;
     }
 
@@ -115,7 +118,7 @@
     private void handleCommands() throws MalformedRespException {
         for (int handled = 0; mayHandleCommands(); handled++) {
             if (handled == MAX_COMMANDS_PER_TASK) {
-                // Guards the others against one that sends hundreds of commands at once.
+                // One connection with hundreds of pipelined commands must not delay the others.
                 pause(NEXT_TASK_DELAY_MS);
                 return;
             }
@@ -142,7 +145,7 @@
         }
     }
 
-    /** A large body comes: it is read once there is room for it. True where that is there at once. */
+    /** A large body begins: it is read once buffer space is available. Returns true if that is the case at once. */
     private boolean acquireBody() throws MalformedRespException {
         double nowMs = loop.now();
         if (!server.bodyBudget().fits(connection.decoder().bodyLength())) { throw new MalformedRespException("invalid bulk length"); }
@@ -168,18 +171,18 @@
         return bodyGranted;
     }
 
-    /** Follows what was read, where it may again. */
+    /** Resumes handling and reading commands where possible. */
     private void resume() {
         onReadable(connection);
         connection.readMore();
     }
 
-    /** Nothing is open, and nothing that was read is to be answered any more. */
+    /** Whether no command is open and no input is to be handled any more. */
     private boolean isDone() {
         if (!slots.isEmpty()) { return false; }
         return switch (stage) {
             case READING -> server.closesAfterReplies() && connection.decoder().isEmpty();
-            case INPUT_IGNORED -> mayHandleCommands();                // what is left is no whole command
+            case INPUT_IGNORED -> mayHandleCommands(); // what is left is an incomplete command
             case FINISHING -> true;
             case CLOSED -> false;
         };
@@ -196,15 +199,16 @@
         loop.deadlines().schedule(loop.now() + FLOOD_TIMEOUT_MS, () -> {
             fullCheckScheduled = false;
             if (stage == Stage.CLOSED || connection.isClosed()) { return; }
-            // Guards against a terminal that sends much at once and goes: its end lies behind what is not read.
-            if (readCount == connection.readCount() && !connection.isReading() && !slots.isEmpty() && (releaseBody == null || bodyGranted)) {
+            // The disconnect of a terminal that sends much at once and leaves would stay unseen behind the unread input.
+            if (readCount == connection.readCount() && !connection.isReading() && !slots.isEmpty()
+                    && (releaseBody == null || bodyGranted)) {
                 closeWithError("too many commands at once");
             }
-            connection.readMore();                         // or is told anew that it is full
+            connection.readMore();                   // or reports again that the buffer is full
         });
     }
 
-    /** What was held for a command that will not come. */
+    /** Releases the buffer space of a command that will not complete. */
     private void releaseBody() {
         if (releaseBody != null) { releaseBody.run(); }
         releaseBody = null;
@@ -215,7 +219,7 @@
                 && connection.queuedBytes() < MAX_UNREAD_BYTES;
     }
 
-    /** Framing is lost: what came before is still answered in order, then the connection closes. */
+    /** The framing is lost: earlier commands are still answered in order, then the connection closes. */
     void closeWithError(String reason) {
         if (stage.compareTo(Stage.FINISHING) >= 0) { return; }
         releaseBody();
@@ -229,7 +233,7 @@
         slot.complete(new Encoder(64).error("ERR Protocol error: " + reason).toBytes());
     }
 
-    /** One more command that means nothing; after some the connection ends. */
+    /** Counts a malformed command and delays the next one. After a number of them the connection closes. */
     void onCommandRejected() {
         server.commandHandler().onInvalidCommand();
         rejectedCount++;
@@ -240,7 +244,7 @@
         pause(REJECTED_DELAY_MS * rejectedCount);
     }
 
-    /** A command that means something. */
+    /** A valid command. */
     void onCommandAccepted() { rejectedCount = 0; }
 
     void pause(double delayMs) {
@@ -270,7 +274,7 @@
         if (!handlingCommands && (slots.isEmpty() || !connection.decoder().isEmpty())) { resume(); }
     }
 
-    /** Whether it has taken no byte of its answers for so long, in ms; asked again and again. */
+    /** Whether the terminal has read no reply bytes for this long; called periodically. */
     boolean hasReadNothing(double durationMs, double nowMs) {
         if (connection.queuedBytes() != unflushedAtLastCheck) {
             unflushedAtLastCheck = connection.queuedBytes();
@@ -288,27 +292,30 @@
             then.run();
         }
         if (!connection.decoder().isEmpty()) { resume(); }
-        // Guards an answer against the close of an idle connection: it is one only once the system has taken all bytes.
+        // A connection is idle only once the system has accepted all reply bytes. Closing it before could lose a reply.
         if (stage == Stage.CLOSED || !slots.isEmpty() || hasUnflushedBytes()) { return; }
         quietSinceMs = loop.now();
-        if (hasBegunCommand()) { commandBegunAtMs = quietSinceMs; }    // till now it may have been held up from here
+        if (hasBegunCommand()) { commandBegunAtMs = quietSinceMs; } // until now it may have been held back on this side
         connections.markIdle(this, quietSinceMs);
     }
 
     void closeIfIdle() {
-        // Who has begun a command ends it and has its answer; who never ends it is cut off as ever.
+        // A command that has begun is read to its end and answered, unless reading has stopped for good.
         boolean readingStopped = server.isClosing() && server.drainSchedule().hasStoppedReading(loop.now());
         if (slots.isEmpty() && (readingStopped || connection.decoder().isEmpty())) { finish(); }
     }
 
-    /** A value cannot be finished: the connection ends behind what is there of it, so that the terminal sees that it is not whole. */
+    /**
+     * A value cannot be completed: the connection closes after the bytes sent so far, so that the terminal sees that it is
+     * truncated.
+     */
     void abort() {
         if (stage == Stage.CLOSED) { return; }
         onClosed(connection);
         connections.closeAfterFlush(connection, loop.now(), server.closesAfterReplies());
     }
 
-    /** Ends it behind its last bytes. Guards them, and what is just coming, against the reset of a close over unread bytes. */
+    /** Closes after the last bytes are flushed. A close with unread input would reset the connection and lose them. */
     void finish() {
         if (stage == Stage.CLOSED) { return; }
         deregister();
@@ -337,7 +344,7 @@
         if (callbacks != null) { callbacks.forEach(loop::defer); }
     }
 
-    /** This connection, for what belongs to it as a whole. */
+    /** The session object of this connection. */
     Session session() {
         if (session == null) { session = this::addCloseCallback; }
         return session;
--- a/src/main/java/yardusher/net/Connection.java
+++ b/src/main/java/yardusher/net/Connection.java
@@ -11,46 +11,49 @@
 import yardusher.resp.InboundBuffer;
 
 /**
- * One connection: reads into its decoder and writes what is queued, by completion handlers, each of them a
- * turn. All methods are called within loop.
+ * One TCP connection: reads into its decoder and writes what is queued, by completion handlers, each of which is an event loop
+ * task. All methods are called on the event loop.
  */
 public final class Connection {
-    /** What the owner of a connection is told, each within a turn. */
+    /** Callbacks to the owner of a connection, each on the event loop. */
     public interface Owner {
         /**
-         * More bytes stand in the decoder. False stops reading until {@link Connection#readMore}; on a connection that reads ahead
-         * it changes nothing.
+         * The decoder has more bytes. Returning false stops reading until {@link Connection#readMore}; on a connection that
+         * reads ahead the result is ignored.
          */
         boolean onReadable(Connection connection);
 
-        /** Whether what comes on a connection that reads ahead is kept; once it is not, it never is again, and is dropped. */
+        /**
+         * Whether further input of a connection that reads ahead is kept. Once false it must stay false, and the input is
+         * dropped.
+         */
         default boolean keepsInput(Connection connection) { return true; }
 
-        /** Whether the owner of a connection that reads ahead takes nothing out of the decoder for now. */
+        /** Whether the owner of a connection that reads ahead currently takes nothing out of the decoder. */
         default boolean isHoldingBack(Connection connection) { return false; }
 
-        /** A connection that reads ahead holds all it may; told each time that it would read on. */
+        /** A connection that reads ahead has filled its buffer; called each time it would continue to read. */
         default void onReadAheadFull(Connection connection) { }
 
-        /** All that was queued has been written. */
+        /** All queued bytes have been written. */
         default void onFlushed(Connection connection) { }
 
-        /** The connection has ended from outside; told once, and not after {@link Connection#close}. */
+        /** The peer or an I/O error ended the connection; called once, and not after {@link Connection#close}. */
         void onClosed(Connection connection);
     }
 
-    private static final int MAX_QUEUED_BYTES = (4 << 20) + 256 * 1024; // one large body, and what small answers may wait
-    private static final int WRITE_SLICE_BYTES = 16 * 1024;      // of a large body, at once: the size of a cached native buffer
-    private static final int MAX_MERGED_BYTES = 128 * 1024;    // what is queued in one turn goes out together up to here
+    private static final int MAX_QUEUED_BYTES = (4 << 20) + 256 * 1024; // one large body, and small replies that wait
+    private static final int WRITE_SLICE_BYTES = 16 * 1024; // of a large body, per write: the size of a cached native buffer
+    private static final int MAX_MERGED_BYTES = 128 * 1024; // bytes queued in one task are merged into one write up to this size
     private static final long MAX_DRAINED_BYTES = 96L << 20;
     private static final double DRAIN_TIMEOUT_MS = 3000;
     private static final int MIN_READ_AHEAD_BYTES = 4 * 1024;
-    /** What drained bytes go into: nobody looks at them, so all connections share it, without a copy. */
+    /** Target of drained bytes. Nobody reads it, so all connections share it, without a copy. */
     private static final ByteBuffer DRAIN_BUFFER = ByteBuffer.allocateDirect(64 * 1024);
 
     /**
-     * OPEN, then either FINISHING (the last bytes go out) or LEAVING (the write under way goes out, the rest is dropped), then
-     * DRAINING (the sending has ended, what comes is dropped) and CLOSED; from each of them CLOSED.
+     * OPEN, then either FINISHING (the last bytes are flushed) or COMPLETING_WRITE (the current write completes, the rest is dropped),
+     * then DRAINING (output is shut down, input is dropped) and CLOSED; each can go to CLOSED directly.
      */
     private enum Stage { OPEN, FINISHING, COMPLETING_WRITE, DRAINING, CLOSED }
 
@@ -64,30 +67,31 @@
     private boolean writingSlice;
     private boolean reading;
     private Stage stage = Stage.OPEN;
-    private boolean drainsWithoutLimit;                         // drains for as long as the peer takes
+    private boolean drainsWithoutLimit;              // drains for as long as the peer takes
     private long droppedBytes;
     private Deadlines.Entry drainEnd;
     private Runnable onClosed = () -> { };
     private boolean writeFailed;
-    private final ReadAheadBudget readAheadBudget;                         // null for one that does not read ahead
-    private int countedBytes;                             // what stands in there for this connection
-    private final int maxReadAhead;                         // bytes held at the most by reading on; 0 reads only what the owner asks for
-    private byte[] receiveBuffer;                          // what a connection that reads ahead waits with, null for none
-    private boolean usingReceiveBuffer;                          // the read under way goes there
-    private boolean droppingRead;                          // the read under way is for nobody
-    private boolean lastReadFilled;                            // the last read was filled, so more has likely come
-    private boolean ownerNotNotified;                          // the owner has not been told of the last bytes yet
-    private int requestedBytes;                               // the size of the read under way
+    private final ReadAheadBudget readAheadBudget;   // null for a connection that does not read ahead
+    private int countedBytes;                        // this connection's share of that budget
+    private final int maxReadAhead;                  // maximum number of bytes read ahead; 0 reads only on request
+    private byte[] receiveBuffer;                    // receive buffer of a connection that reads ahead, null until needed
+    private boolean usingReceiveBuffer;              // the pending read goes to that buffer
+    private boolean droppingRead;                    // the pending read is dropped
+    private boolean lastReadFilled;                  // the last read filled its buffer, so more input is likely
+    private boolean ownerNotNotified;                // the owner has not been told of the last bytes yet
+    private int requestedBytes;                      // the buffer size of the pending read
     private long readCount;
 
-    /** A connection that carries RESP. */
+    /** Creates a connection for RESP. */
     public Connection(AsynchronousSocketChannel channel, EventLoop loop, Owner owner) { this(channel, loop, owner, new Decoder()); }
 
     public Connection(AsynchronousSocketChannel channel, EventLoop loop, Owner owner, InboundBuffer inbound) {
         this(channel, loop, owner, inbound, 0, null);
     }
 
-    private Connection(AsynchronousSocketChannel channel, EventLoop loop, Owner owner, InboundBuffer inbound, int maxReadAhead, ReadAheadBudget readAheadBudget) {
+    private Connection(AsynchronousSocketChannel channel, EventLoop loop, Owner owner, InboundBuffer inbound, int maxReadAhead,
+            ReadAheadBudget readAheadBudget) {
         this.readAheadBudget = readAheadBudget;
         this.inbound = inbound;
         this.channel = channel;
@@ -97,14 +101,16 @@
     }
 
     /**
-     * A connection that carries RESP and goes on reading while its owner takes nothing, up to so many bytes held, so that the
-     * peer's end is seen; what came is told once nothing more is to be had at once, and not at all where the end has come behind it.
+     * Creates a RESP connection that keeps reading while its owner takes nothing, up to {@code maxReadAhead} bytes, so that the
+     * peer's disconnect is seen. Input is reported once no more is available at once, and not at all if it is followed by the
+     * disconnect.
      */
-    static Connection createReadingAhead(AsynchronousSocketChannel channel, EventLoop loop, Owner owner, int maxReadAhead, ReadAheadBudget readAheadBudget) {
+    static Connection createReadingAhead(AsynchronousSocketChannel channel, EventLoop loop, Owner owner, int maxReadAhead,
+            ReadAheadBudget readAheadBudget) {
         return new Connection(channel, loop, owner, new Decoder(), maxReadAhead, readAheadBudget);
     }
 
-    /** Bytes that connections hold of what they read ahead, together, and the most of them. In turns only. */
+    /** Limits the bytes that connections read ahead together. Used on the event loop only. */
     static final class ReadAheadBudget {
         private final long maxBytes;
         private long heldBytes;
@@ -120,31 +126,34 @@
         countedBytes = heldBytes;
     }
 
-    /** Of a connection that carries RESP. */
+    /** The decoder of a RESP connection. */
     public Decoder decoder() { return (Decoder) inbound; }
 
     public boolean isClosed() { return stage == Stage.CLOSED; }
 
-    /** Reads done so far: one that is full and stays at its number has come no further. */
+    /** The number of completed reads: if it is unchanged, a full connection has made no progress. */
     long readCount() { return readCount; }
 
-    /** Whether a read is under way: then the peer's end is seen. */
+    /** Whether a read is pending, so that a disconnect of the peer is seen. */
     boolean isReading() { return reading; }
 
-    /** Whether it holds all it may of what it read ahead. */
+    /** Whether the read-ahead buffer is full. */
     boolean isFull() {
         if (maxReadAhead == 0) { return false; }
         countHeld(decoder().bufferedBytes());
-        // Guards the heap against many that send much at once: then each holds little, but for the command that it is in.
-        return countedBytes >= maxReadAhead || countedBytes >= MIN_READ_AHEAD_BYTES && readAheadBudget.heldBytes >= readAheadBudget.maxBytes && (ownerNotNotified || owner.isHoldingBack(this));
+        // Many connections that send much at once must not fill the heap: beyond the common limit each one buffers little more
+        // than its current command.
+        return countedBytes >= maxReadAhead || countedBytes >= MIN_READ_AHEAD_BYTES
+                && readAheadBudget.heldBytes >= readAheadBudget.maxBytes && (ownerNotNotified || owner.isHoldingBack(this));
     }
 
-    /** Whether it ended in a write: then the last byte was never written. */
+    /** Whether the connection ended in a failed write: then the last byte was never written. */
     public boolean writeFailed() { return writeFailed; }
 
-    /** Bytes that wait to be written. */
+    /** The number of bytes that wait to be written. */
     public int queuedBytes() { return queuedBytes; }
 
+    /** Starts a read, unless one is pending. */
     public void readMore() {
         if (reading || stage != Stage.OPEN) { return; }
         if (maxReadAhead == 0) {
@@ -158,9 +167,11 @@
             return;
         }
         usingReceiveBuffer = !droppingRead && !lastReadFilled;
-        // A wait of its own small size: one in the decoder's room would keep all of that while nothing comes.
+        // A read waits in a small buffer of its own: a wait in the decoder's buffer would keep all of that allocated while no
+        // input comes.
         if (usingReceiveBuffer && receiveBuffer == null) { receiveBuffer = new byte[Decoder.MAX_ADD_BYTES]; }
-        ByteBuffer buffer = droppingRead ? DRAIN_BUFFER.duplicate() : usingReceiveBuffer ? ByteBuffer.wrap(receiveBuffer) : inbound.readBuffer();
+        ByteBuffer buffer = droppingRead ? DRAIN_BUFFER.duplicate()
+                : usingReceiveBuffer ? ByteBuffer.wrap(receiveBuffer) : inbound.readBuffer();
         requestedBytes = buffer.remaining();
         read(buffer);
     }
@@ -176,24 +187,24 @@
 
     public void write(byte[] bytes) { write(ByteBuffer.wrap(bytes)); }
 
-    /** Queues what is left in it; the bytes have to stay as they are until the owner is told that all is written. */
+    /** Queues the buffer's remaining bytes. They must not change until the owner is told that all bytes are written. */
     public void write(ByteBuffer bytes) {
         if (stage != Stage.OPEN) { return; }
         queue.add(bytes);
         queuedBytes += bytes.remaining();
-        // Guards against a terminal that asks and never reads: answers would fill the heap.
+        // A terminal that sends requests and never reads would fill the heap with replies.
         if (queuedBytes > MAX_QUEUED_BYTES) {
             closeAndNotify();
         } else if (!writing) {
             writing = true;
-            loop.defer(this::flush); // what one turn queues goes out together
+            loop.defer(this::flush); // bytes queued in one task are written together
         }
     }
 
     /**
-     * Closes once what is queued has been written and the peer has ended too. Guards against a close with unread
-     * bytes: it would reset the connection and destroy the last answer on its way. What still comes is dropped,
-     * and a peer that never ends is cut off after a time and a number of bytes. The owner is told nothing more.
+     * Closes after the queued bytes are written and the peer has closed too. A close with unread input would reset the
+     * connection and destroy the last reply on its way. Further input is dropped, and a peer that never closes is cut off after
+     * a time and a number of bytes. The owner gets no more callbacks.
      */
     public void finish(Runnable callback) {
         if (isClosed()) {
@@ -212,8 +223,8 @@
     }
 
     /**
-     * Ends the sending and waits, for as long as it takes, until the peer has closed its side too; {@code then} runs once
-     * it has. What still waits to be written is dropped, and so is what comes. The owner is told nothing more.
+     * Shuts down the output and waits, for as long as it takes, until the peer has closed its side too; {@code then} runs after
+     * that. Bytes that wait to be written are dropped, and so is further input. The owner gets no more callbacks.
      */
     public void shutdownAndAwaitPeer(Runnable callback) {
         if (isClosed()) {
@@ -223,7 +234,7 @@
         onClosed = callback;
         drainsWithoutLimit = true;
         stage = Stage.COMPLETING_WRITE;
-        if (!writing) { drain(); }                   // else what is under way ends first
+        if (!writing) { drain(); }                   // otherwise after the pending write
     }
 
     private void drain() {
@@ -259,7 +270,7 @@
         loop.defer(onClosed);
         try {
             channel.close();
-        } catch (IOException e) { /* it is gone either way */ }
+        } catch (IOException e) { /* closed either way */ }
     }
 
     private void closeAndNotify() {
@@ -286,7 +297,7 @@
             queue.add(next);
         }
         try {
-            // Guards the native memory: a buffer as large as a body would be copied there whole.
+            // A write of a whole large body would copy it into native memory as a whole.
             writingSlice = next.remaining() > MAX_MERGED_BYTES;
             channel.write(writingSlice ? next.slice(next.position(), WRITE_SLICE_BYTES) : next, this, WRITE_HANDLER);
         } catch (RuntimeException e) {
@@ -294,14 +305,14 @@
         }
     }
 
-    private void read(int count) {
+    private void onRead(int count) {
         reading = false;
         if (isClosed()) { return; }
         if (stage == Stage.DRAINING) {
             onDrained(count);
             return;
         }
-        if (stage != Stage.OPEN) { return; }         // it is read again once the last bytes have gone out
+        if (stage != Stage.OPEN) { return; }         // reading resumes after the last bytes are written
         if (count < 0) {
             closeAndNotify();
             return;
@@ -328,8 +339,8 @@
         } else {
             inbound.advance(count);
         }
-        // Guards against what a client asks and takes back by its end right behind it: that may lie in the system already, and then
-        // this read comes back at once, before the owner is told.
+        // A client may cancel its requests by disconnecting right after them. The disconnect may already have arrived; then
+        // this read completes at once, before the owner handles the requests.
         ownerNotNotified = true;
         readMore();
         long readsBefore = readCount;
@@ -358,7 +369,7 @@
         queuedBytes -= count;
         if (writingSlice) { queue.peek().position(queue.peek().position() + count); }
         if (!queue.peek().hasRemaining()) { queue.poll(); }
-        if (stage == Stage.FINISHING) { limitDrain(); } // a slow peer that takes its last answer has its time for each piece
+        if (stage == Stage.FINISHING) { limitDrain(); } // a slow peer gets the full time for each piece of its last reply
         if (!queue.isEmpty()) {
             flush();
             return;
@@ -373,21 +384,21 @@
 
     private static final CompletionHandler<Integer, Connection> READ_HANDLER = new CompletionHandler<>() {
         @Override
-        public void completed(Integer count, Connection link) { link.loop.execute(() -> link.read(count)); }
+        public void completed(Integer count, Connection connection) { connection.loop.execute(() -> connection.onRead(count)); }
 
         @Override
-        public void failed(Throwable why, Connection link) { link.loop.execute(link::closeAndNotify); }
+        public void failed(Throwable cause, Connection connection) { connection.loop.execute(connection::closeAndNotify); }
     };
 
     private static final CompletionHandler<Integer, Connection> WRITE_HANDLER = new CompletionHandler<>() {
         @Override
-        public void completed(Integer count, Connection link) { link.loop.execute(() -> link.onWritten(count)); }
+        public void completed(Integer count, Connection connection) { connection.loop.execute(() -> connection.onWritten(count)); }
 
         @Override
-        public void failed(Throwable why, Connection link) {
-            link.loop.execute(() -> {
-                link.writeFailed = true;
-                link.closeAndNotify();
+        public void failed(Throwable cause, Connection connection) {
+            connection.loop.execute(() -> {
+                connection.writeFailed = true;
+                connection.closeAndNotify();
             });
         }
     };
--- a/src/main/java/yardusher/net/RespServer.java
+++ b/src/main/java/yardusher/net/RespServer.java
@@ -13,27 +13,30 @@
 import yardusher.resp.Encoder;
 
 /**
- * The serving side of a RESP front: terminals' connections, commands in, answers out in the order of the
- * commands however they come. What the commands mean is the front's.
+ * A RESP server for one frontend: accepts terminal connections, reads commands, and writes the replies in the order of the
+ * commands, whatever the order in which they are answered. The frontend interprets the commands.
  */
 public final class RespServer {
-    /** A front's meaning of commands. */
+    /** A frontend's command handler. */
     public interface CommandHandler {
-        /** Answers the slot now or later, once. */
+        /** Handles a command. The slot is answered once, now or later. */
         void handle(byte[][] words, Slot slot);
 
-        /** The terminal left with this command unanswered. */
+        /** The terminal left before this command was answered. */
         void onTerminalLeft(Slot slot);
 
-        /** A command that means nothing was turned away, or the rest of what came on a connection is lost. */
+        /** A command was malformed, or the framing of a connection was lost. */
         default void onInvalidCommand() { }
     }
 
     private static final byte[] CRLF = {'\r', '\n'};
     private static final byte[] FAILED_REPLY = new Encoder(16).error("ERR failed").toBytes();
-    private static final int READ_AHEAD_HEAP_SHARE = 16;        // of the heap, for commands that are not followed yet
-    /** Bytes that all connections read ahead together: a part of the heap, 4 MiB at the least and 16 at the most. */
-    static final long MAX_READ_AHEAD_BYTES = Math.max(4 << 20, Math.min(16 << 20, Runtime.getRuntime().maxMemory() / READ_AHEAD_HEAP_SHARE));
+    private static final int READ_AHEAD_HEAP_DIVISOR = 16; // one such part of the heap for commands not handled yet
+    /**
+     * Maximum number of bytes that all connections together read ahead: a share of the heap, at least 4 MiB and at most 16 MiB.
+     */
+    static final long MAX_READ_AHEAD_BYTES =
+            Math.max(4 << 20, Math.min(16 << 20, Runtime.getRuntime().maxMemory() / READ_AHEAD_HEAP_DIVISOR));
     private static final double ACCEPT_RETRY_MS = 10;
     private static final double MAINTENANCE_INTERVAL_MS = 100;
     private static final double ACCEPT_QUIET_MS = 30;
@@ -53,38 +56,44 @@
         bind();
     }
 
-    /** Listens once {@link #bind} is called; large bodies are held within the budget. With {@code shared} the next version of this program can listen there too. */
-    public RespServer(Sockets sockets, InetSocketAddress address, boolean reusePort, int maxTerminals, BodyBudget bodyBudget, CommandHandler commandHandler)
-            throws IOException {
+    /**
+     * Creates a server that listens once {@link #bind} is called. Large bodies are buffered within the budget. With
+     * {@code reusePort} the next version of this program can listen on the same address.
+     */
+    public RespServer(Sockets sockets, InetSocketAddress address, boolean reusePort, int maxTerminals, BodyBudget bodyBudget,
+            CommandHandler commandHandler) throws IOException {
         this.bodyBudget = bodyBudget;
         this.commandHandler = commandHandler;
         setMaxConnections(maxTerminals);
         this.loop = sockets.loop();
-        listener = sockets.createListener(address, reusePort, channel -> new ClientConnection(channel, this, connections, loop), nothing -> makeRoom());
+        listener = sockets.createListener(address, reusePort,
+                channel -> new ClientConnection(channel, this, connections, loop), nothing -> makeRoom());
         loop.deadlines().schedule(loop.now() + MAINTENANCE_INTERVAL_MS, this::maintain);
     }
 
-    /** How many connections are held at the most; the longest idle beyond that close. */
+    /** Sets the maximum number of connections. Connections above the limit are closed, longest idle first. */
     public final void setMaxConnections(int maxConnections) { connections.setMaxConnections(maxConnections); }
 
+    /** Starts listening, without accepting connections yet. */
     public void bind() throws IOException { listener.bind(); }
 
     public InetSocketAddress address() throws IOException { return listener.address(); }
 
     public void startAccepting() { listener.accept(); }
 
-    /** Connections that may still ask, and those whose last bytes the system has not taken. */
+    /** The number of connections that may still send commands or whose last bytes the system has not accepted. */
     public int terminalCount() { return connections.size() + connections.unflushedCount(); }
 
-    /** Whether no connection is left, also none that only gets its last bytes, and none can come. */
+    /** Whether no connection is left, including those that only flush their last bytes, and none can come. */
     public boolean isFinished() { return connections.totalCount() == 0 && listener.isClosed(); }
 
     /**
-     * Whether one more terminal finds room. Guards the usual clients against connections that are kept and not
-     * used: the one that said nothing for longest gives way, instead of a shut door for all.
+     * Whether one more connection is accepted; may evict one. Connections that are kept open unused must not lock out other
+     * clients: the one that has been silent for longest is closed, instead of accepting no new connections.
      */
     private boolean makeRoom() {
-        // Guards who waits at the door of a version that ends: its half of the descriptors may be full, and they are reset.
+        // During a handover this process's half of the descriptors may be full. Connections that wait in its accept queue would
+        // be reset, so they are accepted beyond that limit.
         if (connections.hasRoom(drainSchedule.isHandover())) { return true; }
         ClientConnection longest = connections.evictionCandidate(loop.now());
         if (longest == null) {
@@ -101,28 +110,29 @@
         return true;
     }
 
-    /** Closes what has been silent or idle too long, and what never ends a command it has begun. */
+    /** Closes connections that have been silent or idle too long, and those that never complete a command. */
     private void maintain() {
         double now = loop.now();
         loop.deadlines().schedule(now + MAINTENANCE_INTERVAL_MS, this::maintain);
         connections.reap(now);
         closeDraining(now);
         if (closing && drainSchedule.hasStoppedReading(now)) { closeIdle(); }
-        listener.accept();                                 // a closed one stays closed
+        listener.accept();                           // no effect once the listener is closed
     }
 
-    /** Whether terminals are being sent away. */
+    /** Whether terminals are asked to disconnect. */
     public boolean isDraining() { return drainSchedule.isDraining(); }
 
     /**
-     * Sends the terminals away, while the door stays open for those that come all the same, or takes them again. A
-     * connection closes right behind an answer, when its terminal is least likely to have sent the next command.
+     * Asks terminals to disconnect, or accepts them again. The listener stays open for those that connect all the same. A
+     * connection is closed right after a reply, when its terminal is least likely to have sent the next command.
      */
     public void setDraining(boolean draining) { drainSchedule.setDraining(draining, loop.now()); }
 
     /**
-     * The next version of this program takes the terminals that come: this one takes what waits to be accepted, answers what
-     * it has, and lets its connections go. PING is answered as ever, since the ingress goes on.
+     * The next version of this program takes new connections. This one accepts what waits in its accept queue, answers the
+     * commands it has received and closes its connections. PING is answered as before, since the ingress as a whole keeps
+     * running.
      */
     public void startHandover() {
         if (drainSchedule.isHandover()) { return; }
@@ -141,10 +151,10 @@
 
     boolean isClosing() { return closing; }
 
-    /** Whether connections close behind their answers. */
+    /** Whether connections close after their replies. */
     boolean closesAfterReplies() { return closing || drainSchedule.closesAfterReplies(loop.now()); }
 
-    /** One more terminal finds room. */
+    /** One more connection can be accepted. */
     void onRoomAvailable() {
         listener.accept();
     }
@@ -152,27 +162,28 @@
     private void closeDraining(double now) {
         if (!drainSchedule.closesAfterReplies(now) || closing) { return; }
         boolean closesAllIdle = drainSchedule.closesAllIdle(now);
-        for (ClientConnection terminal : connections.all()) {
-            if (!terminal.owesNoReply()) { continue; } // closes behind its answer
+        for (ClientConnection connection : connections.all()) {
+            if (!connection.owesNoReply()) { continue; } // closes after its reply
             if (closesAllIdle) {
-                terminal.finish();
-            } else if (drainSchedule.mayCloseIdle(now, terminal.quietSinceMs())) {
-                terminal.closeIfIdle();
+                connection.finish();
+            } else if (drainSchedule.mayCloseIdle(now, connection.quietSinceMs())) {
+                connection.closeIfIdle();
             }
         }
         if (closesAllIdle) { connections.closeFlushed(now); }
     }
 
     /**
-     * Accepts who waits at the door, and then no more; connections are closed as soon as all they asked is answered. Guards against a terminal whose requests
-     * overlap on one connection, which would stay open up to the kill with the last of them unanswered: a little later no more is
-     * read behind what is open there.
+     * Accepts the connections in the accept queue, and then no more. Connections are closed as soon as all their commands are
+     * answered. A terminal whose requests overlap on one connection would keep it open until the process is killed, with the
+     * last of them unanswered; so after a short time no more commands are read while earlier ones are unanswered.
      */
     public void close() {
         double now = loop.now();
         if (!closing) {
             closing = true;
-            // Guards who waits to be accepted, with a request written already: whoever is there when it closes is reset.
+            // A connection that waits to be accepted, with a request already written, would be reset if the listener closed at
+            // once.
             listener.closeWhenQuiet(ACCEPT_QUIET_MS, drainSchedule.startShutdown(now));
             listener.accept();
         }
@@ -180,14 +191,15 @@
     }
 
     private void closeIdle() {
-        for (ClientConnection terminal : connections.all()) { terminal.closeIfIdle(); }
+        for (ClientConnection connection : connections.all()) { connection.closeIfIdle(); }
     }
 
+    /** Whether the command is a PING without an argument. */
     public static boolean isPing(byte[][] words) {
         return words.length == 1 && new String(words[0], StandardCharsets.ISO_8859_1).equalsIgnoreCase("PING");
     }
 
-    /** Answers what every RESP client may ask; INFO gives the counters. */
+    /** Answers the commands that every RESP client may send; INFO returns the counters. */
     public static void handleCommon(byte[][] words, Supplier<String> counters, Slot slot) {
         Encoder out = new Encoder(48);
         switch (new String(words[0], StandardCharsets.ISO_8859_1).toUpperCase(Locale.ROOT)) {
@@ -198,15 +210,15 @@
         }
     }
 
-    /** The place of one answer on its connection. */
+    /** The position of one reply on its connection. */
     public static final class Slot {
         private final ClientConnection connection;
         byte[] reply;
-        Runnable releaseBody;                               // gives back what its large body holds
-        byte[] streamHead;                                 // of a value that comes in parts
-        ByteBuffer nextChunk;                             // the next of them, till it is its turn to be written
-        Runnable onChunkWritten;                              // when it is written
-        /** What is under way for this command, if anything. */
+        Runnable releaseBody;                        // returns the buffer space of its large body
+        byte[] streamHead;                           // of a streamed value
+        ByteBuffer nextChunk;                        // the next chunk, until its turn to be written
+        Runnable onChunkWritten;                     // called when that chunk is written
+        /** The request that is being processed for this command; null for none. */
         public RequestHandle request;
 
         Slot(ClientConnection connection) { this.connection = connection; }
@@ -221,31 +233,31 @@
         /** Whether the terminal is on this machine. */
         public boolean isLocal() { return connection.isLocal(); }
 
-        /** The connection it came on. */
+        /** The connection on which the command came. */
         public Session session() { return connection.session(); }
 
-        /** Reads no more of this terminal's commands for a while. */
-        public void pauseReading(double ms) { connection.pause(ms); }
+        /** Handles no more commands of this terminal for a while. */
+        public void pauseReading(double delayMs) { connection.pause(delayMs); }
 
         /**
-         * Answers a command that means nothing. Guards the usual clients against one that sends the same again as
-         * soon as it is turned away: the answer comes at once, but each such command puts off reading the next one
-         * longer, and after some the connection ends.
+         * Rejects a malformed command. The reply is sent at once, but each such command delays the next one of the connection
+         * longer, and after a number of them the connection is closed. Otherwise a client that resends its command as soon as
+         * it is rejected would crowd out others.
          */
-        public void reject(String why) {
+        public void reject(String reason) {
             connection.onCommandRejected();
-            complete(new Encoder(64).error("ERR " + why).toBytes());
+            complete(new Encoder(64).error("ERR " + reason).toBytes());
         }
 
-        /** An answer that comes in parts, behind this head and before a line end. */
+        /** Starts a reply that is streamed, between this head and a line end. */
         public ResponseStream startStream(byte[] head) {
             connection.onCommandAccepted();
             streamHead = head;
             return new ResponseStream() {
                 @Override
-                public void write(ByteBuffer next, Runnable then) {
-                    nextChunk = next;
-                    onChunkWritten = then;
+                public void write(ByteBuffer bytes, Runnable onWritten) {
+                    nextChunk = bytes;
+                    onChunkWritten = onWritten;
                     connection.sendReplies();
                 }
 
@@ -258,7 +270,7 @@
                         connection.abort();
                         return;
                     }
-                    // Guards the answers before it on its connection: nothing of this one has gone out yet.
+                    // Nothing of this reply was sent yet, so the connection, and the replies before it, can be kept.
                     streamHead = null;
                     nextChunk = null;
                     onChunkWritten = null;
@@ -267,6 +279,7 @@
             };
         }
 
+        /** Answers the command with an encoded RESP value. */
         public void answer(byte[] bytes) {
             connection.onCommandAccepted();
             complete(bytes);
--- a/src/main/java/yardusher/net/Sockets.java
+++ b/src/main/java/yardusher/net/Sockets.java
@@ -17,11 +17,12 @@
 import yardusher.error.ConfigError;
 import yardusher.error.WireError;
 
-/** Opens connections and listens, on one channel group with one thread of its own. */
+/** Opens connections and listeners on one channel group with a single thread. */
 public final class Sockets {
     static {
-        // Guards the look ahead of {@link Connection}: past so many completions at once (16 if not said) the platform leaves what is
-        // there to the next poll. None of them runs on the stack of another, since a turn puts off what comes within it.
+        // {@link Connection} reads ahead to see disconnects. Beyond this number of nested completions (default 16) the JDK
+        // defers the rest to the next poll. The completions do not nest on the stack, since the event loop defers tasks that
+        // come within a task.
         if (System.getProperty("sun.nio.ch.maxCompletionHandlersOnStack") == null) {
             System.setProperty("sun.nio.ch.maxCompletionHandlersOnStack", "64");
         }
@@ -32,7 +33,7 @@
 
     public Sockets(EventLoop loop) throws IOException {
         this.loop = loop;
-        // One fixed thread polls and runs the handlers itself; a pool given from outside would cost a hop each.
+        // A single fixed thread polls and runs the handlers itself; an external pool would cost a thread hop per completion.
         group = AsynchronousChannelGroup.withFixedThreadPool(1, work -> {
             Thread thread = new Thread(work, "sockets");
             thread.setDaemon(true);
@@ -42,7 +43,10 @@
 
     public EventLoop loop() { return loop; }
 
-    /** An address of digits and a port, such as 127.0.0.4:6379. Names are not looked up. Else a {@link ConfigError}. */
+    /**
+     * Parses a numeric address and port, such as 127.0.0.4:6379. Host names are not resolved. Throws a {@link ConfigError} for
+     * other text.
+     */
     public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
@@ -56,8 +60,10 @@
         }
     }
 
-    /** The other way round, for messages. */
-    public static String formatAddress(InetSocketAddress address) { return address.getAddress().getHostAddress() + ":" + address.getPort(); }
+    /** Formats an address for messages. */
+    public static String formatAddress(InetSocketAddress address) {
+        return address.getAddress().getHostAddress() + ":" + address.getPort();
+    }
 
     /** A listening socket. */
     public final class Listener {
@@ -67,7 +73,7 @@
         private final InetSocketAddress address;
         private boolean accepting;
         private boolean bound;
-        private double lastAcceptedAtMs;                      // when the last one came
+        private double lastAcceptedAtMs;             // when the last connection was accepted
 
         private Listener(AsynchronousServerSocketChannel channel, InetSocketAddress address,
                 Consumer<AsynchronousSocketChannel> onAccept, Predicate<Void> hasRoom) {
@@ -79,7 +85,7 @@
 
         public InetSocketAddress address() throws IOException { return (InetSocketAddress) channel.getLocalAddress(); }
 
-        /** Listens; until then nobody can come. A {@link WireError} where another process holds the address. */
+        /** Starts listening. Throws a {@link WireError} if another process holds the address. */
         public void bind() throws IOException {
             try {
                 channel.bind(address, 1024);
@@ -89,32 +95,32 @@
             bound = true;
         }
 
-        /** Goes on accepting while there is room; called again when room comes back. */
+        /** Accepts connections while there is room; called again when there is room again. */
         public void accept() {
-            // Guards against running out of descriptors: who finds no room waits in the backlog.
+            // Connections without room wait in the backlog, so that the process does not run out of descriptors.
             if (accepting || !bound || !channel.isOpen()) { return; }
             boolean mayAccept = false;
-            accepting = true;                        // also while room is made, which may open the door again
+            accepting = true;                        // also while room is made, which may call this method again
             try {
                 mayAccept = hasRoom.test(null);
             } finally {
-                accepting = mayAccept;                    // guards the door against a fault while room is made: it may be opened again
+                accepting = mayAccept;               // after a fault in hasRoom the listener must be able to accept again
             }
             if (!mayAccept) { return; }
             channel.accept(this, new CompletionHandler<AsynchronousSocketChannel, Listener>() {
                 @Override
-                public void completed(AsynchronousSocketChannel guest, Listener door) {
+                public void completed(AsynchronousSocketChannel accepted, Listener listener) {
                     loop.execute(() -> {
                         accepting = false;
                         lastAcceptedAtMs = loop.now();
-                        setNoDelay(guest);
-                        onAccept.accept(guest);
+                        setNoDelay(accepted);
+                        onAccept.accept(accepted);
                         accept();
                     });
                 }
 
                 @Override
-                public void failed(Throwable why, Listener door) {
+                public void failed(Throwable cause, Listener listener) {
                     loop.execute(() -> {
                         accepting = false;
                         loop.deadlines().schedule(loop.now() + 50, Listener.this::accept);
@@ -124,8 +130,8 @@
         }
 
         /**
-         * Closes once nobody has come for so long, or at that time: whoever waits to be accepted when it closes is reset,
-         * and who comes while it is open is accepted at once.
+         * Closes after no connection has come for {@code quietMs}, or at {@code deadlineMs}: connections in the accept queue
+         * are reset when it closes, and those that come while it is open are accepted at once.
          */
         public void closeWhenQuiet(double quietMs, double deadlineMs) {
             double nowMs = loop.now();
@@ -135,16 +141,17 @@
             });
         }
 
-        /** Whether nobody can come any more. */
+        /** Whether no more connections can come. */
         public boolean isClosed() { return !channel.isOpen(); }
 
         public void close() {
             try {
                 channel.close();
-            } catch (IOException e) { /* it is gone either way */ }
+            } catch (IOException e) { /* closed either way */ }
         }
     }
 
+    /** Creates a listener and binds it; it accepts connections after {@link Listener#accept}. */
     public Listener listen(InetSocketAddress address, Consumer<AsynchronousSocketChannel> onAccept, Predicate<Void> hasRoom)
             throws IOException {
         Listener listener = createListener(address, false, onAccept, hasRoom);
@@ -153,8 +160,8 @@
     }
 
     /**
-     * A door that does not listen yet. With {@code shared} the next version of this program can listen there as well,
-     * before this one ends.
+     * Creates a listener that does not listen yet. With {@code reusePort} the next version of this program can listen on the
+     * same address before this one ends.
      */
     public Listener createListener(InetSocketAddress address, boolean reusePort, Consumer<AsynchronousSocketChannel> onAccept,
             Predicate<Void> hasRoom) throws IOException {
@@ -166,14 +173,14 @@
         return new Listener(channel, address, onAccept, hasRoom);
     }
 
-    /** Connects within the time given; one of the two is called, in a turn. The result gives it up. */
+    /** Connects with a timeout; one of the two callbacks runs, on the event loop. The returned callback cancels the attempt. */
     public Runnable connect(InetSocketAddress to, double timeoutMs, Consumer<AsynchronousSocketChannel> onConnected,
             Runnable onFailed) {
         boolean[] finished = new boolean[1];
         AsynchronousSocketChannel channel;
         try {
             channel = AsynchronousSocketChannel.open(group);
-        } catch (IOException e) {                    // no descriptor left: as if nobody had answered
+        } catch (IOException e) {                    // no descriptor left: treated as no answer
             loop.defer(() -> {
                 if (!finished[0]) { onFailed.run(); }
             });
@@ -202,7 +209,7 @@
             }
 
             @Override
-            public void failed(Throwable why, Void none) {
+            public void failed(Throwable cause, Void none) {
                 loop.execute(() -> {
                     loop.deadlines().cancel(timeout);
                     if (finished[0]) { return; }
@@ -218,8 +225,8 @@
     }
 
     /**
-     * Connects, however long the system tries; one of the two is called, in a turn. For whoever must know how a dial ended
-     * after having given it up: a channel that is closed on the way may have been accepted all the same.
+     * Connects without a timeout of its own; one of the two callbacks runs, on the event loop. For callers that must know how a
+     * connect ended after they have given it up: a channel that is closed while connecting may have been accepted all the same.
      */
     public void dial(InetSocketAddress to, Consumer<AsynchronousSocketChannel> onConnected, Runnable onFailed) {
         AsynchronousSocketChannel channel;
@@ -239,7 +246,7 @@
             }
 
             @Override
-            public void failed(Throwable why, Void none) {
+            public void failed(Throwable cause, Void none) {
                 loop.execute(() -> {
                     closeQuietly(channel);
                     onFailed.run();
@@ -251,13 +258,13 @@
     private static void setNoDelay(AsynchronousSocketChannel channel) {
         try {
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-        } catch (IOException e) { /* the first read or write will tell */ }
+        } catch (IOException e) { /* the first read or write reports it */ }
     }
 
     private static void closeQuietly(AsynchronousSocketChannel channel) {
         try {
             channel.close();
-        } catch (IOException e) { /* it is gone either way */ }
+        } catch (IOException e) { /* closed either way */ }
     }
 
     public void shutdown() {
--- a/src/main/java/yardusher/resp/Decoder.java
+++ b/src/main/java/yardusher/resp/Decoder.java
@@ -7,36 +7,36 @@
 import java.util.List;
 
 /**
- * The one RESP2 parser, for commands and for replies. Bytes are read into its buffer as they come; a value is
- * taken out once it is whole. Everything is bounded: line, bulk string, items, depth and the value as a whole.
+ * The RESP2 parser for commands and replies. Bytes are read into its buffer as they arrive; a value is taken out once it is
+ * complete. All sizes are limited: line, bulk string, number of items, nesting depth and the value as a whole.
  */
 public final class Decoder implements InboundBuffer {
-    /** A bulk string holds no more (PROTOCOL). */
+    /** Maximum length of a bulk string, except for large values and bodies (by the platform's protocol). */
     public static final int MAX_BULK_BYTES = 64 * 1024;
     private static final int MAX_VALUE_BYTES = MAX_BULK_BYTES + 8 * 1024;
     private static final int MAX_ITEMS = 64;
     private static final int MAX_DEPTH = 4;
     private static final int MAX_LINE_BYTES = 512;
     private static final int SMALL_BUFFER_BYTES = 1024;
-    /** What {@link #add} takes at once, at the most. */
+    /** Maximum number of bytes per call of {@link #add}. */
     public static final int MAX_ADD_BYTES = SMALL_BUFFER_BYTES;
-    /** A value that comes in parts holds no more. */
+    /** Maximum length of a large value or body. */
     public static final long MAX_LARGE_BYTES = 4 << 20;
-    private static final int BODY_INDEX = 4;               // the place of a platform command's body
-    private static final int CHUNK_BYTES = 16 * SMALL_BUFFER_BYTES;      // what is passed on at once: the size of a cached native buffer
+    private static final int BODY_INDEX = 4;         // the index of the body in a platform command
+    private static final int CHUNK_BYTES = 16 * SMALL_BUFFER_BYTES; // chunk of a large value: the size of a cached native buffer
 
     private byte[] bytes = new byte[SMALL_BUFFER_BYTES];
     private int start;
     private int end;
     private int position;
-    private int largeStart;                             // where a large value's bytes begin
-    private long largeLength;                              // and how many they are; 0 for none
+    private int largeStart;                          // where the bytes of a large value begin
+    private long largeLength;                        // the length of a large value, 0 for none
     private boolean shrinkPending;
-    private byte[][] bodyCommand;                         // a command whose last word is a large body still to come
-    private long bodyLength;                         // the body's bytes; 0 for no such command
+    private byte[][] bodyCommand;                    // a command whose last word is a large body that is being read
+    private long bodyLength;                         // the length of that body, 0 for none
     private int bodyFilled;
-    private boolean readingBody;                        // the room last given lies in that body
-    private int itemsAfterLarge;                          // what follows it in its array
+    private boolean readingBody;                     // the buffer last returned by readBuffer is part of that body
+    private int itemsAfterLarge;                     // items after the large value in its array
 
     @Override
     public ByteBuffer readBuffer() {
@@ -58,11 +58,17 @@
         if (bytes.length - end < count) { bytes = Arrays.copyOf(bytes, bytes.length * 2); }
     }
 
-    /** Where nothing is held, gives back what a large value took. Not while a read into {@link #room} is under way. */
+    /**
+     * Releases the memory of a large value if the buffer is empty. Not to be called while a read into {@link #readBuffer} is
+     * pending.
+     */
     public void shrink() {
         if (start != end) { return; }
         start = end = 0;
-        if (bytes.length > CHUNK_BYTES || bytes.length > SMALL_BUFFER_BYTES && largeLength == 0 && shrinkPending) { bytes = new byte[SMALL_BUFFER_BYTES]; } // one large value keeps no memory
+        // a large value keeps no memory after it
+        if (bytes.length > CHUNK_BYTES || bytes.length > SMALL_BUFFER_BYTES && largeLength == 0 && shrinkPending) {
+            bytes = new byte[SMALL_BUFFER_BYTES];
+        }
         shrinkPending = false;
     }
 
@@ -76,7 +82,7 @@
         }
     }
 
-    /** Takes so many bytes, no more than {@link #ROOM}, from the front of an array instead of the room. */
+    /** Copies input from an array instead of {@link #readBuffer}, at most {@link #MAX_ADD_BYTES}. */
     public void add(byte[] from, int count) {
         shrink();
         ensureRoom(MAX_ADD_BYTES);
@@ -85,7 +91,7 @@
         fillBody();
     }
 
-    /** What was read before a body had its room goes there. */
+    /** Moves the bytes of a large body that were read before its buffer was allocated. */
     private void fillBody() {
         byte[] body = bodyCommand == null ? null : bodyCommand[bodyCommand.length - 1];
         if (body == null) { return; }
@@ -95,10 +101,10 @@
         bodyFilled += count;
     }
 
-    /** Bytes that were read and not taken out, a large body's apart. */
+    /** The number of buffered bytes, without a large body. */
     public int bufferedBytes() { return end - start; }
 
-    /** Nothing of what was read is wanted any more. */
+    /** Drops all buffered input. */
     public void discard() {
         start = end;
         bodyCommand = null;
@@ -107,12 +113,12 @@
     public boolean isEmpty() { return start == end && bodyCommand == null; }
 
     /**
-     * The bytes of a large body that the command now being read ends with, else 0. No more of it is read before room for
-     * them is given by {@link #openBody}.
+     * The length of the large body at the end of the command that is being read, else 0. No more of it is read before
+     * {@link #allocateBody} is called.
      */
     public long bodyLength() { return bodyCommand == null ? 0 : bodyLength; }
 
-    /** Room for the large body is there: its bytes are read into place. */
+    /** Allocates the large body, so that its bytes are read into place. */
     public void allocateBody() {
         bodyCommand[bodyCommand.length - 1] = new byte[(int) bodyLength];
         bodyFilled = 0;
@@ -124,12 +130,12 @@
         if (body == null || bodyFilled < body.length || end - start < 2) { return null; }
         if (bytes[start] != '\r' || bytes[start + 1] != '\n') { throw new MalformedRespException("bulk string without its end"); }
         start += 2;
-        byte[][] whole = bodyCommand;
+        byte[][] command = bodyCommand;
         bodyCommand = null;
-        return whole;
+        return command;
     }
 
-    /** The next command as its words, or null while it is not whole. */
+    /** Returns the next command as its words, or null while it is incomplete. */
     public byte[][] nextCommand() throws MalformedRespException {
         if (bodyCommand != null) { return completeBodyCommand(); }
         if (start == end) { return null; }
@@ -156,14 +162,16 @@
             words[i] = parseBulk(length);
             if (words[i] == null) { return incomplete(); }
         }
-        if (position - start > MAX_VALUE_BYTES) { throw new MalformedRespException("value too large"); } // however much of it came at once
+        // Regardless of how much of it came in one read.
+        if (position - start > MAX_VALUE_BYTES) { throw new MalformedRespException("value too large"); }
         start = position;
         return words;
     }
 
     /**
-     * The bytes of a large value, where the reply that begins here is an array that begins with one (then {@link #value}
-     * gives null), else 0. From now on its bytes come by {@link #part}, and what is behind them by {@link #rest}.
+     * Returns the length of a large value if the reply that begins here is an array that begins with one ({@link #nextValue}
+     * then returned null), else 0. Its bytes are then read by {@link #nextChunk}, and the items after it by
+     * {@link #finishLargeValue}.
      */
     public long beginLargeValue() {
         if (largeLength == 0) { return 0; }
@@ -172,7 +180,10 @@
         return largeLength;
     }
 
-    /** What is there of a large value, no more than so many bytes; null for nothing. It stays until {@link #room}. */
+    /**
+     * Returns buffered bytes of a large value, at most {@code max}, or null for none. They are valid until the next
+     * {@link #readBuffer}.
+     */
     public ByteBuffer nextChunk(long max) {
         int count = (int) Math.min(max, end - start);
         if (count == 0) { return null; }
@@ -180,7 +191,7 @@
         return ByteBuffer.wrap(bytes, start - count, count);
     }
 
-    /** What follows a large value in its array, or null while it is not whole. */
+    /** Returns the items after a large value in its array, or null while they are incomplete. */
     public List<Value> finishLargeValue() throws MalformedRespException {
         position = start;
         if (end - position < 2) { return null; }
@@ -201,7 +212,7 @@
         return items;
     }
 
-    /** The next reply, or null while it is not whole. */
+    /** Returns the next reply, or null while it is incomplete. */
     public Value nextValue() throws MalformedRespException {
         position = start;
         largeLength = 0;
@@ -215,7 +226,7 @@
     }
 
     private byte[][] incomplete() throws MalformedRespException {
-        // Guards against a peer that never ends a value: the buffer would grow without bound.
+        // A peer that never completes a value must not grow the buffer without limit.
         if (end - start > MAX_VALUE_BYTES) { throw new MalformedRespException("value too large"); }
         return null;
     }
@@ -261,7 +272,7 @@
         }
     }
 
-    /** Whether a bulk string of more than MOST_BULK and no more than MOST_LARGE bytes begins here. */
+    /** Whether a bulk string longer than MAX_BULK_BYTES and up to MAX_LARGE_BYTES begins here. */
     private boolean beginsLargeValue(int count) throws MalformedRespException {
         int from = position;
         if (position < end && bytes[position] == '$') {
@@ -305,7 +316,7 @@
         return firstDigit > from ? -number : number;
     }
 
-    /** Passes over a line; returns where its text ends, or -1 while it is not whole. */
+    /** Skips a line; returns the end of its text, or -1 while it is incomplete. */
     private int skipLine() throws MalformedRespException {
         for (int i = position; i < end; i++) {
             if (bytes[i] == '\n') {
--- a/src/main/java/yardusher/wire/Codec.java
+++ b/src/main/java/yardusher/wire/Codec.java
@@ -12,21 +12,21 @@
 import yardusher.Api;
 import yardusher.error.WireError;
 
-/** Translates between the wire's messages and the types of {@link Api}. Unknown keys are skipped. */
+/** Translates between the JSON messages of the platform and the types of {@link Api}. Unknown keys are ignored. */
 public final class Codec {
-    private static final double MAX_WHOLE_NUMBER = 0x1p63; // a whole number up to here fits a long
+    private static final double MAX_WHOLE_NUMBER = 0x1p63; // whole numbers below this fit into a long
 
     private Codec() { }
 
     /**
-     * A JSON object with typed access; a needed value that is absent, and any value of another type, is a
-     * {@link WireError.Malformed} that names the key with all that it stands in. A null counts as absent.
+     * A JSON object with typed access. A required value that is absent, and any value of another type, is a
+     * {@link WireError.Malformed} that names the key with its full path. A null counts as absent.
      */
     public static final class JsonObject {
         private final Map<String, Object> values = new HashMap<>();
-        private JsonObject parent;                           // where this was asked for, null at the top
+        private JsonObject parent;                   // the object that contains this one, null at the top
         private String parentKey;
-        private int parentIndex = -1;                         // its place in the array there, -1 where it stands alone
+        private int parentIndex = -1;                // index in the parent's array, -1 outside of an array
 
         private WireError.Malformed wrongType(String what, String key) {
             return new WireError.Malformed(null, "needs " + what + " in \"" + path() + key + "\"");
@@ -36,7 +36,9 @@
             return new WireError.Malformed(null, "unknown " + key + " \"" + text(key) + "\" in \"" + path() + key + "\", allowed are " + allowed);
         }
 
-        private String path() { return parent == null ? "" : parent.path() + parentKey + (parentIndex < 0 ? "." : "[" + parentIndex + "]."); }
+        private String path() {
+            return parent == null ? "" : parent.path() + parentKey + (parentIndex < 0 ? "." : "[" + parentIndex + "].");
+        }
 
         private JsonObject withParent(JsonObject containing, String key, int index) {
             parent = containing;
@@ -56,7 +58,7 @@
             return values.get(key) == null ? defaultValue : number(key);
         }
 
-        /** Guards against a figure that is cut to a whole one, or wraps round, and then means something else. */
+        /** Rejects numbers that are not whole or would overflow, instead of changing their meaning by a cast. */
         public long wholeNumber(String key) {
             if (values.get(key) instanceof Integer || values.get(key) instanceof Long) {
                 return ((Number) values.get(key)).longValue();
@@ -76,10 +78,10 @@
 
         public boolean has(String key) { return values.get(key) != null; }
 
-        /** All keys that have a value, null or not. */
+        /** All keys that are present, including those with a null value. */
         public Set<String> keys() { return values.keySet(); }
 
-        /** Absent is false. */
+        /** Returns a boolean; false if absent. */
         public boolean flag(String key) {
             Object value = values.get(key);
             if (value == null || value instanceof Boolean) { return Boolean.TRUE.equals(value); }
@@ -100,7 +102,7 @@
             throw wrongType("an object", key);
         }
 
-        /** The same, with nothing in it where the key is absent. */
+        /** The same, empty if the key is absent. */
         public JsonObject objectOrEmpty(String key) { return has(key) ? object(key) : new JsonObject().withParent(this, key, -1); }
 
         public List<JsonObject> objects(String key) {
@@ -112,7 +114,7 @@
             return found;
         }
 
-        /** The same, none where the key is absent. */
+        /** The same, empty if the key is absent. */
         public List<JsonObject> objectsOrEmpty(String key) { return has(key) ? objects(key) : List.of(); }
 
         public List<?> list(String key) {
@@ -122,7 +124,7 @@
             throw wrongType("an array", key);
         }
 
-        /** Texts of an array; none where the key is absent. */
+        /** The strings of an array; empty if the key is absent. */
         public List<String> texts(String key) {
             List<String> texts = new ArrayList<>();
             for (Object item : has(key) ? list(key) : List.of()) {
@@ -232,7 +234,7 @@
                 domain.number("most_units", 1), prices.number("cross_zone", 0), prices.number("peer", 0));
     }
 
-    /** Translates one event; null for a kind that the module has no use for. */
+    /** Translates an event; null for a kind that the module does not use. */
     static Api.Event parseEvent(JsonObject event) {
         return switch (event.text("event_type")) {
             case "request" -> new Api.Request(event.wholeNumber("rid"), event.intNumber("grade"),
--- a/src/test/java/yardusher/core/CeilingDelayTest.java
+++ b/src/test/java/yardusher/core/CeilingDelayTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import yardusher.Api;
 
-/** Requests under a ceiling whose attempts wait for a connection, in a real core on a scripted clock. */
+/** Requests under a ceiling whose attempts wait for a connection, with a real core and a scripted clock. */
 class CeilingDelayTest {
     private static final double CEILING_RATE = 20;
     private static final double CEILING_BURST = 20;
@@ -17,7 +17,7 @@
     private static final double REFILL_MS = 60_000;
     private static final double WAIT_MS = 5000;
 
-    /** A core whose connections all come up late: what begins stays until the script hands it over. */
+    /** A core without open connections: started attempts wait until the test writes them. */
     private static final class ScriptedCore implements Backends, Terminal {
         double nowMs = 1000;
         final EventLoop loop = new EventLoop(() -> nowMs, e -> { throw new AssertionError(e); });
@@ -40,10 +40,12 @@
             nowMs += REFILL_MS;
         }
 
-        /** How many of so many requests were sent on. */
+        /** Submits this many requests and returns how many were sent on. */
         int countAdmitted(int tries) {
             int before = waiting.size();
-            for (int i = 0; i < tries; i++) { loop.execute(() -> ingress.accept(new IncomingRequest(0, 0, 7, 1, 0, 1, WAIT_MS, new Command(++lastId), this))); }
+            for (int i = 0; i < tries; i++) {
+                loop.execute(() -> ingress.accept(new IncomingRequest(0, 0, 7, 1, 0, 1, WAIT_MS, new Command(++lastId), this)));
+            }
             return waiting.size() - before;
         }
 
@@ -51,9 +53,9 @@
         public boolean isAvailable(long backend) { return true; }
 
         @Override
-        public void start(Attempt attempt, ByteBuffer... cargo) { waiting.add(attempt); }
+        public void start(Attempt attempt, ByteBuffer... command) { waiting.add(attempt); }
 
-        /** The connections come up: all that waits is written. */
+        /** The connections open: all waiting attempts are written. */
         int writeWaiting() {
             int written = 0;
             for (Attempt attempt : List.copyOf(waiting)) {
@@ -72,7 +74,7 @@
         public void reject(long retryAfterMs, boolean mayHaveRun) { }
 
         @Override
-        public void failed(String why, boolean mayHaveRun) { }
+        public void failed(String reason, boolean mayHaveRun) { }
     }
 
     private record Command(long id) implements BackendCommand {
@@ -86,16 +88,16 @@
         public long fingerprint() { return id; }
     }
 
-    /** Guards against units that are earned anew while requests that hold the earlier ones still wait for a connection. */
+    /** Guards against counting units as free again while the requests that hold them still wait for a connection. */
     @Test
     void unitsStayReservedUntilAWaitingAttemptIsWritten() {
         ScriptedCore core = new ScriptedCore();
         assertThat(core.countAdmitted(2 * MAX_ADMITTED)).isEqualTo(MAX_ADMITTED);
         core.nowMs += Api.MAX_WRITE_DELAY_MS - 10;
-        assertThat(core.countAdmitted(MAX_ADMITTED)).as("earned while all units are held").isZero();
+        assertThat(core.countAdmitted(MAX_ADMITTED)).as("admitted while all units are reserved").isZero();
         assertThat(core.writeWaiting()).isEqualTo(MAX_ADMITTED);
         core.nowMs += 500;
-        assertThat(core.countAdmitted(MAX_ADMITTED)).as("earned since they were written").isEqualTo((int) (CEILING_RATE / 2));
+        assertThat(core.countAdmitted(MAX_ADMITTED)).as("units earned since the write").isEqualTo((int) (CEILING_RATE / 2));
     }
 
     @Test
--- a/src/test/java/yardusher/net/ListenerTest.java
+++ b/src/test/java/yardusher/net/ListenerTest.java
@@ -11,8 +11,12 @@
 import org.junit.jupiter.api.Test;
 import yardusher.core.EventLoop;
 
+/** Accepting connections. */
 class ListenerTest {
-    /** Danger: a fault while room is made for one guest left the door as if it were accepting, and nobody was let in any more. */
+    /**
+     * Regression: after a fault while room was made for one connection, the listener counted as accepting and accepted no
+     * others.
+     */
     @Test
     void aFaultWhileMakingRoomDoesNotStopAccepting() throws Exception {
         AtomicInteger faults = new AtomicInteger(), roomChecks = new AtomicInteger();
@@ -21,7 +25,8 @@
         CountDownLatch accepted = new CountDownLatch(1);
         Sockets.Listener[] listener = new Sockets.Listener[1];
         try {
-            listener[0] = sockets.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), client -> accepted.countDown(), nothing -> {
+            listener[0] = sockets.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                    client -> accepted.countDown(), nothing -> {
                 if (roomChecks.incrementAndGet() == 1) { throw new IllegalStateException("made by this test"); }
                 return true;
             });
--- a/src/test/java/yardusher/wire/SettingsKeysTest.java
+++ b/src/test/java/yardusher/wire/SettingsKeysTest.java
@@ -17,11 +17,14 @@
 import org.junit.jupiter.api.io.TempDir;
 import yardusher.cli.Config;
 
-/** Every key that the platform's pages name: it changes what the program decides by, or is told as not used, or is a name alone. */
+/**
+ * Every key of the platform's documentation is read and changes the configuration, or is reported as unused, or is a plain
+ * name.
+ */
 class SettingsKeysTest {
     private static final Path BASE_CONFIG = Path.of("src/test/resources/ingress.json");
 
-    /** Keys that are read, each with a value other than that of the resource. */
+    /** Keys that are read, each with a value that differs from the resource. */
     private static final Map<String, String> READ_KEYS = new TreeMap<>(Map.ofEntries(
             Map.entry("settings.me", "1"), Map.entry("settings.peers_total", "4"), Map.entry("settings.zone", "1"),
             Map.entry("settings.zones", "[\"hall-a\",\"hall-b\"]"),
@@ -49,42 +52,59 @@
             Map.entry("admin_addr", "\"127.0.0.2:1\""), Map.entry("seed", "\"01\""), Map.entry("limits.sockets", "999"),
             Map.entry("peer_listen", "\"127.0.0.2:0\""), Map.entry("peers", "[\"127.0.0.1:3\",\"127.0.0.1:4\",\"127.0.0.1:5\"]")));
 
-    /** Keys that nothing is decided by, each with a value for which that is told, and the words that tell it. */
+    /** Keys that no decision depends on, each with a value for which it is reported, and a part of the report. */
     private static final Map<String, String[]> REPORTED_KEYS = new TreeMap<>(Map.ofEntries(
             reported("settings.classes[0].aim_stretch", "2", "classes.lookup.aim_stretch"),
             reported("settings.clients.marks_retry", "true", "clients.marks_retry"),
             reported("settings.contracts[0].beyond_earns", "0.2", "contracts.basis.beyond_earns"),
-            reported("settings.domain.cost_after", "true", "domain.cost_after"), reported("settings.domain.count_fee", "0.1", "domain.counter, with count_fee"),
-            reported("settings.domain.count_limit_ms", "40", "count_limit_ms"), reported("settings.domain.counter", "true", "domain.counter"),
+            reported("settings.domain.cost_after", "true", "domain.cost_after"),
+            reported("settings.domain.count_fee", "0.1", "domain.counter, with count_fee"),
+            reported("settings.domain.count_limit_ms", "40", "count_limit_ms"),
+            reported("settings.domain.counter", "true", "domain.counter"),
             reported("settings.domain.meter_ms", "1000", "domain.meter_ms"),
             reported("settings.goal.whole", "0.4", "goal.whole"), reported("settings.goal.worst_class", "0.4", "worst_class"),
             reported("settings.goal.worst_tenant", "0.4", "worst_tenant"), reported("settings.goal.worst_window", "0.4", "worst_window"),
-            reported("settings.limits.cpu_us_per_request", "9", "limits.cpu_us_per_request"), reported("settings.limits.cpu_us_per_s", "9", "limits.cpu_us_per_s"),
-            reported("settings.limits.max_open", "9", "limits.max_open"), reported("settings.limits.max_streams", "9", "limits.max_streams"),
-            reported("settings.limits.probes", "true", "limits.probes"), reported("settings.limits.retry_after", "false", "limits.retry_after false"),
+            reported("settings.limits.cpu_us_per_request", "9", "limits.cpu_us_per_request"),
+            reported("settings.limits.cpu_us_per_s", "9", "limits.cpu_us_per_s"),
+            reported("settings.limits.max_open", "9", "limits.max_open"),
+            reported("settings.limits.max_streams", "9", "limits.max_streams"),
+            reported("settings.limits.probes", "true", "limits.probes"),
+            reported("settings.limits.retry_after", "false", "limits.retry_after false"),
             reported("settings.limits.second_copies", "true", "limits.second_copies"),
             reported("settings.prices.connection", "0.1", "prices.connection"), reported("settings.prices.fleet", "0.1", "fleet"),
             reported("settings.prices.handshake", "0.1", "handshake"), reported("settings.prices.late_fail", "0.1", "late_fail"),
             reported("settings.prices.membership_mode", "0.1", "membership_mode"), reported("settings.prices.moves", "0.1", "moves"),
-            reported("settings.prices.origin", "0.1", "origin"), reported("settings.prices.probe", "0.1", "probe"), reported("settings.prices.waste", "0.1", "waste"),
+            reported("settings.prices.origin", "0.1", "origin"),
+            reported("settings.prices.probe", "0.1", "probe"),
+            reported("settings.prices.waste", "0.1", "waste"),
             reported("settings.report.how", "\"on_probe\"", "report (reports come on probes alone)"),
-            reported("settings.rules.answer_slack_ms", "3", "rules.answer_slack_ms"), reported("settings.rules.drain_grace_ms", "3", "rules.drain_grace_ms"),
-            reported("settings.resolution_ms", "5", "resolution_ms (what comes on sockets"), reported("settings.service_type", "\"mesh\"", "service_type mesh"), reported("settings.weights", "\"live\"", "weights live"),
-            reported("settings.misspelt", "3", "misspelt (not known here)"), reported("settings.limits.max_attemps", "3", "limits.max_attemps (not known here)"),
+            reported("settings.rules.answer_slack_ms", "3", "rules.answer_slack_ms"),
+            reported("settings.rules.drain_grace_ms", "3", "rules.drain_grace_ms"),
+            reported("settings.resolution_ms", "5", "resolution_ms (what comes on sockets"),
+            reported("settings.service_type", "\"mesh\"", "service_type mesh"),
+            reported("settings.weights", "\"live\"", "weights live"),
+            reported("settings.misspelt", "3", "misspelt (not known here)"),
+            reported("settings.limits.max_attemps", "3", "limits.max_attemps (not known here)"),
             reported("settings.classes[1].efect", "3", "classes.efect (not known here)"),
-            reported("misspelt", "3", "misspelt (not known here)"), reported("limits.socket", "3", "limits.socket (of the machine; not known here)"),
+            reported("misspelt", "3", "misspelt (not known here)"),
+            reported("limits.socket", "3", "limits.socket (of the machine; not known here)"),
             reported("peers", "[\"127.0.0.1:3\"]", "peers (1 addresses for 3 ingresses")));
 
-    /** Names alone, or the system's: the start script reads the memory, and the system holds the program to its part of a core. */
+    /**
+     * Plain names, and limits that the system enforces: the start script reads the memory, and the system limits the program's
+     * share of a core.
+     */
     private static final Set<String> NAME_KEYS = Set.of("settings.kinds", "settings.layers", "settings.tier", "limits.cores", "limits.memory_mb",
             "counter", "peers_all", "known.revision", "known.complete", "known.members");
 
     @TempDir
     Path folder;
 
-    private static Map.Entry<String, String[]> reported(String key, String value, String words) { return Map.entry(key, new String[] {value, words}); }
+    private static Map.Entry<String, String[]> reported(String key, String value, String words) {
+        return Map.entry(key, new String[] {value, words});
+    }
 
-    /** The file with one value set: replaced where the key is there, else added to the object that it stands in. */
+    /** The base configuration with one value replaced, or added to its object if the key is absent. */
     private Config configWith(String key, String value) throws IOException {
         String text = Files.readString(BASE_CONFIG);
         Path file = folder.resolve("config.json");
@@ -126,7 +146,7 @@
         assertThat(Config.read(file.toString()).unused()).isEmpty();
     }
 
-    /** Guards the lists above: a key of the resource that stands in none of them is one that nobody has looked at. */
+    /** Guards against a key of the resource that none of the lists above contains. */
     @Test
     void everyConfigurationKeyIsInOneOfTheLists() throws IOException {
         Set<String> listed = new TreeSet<>(NAME_KEYS);
@@ -177,7 +197,7 @@
             throw new IllegalArgumentException(path);
         }
 
-        /** Where a key's value begins and ends in the object that begins at {@code open}; null where it has no such key. */
+        /** The start and end of a key's value in the object that begins at {@code open}; null if it has no such key. */
         private static int[] find(String text, int open, String key) throws IOException {
             try (JsonParser parser = new JsonFactory().createParser(text.substring(open))) {
                 parser.nextToken();
