--- a/src/main/java/yardusher/Api.java
+++ b/src/main/java/yardusher/Api.java
@@ -3,32 +3,32 @@
 import java.util.List;
 
 /**
- * What the decision module takes in and gives out. This file holds types only; every decision is behind
- * {@link Policy}.
+ * Types of the decision module: its settings, the events that it takes and the actions that it returns. The decisions are made by
+ * {@link Policy}. Here a gateway is an ingress, and a server is a region (a backend server).
  *
  * <p>Contracts of the module:
  * <ul>
  * <li>Threading: one {@code Policy} serves one gateway and is called by one thread at a time.</li>
- * <li>Clock: times are milliseconds on any monotonic clock, passed with each event. Clocks of gateways
- *     need not agree. A clock that goes back is an {@link IllegalArgumentException}.</li>
+ * <li>Clock: times are milliseconds of any monotonic clock and come with each event. The clocks of gateways
+ *     need not agree. A time earlier than the last one throws {@link IllegalArgumentException}.</li>
  * <li>Seed: all randomness comes from the seed; the same settings, seed and events give the same
  *     actions. Use a new seed for each start.</li>
  * <li>Timers: each {@link SetTimer} asks for one {@link TimerFired} at or after its time, in a later
- *     call. Timers are never taken back.</li>
- * <li>Lifetime: construct at process start, discard at its end; nothing outlives the object. Events
- *     about requests no longer held are passed over.</li>
+ *     call. Timers are never cancelled.</li>
+ * <li>Lifetime: construct one at process start and discard it at process end; no state outlives it. Events
+ *     about requests that are no longer pending are ignored.</li>
  * </ul>
  */
 public final class Api {
     private Api() { }
 
-    /** How long after its {@link Send} an attempt under a ceiling may still be written, in milliseconds. */
+    /** Latest time after its {@link Send} at which an attempt under a ceiling may still be written, in milliseconds. */
     public static final double WRITTEN_WITHIN_MS = 260;
 
-    /** What a class of requests allows after an attempt that may have run. */
+    /** Whether a request of a class may be sent again after an attempt that may have run. */
     public enum Effect { IDEMPOTENT, DEDUPLICATED, AT_MOST_ONCE }
 
-    /** The servers that drop a repeat of a deduplicated request. */
+    /** The servers that share deduplication state, and so drop a repeat of a deduplicated request. */
     public enum Group { ALL, ZONE, CELL }
 
     /** How an attempt ended. */
@@ -44,62 +44,68 @@
     /** State of a server in the list. */
     public enum Readiness { READY, DRAINING, GONE }
 
-    /** What a server list is: changes, the whole list, the list cached from before a start, a failed call. */
+    /** Kind of a server list: changes only, the whole list, a list cached before the start, or a failed call. */
     public enum ListKind { DELTA, FULL, CACHED, FAILED }
 
-    /** A value that a load report may hold; unknown ones are {@code OTHER}. */
+    /** A value in a load report; unknown ones are {@code OTHER}. */
     public enum Metric { IN_FLIGHT, QUEUE, CPU, SERVICE_MS, REQUESTS_PER_S, ERRORS_PER_S, OTHER }
 
-    /** A class of requests. {@code windowMs} is how long a group remembers a deduplicated request. */
+    /**
+     * A class of requests. {@code aimMs} is the target latency; an answer between it and the deadline has {@code lateValue} of the full
+     * {@code worth}. {@code windowMs} is how long a group remembers a deduplicated request.
+     */
     public record RequestClass(double aimMs, double deadlineMs, double worth, double lateValue,
             Effect effect, Group group, double windowMs, boolean streamed) { }
 
     /**
-     * A plan. A rate, cap or ceiling of 0 means that the plan has none; {@code overCost} is the part of its worth that
+     * A customer's plan. A rate, cap or ceiling of 0 means that the plan has none; {@code overCost} is the fraction of its worth that
      * a request beyond the quota costs.
      */
     public record Plan(double ratePerS, double burst, int openCap, double value, double ceilingRate,
             double ceilingBurst, double ceilingSlack, double overCost) {
-        /** A plan where each request beyond the quota costs its whole worth. */
+        /** A plan in which a request beyond the quota costs its whole worth. */
         public Plan(double ratePerS, double burst, int openCap, double value, double ceilingRate, double ceilingBurst,
                 double ceilingSlack) {
             this(ratePerS, burst, openCap, value, ceilingRate, ceilingBurst, ceilingSlack, 1);
         }
     }
 
-    /** What the site permits. */
+    /** What the site allows the gateways to do; {@code peers} is whether they may send messages to each other. */
     public record Limits(int maxAttempts, boolean mayCancel, boolean peers,
             double maxRetryAfterMs) { }
 
-    /** The figures of the rules for cold servers, and of membership that must be asked for. */
+    /**
+     * Limits for cold servers: their initial warmth, the warm-up time, and how much load in which time counts as an overload.
+     * {@code mustAskMs} is for a membership that has to be asked for.
+     */
     public record Rules(double coldFrom, double warmAfterMs, double overloadFactor, double overloadForMs,
             double mustAskMs) { }
 
     /**
-     * Settings received at start. {@code self} is this gateway's number, {@code gateways} how many there
-     * are, {@code peerIntakePerS} the messages a gateway accepts each second, {@code mostUnits} the most
-     * that one request counts, {@code crossZonePrice} the cost of leaving the zone, {@code peerPrice} that of
-     * one full message a request, both as parts of what all requests are worth.
+     * Settings received at start. {@code self} is the index of this gateway, {@code gateways} the number of gateways,
+     * {@code peerIntakePerS} the messages per second that a gateway accepts, {@code maxUnits} the largest unit count of one
+     * request. {@code crossZonePrice} is the cost of leaving the zone and {@code peerPrice} that of one full message per
+     * request, both as fractions of the total worth of all requests.
      */
     public record Settings(int self, int gateways, int zone, double resolutionMs,
             List<RequestClass> classes, List<Plan> plans, Limits limits, Rules rules,
             List<Metric> report, boolean askMembership, double peerIntakePerS, double mostUnits,
             double crossZonePrice, double peerPrice) { }
 
-    /** One server of a list. {@code startedAtMs} of 0 means long ago. */
+    /** One server of a list. A {@code startedAtMs} of 0 means that it started long ago. */
     public record Server(long id, int zone, int cell, double size, double startedAtMs,
             Readiness readiness) { }
 
-    /** What a gateway is told. */
+    /** An input of the decision module. */
     public sealed interface Event permits ServerList, Request, FirstByte, AttemptDelayed, AttemptWritten, AttemptDone, ClientGone,
             TimerFired, PeerMessage, Ban, Twin, Room, Wide, Asked { }
 
-    /** News of the servers. */
+    /** The list of servers, or changes of it. */
     public record ServerList(ListKind kind, List<Server> servers) implements Event { }
 
     /**
-     * Where a request's attempts may go at all: to one server, or to one zone or cell; -1 for any. It comes beside all
-     * other rules and takes none away.
+     * Restricts the attempts of a request to one server, zone or cell; -1 for any. It applies in addition to all other
+     * rules.
      */
     public record Binding(long server, int zone, int cell) {
         boolean allows(Host host) {
@@ -108,8 +114,8 @@
     }
 
     /**
-     * A request came in; {@code firstGateway} and {@code spread} name the customer's gateways, {@code only} where it may
-     * run, null for anywhere.
+     * A request arrived. The customer's gateways are {@code gatewayCount} consecutive ones from {@code firstGateway}; {@code binding}
+     * restricts where it may run, null for anywhere.
      */
     public record Request(long id, int classIndex, int plan, long customer, double dueMs, double units,
             int firstGateway, int spread, Binding only) implements Event {
@@ -120,88 +126,88 @@
     }
 
     /**
-     * An attempt waits for a connection, or for room in one. Said right after its {@link Send}; where it is not, the attempt counts as
-     * written at once. Under a ceiling it may be written within {@link #WRITTEN_WITHIN_MS} of its send, and not later.
+     * An attempt waits for a connection or for free capacity of one. Must directly follow its {@link Send}; without it, the attempt
+     * counts as written at once. Under a ceiling the attempt must be written within {@link #MAX_WRITE_DELAY_MS} of its send.
      */
     public record AttemptDelayed(long id, int attempt) implements Event { }
 
     /** The last byte of an attempt that was delayed has been written. */
     public record AttemptWritten(long id, int attempt) implements Event { }
 
-    /** A streamed answer began; the attempt is now the client's. */
+    /** The first byte of a streamed answer arrived and goes to the client; from now on the attempt is not started over elsewhere. */
     public record FirstByte(long id, int attempt, long server) implements Event { }
 
     /**
-     * An attempt ended; {@code finished} when nothing more is owed for the request. {@code billed} is the
-     * settled count of units, 0 for none; {@code load} follows the settings' report, null for none.
+     * An attempt ended. {@code finished} is whether the request needs no further action. {@code billedUnits} is the
+     * final unit count, 0 if unknown; {@code load} is a load report in the order of the settings' metrics, or null.
      */
     public record AttemptDone(long id, int attempt, long server, Outcome outcome, double tookMs,
             boolean finished, double billed, double[] load) implements Event { }
 
-    /** The client left; nothing more is owed. */
+    /** The client disconnected; the request needs no answer. */
     public record ClientGone(long id) implements Event { }
 
     /** A timer fired. */
     public record TimerFired(long token) implements Event { }
 
-    /** Another gateway's message. */
+    /** A message from another gateway. */
     public record PeerMessage(int from, String body) implements Event { }
 
     /**
-     * A server is kept out by hand, whatever the list says, or used again: as a cold one, of which nothing is known
-     * any more. Repeats change nothing.
+     * An operator bans a server regardless of the server list, or lifts the ban. A readmitted server counts as cold and its
+     * health record is reset. Idempotent.
      */
     public record Ban(long server, boolean out) implements Event { }
 
     /**
-     * So many attempts may be out at a server at once, whatever else is known of it: none is begun beyond that. Said of
-     * a server of the list; holds until it is said anew. A server of which it is not said has no such bound.
+     * Sets the largest number of concurrent attempts at a server. Applies to a server of the list, until the next such
+     * event for it. Without one, a server has no such bound.
      */
     public record Room(long server, int most) implements Event { }
 
     /**
-     * Another process of this very gateway is there or not. It speaks as a peer with this gateway's number; its rows
-     * and sums are those of another life. What the gateway earns under a ceiling is this one's or the other's.
+     * Whether a second process of this same gateway runs, as during an upgrade. It sends messages with this gateway's index
+     * and its own incarnation. Only one of the two owns the gateway's shares of ceilings: this one if {@code ownsCeilings}.
      */
     public record Twin(boolean there, boolean owns) implements Event { }
 
     /**
-     * Sets of so many gateways and more are told by another part what they are asked, so this module tells none of their
-     * counts, but for plans with a cap on requests open at once. Said once at the start; where it is not, all sets are this module's.
+     * Customers with this many gateways or more get their total demand by {@link ExternalDemand}, so the module does not gossip their
+     * counts, except for plans with a cap on open requests. Sent once at the start; without it, all counts are gossiped.
      */
     public record Wide(int from) implements Event { }
 
     /**
-     * All gateways of a customer's wide set together are asked so many units a second, which is more than its quota, as far
-     * as is known. Holds for a window; said before each request of the customer while it is so.
+     * The estimated total demand of a customer at all its gateways, which exceeds its quota. Valid for one window; sent before
+     * each request of the customer while the excess lasts.
      */
     public record Asked(long customer, int plan, double perS) implements Event { }
 
     /**
-     * How a customer stands with its quota: the limit and what is left of it, in units; when the units asked
-     * about would fit, 0 for now; and when the whole limit is free again. Times are in milliseconds from now.
+     * The state of a customer's quota: the limit and what remains of it, in units; the time until the requested units would
+     * fit, 0 for now; and the time until the whole limit is free again. Times are in milliseconds from now.
      */
     public record Standing(double limit, double remaining, double retryAfterMs, double resetMs) { }
 
-    /** What a gateway does. */
+    /** An output of the decision module. */
     public sealed interface Action permits Send, Cancel, Refuse, Fail, SetTimer, Tell, Subscribe { }
 
-    /** Start an attempt, numbered from 0 in the order of sending. */
+    /** Start an attempt. The attempts of a request are numbered from 0 in the order of sending. */
     public record Send(long id, long server, double timeoutMs) implements Action { }
 
-    /** Stop waiting for an attempt; its outcome still follows. */
+    /** Abandon an attempt; its {@link AttemptDone} still follows. */
     public record Cancel(long id, int attempt) implements Action { }
 
-    /** Final: turned away, a repeat is harmless. */
+    /** Final answer: the request is refused and the client may safely repeat it. */
     public record Refuse(long id, double retryAfterMs, Reason reason) implements Action { }
 
     /**
-     * Why a request was turned away: its time was up, the quota or the ceiling has no room, the servers are pressed
-     * for work of more worth, none of them may get it now, or its attempts were turned away in their turn.
+     * Why a request was refused: its deadline has passed, it exceeds the quota or the ceiling, it was shed in overload in favour
+     * of requests of more worth, no server may get it now, or its attempts failed and a repeat is harmless.
      */
     public enum Reason { LATE, QUOTA, CEILING, PRESSURE, NO_SERVER, ATTEMPTS }
 
-    /** Final: failed, nothing is promised. */
+    /** Final answer: the request failed and may have run. */
     public record Fail(long id) implements Action { }
 
     /** Ask for a {@link TimerFired}. */
@@ -210,6 +216,6 @@
     /** Send at most 256 bytes of UTF-8 to another gateway. */
     public record Tell(int to, String body) implements Action { }
 
-    /** Ask for changes of the server list from now on. */
+    /** Subscribe to changes of the server list. */
     public record Subscribe() implements Action { }
 }
--- a/src/main/java/yardusher/Policy.java
+++ b/src/main/java/yardusher/Policy.java
@@ -1,15 +1,15 @@
 package yardusher;
 
-// Types, events and actions: Api.java. Each part has its state, and is given what it uses alone: those made
-// before it. Counts and gossip follow the Tarantool quotas README; see README.md, The decisions.
+// Types, events and actions are in Api.java. Each component keeps its own state and gets only the components that it uses,
+// which are constructed before it. Counts and gossip follow the Tarantool quotas README; see README.md, The decisions.
 
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import yardusher.Api.*;
 
-/** The decisions of one gateway; see {@link Api} for the contracts. */
+/** Decides for one gateway: admission by quotas and ceilings, choice of servers, retries and load shedding. Contracts: {@link Api}. */
 public final class Policy {
-    private static final long LOANS = 0x6c6f616e73L; // draws of its own
+    private static final long LOANS = 0x6c6f616e73L; // loans use a random stream of their own
     private final Consumer<Action> out; private final Clock clock; private final Peers peers;
     final Quotas quotas; final Servers servers;
     private final Gossip gossip; private final Pressure pressure;
@@ -18,7 +18,7 @@
     /** Starts an instance; {@code nowMs} is the clock at the start. */
     public Policy(Settings settings, long seed, double nowMs, Consumer<Action> out) { this(settings, seed, nowMs, nowMs, out); }
 
-    /** Starts an instance in a process that began at {@code bornMs}, when no other process of this gateway was there any more. */
+    /** Starts an instance in a process that began at {@code bornMs}; the previous process of this gateway had ended by then. */
     public Policy(Settings settings, long seed, double nowMs, double bornMs, Consumer<Action> out) {
         this.out = out; clock = new Clock(nowMs);
         SplittableRandom random = new SplittableRandom(seed);
@@ -38,10 +38,10 @@
         if (settings.askMembership()) { out.accept(new Subscribe()); }
     }
 
-    /** Takes one event; actions go to the consumer given at the start, before this returns. */
+    /** Handles one event. The resulting actions go to the consumer given to the constructor before this returns. */
     public void on(double nowMs, Event event) {
         if (!(nowMs >= clock.now)) {
-            throw new IllegalArgumentException("the clock went back from " + clock.now + " to " + nowMs);
+            throw new IllegalArgumentException("clock went backwards from " + clock.now + " to " + nowMs);
         }
         clock.now = nowMs;
         if (event instanceof Request e) { attempts.request(e); }
@@ -70,7 +70,7 @@
     }
 
     private void sweep() {
-        out.accept(new SetTimer(clock.now + Clock.SWEEP_MS, Clock.SWEEP)); // from now: no backlog
+        out.accept(new SetTimer(clock.now + Clock.SWEEP_MS, Clock.SWEEP)); // relative to now, so that a stall leaves no backlog of timers
         quotas.sweep();
         loans.remind();
         servers.sweep();
@@ -78,14 +78,14 @@
     }
 
     /**
-     * How a customer stands, and when these units would fit if nothing more came in. Only looks: no units are
-     * taken, no row is made and no random number drawn, so asking changes no later decision.
+     * The state of a customer's quota, and when these units would fit if no further request arrived. Read only: it takes no units,
+     * creates no row and draws no random number, so it changes no later decision.
      */
     public Standing standing(double nowMs, long id, int planIndex, double units, int first, int gateways) {
         clock.now = Math.max(clock.now, nowMs);
         return standings.of(id, planIndex, units, first, gateways);
     }
 
-    /** How many servers of the list get no attempts now, by hand or since they fail in every class. */
+    /** Number of listed servers that get no attempts now, because they are banned or ejected in every class. */
     public int avoided(double nowMs) { return servers.hosts.avoided(nowMs); }
 }
