--- a/src/main/java/yardusher/Attempts.java
+++ b/src/main/java/yardusher/Attempts.java
@@ -4,22 +4,22 @@
 import java.util.function.*;
 import yardusher.Api.*;
 
-/** Attempts: which are made, what their ends tell, and what follows. */
+/** Admits requests, starts their attempts, learns from the outcomes, and retries or ends the requests. */
 final class Attempts {
-    private static final double RETRY_PART = 0.2;    // further attempts earned by each first one
-    private static final double RETRY_MOST = 10;     // and saved up at most
-    private static final double PAYS = 0.5;          // part of the reruns that is to come quickly
-    private static final int LOOKS = 8;              // else one in so many is sent again all the same
-    private static final double LEAST = 0.2;         // least limit of a server: one attempt, then a pause
+    private static final double RETRY_PART = 0.2;    // retry tokens earned by each admitted request
+    private static final double RETRY_MOST = 10;     // retry tokens saved up at most
+    private static final double PAYS = 0.5;          // fraction of reruns that must be answered quickly
+    private static final int LOOKS = 8;              // below that, one in this many hanging attempts is still rerun
+    private static final double LEAST = 0.2;         // lower bound of a server's limit: one attempt, then a pause
     private final Settings settings; private final Clock clock; private final SplittableRandom random;
     private final Consumer<Action> out; private final Quotas quotas; private final Standings standings;
     private final Ceilings ceilings; private final CeilingLoans loans;
     private final Servers servers; private final Pressure pressure;
-    private final BiConsumer<Customer, Boolean> told; // own row changed: by its counts, or by mere asking
-    final Map<Long, PendingRequest> requests = new HashMap<>();  // looked up by id only, never walked
+    private final BiConsumer<Customer, Boolean> told; // the own row changed: by its counts (true), or by demand alone
+    final Map<Long, PendingRequest> requests = new HashMap<>();  // by id; never iterated, so its order affects nothing
     private double retryTokens = RETRY_MOST;
-    private double hanging;                          // part of the attempts that hang by themselves, lately
-    private double rerunPays = 1;                    // part of those that come quickly when sent again
+    private double hanging;                          // recent fraction of attempts that hang alone while their server answers others
+    private double rerunPays = 1;                    // recent fraction of reruns of such attempts that were answered quickly
 
     Attempts(Settings settings, Clock clock, SplittableRandom random, Consumer<Action> out, Quotas quotas,
             Ceilings ceilings, CeilingLoans loans, Standings standings, Servers servers, Pressure pressure,
@@ -54,7 +54,7 @@
         loans.look(c);
     }
 
-    /** An attempt waits for its connection: its units stay in the share of the ceiling until one has been written. */
+    /** An attempt waits for a connection: its units stay reserved in the share of the ceiling until an attempt has been written. */
     void delayed(long id, int attempt) {
         PendingRequest pending = requests.get(id);
         boolean taken = pending == null || pending.share == null || pending.reserved || attempt != pending.spentAt;
@@ -71,14 +71,14 @@
         pending.share.settle(pending.request.units(), clock.now); pending.reserved = false;
     }
 
-    /** An attempt that never reached a server took no units: they are free again. */
+    /** Releases the reserved units of an attempt that never reached a server. */
     private void release(PendingRequest pending, Outcome outcome) {
         if (!pending.reserved) { return; }
         if (!outcome.neverRan() || outcome == Outcome.REJECTED) { settle(pending); return; }
         pending.share.release(pending.request.units(), clock.now); pending.reserved = false; pending.share = null;
     }
 
-    /** Takes the units again where the attempt before gave them back. */
+    /** Takes the units again if the previous attempt released them; false if the ceiling has too few left. */
     private boolean takesUnits(PendingRequest pending) {
         Customer c = pending.customer; double units = pending.request.units();
         if (pending.share != null || !Ceilings.hasCeiling(c.plan)) { return true; }
@@ -87,7 +87,7 @@
         return true;
     }
 
-    /** Honest advice with a refusal: when the quota has room again, or else the next look at the pressure. */
+    /** When to retry after a refusal: once the quota has room again, or else after the next evaluation of the pressure. */
     private double advice(Customer c, Request q) {
         double most = settings.limits().maxRetryAfterMs(); if (most <= 0) { return 0; }
         double wait = standings.of(q.customer(), q.plan(), q.units(), c.first, c.spread).retryAfterMs();
@@ -100,7 +100,7 @@
     private void send(PendingRequest pending, Host host) {
         double until = pending.request.dueMs();
         if (pending.of.lateValue() == 0 && !pending.of.streamed() && settings.limits().mayCancel()) {
-            until = Math.min(until, pending.aimAt()); // worth nothing later: free for others
+            until = Math.min(until, pending.aimAt()); // a later answer is worth nothing, so the server is freed for others
         }
         pending.sent(host, clock.now); servers.outstanding++;
         if (host.open++ == 0) { host.quietSince = clock.now; }
@@ -114,10 +114,10 @@
     }
 
     /**
-     * Half the aim has passed: on a server that showed no life since the send, start over elsewhere; also
-     * where only this attempt hangs while all else is quick, as some did lately. Danger: one of hundreds of
-     * gateways has nothing else out there, so silence tells less, and where all are late nothing. What takes
-     * long by itself does so elsewhere too, and goes on at the first: whether starting over pays is learned.
+     * Half of the aim has passed: cancels the attempt to start it over elsewhere if its server has answered nothing since the send,
+     * or if only this attempt hangs while others are quick and some hung alone recently. One gateway of hundreds may have no other
+     * attempt at that server, so silence proves less; when all servers are late it proves nothing. A request that is slow by itself
+     * is as slow elsewhere and should stay where it is, so the success rate of reruns is learned.
      */
     void check(long id) {
         PendingRequest pending = requests.get(id);
@@ -135,12 +135,12 @@
         out.accept(new Cancel(id, pending.attempts - 1));
     }
 
-    /** Danger: in overload all is late, and what is sent twice makes it worse. */
+    /** Whether a rerun is worthwhile; never in overload, where everything is late and a second attempt adds load. */
     private boolean rerunMayPay() {
         return pressure.shedPart < 0.05 && (rerunPays > PAYS || random.nextInt(LOOKS) == 0);
     }
 
-    /** Whether an attempt hangs by itself: its server has answered others since, and all are quick. */
+    /** Whether this attempt hangs alone: its server has answered others since, and answers of all servers are quick. */
     private boolean alone(PendingRequest pending) {
         return pending.last.quietSince > pending.sentAt && servers.times.fleetPart < Pressure.SLOW
                 && clock.now - pending.sentAt > 3 * servers.times.classMs[pending.request.classIndex()];
@@ -177,8 +177,8 @@
             case SERVER_ERROR -> { host.quietSince = clock.now; servers.failed(host, k, false); }
             case REJECTED -> host.fullUntil = clock.now + 2 * servers.times.typicalMs;
             case CONNECT_FAILED -> servers.failed(host, k, true);
-            // Danger: servers that cut single connections, all of them pending to be down. One that is down
-            // refuses the next connection too, at no risk; so a lost one is a failure like any other.
+            // Servers that cut single connections must not all be taken for down. One that is down refuses the next
+            // connection too, which costs nothing; so a lost connection counts as an ordinary failure.
             case CONNECTION_LOST -> servers.failed(host, k, false);
             case TIMED_OUT, CANCELLED -> {
                 if (!pending.gone) { servers.times.gaveUp((clock.now - pending.sentAt) / pending.of.aimMs()); }
@@ -192,9 +192,9 @@
     }
 
     /**
-     * Danger: servers that work off requests already given up, and so answer everything too late. What is
-     * given up counts on for about a deadline, and a server gets fewer at once while its answers take most of
-     * the aim. Catches overload, slow servers and full queues alike; harms if the aim is below the work.
+     * Adapts a server's concurrency limit to its latency. Guards against servers that work on abandoned requests and so answer
+     * everything too late: abandoned attempts count towards the load for about a deadline, and the limit falls while answers take
+     * much of the aim. Covers overload, slow servers and full queues; counterproductive if the aim is shorter than the work itself.
      */
     private void sample(Host host, double ratio, PendingRequest pending) {
         double usual = servers.times.classMs[pending.request.classIndex()];
@@ -232,7 +232,7 @@
     void gone(long id) {
         PendingRequest pending = requests.get(id);
         if (pending != null && !pending.gone) {
-            pending.gone = true;                        // its outcome still follows
+            pending.gone = true;                        // the outcome of its attempt still follows
             if (settings.limits().mayCancel()) { out.accept(new Cancel(id, pending.attempts - 1)); }
         }
     }
--- a/src/main/java/yardusher/Host.java
+++ b/src/main/java/yardusher/Host.java
@@ -4,28 +4,28 @@
 import yardusher.Api.Metric;
 import yardusher.Api.Settings;
 
-/** What is known of a server of the list, with its health by class. */
+/** State of one listed server: its load, its learned concurrency limit, and its health by request class. */
 final class Host {
-    private static final double FIRST = 20;          // first limit of a server, over all gateways
-    private static final double STEP = 0.1;          // by which one answer moves the part
+    private static final double FIRST = 20;          // initial limit of a server, over all gateways
+    private static final double STEP = 0.1;          // relative step by which one answer moves latencyFraction
     private static final double LEAST_PART = 0.01;
     private final Settings settings;
     private final Clock clock;
     final long id;
-    int zone, cell, open, most = Integer.MAX_VALUE;  // most: attempts out at once, by a told bound
+    int zone, cell, open, most = Integer.MAX_VALUE;  // maxOpen: bound on concurrent attempts, if one was set
     double size = 1, startedAt, blamedAt;
-    boolean ready, gone, down;                       // down: failed to connect or lost connections
-    boolean banned;                                  // by hand
+    boolean ready, gone, down;                       // down: the last connection attempt failed
+    boolean banned;                                  // by an operator
     final int[] failures;
-    final double[] failing;                          // part of its answers that fail, lately
+    final double[] failing;                          // recent fraction of its answers that failed
     final double[] outUntil, blame;
-    double ghosts;                                   // given up here, maybe still worked on there
-    double limit, cutAt;                             // most to keep there at once; learned
-    double part;                                     // of the aim that its answers take
-    double ratio = 1, sampledAt;                     // its latency against all servers', by class
-    double credit;                                   // attempts due to a cold one
-    private double creditAt, creditFor = Double.NEGATIVE_INFINITY; // counted up to then, since that start
-    double quietSince;                               // last sign of life while attempts are out
+    double ghosts;                                   // attempts abandoned here that the server may still work on
+    double limit, cutAt;                             // learned concurrency limit, and when it was last cut
+    double part;                                     // latency of its answers as a fraction of the aim
+    double ratio = 1, sampledAt;                     // its latency relative to all servers, by class
+    double credit;                                   // attempts that a cold server may be sent now
+    private double creditAt, creditFor = Double.NEGATIVE_INFINITY; // when they were last updated, and for which start
+    double quietSince;                               // last answer while attempts are open
     double fullUntil, coldSince = Double.NEGATIVE_INFINITY;
     double queue, busy = 0.5, reportedAt = Double.NEGATIVE_INFINITY;
 
@@ -36,21 +36,21 @@
         int classes = settings.classes().size();
         failures = new int[classes]; failing = new double[classes];
         outUntil = new double[classes]; blame = new double[classes];
-        Arrays.fill(failing, 0.5);               // not known yet
+        Arrays.fill(failing, 0.5);               // unknown
     }
 
-    /** Danger: a ban outlived by what was learned before it, and a cold server taken for a warm one. */
+    /** Lifts a ban: forgets what was learned before it, and counts the server as cold rather than warm. */
     void readmit(double bannedAt) {
         banned = down = false; ghosts = fullUntil = part = 0; ratio = 1;
         limit = 1 + FIRST / settings.gateways(); quietSince = clock.now;
-        coldSince = startedAt > bannedAt ? startedAt : clock.now; // the list says when, or not yet
+        coldSince = startedAt > bannedAt ? startedAt : clock.now; // its start, if it restarted during the ban
         Arrays.fill(failures, 0); Arrays.fill(failing, 0.5);
         Arrays.fill(outUntil, 0); Arrays.fill(blame, 0);
     }
 
     /**
-     * Notes what part of its aim an answer took. Goes towards the middle of them: a mean is moved by a few heavy
-     * requests, which tell of themselves and of no server.
+     * Records the latency of an answer as a fraction of the aim. Tracks the median: a mean is moved by a few heavy
+     * requests, whose latency says nothing about the server.
      */
     void took(double seen) {
         double next = seen > part ? Math.min(seen, part * (1 + STEP)) : Math.max(seen, part / (1 + STEP));
@@ -64,7 +64,7 @@
 
     Host bound(int attempts) { most = attempts; return this; }
 
-    /** Notes a load report that came with an answer; null for none. */
+    /** Records the load report that came with an answer; null for none. */
     void reports(double[] load) {
         for (int i = 0; load != null && i < Math.min(load.length, settings.report().size()); i++) {
             if (settings.report().get(i) == Metric.QUEUE) { queue = load[i]; }
@@ -73,10 +73,10 @@
         }
     }
 
-    /** What part of its work a server can do by now, at the least: 1 for a warm one. */
+    /** The fraction of its full capacity that the server has at least reached: 1 for a warm one. */
     double warmth() { return warmth(0); }
 
-    /** The same so many ms ago. */
+    /** The warmth so many milliseconds ago. */
     double warmth(double ago) {
         Api.Rules rules = settings.rules();
         double age = (clock.now - ago - coldSince) / Math.max(1, rules.warmAfterMs());
@@ -84,8 +84,8 @@
     }
 
     /**
-     * The time since this was asked last, in ms. At the first time since a start 0, and {@link #credit} begins between 0 and 1, at another
-     * place at each gateway: those of all together do not come at once.
+     * Milliseconds since the previous call. The first call after a start of the server returns 0 and sets {@link #coldTokens} to a value
+     * between 0 and 1 that differs by gateway, so that the first tokens of all gateways do not come at the same time.
      */
     double creditSince() {
         if (creditFor != coldSince) {
--- a/src/main/java/yardusher/Hosts.java
+++ b/src/main/java/yardusher/Hosts.java
@@ -3,20 +3,20 @@
 import java.util.*;
 import yardusher.Api.*;
 
-/** The servers of the list, and which of them are put out by hand. Holds and finds them; others judge them. */
+/** The listed servers and the operator's bans. Health and choice are in {@link Servers}. */
 final class Hosts {
     private final Settings settings;
     private final Clock clock;
     final Map<Long, Host> byId = new LinkedHashMap<>();
     List<Host> ready = new ArrayList<>();
-    private final Map<Long, Double> bans = new HashMap<>(); // by hand, and since when; outlive the list
+    private final Map<Long, Double> bans = new HashMap<>(); // banned ids and since when; kept when a server leaves the list
 
     Hosts(Settings settings, Clock clock) {
         this.settings = settings;
         this.clock = clock;
     }
 
-    /** Takes in a list. Returns those of it that are ready and started since they were told last, or are new. */
+    /** Applies a list. Returns its ready servers that are new or have started again since the previous list. */
     List<Host> list(ServerList list) {
         List<Host> started = new ArrayList<>();
         if (list.kind() == ListKind.FULL || list.kind() == ListKind.CACHED) {
@@ -43,12 +43,12 @@
         if (out) { host.banned = true; } else if (since != null) { host.readmit(since); }
     }
 
-    /** How many of the list get no attempts now, by hand or since they fail in every class. */
+    /** Number of listed servers that get no attempts now, because they are banned or ejected in every class. */
     int avoided(double nowMs) {
         return (int) byId.values().stream().filter(host -> !host.gone && (host.banned
                 || Arrays.stream(host.outUntil).allMatch(until -> nowMs < until))).count();
     }
 
-    /** Forgets those that are gone and have nothing out; new ones have new numbers. */
+    /** Removes servers that have left the list and have no open attempts; new servers have new ids. */
     void forget() { byId.values().removeIf(host -> host.gone && host.open == 0); }
 }
--- a/src/main/java/yardusher/Pressure.java
+++ b/src/main/java/yardusher/Pressure.java
@@ -5,17 +5,17 @@
 import yardusher.Api.*;
 
 /**
- * Pressure.
- * When answers use up their aim everywhere, the least worth for its work is refused at once.
+ * Load shedding.
+ * When the servers are near their limits or answers take much of their aim, requests of the least worth for their work are refused.
  */
 final class Pressure {
-    static final double BUSY = 0.7;          // part of all servers' limits at which shedding starts
-    static final double SLOW = 0.25;         // part of their aims that answers take then: few are late
+    static final double BUSY = 0.7;          // fraction of all servers' limits at which shedding starts
+    static final double SLOW = 0.25;         // the same for the latency of answers, as a fraction of the aim: few are late then
     private final Settings settings; private final Servers servers;
-    private final double[] weight;                   // asked work of each class and plan, fading
-    private final double[] refused;                  // part of it to refuse, from one sweep to the next
-    double shedPart;                                 // part of all the work to refuse
-    private double shedDue;                          // refusals owed: under 1
+    private final double[] weight;                   // requested work by class and plan, decaying
+    private final double[] refused;                  // fraction of it to refuse until the next sweep
+    double shedPart;                                 // fraction of all work to refuse
+    private double shedDue;                          // refusals that are due, below 1
 
     Pressure(Settings settings, Servers servers) {
         this.settings = settings; this.servers = servers;
@@ -44,9 +44,9 @@
             load += host.load(); room += host.limit * host.warmth();
         }
         double busy = room > 0 ? (load / room - BUSY) / (1 - BUSY) : 0;
-        // A gateway of hundreds never fills its part of the limits: it goes by the answers of all servers.
+        // One gateway of hundreds never fills its share of the limits, so the latency of all answers counts, too.
         shedPart = Math.max(0, Math.min(0.9, Math.max(busy, 2 * (servers.times.fleetPart - SLOW))));
-        // Danger: a worth moves with each answer; compared with one of the sweep, it sheds all or nothing.
+        // A worth changes with each answer; compared with a threshold from the sweep, it would shed all or nothing.
         double[] worths = IntStream.range(0, weight.length).mapToDouble(this::worth).toArray();
         double left = shedPart * Arrays.stream(weight).sum();
         for (double least : Arrays.stream(worths).sorted().distinct().toArray()) {
--- a/src/main/java/yardusher/Servers.java
+++ b/src/main/java/yardusher/Servers.java
@@ -5,26 +5,26 @@
 import yardusher.Api.*;
 
 /**
- * Servers: the list, their health, and choice.
- * State: servers with the health of each by class. A failure is told to a few gateways that the server's
- * number draws, who see those of all: three soon after another are passed on to everybody.
+ * Keeps the health of the listed servers by class and chooses a server for an attempt. Each failure is reported to a few gateways
+ * that a hash of the server's id selects and that so see the reports of all gateways: when their decayed count exceeds
+ * {@link #EJECT_AFTER_FAILURES} + 1, the server is ejected and that is passed on to all gateways.
  */
 final class Servers {
-    private static final double EJECT_MS = 500;      // first ejection; doubles up to EJECT_MOST_MS
+    private static final double EJECT_MS = 500;      // first ejection; doubles up to MAX_EJECT_MS
     private static final double EJECT_MOST_MS = 8000;
-    private static final int BLAMED = 3;             // failures in a row, or of all gateways in BLAME_MS
-    private static final double COMMON = 0.75;       // part of the servers that fail by no fault of their own
+    private static final int BLAMED = 3;             // failures in a row here, or reported by all gateways within REPORT_DECAY_MS
+    private static final double COMMON = 0.75;       // above this fraction of ejected servers, the cause is not the servers
     static final double BLAME_MS = 2000;
-    static final double FAILING = 0.2;               // weight of one answer in how a server fares
-    static final double LATE = 0.35;                 // part of the aim that answers take when they are late
+    static final double FAILING = 0.2;               // weight of one answer in a failure rate
+    static final double LATE = 0.35;                 // fraction of the aim from which the answers of the fleet are late
     private final Settings settings; private final Clock clock; private final SplittableRandom random;
     private final Consumer<Action> out; private final FaultReporter faultReporter;
-    private final double ghostMs;                    // how long work given up counts as still there
+    private final double ghostMs;                    // how long abandoned work counts as still running
 
     final Hosts hosts; final ColdAllowance cold; final AnswerTimes times;
-    private final int[] outCount;                    // servers out, by class
+    private final int[] outCount;                    // ejected servers, by class
     int outstanding;
-    private double askAt = Double.POSITIVE_INFINITY; // when to ask for the list again
+    private double askAt = Double.POSITIVE_INFINITY; // when to subscribe to the list again
 
     Servers(Settings settings, Clock clock, SplittableRandom random, Consumer<Action> out, FaultReporter faultReporter) {
         this.settings = settings; this.clock = clock; this.random = random; this.out = out;
@@ -38,8 +38,8 @@
         if (list.kind() == ListKind.FAILED && settings.askMembership()) { askAt = clock.now + 1000; }
         for (Host host : hosts.list(list)) {
             host.coldSince = Math.max(host.coldSince, host.startedAt);
-            if (host.down) { Arrays.fill(host.outUntil, clock.now); } // a new process since
-            cold.due(host);                          // its tokens count from now, not from when one is wanted
+            if (host.down) { Arrays.fill(host.outUntil, clock.now); } // a new process has started since
+            cold.due(host);                          // its tokens accumulate from now on, not from the first use
         }
     }
 
@@ -48,25 +48,25 @@
         if (clock.now - host.reportedAt < 1000) {
             load += host.queue / settings.gateways(); load *= 0.5 + host.busy;
         }
-        double cost = load * host.ratio / host.size;   // a cold one is held back by its draws alone
+        double cost = load * host.ratio / host.size;   // a cold one is limited by its chance to be drawn alone
         if (host.zone != settings.zone() && settings.crossZonePrice() > 0) { cost *= 1.2; }
         double quiet = host.open > 0 ? clock.now - host.quietSince : 0;
-        if (quiet > 3 * times.typicalMs) { cost *= 1 + quiet / times.typicalMs; } // works, answers nothing
+        if (quiet > 3 * times.typicalMs) { cost *= 1 + quiet / times.typicalMs; } // has work but answers nothing
         return clock.now < host.fullUntil ? 4 * cost : cost;
     }
 
     /**
-     * The cheapest of some servers drawn at random, or null: as many as own attempts tell apart. Danger: a
-     * cold server pushed over by hundreds of gateways, or by a few whose warm ones all have much to do. Each
-     * lets it into a draw by its allowance and its warmth, to hold that part of what others hold here; where
-     * nothing else is drawn, without its warmth, and where none is warm by its allowance alone.
+     * The cheapest of several servers drawn at random, or null. The sample grows with the open attempts of this gateway, which are what
+     * tells servers apart. Guards against a cold server overloaded by hundreds of gateways, or by a few whose warm servers are all busy:
+     * it enters a draw by its allowance and with a probability by its warmth, so that it holds that fraction of the attempts of a warm
+     * one. If nothing else is drawn, the allowance alone decides; if no server is warm, its load is ignored as well.
      */
     Host choose(PendingRequest pending) {
         List<Host> ready = hosts.ready;
         Host best = null, spare = null;
         double bestCost = 0;
         int k = pending.request.classIndex();
-        boolean common = outCount[k] > COMMON * ready.size(); // most of them fail: no server's own fault
+        boolean common = outCount[k] > COMMON * ready.size(); // most servers fail, so no single one is at fault
         int drawn = 0;
         for (int i = 0; i < ready.size() && drawn < 3 + outstanding; i++) {
             int at = i + random.nextInt(ready.size() - i);
@@ -89,14 +89,14 @@
         return best == null ? spare : best;
     }
 
-    /** Whether one that holds a request would leave it another, if it may have run there. */
+    /** Whether the request could go to another server if its present attempt were abandoned and may have run. */
     boolean elsewhere(PendingRequest pending) {
         boolean lone = hosts.ready.size() == 1;
         return hosts.ready.stream().anyMatch(host -> (host != pending.last || lone) && !host.banned
                 && !host.full() && !pending.boundElsewhere(host) && mayRunOn(pending, host, true));
     }
 
-    /** Whether a request may be sent to this server where it has run elsewhere, or may have. */
+    /** Whether a request may be sent to this server; {@code ran} is whether an earlier attempt may have run elsewhere. */
     private boolean mayRunOn(PendingRequest pending, Host host, boolean ran) {
         RequestClass of = pending.of;
         if (!ran || of.effect() == Effect.IDEMPOTENT) { return true; }
@@ -114,14 +114,14 @@
             double most = Math.min(EJECT_MOST_MS, EJECT_MS * (1 << Math.min(4, host.failures[i] - 1)));
             host.outUntil[i] = Math.max(host.outUntil[i], clock.now + most);
         }
-        // Danger: in overload all time out, and giving some up overloads the rest; others must be quick.
+        // In overload everything times out, and ejecting some servers overloads the rest: report only while others are quick.
         if (!down && times.fleetPart < LATE && faulty(host, k)) { accuse(host, k); }
     }
 
-    // Danger: where all servers lose a part of their answers, counts alone put all of them out.
+    // By counts alone, all servers would be ejected when all of them lose a fraction of their answers.
     private boolean faulty(Host host, int k) { return host.failing[k] > 0.4; }
 
-    /** Danger: one gateway of hundreds sees too few answers to tell that a server fails one class or all. */
+    /** Reports a failure to a few gateways: one of hundreds sees too few answers to detect a failing server by itself. */
     private void accuse(Host host, int k) {
         int gateways = settings.gateways();
         for (int i = 0; i < Math.min(Customer.NEIGHBOURS, gateways); i++) {
@@ -132,7 +132,7 @@
         }
     }
 
-    /** Another gateway held a failure, or all failures told, against a server. */
+    /** Another gateway reported a failure of a server, or its ejection. */
     void heard(Fault fault) {
         Host host = hosts.byId.get(fault.host());
         int k = fault.classIndex();
@@ -147,7 +147,7 @@
         if (++host.blame[k] > BLAMED + 1 && settings.gateways() > Customer.NEIGHBOURS) { verdict(host, k); }
     }
 
-    /** A server is out for a class; who did not know passes it on once, to some that it speaks to next. */
+    /** Ejects a server for a class; a gateway that did not know yet passes this on once, with its next messages. */
     private void verdict(Host host, int k) {
         if (host.outUntil[k] > clock.now + EJECT_MOST_MS / 4 || host.failing[k] < 0.2) { return; }
         host.outUntil[k] = clock.now + EJECT_MOST_MS / 2;
@@ -156,7 +156,7 @@
 
     void answered(Host host, int k) {
         cold.warm.answered(host);
-        if (host.down) { host.coldSince = clock.now; Arrays.fill(host.failures, 0); } // back, none told yet
+        if (host.down) { host.coldSince = clock.now; Arrays.fill(host.failures, 0); } // back, and its restart has not been announced
         host.down = false; host.failures[k] = 0; host.failing[k] *= 1 - FAILING;
         host.outUntil[k] = 0;
     }
