--- a/src/main/java/yardusher/Customer.java
+++ b/src/main/java/yardusher/Customer.java
@@ -4,31 +4,31 @@
 import yardusher.Api.*;
 
 /**
- * A customer's counts: ten-slot rows and the store that they stand for, and which gateways it is met at.
- * State: its own row, one for each life of a gateway that told its counts, and one for each that passed on
+ * A customer's counts: rows of ten slots, the token bucket that they represent, and the set of gateways that serve the customer.
+ * Holds the row of this gateway, one row for each incarnation of a peer that sent its counts, and one for each peer that relayed
  * the sums of all others.
  */
 final class Customer {
-    static final int NEIGHBOURS = 3;                 // told of each change; the source recommends two or more
-    static final int DIRECT = 12;                    // a set of no more others is told of each change at once
-    private static final double NEWS_PART = 0.1;     // of a quota's worth, that passing on its sums may cost
-    private static final double SUM_BYTES = 16;      // a customer's sums in a message, about
+    static final int NEIGHBOURS = 3;                 // peers told of each change; the Tarantool quotas README recommends two or more
+    static final int DIRECT = 12;                    // with at most this many other gateways, each change is sent to all at once
+    private static final double NEWS_PART = 0.1;     // fraction of a quota's worth that relaying its sums may cost
+    private static final double SUM_BYTES = 16;      // approximate size of a customer's sums in a message
     private final Settings settings; private final Clock clock; private final Peers peers;
     final long id;
     final int planIndex;
     final double slotMs, windowMs, bornAt;
     final Row mine; final Plan plan;
-    final List<Row> rows = new ArrayList<>();    // told by their sources
-    final List<Row> sums = new ArrayList<>();    // of all others, told by who passes them on
+    final List<Row> rows = new ArrayList<>();    // counts as sent by the gateways that made them
+    final List<Row> sums = new ArrayList<>();    // of all other gateways, as sent by the peers that relay them
     long head;
-    int first = -1, spread = 1, turn, rank = -1; // rank: which of the meeting peers this gateway is
+    int first = -1, spread = 1, turn, rank = -1; // relayRank: index of this gateway among the relays, or -1
     double usedAt, passAt, newsAt = Double.NEGATIVE_INFINITY, newsEvery;
     double toldAt = Double.NEGATIVE_INFINITY, tellAt = Double.POSITIVE_INFINITY;
-    boolean fresh, news;                         // own changes, others' changes not yet told
-    double base;                                 // the store's level before the ten slots
-    double askedPerS, askedAt = Double.NEGATIVE_INFINITY; // of all its gateways, as another part tells
+    boolean fresh, news;                         // changes of the own row, and of peers' rows, that are not sent yet
+    double base;                                 // bucket level before the ten slots
+    double askedPerS, askedAt = Double.NEGATIVE_INFINITY; // total at all its gateways, from Api.ExternalDemand
     CeilingShare ceilingShare;                   // null until it is needed
-    int ceilingFirst, ceilingSpread;             // the set that it is a share of
+    int ceilingFirst, ceilingSpread;             // the gateway set that the share belongs to
     final CeilingLoans.Lenders lenders;          // null where the plan has no ceiling
 
     Customer(long id, int planIndex, Settings settings, Clock clock, Peers peers) {
@@ -37,9 +37,9 @@
         bornAt = usedAt = clock.now;
         plan = settings.plans().get(planIndex);
         lenders = Ceilings.hasCeiling(plan) ? new CeilingLoans.Lenders() : null;
-        windowMs = plan.ratePerS() > 0 ? plan.burst() / plan.ratePerS() * 1000 : 1000; // as the source
+        windowMs = plan.ratePerS() > 0 ? plan.burst() / plan.ratePerS() * 1000 : 1000; // as in the Tarantool quotas README
         slotMs = windowMs / Row.SLOTS; head = (long) Math.floor(clock.now / slotMs);
-        // What was used before a start is not known: as if the store had been empty a window ago.
+        // Use before the start is unknown: assumes that the bucket was empty a window ago.
         base = clock.now - clock.startedAt < windowMs ? plan.burst() / Row.SLOTS : plan.burst();
     }
 
@@ -51,7 +51,7 @@
         }
     }
 
-    /** Whether all are told of each change, twice: at a small part of a window, and of the worth. */
+    /** Whether each change is sent to all gateways, twice: few of them, or a small cost against the quota's worth and the window. */
     boolean direct() {
         double paid = NEWS_PART / (2 * SUM_BYTES / RowText.MOST_BYTES * settings.peerPrice());
         return spread - 1 <= Math.max(DIRECT, Math.min(paid, peers.intake * windowMs / 3));
@@ -59,7 +59,7 @@
 
     int member(int k) { return Math.floorMod(first + k, settings.gateways()); }
 
-    /** Peers drawn by the customer's number, so that all its gateways draw the same. */
+    /** The k-th relay: a peer selected by a hash of the customer's id, so that all its gateways select the same. */
     int meeting(int k) { return member((Peers.drawn(id, spread) + k * (spread / NEIGHBOURS)) % spread); }
 
     boolean has(int g) { return first >= 0 && Math.floorMod(g - first, settings.gateways()) < spread; }
@@ -70,7 +70,7 @@
         return of.get(of.size() - 1);
     }
 
-    /** EventLoop all rows up to the present slot; what is older than ten slots drops, also after a stall. */
+    /** Advances all rows to the current slot. Slots older than ten are dropped, also after a stall. */
     void turn() {
         long slot = (long) Math.floor(clock.now / slotMs);
         if (slot == head) { return; }
@@ -85,19 +85,19 @@
         }
         base = refilled(base, 0, slot - head - steps); head = slot;
         rows.removeIf(row -> row.sum() == 0 && (row.open == 0 || clock.now - row.openAt > windowMs)
-                && clock.now - row.askedAt > windowMs); // empty rows are dropped
+                && clock.now - row.askedAt > windowMs); // drops empty rows
         sums.removeIf(row -> clock.now - row.askedAt > windowMs);
     }
 
-    /** The store after so many slots, in the first of which units were taken, of what this gives too. */
+    /** The bucket level after so many slots, in the first of which units were taken, some of them perhaps from its own refill. */
     double refilled(double level, double units, double slots) {
-        // What went beyond a quota took nothing of it; made good where a ceiling or late sums need it.
+        // Units beyond the quota took nothing of it, so the level stops at 0; under a ceiling or with relayed sums they become a debt.
         double debt = direct() && plan.ceilingRate() <= 0 ? 0 : plan.burst();
         double left = level - units + plan.ratePerS() * slotMs / 1000 * slots;
         return Math.min(plan.burst(), Math.max(-debt, left));
     }
 
-    /** What the store holds now: its level before the ten slots, and what these took and gave since. */
+    /** Current bucket level: the level before the ten slots, less the units taken and plus the refill since. */
     double room(double[] others) {
         double room = base;
         for (int age = Row.SLOTS - 1; age >= 0; age--) {
@@ -109,10 +109,10 @@
 
     int index(int age) { return (int) Math.floorMod(head - age, (long) Row.SLOTS); }
 
-    /** Units of the others by age: as their rows tell, or as the fullest sums passed on do. */
+    /** Units used at other gateways, by age: from their rows, or from the largest relayed sums if those are higher. */
     double[] others(int but) {
         turn();
-        double[] units = new double[Row.SLOTS + 2];  // then their sum, and what they were asked
+        double[] units = new double[Row.SLOTS + 2];  // then their sum, and the units requested there
         int itsLife = peers.lives.getOrDefault(but, -1);
         for (Row row : rows) { if (row.gateway != but || row.life != itsLife) { add(units, row); } }
         for (Row row : sums) {
@@ -141,14 +141,14 @@
 
     void count(double units) { turn(); mine.slots[index(0)] += units; }
 
-    /** Attempts out at all gateways; what a silent peer told counts no longer than a window. */
+    /** Open attempts at all gateways; the count of a silent peer expires after a window. */
     int open() {
         int open = mine.open;
         for (Row row : rows) { open += clock.now - row.openAt < windowMs ? row.open : 0; }
         return open;
     }
 
-    /** Sums are passed on no oftener than part of the quota's worth pays for. */
+    /** Interval for relaying sums, at which the messages cost no more than a fraction of the quota's worth. */
     double passEvery() {
         if (direct()) { return slotMs; }
         double each = spread * SUM_BYTES / RowText.MOST_BYTES * settings.peerPrice();
--- a/src/main/java/yardusher/Row.java
+++ b/src/main/java/yardusher/Row.java
@@ -1,16 +1,16 @@
 package yardusher;
 
-/** Counts by slot; absolute slot i stands at i mod 10. */
+/** A customer's counts by slot, as one gateway knows them; absolute slot i is at index i mod 10. */
 final class Row {
-    static final int SLOTS = 10;                     // the source's ten tenths of a window
+    static final int SLOTS = 10;                     // tenths of a window, as in the Tarantool quotas README
     final int gateway, life;
     final double[] slots = new double[SLOTS];
     int seq = -1, open;
-    double openAt, asked, askedAt;                   // units asked, let in or not; fade over a window
+    double openAt, asked, askedAt;                   // units requested, admitted or not; they decay over a window
 
     Row(int gateway, int life) { this.gateway = gateway; this.life = life; }
 
-    /** Notes what was told of a customer, at that time. */
+    /** Replaces the counts by those of a message. */
     void take(RowText told, Customer c, double now) {
         for (int age = 0; age < SLOTS; age++) { slots[c.index(age)] = told.counts()[age]; }
         open = told.open(); asked = told.asked();
--- a/src/main/java/yardusher/Standings.java
+++ b/src/main/java/yardusher/Standings.java
@@ -2,16 +2,16 @@
 
 import yardusher.Api.Standing;
 
-/** Answers how customers stand; decides nothing and changes nothing. */
+/** Reads the state of customers' quotas; decides and changes nothing. */
 record Standings(Quotas quotas, Ceilings ceilings) {
-    /** How a customer stands; see {@link Policy#standing}. */
+    /** The state of a customer's quota; see {@link Policy#quotaStatus}. */
     Standing of(long id, int planIndex, double units, int first, int gateways) {
         Customer c = quotas.customers.get(id);
         boolean unseen = c == null || c.planIndex != planIndex;
         if (unseen) { c = quotas.fresh(id, planIndex); c.reachedBy(first, gateways); }
         double[] others = c.others(-1);
         double room = Double.POSITIVE_INFINITY, wait = 0, reset = 0;
-        if (c.plan.ratePerS() > 0) { // of what is not heard of yet, half is the likeliest
+        if (c.plan.ratePerS() > 0) { // the expected value of the unknown use is half of it
             room = quotas.roomFor(c, others, 0.5, 0);
             wait = Math.max(0, units - room) / c.plan.ratePerS() * 1000;
             reset = (c.plan.burst() - c.room(others)) / c.plan.ratePerS() * 1000;
--- a/src/main/java/yardusher/Sums.java
+++ b/src/main/java/yardusher/Sums.java
@@ -1,4 +1,4 @@
 package yardusher;
 
-/** The sums of all that is known of a customer, to be told. */
+/** An outbox item: the sums of all known rows of a customer. */
 record Sums(Customer of) { }
