--- a/src/main/java/yardusher/CeilingLoans.java
+++ b/src/main/java/yardusher/CeilingLoans.java
@@ -11,35 +11,35 @@
 import yardusher.Api.Settings;
 
 /**
- * Moves idle shares of ceilings to the ingresses that need them, by requests for loans and grants. An ingress that runs short asks a few
- * others of the customer's set; each lends what it does not need itself. A message that is lost costs a loan, never the ceiling.
+ * Moves idle portions of ceilings to the ingresses that need them, by loan requests and grants. An ingress that runs short asks a few
+ * others of the customer's set; each lends what it does not need itself. A lost message costs a loan but never breaks the ceiling.
  */
 final class CeilingLoans {
-    /** By how much more than the demand of late an ingress holds ready, for itself and before it lends. */
+    /** Factor on the recent demand that an ingress keeps available: for itself, and as a lender. */
     private static final double HEADROOM = 1.25;
     private static final double KEPT_HEADROOM = 1.25;
-    /** The demand that the tokens of an ingress should last for before it asks, and those that a lender keeps. */
+    /** Time for which tokens must cover the demand: below the first an ingress asks for a loan, the second is what a lender keeps. */
     private static final double COMFORT_MS = 1000;
     private static final double KEPT_MS = 500;
     private static final double ASK_EVERY_MS = 100;
-    /** A lender that gave nothing is left alone so long. */
+    /** Backoff before a lender that granted nothing is asked again. */
     private static final double MUTED_MS = 1000;
-    /** A lease that ends sooner than this is to be renewed. */
+    /** A lease that expires sooner than this is renewed. */
     private static final double RENEW_MS = CeilingShare.LEASE_MS / 2;
     private static final int LENDERS = 2;
-    /** How far the numbers of lender and borrower are apart at the most, counted round. */
+    /** Largest distance between the indexes of lender and borrower, modulo the number of ingresses. */
     private static final int REACH = 2;
     private static final double RECALL_EVERY_MS = 100;
-    /** The least portion that is worth a message, in parts of an own one. */
+    /** Smallest portion that is worth a message, as a fraction of the own portion. */
     private static final double LEAST_PART = 0.05;
-    /** The part of the messages that ingresses take in which may be requests for loans. */
+    /** Fraction of the message intake of the ingresses that loan requests may use. */
     private static final double INTAKE_PART = 0.1;
     private static final double MOST_SAVED_REQUESTS = 4;
 
-    /** A request for a loan that is out. */
+    /** A loan request that is not answered yet. */
     private record Asked(long nonce, double atMs) { }
 
-    /** What a customer's ingress knows of its lenders. */
+    /** Loan state of one customer: open requests of this ingress, and the last nonce from each borrower. */
     static final class Lenders {
         private final Map<Integer, Asked> asked = new HashMap<>();
         private final Map<Integer, Long> lastNonces = new HashMap<>();
@@ -70,7 +70,7 @@
         requestsLeftAt = clock.now;
     }
 
-    /** A new life, or one that earns from now on: nobody is to hold anything of the one before. */
+    /** After a start or when this process becomes the owner: asks all neighbours to return the loans of the previous incarnation. */
     void recall() {
         unconfirmed.clear();
         boolean mayLend = settings.limits().peers() && settings.peerIntakePerS() > 0 && settings.plans().stream().anyMatch(Ceilings::hasCeiling);
@@ -81,7 +81,7 @@
         remind();
     }
 
-    /** Asks again those that have not confirmed. */
+    /** Repeats the recall to the peers that have not confirmed it. */
     void remind() {
         if (!ceilings.mayHaveLentBefore()) { unconfirmed.clear(); }
         if (unconfirmed.isEmpty() || clock.now - recalledAt < RECALL_EVERY_MS) { return; }
@@ -89,13 +89,13 @@
         for (int peer : unconfirmed) { gossip.send(peer, new RecallText(false, recallNonce)); }
     }
 
-    /** Loans go between ingresses of near numbers alone, so that a new life has few borrowers to ask. */
+    /** Loans are restricted to ingresses with close indexes, so that a restarted one has few borrowers to recall from. */
     private boolean isNeighbour(int peer) {
         int ahead = Math.floorMod(peer - settings.self(), settings.gateways());
         return ahead > 0 && Math.min(ahead, settings.gateways() - ahead) <= REACH;
     }
 
-    /** A request of the customer was decided on: asks for loans where its share runs short. */
+    /** Called after each request of a customer: asks for loans if its share runs short. */
     void look(Customer c) {
         if (Ceilings.hasCeiling(c.plan)) { remind(); }
         if (!Ceilings.hasCeiling(c.plan) || !mayMove(c) || clock.now - c.lenders.askedAt < ASK_EVERY_MS) { return; }
@@ -114,7 +114,7 @@
 
     private boolean mayMove(Customer c) { return peers.owns && !peers.twin && c.first >= 0 && ceilings.canLend(c) && c.has(settings.self()); }
 
-    /** Units asked for here, let in or not, for each millisecond. */
+    /** Units requested here per millisecond, admitted or not. */
     private double demand(Customer c) { return c.asked(c.mine) / c.windowMs; }
 
     private static double ratePerMs(Customer c) { return c.plan.ceilingRate() / 1000; }
@@ -140,7 +140,7 @@
         return true;
     }
 
-    /** Those of the set that are likely to have most to spare, by what they told of their demand; others in random order. */
+    /** The peers that probably have most to spare, by their reported demand and a random factor; lenders to renew come first. */
     private List<Integer> choose(Customer c, CeilingShare share) {
         Map<Integer, Double> askedByPeer = new HashMap<>();
         for (Row row : c.rows) { askedByPeer.merge(row.gateway, c.asked(row), Double::sum); }
@@ -160,7 +160,7 @@
         return lenders.subList(0, Math.min(LENDERS, lenders.size()));
     }
 
-    /** Whether a request for a loan to this peer is out, or brought nothing. */
+    /** Whether a loan request to this peer is open or was left unanswered recently. */
     private boolean isWaitedFor(Customer c, int peer) {
         Asked asked = c.lenders.asked.get(peer);
         return asked != null && clock.now - asked.atMs() < MUTED_MS;
@@ -170,7 +170,7 @@
         gossip.send(peer, new LoanText(kind, c.planIndex, c.id, c.first, c.spread, nonce, portion, tokens));
     }
 
-    /** Takes in what a peer says of loans. */
+    /** Handles a loan or recall message of a peer. */
     void receive(int from, CeilingMessage message) {
         if (!isNeighbour(from)) { return; }
         if (message instanceof LoanText loan) { receiveLoan(from, loan); }
@@ -178,7 +178,7 @@
         if (message instanceof RecallText recall && recall.confirms()) { confirmed(from, recall.nonce()); }
     }
 
-    /** What a former life of the peer has lent, or may still grant, is not used any more. */
+    /** Returns what a previous incarnation of the peer has lent, and ignores grants that it may still send. */
     private void giveUp(int lender, long nonce) {
         boolean free = true;
         for (Customer c : quotas.customers.values()) {
@@ -194,7 +194,7 @@
         if (last && ceilings.mayHaveLentBefore()) { quotas.endFormerLoans(); }
     }
 
-    /** What is of another set changes nothing. */
+    /** Ignores messages for another gateway set. */
     private void receiveLoan(int from, LoanText text) {
         Customer c = quotas.customer(text.customer(), text.plan());
         if (c.first < 0) { c.reachedBy(text.first(), text.spread()); }
@@ -203,7 +203,7 @@
         switch (text.kind()) {
             case REQUEST -> grant(c, from, text);
             case GRANT -> granted(c, from, text);
-            default -> throw new IllegalStateException("no such message " + text.kind());
+            default -> throw new IllegalStateException("unknown loan message kind " + text.kind());
         }
     }
 
--- a/src/main/java/yardusher/CeilingMessage.java
+++ b/src/main/java/yardusher/CeilingMessage.java
@@ -2,7 +2,7 @@
 
 import yardusher.Api.Settings;
 
-/** What ingresses say to each other of the shares of ceilings that they lend. */
+/** A message between ingresses about loans of shares of ceilings. */
 sealed interface CeilingMessage permits LoanText, RecallText {
     int REQUEST = 0;
     int GRANT = 1;
@@ -13,7 +13,7 @@
 
     void put(StringBuilder body, Settings settings);
 
-    /** The next one of a message, or null where it is cut short or names nothing of this site. */
+    /** Reads the next one, or null if it is truncated or refers to something unknown at this site. */
     static CeilingMessage read(Digits text, Settings settings) {
         int kind = (int) text.get(1);
         return switch (kind) {
--- a/src/main/java/yardusher/CeilingShare.java
+++ b/src/main/java/yardusher/CeilingShare.java
@@ -6,20 +6,20 @@
 
 /**
  * The share of one customer's ceiling that this ingress holds: a token bucket whose rate and capacity are a portion of the ceiling's.
- * Portions are lent and borrowed by leases. The sum of the portions of all ingresses never exceeds the ceiling, whatever messages are
- * lost, late or doubled, since a lender takes a portion back only after the borrower has given it up. Times are in milliseconds.
+ * Portions are lent and borrowed by leases. The sum of the portions of all ingresses never exceeds the ceiling, even if messages are
+ * lost, late or duplicated, since a lender reclaims a portion only after the borrower's lease has expired. Times are in milliseconds.
  */
 final class CeilingShare {
-    /** How long a borrower may use a portion, counted from its request for it. */
+    /** How long a borrower may use a portion, counted from its request. */
     static final double LEASE_MS = 500;
-    /** How much longer the lender does without it: an attempt that is not yet written, a process held up, clocks that drift. */
+    /** How much longer the lender waits before it reclaims a portion: covers attempts not yet written, process pauses and clock drift. */
     static final double MARGIN_MS = 450;
-    /** The part of its own portion that an ingress may lend; with the rest a new life of it can begin at once. */
+    /** Fraction of its own portion that an ingress may lend; a new incarnation can use the rest at once. */
     static final double LENDABLE = 0.5;
-    /** Stands for whoever a former life of this ingress may have lent to. */
+    /** Placeholder for the unknown borrowers of the previous incarnation of this ingress. */
     private static final int UNKNOWN = -1;
 
-    /** A portion of the ceiling that is with another ingress, or comes from one, up to a time. */
+    /** A portion of the ceiling lent to or borrowed from a peer until a time. */
     private record Lease(int peer, double portion, double untilMs) { }
 
     private final Plan plan;
@@ -32,7 +32,7 @@
     private double retiredAt = Double.POSITIVE_INFINITY;
     private double roomAtRetirement;
 
-    /** An empty bucket that fills from {@code sinceMs} on; up to {@code lentUntilMs} a former life may have portions lent out. */
+    /** An empty bucket that fills from {@code sinceMs} on; until {@code lentUntilMs}, loans of the previous incarnation may be out. */
     CeilingShare(Plan plan, int spread, double sinceMs, double lentUntilMs) {
         this.plan = plan;
         ownPortion = 1.0 / spread;
@@ -40,7 +40,7 @@
         if (lentUntilMs > sinceMs) { lent.add(new Lease(UNKNOWN, LENDABLE * ownPortion, lentUntilMs)); }
     }
 
-    /** One that goes its own way from here on. */
+    /** An independent copy. */
     CeilingShare(CeilingShare other) {
         plan = other.plan;
         ownPortion = other.ownPortion;
@@ -53,13 +53,13 @@
         roomAtRetirement = other.roomAtRetirement;
     }
 
-    /** Nobody holds anything of a former life any more. */
+    /** All loans of the previous incarnation have been returned. */
     void endFormerLoans(double now) {
         advance(now);
         lent.removeIf(lease -> lease.peer() == UNKNOWN);
     }
 
-    /** Brings the bucket to this time: each span at the rate and capacity that its leases left. */
+    /** Advances the bucket to this time, using for each interval between lease expiries the rate and capacity that the leases left. */
     void advance(double now) {
         while (updatedAt < now) {
             double next = Math.min(now, Math.min(firstEnd(lent), firstEnd(borrowed)));
@@ -77,12 +77,12 @@
         return first;
     }
 
-    /** What exceeds the capacity is lost; tokens that a request holds still stand in the bucket. */
+    /** Discards tokens above the capacity; tokens reserved by requests still occupy it. */
     private void clip() { tokens = Math.min(tokens, capacity() - reserved); }
 
     /**
-     * Another process of this ingress earns its portion from now on. What was earned here may still be spent, while room for it shrinks
-     * as fast as the other one earns: together they hold no more than one share.
+     * A sibling process of this ingress earns the portion from now on. Tokens earned here may still be spent, but the capacity shrinks
+     * as fast as the sibling earns: together they hold at most one share.
      */
     void retire(double now) {
         advance(now);
@@ -95,13 +95,13 @@
     /** The portion that this ingress may use now. */
     double portion() { return retiredAt < Double.POSITIVE_INFINITY ? 0 : Math.max(0, ownPortion - total(lent)) + total(borrowed); }
 
-    /** The portion that it may still use at a later time, if nothing more is lent or borrowed. */
+    /** The portion that it may use at a later time if nothing more is lent or borrowed. */
     double portionAt(double later) {
         double kept = ownPortion - total(lent.stream().filter(lease -> lease.untilMs() > later).toList());
         return Math.max(0, kept) + total(borrowed.stream().filter(lease -> lease.untilMs() > later).toList());
     }
 
-    /** Of each peer the largest portion counts: a renewal replaces the lease before it. */
+    /** Sum of the largest lease of each peer: a renewal replaces the previous lease. */
     private static double total(List<Lease> leases) {
         double total = 0;
         for (int i = 0; i < leases.size(); i++) {
@@ -120,16 +120,16 @@
         return true;
     }
 
-    /** The most tokens that the bucket holds: the ceiling's burst and slack, by portion. */
+    /** Capacity of the bucket: the portion's part of the ceiling's burst and slack. */
     double capacity() {
         if (retiredAt < Double.POSITIVE_INFINITY) { return Math.max(0, roomAtRetirement - ownPortion * plan.ceilingRate() / 1000 * (updatedAt - retiredAt)); }
         return portion() * (plan.ceilingBurst() + plan.ceilingSlack());
     }
 
-    /** Tokens that no request holds. */
+    /** Tokens that are not reserved. */
     double tokens() { return tokens; }
 
-    /** Tokens that requests hold which wait for a connection. */
+    /** Tokens reserved by requests that wait for a connection. */
     double reserved() { return reserved; }
 
     double ownPortion() { return ownPortion; }
@@ -138,7 +138,7 @@
 
     boolean isBorrowing() { return !borrowed.isEmpty(); }
 
-    /** The portion that a peer has lent, beyond this time. */
+    /** The portion borrowed from a peer beyond this time. */
     double borrowedFrom(int peer, double later) {
         double most = 0;
         for (Lease lease : borrowed) {
@@ -149,20 +149,20 @@
 
     void spend(double units) { tokens -= units; }
 
-    /** A request that has spent its units has not reached a backend yet. */
+    /** Reserves units that were spent by a request which has not reached a backend yet. */
     void reserve(double units, double now) {
         advance(now);
         reserved += units;
         clip();
     }
 
-    /** It has reached one. */
+    /** Ends a reservation: the request has reached a backend. */
     void settle(double units, double now) {
         advance(now);
         reserved -= units;
     }
 
-    /** It never will. */
+    /** Ends a reservation and returns its units: the request never reached a backend. */
     void release(double units, double now) {
         advance(now);
         reserved -= units;
@@ -170,7 +170,7 @@
         clip();
     }
 
-    /** The largest portion that could be with this peer, old leases included, beside a portion that is to be kept. */
+    /** The largest portion that this peer may hold, its present leases included, while {@code keptPortion} stays here. */
     double lendable(int peer, double keptPortion) {
         double toOthers = total(lent.stream().filter(lease -> lease.peer() != peer).toList());
         double heldByRequests = reserved / (plan.ceilingBurst() + plan.ceilingSlack());
@@ -179,8 +179,8 @@
     }
 
     /**
-     * Lends a portion, with so many tokens at the most and at least those that it leaves no room for here; the result says how many.
-     * Tokens move together with room for them, so none go along with a renewal: else the lender would earn them once more while the
+     * Lends a portion with at most {@code mostTokens} tokens, but at least those that no longer fit here. Returns how many.
+     * Tokens move only together with capacity, so a renewal carries none: otherwise the lender would earn them again while the
      * borrower still holds them.
      */
     double lend(int peer, double portion, double mostTokens, double now) {
@@ -194,7 +194,7 @@
         return given;
     }
 
-    /** Gives up what a peer has lent; the result says whether no waiting request still holds tokens of that. */
+    /** Returns a peer's loans. The result is false while reserved tokens still exceed the remaining capacity. */
     boolean giveUp(int peer, double now) {
         advance(now);
         borrowed.removeIf(lease -> lease.peer() == peer);
@@ -202,7 +202,7 @@
         return reserved <= capacity();
     }
 
-    /** Takes in what a peer has lent; {@code askedAt} is when it was asked for. */
+    /** Adds a granted loan; {@code askedAt} is when it was requested. */
     void borrow(int peer, double portion, double moreTokens, double askedAt) {
         if (askedAt + LEASE_MS <= updatedAt) { return; }
         borrowed.add(new Lease(peer, portion, askedAt + LEASE_MS));
--- a/src/main/java/yardusher/LoanText.java
+++ b/src/main/java/yardusher/LoanText.java
@@ -3,8 +3,8 @@
 import yardusher.Api.Settings;
 
 /**
- * What one ingress says to another about a loan of a customer's ceiling: a request for a portion and tokens, or the grant that answers it.
- * The nonce is drawn by the borrower and comes back with the grant.
+ * A message about a loan of a customer's ceiling: a request for a portion and tokens, or the grant that answers it.
+ * The nonce is drawn by the borrower and returned with the grant.
  */
 record LoanText(Kind kind, int plan, long customer, int first, int spread, long nonce, double portion, double tokens)
         implements CeilingMessage {
@@ -28,10 +28,10 @@
         Digits.put(body, steps(tokens, TOKEN_UNIT), AMOUNT_DIGITS);
     }
 
-    /** Rounded down: no more is lent than was taken from the lender. */
+    /** Rounds down, so that the borrower gets no more than was taken from the lender. */
     private static long steps(double amount, double unit) { return Math.max(0, Math.min(MOST_AMOUNT, (long) Math.floor(amount / unit))); }
 
-    /** What stands behind the kind, or null where it is cut short or names nothing of this site. */
+    /** Reads the fields after the kind, or null if they are truncated or refer to something unknown at this site. */
     static LoanText read(int kind, Digits text, Settings settings) {
         int numbered = RowText.numbered(settings);
         long plan = text.get(1);
--- a/src/main/java/yardusher/RecallText.java
+++ b/src/main/java/yardusher/RecallText.java
@@ -1,8 +1,8 @@
 package yardusher;
 
 /**
- * Guards against a life of an ingress that earns what its former life lent: it asks its borrowers to give up what they hold of it, and
- * they confirm. The nonce is drawn by the new life and comes back with the confirmation.
+ * Recalls loans, so that a restarted ingress does not earn what its previous incarnation lent: it asks its borrowers to return their
+ * loans, and they confirm. The nonce is drawn by the new incarnation and returned with the confirmation.
  */
 record RecallText(boolean confirms, long nonce) implements CeilingMessage {
     @Override
@@ -11,7 +11,7 @@
         Digits.put(body, nonce, NONCE_DIGITS);
     }
 
-    /** What stands behind the kind, or null where it is cut short. */
+    /** Reads the fields after the kind, or null if they are truncated. */
     static RecallText read(boolean confirms, Digits text) {
         long nonce = text.get(NONCE_DIGITS);
         return nonce < 0 ? null : new RecallText(confirms, nonce);
