--- a/lab/src/yardusher/GossipRows.java
+++ b/lab/src/yardusher/GossipRows.java
@@ -1,10 +1,10 @@
 package yardusher;
 
-/** Looks into the messages between ingresses; for the lab, which counts what they carry. */
+/** Counts the rows in the messages between ingresses, for the lab. */
 public final class GossipRows {
     private GossipRows() { }
 
-    /** How many rows of counts, own or summed, a message carries; verdicts on backends are none. */
+    /** Number of rows of counts, own or summed, in a message; reports about backends do not count. */
     public static int of(String body, Api.Settings settings) {
         Digits text = new Digits(body, 1);
         text.get(1);
--- a/src/main/java/yardusher/Digits.java
+++ b/src/main/java/yardusher/Digits.java
@@ -1,25 +1,25 @@
 package yardusher;
 
-/** Whole numbers as text of one byte a character, for the short messages between ingresses. */
+/** Encodes integers as text of one byte per character, for the short messages between ingresses. */
 final class Digits {
-    /** Values of a character; 7 to 126 are written, so that each takes one byte in UTF-8. */
+    /** Values of a character; the characters 7 to 126 are used, so that each takes one byte in UTF-8. */
     static final int BASE = 120;
     private static final int FIRST = 7;
     private final String text;
     private int read;
 
-    /** Reads a text from this place on. */
+    /** Reads a text from this index on. */
     Digits(String text, int from) {
         this.text = text;
         read = from;
     }
 
-    /** Appends a number below {@code BASE} to the power of {@code width}, lowest digit first. */
+    /** Appends a number below {@code BASE} to the power of {@code width}, least significant digit first. */
     static void put(StringBuilder body, long value, int width) {
         for (; width > 0; width--, value /= BASE) { body.append((char) (FIRST + value % BASE)); }
     }
 
-    /** The next number of so many digits, or -1 where the text was cut short or is not one of ours; then nothing follows. */
+    /** Reads the next number of {@code width} digits. Returns -1 if the text is truncated or has an invalid digit; then nothing follows. */
     long get(int width) {
         long value = 0;
         for (long scale = 1; width > 0; width--, scale *= BASE) {
--- a/src/main/java/yardusher/Fault.java
+++ b/src/main/java/yardusher/Fault.java
@@ -1,6 +1,6 @@
 package yardusher;
 
-/** A failure of a server in one class, or that it is out for that class: as gateways tell one another. */
+/** A failure of a server in one class, or its ejection for that class, as gateways report it to each other. */
 record Fault(boolean out, long host, int classIndex) {
     void put(StringBuilder body) {
         Digits.put(body, out ? RowText.OUT : RowText.FAULT, 1);
@@ -8,7 +8,7 @@
         Digits.put(body, classIndex, 1);
     }
 
-    /** What begins behind its tag; cut short, it names no server or no class. */
+    /** Reads the fields after the tag; if truncated, the server or the class is -1. */
     static Fault read(int kind, Digits text) {
         return new Fault(kind != RowText.FAULT, text.get(5), (int) text.get(1));
     }
--- a/src/main/java/yardusher/FaultReporter.java
+++ b/src/main/java/yardusher/FaultReporter.java
@@ -1,10 +1,10 @@
 package yardusher;
 
-/** Carries what is held against servers to other gateways. */
+/** Sends reports of server failures to other gateways. */
 interface FaultReporter {
-    /** Tells one of them. */
+    /** Reports a fault to one gateway. */
     void accuse(int peer, Fault fault);
 
-    /** Goes along with the next messages, to some that are spoken to next. */
+    /** Passes a fault on with the next messages to other gateways. */
     void pass(Fault fault);
 }
--- a/src/main/java/yardusher/Gossip.java
+++ b/src/main/java/yardusher/Gossip.java
@@ -6,21 +6,20 @@
 import yardusher.Api.*;
 
 /**
- * Gossip: rows and sums between gateways.
- * State: an outbox for each peer that something waits for; nothing for the others. Rows are whole, so the
- * next one heals losses. Slots travel as ages: clocks need not agree. A change goes to the set, or to its
- * meeting peers where that is large; while a customer asks more than its quota, these pass on the sums
- * of all they know, each time to a part of the set.
+ * Gossip: exchanges rows of counts, and sums of rows, between gateways.
+ * Keeps an outbox for each peer that has something pending. Rows are complete, so the next one makes up for a lost message. Slots
+ * are sent by age, so clocks need not agree. A change goes to the whole set or, if that is large, to the customer's relays; while
+ * the customer requests more than its quota, the relays send the sums of all they know to one part of the set after another.
  */
 final class Gossip implements FaultReporter {
-    private static final double FLUSH_MS = 10;       // changes gather so long, to share a message
-    private static final int SWEPT = 8;              // verdicts in a message
+    private static final double FLUSH_MS = 10;       // time in which changes are collected to share a message
+    private static final int SWEPT = 8;              // ejections in a message
     private static final Object HELLO = new Object();
     private final Settings settings; private final Clock clock; private final SplittableRandom random;
     private final Consumer<Action> out; private final Peers peers; private final Quotas quotas;
     private final Map<Integer, Outbox> outboxes = new LinkedHashMap<>();
-    private final LinkedHashSet<Customer> waiting = new LinkedHashSet<>(); // to be told or passed on later
-    private final ArrayDeque<Fault> verdicts = new ArrayDeque<>(); // go along with the next messages
+    private final LinkedHashSet<Customer> waiting = new LinkedHashSet<>(); // with a row to send or sums to relay
+    private final ArrayDeque<Fault> verdicts = new ArrayDeque<>(); // sent with the next messages
     private double earned = 1, earnedAt, flushAt = Double.POSITIVE_INFINITY; private int sequence;
 
     Gossip(Settings settings, Clock clock, SplittableRandom random, Consumer<Action> out, Peers peers,
@@ -29,14 +28,14 @@
         this.peers = peers; this.quotas = quotas;
     }
 
-    /** A small fleet is greeted; in a large one news must do. */
+    /** Greets all peers of a small fleet to ask for their counts; in a large one, the regular messages must suffice. */
     void greet() {
         for (int peer = 0; settings.gateways() <= Customer.DIRECT + 1 && peer < settings.gateways(); peer++) {
             enqueue(peer, HELLO);
         }
     }
 
-    /** Notes a change of the own row: told at once, then half a slot later; mere asking is told rarely. */
+    /** The own row changed: sent at once, further changes half a slot later; a change of the demand alone is sent rarely. */
     void changed(Customer c, boolean counts) {
         boolean wide = c.spread >= peers.wideFrom && c.plan.openCap() <= 0;
         if ((c.spread == 1 || wide || peers.intake <= 0) && !peers.twin) { return; }
@@ -63,10 +62,10 @@
     private void enqueue(int peer, Object item) {
         if (peer == settings.self() ? !peers.twin : peers.intake <= 0) { return; }
         outboxes.computeIfAbsent(peer, p -> new Outbox()).add(item, due(item));
-        arm(peer == settings.self() ? clock.now : earnedAt + (1 - earned) / peers.intake); // when one may go
+        arm(peer == settings.self() ? clock.now : earnedAt + (1 - earned) / peers.intake); // when the next message may be sent
     }
 
-    /** Counts are worth nothing after their window: what has the shortest goes first. */
+    /** When an item is due. Counts are worthless after their window, so the shortest window goes first. */
     private double due(Object item) {
         if (item instanceof CeilingMessage) { return clock.now; }
         Customer c = item instanceof Sums sums ? sums.of() : item instanceof Customer own ? own : null;
@@ -74,7 +73,7 @@
     }
 
     void flush() {
-        if (clock.now < flushAt) { return; }               // an older timer; a sooner one was set since
+        if (clock.now < flushAt) { return; }               // a superseded timer: an earlier one was set since
         flushAt = Double.POSITIVE_INFINITY;
         double next = Double.POSITIVE_INFINITY;
         for (Iterator<Customer> all = waiting.iterator(); all.hasNext();) {
@@ -84,9 +83,9 @@
             next = Math.min(next, Math.min(c.tellAt, c.news ? c.passAt : c.tellAt));
             if (c.tellAt == Double.POSITIVE_INFINITY && !c.news) { all.remove(); }
         }
-        earned = Math.min(1 + peers.intake * 500, earned + peers.intake * (clock.now - earnedAt)); // of 0.5 s
+        earned = Math.min(1 + peers.intake * 500, earned + peers.intake * (clock.now - earnedAt)); // saved for at most 0.5 s
         earnedAt = clock.now;
-        Outbox own = outboxes.remove(settings.self()); // no message to take in
+        Outbox own = outboxes.remove(settings.self()); // to the sibling process, which is not limited by intake
         for (int n = own == null ? 0 : own.size(); n-- > 0 && own.size() > 0;) { tell(settings.self(), own); }
         for (int n = outboxes.size(); n-- > 0 && earned >= 1; earned--) {
             int peer = Outbox.first(outboxes);
@@ -101,7 +100,7 @@
         c.toldAt = clock.now; c.tellAt = Double.POSITIVE_INFINITY;
         if (c.direct()) {
             for (int k = 0; k < c.spread; k++) { enqueue(c.member(k), c); }
-            if (c.fresh) { c.tellAt = clock.now + c.windowMs / 2; } // told once more: heals a lost message
+            if (c.fresh) { c.tellAt = clock.now + c.windowMs / 2; } // sent once more, in case the message is lost
         } else {
             for (int k = 0; k < Customer.NEIGHBOURS; k++) { enqueue(c.meeting(k), c); }
             enqueue(settings.self(), c);
@@ -110,7 +109,7 @@
         c.fresh = false;
     }
 
-    /** Others' counts changed here: passed on while the customer asks for more than its quota. */
+    /** Peers' counts changed here: relays them while the customer requests more than its quota. */
     private void noteNews(Customer c) {
         boolean known = c.news || c.first < 0 || !c.direct() && c.rank < 0 || c.spread <= 2;
         if (known || !quotas.tight(c)) { return; }
@@ -123,7 +122,7 @@
         c.news = false; c.passAt = clock.now + c.passEvery();
         Sums sums = new Sums(c);
         int at = random.nextInt(c.spread);
-        if (c.direct()) { enqueue(c.member(at), sums); return; } // all hear the source: heals one broken path
+        if (c.direct()) { enqueue(c.member(at), sums); return; } // all get the source's own row; this bypasses one broken path
         int part = (c.rank + c.turn++) % Customer.NEIGHBOURS;
         for (int k = 0; k < c.spread; k++) {
             int peer = c.member(at + k);
@@ -131,22 +130,22 @@
         }
     }
 
-    /** What is said of a loan goes with the next message to that peer, before others. */
+    /** Sends a loan message with the next message to that peer, which goes before others. */
     void send(int peer, CeilingMessage loan) { enqueue(peer, loan); }
 
     private void tell(int peer, Outbox box) {
         sequence = (sequence + 1) % MessageText.SEQUENCES;
-        boolean greets = clock.now - clock.startedAt < Clock.SWEEP_MS; // and asks for what is known
+        boolean greets = clock.now - clock.startedAt < Clock.SWEEP_MS; // and asks for the known counts
         MessageText text = new MessageText(settings, peers.life, greets, sequence);
         int carried = Math.min(SWEPT, (verdicts.size() + 2) / Customer.NEIGHBOURS);
         for (; carried > 0; carried--) { text.add(verdicts.poll(), peer); }
         Iterator<Object> all = box.items.iterator();
         while (all.hasNext() && text.add(all.next(), peer)) { all.remove(); }
-        box.due = clock.now + Clock.SWEEP_MS;        // what found no room
+        box.due = clock.now + Clock.SWEEP_MS;        // items that did not fit
         out.accept(new Tell(peer, text.toString()));
     }
 
-    /** Takes in a message; what it says of servers goes to the one who judges them, what of loans to the one who lends. */
+    /** Handles a message; passes its faults and loan messages to the given consumers. */
     void receive(PeerMessage message, Consumer<Fault> faults, BiConsumer<Integer, CeilingMessage> loans) {
         int from = message.from();
         boolean known = from >= 0 && from < settings.gateways() && (from != settings.self() || peers.twin);
@@ -162,7 +161,7 @@
         }
     }
 
-    /** A restarted peer has lost the table, its own last counts too: it gets the sums of all known here. */
+    /** A restarted peer has lost all counts, also its own latest ones: sends it the sums of all that is known here. */
     private void handOver(int peer) {
         enqueue(peer, HELLO);
         for (Customer c : quotas.customers.values()) {
@@ -170,7 +169,7 @@
         }
     }
 
-    /** Danger: two processes of one gateway that each know half of its counts. */
+    /** A sibling process came or went: two processes of one gateway that each know half of its counts must exchange them. */
     void twin(Twin event) {
         boolean came = event.there() && !peers.twin;
         peers.twin = event.there(); peers.owns = event.owns();
@@ -190,7 +189,7 @@
         Row row = c.row(own ? c.rows : c.sums, from, itsLife);
         int ahead = Math.floorMod(seq - row.seq, MessageText.SEQUENCES);
         boolean newer = ahead > 0 && ahead <= MessageText.SEQUENCES / 2;
-        if (row.seq >= 0 && !newer) { return; }      // the newest of each is kept
+        if (row.seq >= 0 && !newer) { return; }      // older than the row that is kept
         row.seq = seq;
         row.take(told, c, clock.now);
         if (clock.now - c.newsAt < c.windowMs) { c.newsEvery += 0.3 * (clock.now - c.newsAt - c.newsEvery); }
--- a/src/main/java/yardusher/MessageText.java
+++ b/src/main/java/yardusher/MessageText.java
@@ -4,17 +4,17 @@
 import java.util.List;
 import yardusher.Api.Settings;
 
-/** A message between gateways as it is spelled: who speaks, in which life, its number, then faults, rows and loans; 256 bytes at most. */
+/** Encoding of a message between gateways: incarnation, sequence number, then faults, rows and loans; at most 256 bytes. */
 final class MessageText {
     static final int SEQUENCES = Digits.BASE * Digits.BASE;
     private static final String MARK = "m";
-    /** No digit: a version that knows nothing of loans reads up to here. */
+    /** Starts the loans. Not a digit, so a version without loans stops reading here. */
     private static final char LOANS = 1;
     private final Settings settings;
     private final StringBuilder body = new StringBuilder(MARK);
     private final StringBuilder loans = new StringBuilder();
 
-    /** {@code greets}: asks a peer that did not know this life for what it knows. */
+    /** {@code greets}: asks a peer that did not know this incarnation for its counts. */
     MessageText(Settings settings, int life, boolean greets, int sequence) {
         this.settings = settings;
         Digits.put(body, life + (greets ? Peers.LIVES : 0), 1);
@@ -22,8 +22,8 @@
     }
 
     /**
-     * Appends a fault, a loan, a customer's own row or its sums as they are to be told to a peer, unless they find no room; anything else is said
-     * by the message itself and takes none.
+     * Appends a fault, a loan, a customer's own row or its sums for a peer, unless they do not fit. Any other item needs no bytes, as the
+     * message itself conveys it.
      */
     boolean add(Object item, int peer) {
         int before = body.length(), loansBefore = loans.length();
@@ -46,10 +46,10 @@
         for (CeilingMessage loan; text.more() && (loan = CeilingMessage.read(text, settings)) != null;) { items.add(loan); }
     }
 
-    /** A message as read; {@code items} are its faults, rows and loans, as far as they are whole and of this site. */
+    /** A decoded message; {@code items} are its faults, rows and loans up to the first that is truncated or unknown at this site. */
     record Heard(int life, boolean greets, int sequence, List<Object> items) { }
 
-    /** Null where it is no message of ours. */
+    /** Decodes a message; null if it is not one. */
     static Heard read(String body, Settings settings) {
         if (!body.startsWith(MARK)) { return null; }
         int loansAt = body.indexOf(LOANS);
--- a/src/main/java/yardusher/Outbox.java
+++ b/src/main/java/yardusher/Outbox.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashSet;
 import java.util.Map;
 
-/** What waits to be told to one gateway, each thing once, and when the first of it is due, in ms. */
+/** Items to be sent to one gateway, without duplicates, and when the first of them is due, in milliseconds. */
 final class Outbox {
     final LinkedHashSet<Object> items = new LinkedHashSet<>();
     double due = Double.POSITIVE_INFINITY;
@@ -13,7 +13,7 @@
 
     int size() { return items.size(); }
 
-    /** The gateway whose box is due first; of those alike, the one that waits longest. There has to be one. */
+    /** The gateway whose outbox is due first; of equal ones, the one that has waited longest. There must be at least one. */
     static int first(Map<Integer, Outbox> boxes) {
         return boxes.entrySet().stream().min(Comparator.comparingDouble(box -> box.getValue().due)).orElseThrow().getKey();
     }
--- a/src/main/java/yardusher/RowText.java
+++ b/src/main/java/yardusher/RowText.java
@@ -2,16 +2,16 @@
 
 import yardusher.Api.Settings;
 
-/** A row of counts, or sums of rows, in a message between gateways: whole units, by the age of their slot. */
+/** A row of counts, or the sums of rows, in a message between gateways: whole units, by the age of their slot. */
 record RowText(int tag, long customer, int first, int spread, double asked, int open, long[] counts) {
-    static final int OWN = 0, SUM = 1, FAULT = 2, OUT = 3, KINDS = 4; // what a tag tells, besides the plan
-    private static final double ASKED_STEP = 0.1;    // asked units go as a logarithm: floods are far above
+    static final int OWN = 0, SUM = 1, FAULT = 2, OUT = 3, KINDS = 4; // kinds in a tag, which also holds the plan
+    private static final double ASKED_STEP = 0.1;    // requested units are sent as a logarithm, as floods reach high values
     static final int MOST_BYTES = 256;               // of one message
     static final int CUSTOMER_DIGITS = 5;
     private static final int COUNT_BYTES = 230;      // of a row at most, so that it fits a message
-    private static final int MOST = 11;              // units of one digit; more take several
+    private static final int MOST = 11;              // units in one digit; more take several digits
 
-    /** Digits of the number of an ingress. */
+    /** Number of digits of an ingress index. */
     static int numbered(Settings settings) { return settings.gateways() < Digits.BASE ? 1 : 2; }
 
     private static boolean capped(Settings settings, int plan) {
@@ -28,7 +28,7 @@
         Digits.put(body, Math.min(Digits.BASE - 1, open), capped(settings, tag / KINDS) ? 1 : 0);
         int room = COUNT_BYTES;
         for (int age = 0; age < counts.length; age++) {
-            // Guards against a row without end, and one that fits no message and so is never told: the newest go first.
+            // Bounds the size of a row, which would otherwise fit no message and never be sent; the newest slots go first.
             for (long left = counts[age]; left > 0 && room-- > 0; left -= MOST) {
                 Digits.put(body, (MOST + 1) * age + Math.min(MOST, left), 1);
             }
@@ -36,7 +36,7 @@
         Digits.put(body, 0, 1);
     }
 
-    /** What is known of a customer: its own row here, or the sums of all rows but the peer's that is told. */
+    /** The counts of a customer for a peer: this gateway's own row, or the sums of all rows except that peer's. */
     static RowText of(int kind, Customer c, int peer) {
         double[] units = c.others(peer);
         double asked = kind == OWN ? c.asked(c.mine) : units[Row.SLOTS + 1] + c.asked(c.mine);
@@ -48,7 +48,7 @@
         return new RowText(tag, c.id, Math.max(0, c.first), c.spread, asked, open, counts);
     }
 
-    /** The row that begins behind its tag, or null where it is cut short or none of this site's. */
+    /** Reads the fields after the tag, or null if they are truncated or refer to something unknown at this site. */
     static RowText read(int tag, int plan, Digits text, Settings settings) {
         long id = text.get(CUSTOMER_DIGITS);
         int first = (int) text.get(numbered(settings)), spread = (int) text.get(numbered(settings));
