--- a/src/test/java/yardusher/CeilingFlawsTest.java
+++ b/src/test/java/yardusher/CeilingFlawsTest.java
@@ -17,13 +17,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The adversary notices each trap of lent shares: a line of the module is changed, compiled beside it, and played. */
+/** Mutation test of the ceiling simulation: it must detect each flaw, which is a changed line of the module, compiled apart. */
 class CeilingFlawsTest {
     private static final Path SOURCES = Path.of("src/main/java/yardusher");
     private static final Path ADVERSARY = Path.of("src/test/java/yardusher/CeilingRun.java");
     private static final long DRAWS = 128;
 
-    /** What is left out: a file of the module, a text of it and what stands there instead. */
+    /** A mutation: a file of the module, a text in it and its replacement. */
     enum Flaw {
         TOKENS_MOVE_WITHOUT_ROOM("CeilingShare", "lent.add(new Lease(peer, portion, now + LEASE_MS + MARGIN_MS));", ""),
         LENDER_TAKES_BACK_WITH_THE_LEASE("CeilingShare", "now + LEASE_MS + MARGIN_MS));", "now + LEASE_MS / 2));"),
@@ -78,7 +78,7 @@
         return folder.resolve("classes");
     }
 
-    /** Loads what the folder has before what the parent has. */
+    /** Loads the classes of the folder in preference to the parent's. */
     private static final class OwnFirst extends URLClassLoader {
         OwnFirst(Path classes) throws IOException { super(new URL[] {classes.toUri().toURL()}, CeilingFlawsTest.class.getClassLoader()); }
 
--- a/src/test/java/yardusher/CeilingLoansTest.java
+++ b/src/test/java/yardusher/CeilingLoansTest.java
@@ -13,7 +13,7 @@
 class CeilingLoansTest {
     private static final long CUSTOMER = 7;
     private static final int SET = 3;
-    /** Of the plan's ceiling: 20 units a second, 20 at once, a slack of 2. */
+    /** Of the plan's ceiling: 20 units per second, a burst of 20, a slack of 2. */
     private static final double OWN_SHARE = 22.0 / SET;
     private static final double OWN_RATE = 20.0 / SET;
     private static final double FULL_MS = 20_000;
@@ -36,7 +36,7 @@
         return share;
     }
 
-    /** What one has for another by then. */
+    /** The messages from one gateway to another until a time. */
     private static List<PeerMessage> messages(Gateway from, Gateway to, double at) {
         from.runTo(at);
         return from.tells().stream().filter(tell -> tell.to() == to.self).map(tell -> new PeerMessage(from.self, tell.body())).toList();
@@ -63,7 +63,7 @@
         assertThat(borrower.admitted(30, PolicyTest.HARD, CUSTOMER, SET)).isPositive();
     }
 
-    /** Guards against a grant that comes twice and counts twice. */
+    /** Guards against a duplicated grant that counts twice. */
     @Test
     void aGrantThatComesTwiceCountsOnce() {
         PeerMessage grant = grant();
@@ -74,7 +74,7 @@
         assertThat(share(borrower).tokens()).isEqualTo(tokens);
     }
 
-    /** Guards against a grant that comes when the lender counts on it no more. */
+    /** Guards against a late grant: the lender has reclaimed the portion by then. */
     @Test
     void aGrantThatComesAfterItsLeaseIsPassedOver() {
         PeerMessage grant = grant();
@@ -85,7 +85,7 @@
         assertThat(share(borrower).isBorrowing()).isFalse();
     }
 
-    /** Guards against a restarted ingress that earns what its former life lent. */
+    /** Guards against a restarted ingress that earns what its previous incarnation lent. */
     @Test
     void aBorrowerGivesUpWhatAFormerLifeOfTheLenderLentAndTheNewOneEarnsAllOnceAllHaveConfirmed() {
         PeerMessage grant = grant();
--- a/src/test/java/yardusher/CeilingRun.java
+++ b/src/test/java/yardusher/CeilingRun.java
@@ -13,12 +13,12 @@
 import yardusher.Api.*;
 
 /**
- * An adversary against one customer's ceiling, on scripted time and by seed: a calm time, then bursts at all ingresses of its set, with
- * datagrams that are late, lost, doubled and very old, ingresses that restart, and times in which no connection to a backend comes up. Keeps
- * the token bucket that the rule names, fed by the units that reach a backend.
+ * Adversarial simulation, by seed, of one customer's ceiling: a calm period, then bursts at all ingresses of the set, with datagrams that are
+ * late, lost, duplicated and very old, restarting ingresses, paused processes, and times without connections to backends. Keeps the
+ * token bucket that defines the ceiling and takes from it the units that reach a backend.
  */
 public final class CeilingRun {
-    /** What a run may contain beside the burst. */
+    /** Faults that a run may contain besides the burst. */
     enum Trouble { LOST_DATAGRAMS, OLD_DATAGRAMS, RESTARTS, PAUSES, CUT_CONNECTIONS }
 
     private static final RequestClass CLASS = new RequestClass(500, 2000, 1, 0.1, Effect.IDEMPOTENT, Group.ALL, 0, false);
@@ -38,12 +38,12 @@
     private static final long CUSTOMER = 7;
     private static final int BURSTS = 3;
 
-    /** An attempt that waits for a connection, and may still be written. */
+    /** An attempt that waits for a connection and may still be written. */
     private record Waiting(int ingress, int life, double units, double sentAt) { }
 
     private record Due(double at, long order, Runnable work) { }
 
-    /** A request that was sent on: its ingress, its units and how many attempts it has had. */
+    /** An admitted request: its units, its number of attempts, and whether its units reached a backend. */
     private static final class Sent {
         final double units;
         int attempts;
@@ -74,13 +74,13 @@
     private double levelAt = now;
     private long order;
     private long ids;
-    /** The least that the bucket ever held: below minus the slack, the rule is broken. */
+    /** Lowest level of the bucket so far: below minus the slack, the ceiling is broken. */
     double least;
-    /** By how much all ingresses together ever held more than the bucket and its slack: what they hold they may spend. */
+    /** Largest excess of the tokens of all ingresses, which they may spend at any time, over the bucket and its slack. */
     double mostTooMuch = Double.NEGATIVE_INFINITY;
-    /** The most that all portions of the ceiling ever were together. */
+    /** Largest sum of the portions of all ingresses. */
     double mostPortions;
-    /** Units that reached a backend, and units that were asked for. */
+    /** Units that reached a backend, and units that were requested. */
     double reached;
     double asked;
 
@@ -112,7 +112,7 @@
 
     private double between(double least, double most) { return least + (most - least) * random.nextDouble(); }
 
-    /** How many draws with all troubles, and with none, break the rule or could have. */
+    /** Number of seeds that break the ceiling or could have; the bits of a seed select its faults. */
     public static int countBroken(long first, long draws) {
         return (int) LongStream.range(first, first + draws).parallel().mapToObj(seed -> {
             Set<Trouble> troubles = EnumSet.noneOf(Trouble.class);
@@ -126,7 +126,7 @@
     /** Whether the bucket went below minus the slack. */
     boolean isBroken() { return least < -plan.ceilingSlack() - ROUNDING; }
 
-    /** Whether the bucket could have gone there. */
+    /** Whether the bucket could have gone below minus the slack. */
     boolean holdTooMuch() { return mostTooMuch > ROUNDING || mostPortions > 1 + ROUNDING; }
 
     @Override
@@ -179,7 +179,7 @@
         }
     }
 
-    /** In calm times demand is uneven, so that shares are lent. */
+    /** Draws an ingress for the calm period, in which demand is uneven so that shares are lent. */
     private int busy() {
         double all = 0;
         for (double weight : weights) { all += weight; }
@@ -189,7 +189,7 @@
         return ingress;
     }
 
-    /** What the ingresses hold, against what the bucket does at this time. */
+    /** Compares the tokens of the ingresses with the level of the bucket. */
     private void compareHoldings() {
         double held = 0;
         double portions = 0;
@@ -208,7 +208,7 @@
         mostTooMuch = Math.max(mostTooMuch, held - bucket - plan.ceilingSlack());
     }
 
-    /** Twice the ceiling's burst is asked for, everywhere; in every other run the rate goes on for a second. */
+    /** Requests twice the ceiling's burst over all ingresses; with an even seed, the ceiling's rate for another second. */
     private void burst(double from) {
         int tries = (int) (2 * plan.ceilingBurst() / 2.5);
         for (int i = 0; i < tries; i++) {
@@ -290,7 +290,7 @@
         }
     }
 
-    /** The connection is there: a process that was held up meanwhile writes late, or not at all. */
+    /** The connection is established: a process that was paused meanwhile writes late, or not at all. */
     private void write(Waiting wait, Send send, int number) {
         int from = wait.ingress();
         if (lives[from] != wait.life()) { return; }
@@ -310,7 +310,7 @@
         at(now + afterMs, () -> tell(from, life, new AttemptDone(send.id(), number, send.server(), outcome, afterMs, outcome == Outcome.SERVED, 0, null)));
     }
 
-    /** A request takes its units once, when its first attempt has reached a backend. */
+    /** Takes a request's units from the bucket once, when its first attempt reaches a backend. */
     private void reaches(Sent one) {
         if (one.counted) { return; }
         one.counted = true;
--- a/src/test/java/yardusher/CeilingShareTest.java
+++ b/src/test/java/yardusher/CeilingShareTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import yardusher.Api.Plan;
 
-/** One ingress's share of a ceiling of 40 units a second and 80 at once with a slack of 8, in a set of four. */
+/** One ingress's share of a ceiling of 40 units per second, a burst of 80 and a slack of 8, in a set of four. */
 class CeilingShareTest {
     private static final Plan PLAN = new Plan(20, 40, 0, 1, 40, 80, 8, 0);
     private static final int SET = 4;
@@ -29,7 +29,7 @@
         assertThat(share.tokens()).isCloseTo(CAPACITY, within(1e-9));
     }
 
-    /** Guards against a restart that earns what its former life lent out. */
+    /** Guards against a restarted ingress that earns what its previous incarnation lent. */
     @Test
     void anIngressThatRestartsEarnsNothingThatItsFormerLifeMayHaveLent() {
         double quietMs = CeilingShare.LEASE_MS + CeilingShare.MARGIN_MS;
@@ -40,19 +40,19 @@
         assertThat(share.tokens()).isCloseTo(10 * quietMs / 1000 * (1 - CeilingShare.LENDABLE) + 10, within(1e-9));
     }
 
-    /** Guards against tokens that move without room for them: the lender would fill up again while the borrower holds them. */
+    /** Guards against lending tokens without capacity: the lender would refill while the borrower holds them. */
     @Test
     void aLenderHasNoRoomForWhatItLent() {
         CeilingShare lender = full();
         double given = lender.lend(1, 0.125, 0, FULL_MS);
-        assertThat(given).as("what half of the room can't hold goes along").isCloseTo(CAPACITY / 2, within(1e-9));
+        assertThat(given).as("the tokens that no longer fit are lent with it").isCloseTo(CAPACITY / 2, within(1e-9));
         lender.advance(FULL_MS + CeilingShare.LEASE_MS + CeilingShare.MARGIN_MS - 1);
         assertThat(lender.tokens()).isCloseTo(CAPACITY / 2, within(1e-9));
         lender.advance(FULL_MS + CeilingShare.LEASE_MS + CeilingShare.MARGIN_MS + FULL_MS);
         assertThat(lender.tokens()).isCloseTo(CAPACITY, within(1e-9));
     }
 
-    /** Guards against a borrower that counts its lease from the grant, which may come late. */
+    /** Guards against a borrower that counts its lease from the grant, which may arrive late. */
     @Test
     void aBorrowerCountsItsLeaseFromItsRequestAndGivesUpBeforeTheLenderTakesBack() {
         CeilingShare borrower = full();
@@ -62,7 +62,7 @@
         assertThat(borrower.capacity()).isCloseTo(CAPACITY * 1.5, within(1e-9));
         borrower.advance(asked + CeilingShare.LEASE_MS);
         assertThat(borrower.capacity()).isCloseTo(CAPACITY, within(1e-9));
-        assertThat(borrower.tokens()).as("what the room can't hold any more is given up").isCloseTo(CAPACITY, within(1e-9));
+        assertThat(borrower.tokens()).as("tokens above the capacity are dropped").isCloseTo(CAPACITY, within(1e-9));
     }
 
     @Test
@@ -77,10 +77,10 @@
         CeilingShare borrower = full();
         borrower.borrow(3, 0.125, 0, FULL_MS);
         borrower.borrow(3, 0.125, 0, FULL_MS);
-        assertThat(borrower.portion()).as("a grant that comes twice").isCloseTo(0.375, within(1e-9));
+        assertThat(borrower.portion()).as("a duplicated grant").isCloseTo(0.375, within(1e-9));
     }
 
-    /** Guards against a store that fills up anew while requests that wait for a connection still hold its units. */
+    /** Guards against a bucket that refills while requests that wait for a connection still hold its units. */
     @Test
     void unitsOfAWaitingRequestLeaveNoRoomToEarnThemTwice() {
         CeilingShare share = full();
--- a/src/test/java/yardusher/CeilingTest.java
+++ b/src/test/java/yardusher/CeilingTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import yardusher.CeilingRun.Trouble;
 
-/** The rule on ceilings under an adversary that knows when all ingresses of a set believe that demand is low. */
+/** The ceiling under adversarial bursts that come when all ingresses of the set have seen low demand. */
 class CeilingTest {
     private static final long DRAWS = 200;
 
@@ -18,7 +18,7 @@
                 .filter(run -> run.isBroken() || run.holdTooMuch()).map(CeilingRun::toString).toList();
     }
 
-    /** Guards against ingresses that each take more than their share in the belief that the others take less. */
+    /** Guards against ingresses that each spend more than their share because the others seem to spend less. */
     @Test
     void aBurstAtAllIngressesAfterACalmTimeStaysWithinTheCeiling() {
         assertThat(broken(0, DRAWS, EnumSet.noneOf(Trouble.class))).isEmpty();
@@ -29,13 +29,13 @@
         assertThat(broken(1000, DRAWS, EnumSet.of(Trouble.LOST_DATAGRAMS, Trouble.OLD_DATAGRAMS, Trouble.RESTARTS, Trouble.PAUSES))).isEmpty();
     }
 
-    /** Guards against units that are earned anew while requests that hold the earlier ones still wait for a connection. */
+    /** Guards against units that are earned again while the requests that hold them still wait for a connection. */
     @Test
     void requestsThatWaitForConnectionsStayWithinTheCeilingOnceTheseComeUp() {
         assertThat(broken(2000, DRAWS, EnumSet.of(Trouble.CUT_CONNECTIONS))).isEmpty();
     }
 
-    /** Arguments: first seed, how many draws. Prints each draw that breaks the rule, and the parts of what was asked that were sent on. */
+    /** Arguments: first seed, number of seeds. Prints runs that break the ceiling, and the fraction of requested units that were sent. */
     public static void main(String[] args) {
         long first = Long.parseLong(args[0]);
         long draws = Long.parseLong(args[1]);
--- a/src/test/java/yardusher/LoanTextTest.java
+++ b/src/test/java/yardusher/LoanTextTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Messages about loans, as they are sent and read. */
+/** Encoding and decoding of loan messages. */
 class LoanTextTest {
     private static final Api.Settings SETTINGS = PolicyTest.settings(0, 14, false);
     private static final LoanText REQUEST =
