--- a/src/test/java/yardusher/BurstRun.java
+++ b/src/test/java/yardusher/BurstRun.java
@@ -13,13 +13,14 @@
 import yardusher.Api.*;
 
 /**
- * A small fleet on scripted time under a burst, by seed: some backends come back cold and new ones join just then. Backends
- * share their cores among the requests in work, hold a bounded queue, and go on with work that was given up. Times are in ms.
+ * Simulation, by seed, of a small fleet under a burst, while some backends restart cold and new ones join. Backends
+ * share their cores among the running requests, have a bounded queue, and continue abandoned work. Times are in milliseconds.
  */
 final class BurstRun {
     /**
-     * What is played. {@code load} and {@code burst}: asked before and in the burst, as a part of what all backends can do once
-     * warm. {@code cold}: backends that restart as the burst begins; {@code joining}: new ones.
+     * A scenario. {@code load} and {@code burst}: demand before and during the burst, as a fraction of the capacity of all warm
+     * backends. {@code cold}: backends that restart as the burst begins; {@code joining}: new ones; {@code hung}: ones that do no
+     * work during the burst.
      */
     record Case(int gateways, int servers, int cold, int joining, int hung, double load, double burst, double coldFrom, double warmAfterMs, double workMs,
             double aimMs, double deadlineMs, int cores, int slots, int queue, boolean dropsExpired, long seed) { }
@@ -68,7 +69,7 @@
         }
     }
 
-    /** What became of the requests that came first in two seconds of the run; refusals of tries by reason. */
+    /** Results of the requests that first arrived in one period of two seconds; refusals of all tries by reason. */
     static final class Part {
         int asked, servedInAim;
         final Map<Reason, Integer> refused = new EnumMap<>(Reason.class);
@@ -220,14 +221,14 @@
         return this;
     }
 
-    /** Of all asked from a time on up to another, the part served in time. */
+    /** Fraction of the requests that arrived between two times and were served within the aim. */
     double served(double from, double to) {
         int asked = 0, in = 0;
         for (int i = (int) (from / 2000); i < Math.min(parts.size(), (int) (to / 2000)); i++) { asked += parts.get(i).asked; in += parts.get(i).servedInAim; }
         return in / (double) asked;
     }
 
-    /** Tries that came in this time and were refused for pressure. */
+    /** Number of tries that arrived between two times and were refused by load shedding. */
     int refusedForPressure(double from, double to) {
         return parts.subList((int) (from / 2000), Math.min(parts.size(), (int) (to / 2000))).stream().mapToInt(p -> p.refused.getOrDefault(Reason.PRESSURE, 0)).sum();
     }
--- a/src/test/java/yardusher/BurstTest.java
+++ b/src/test/java/yardusher/BurstTest.java
@@ -7,8 +7,8 @@
 import yardusher.BurstRun.Case;
 
 /**
- * Twenty-five ingresses with a part of a request a second for each backend, whose backends go on with what was given up: a burst of
- * six seconds must not leave queues so long that nothing more is served in time, and hardly anything is refused once it is over.
+ * Guards against queues that outlast a burst. 25 ingresses each send less than one request per second to each backend, and backends
+ * continue abandoned work: after a burst of six seconds requests must be served in time again and hardly any refused.
  */
 class BurstTest {
     private static BurstRun run(int servers, int cold, int joining, int hung, double load, double burst, long seed) {
@@ -38,7 +38,7 @@
         assertThat(run.refusedForPressure(22_000, 30_000)).as("of some 1,500").isLessThan(15);
     }
 
-    /** Danger: what says that all are late also stops what was sent to a backend that hangs from starting over elsewhere. */
+    /** Guards against a fleet-wide lateness signal that also stops attempts at a hanging backend from being started over elsewhere. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void backendsThatHangTakeLittleWithThem(long seed) {
--- a/src/test/java/yardusher/ColdAllowanceTest.java
+++ b/src/test/java/yardusher/ColdAllowanceTest.java
@@ -8,10 +8,10 @@
 import org.junit.jupiter.api.Test;
 import yardusher.Api.*;
 
-/** Tokens of a cold server at all gateways together, each of which sends whenever it may. */
+/** The tokens of a cold server summed over all gateways, each of which sends whenever it may. */
 class ColdAllowanceTest {
-    private static final double PER_MS = 0.05;       // requests that a warm server can do
-    /** What it answers of that, at all gateways. Where it answers all, by chance, the sum was up to 1.014 of the bound (docs/measurements/cold.md). */
+    private static final double PER_MS = 0.05;       // capacity of a warm server, in requests
+    /** Fraction of it that is answered, over all gateways; with all of it, the sum reached 1.014 of the bound by chance (docs/measurements/cold.md). */
     private static final double ANSWERS = 0.95;
     private static final double STEP_MS = 10;
     private static final int WARM = 20;
@@ -28,7 +28,7 @@
         return host;
     }
 
-    /** One gateway that has seen its part of a warm server's answers, by chance in each sweep, and one that it never asks whether cold ones are due. */
+    /** One gateway that has seen its random part of a warm server's answers in each sweep, and a cold server that it has not checked yet. */
     private static final class Gateway {
         final Clock clock = new Clock(0);
         final ColdAllowance allowance;
@@ -50,7 +50,7 @@
         }
     }
 
-    /** By 25 seeds, the first of which is over: tokens of hundreds of ingresses come together by chance. */
+    /** 25 seeds; the first one exceeds the bound, as tokens of hundreds of ingresses coincide by chance. */
     @Test
     void allGatewaysTogetherStayWithinTheBound() {
         SplittableRandom draws = new SplittableRandom(1);
@@ -59,12 +59,12 @@
             int gateways = i == 0 ? 214 : 1 + draws.nextInt(300), coldPercent = i == 0 ? 21 : 10 + draws.nextInt(41), spanMs = i == 0 ? 1201 : 1000 + draws.nextInt(2001);
             double[] played = worst(seed, gateways, coldPercent, spanMs);
             String what = "seed " + seed + ", " + gateways + " gateways, " + coldPercent + "% warm at the start, spans of " + spanMs + " ms: ";
-            assertThat(played[0]).as(what + "of N + 2 x root of N + 2").isLessThan(1);
-            assertThat(played[1]).as(what + "and it is used").isGreaterThan(2 * PER_MS * coldPercent / 100 * 3 * spanMs);
+            assertThat(played[0]).as(what + "fraction of N + 2 * sqrt(N) + 2").isLessThan(1);
+            assertThat(played[1]).as(what + "the allowance is used").isGreaterThan(2 * PER_MS * coldPercent / 100 * 3 * spanMs);
         }
     }
 
-    /** The worst of all spans, as a part of what makes one fall, and how much was sent in all. */
+    /** The highest load of any time span, as a fraction of the overload bound, and the number of attempts in all. */
     static double[] worst(long seed, int gateways, int coldPercent, int spanMs) {
         Rules rules = new Rules(coldPercent / 100.0, 15_000, 3, spanMs, 10_000);
         SplittableRandom random = new SplittableRandom(seed);
@@ -80,7 +80,7 @@
                 while (one.allowance.due(one.cold)) {
                     one.cold.credit--;
                     sent.add(now);
-                    assertThat(sent.size()).as("without end").isLessThan(100_000);
+                    assertThat(sent.size()).as("sends without a limit").isLessThan(100_000);
                 }
             }
         }
@@ -103,7 +103,7 @@
         assertThat(let).isBetween(1850, 2150);
     }
 
-    /** Guards against a quiet time after which nothing is sent to cold servers, since warm ones are taken to do nothing. */
+    /** Guards against an idle period after which cold servers get nothing because warm ones seem to do nothing. */
     @Test
     void whatWasSeenBeforeAQuietTimeIsNotKnownAnyMore() {
         Gateway one = new Gateway(0, 3, new Rules(0.2, 15_000, 3, 1000, 10_000), 60_000, 1, new SplittableRandom(1));
@@ -114,7 +114,7 @@
         assertThat(one.allowance.due(one.cold)).isTrue();
     }
 
-    /** Guards against answers that are many before the first look at them: their rate is not known, and is not 0. */
+    /** Guards against a rate of 0 where many answers arrived before the first sample: it is unknown then. */
     @Test
     void beforeTheFirstLookNothingIsKnown() {
         Gateway one = new Gateway(0, 1, new Rules(0.2, 15_000, 3, 1000, 10_000), 0, 1, new SplittableRandom(1));
@@ -123,7 +123,7 @@
         assertThat(one.allowance.warm.areKnown()).isFalse();
     }
 
-    /** Guards against late answers of cold servers that raise the pressure for all: twice what a fifth of its work lets expect. */
+    /** Guards against late answers of cold servers that cause load shedding: here they take twice what a warmth of a fifth predicts. */
     @Test
     void slowOnesAreDrawnLess() {
         Gateway one = new Gateway(0, 3, new Rules(0.2, 15_000, 3, 1000, 10_000), 1000, 0, new SplittableRandom(1));
--- a/src/test/java/yardusher/ColdFallTest.java
+++ b/src/test/java/yardusher/ColdFallTest.java
@@ -9,16 +9,16 @@
 import yardusher.Api.Server;
 
 /**
- * The fall of a cold region, as operators count it: the sum over 100 ingresses that had all been told of its start, against
- * N + 3 x root of N + 3 requests in the settings' time, N being what the settings allow it at its warmth.
+ * Overload of a cold region as operators define it: the attempts of 100 ingresses that all know of its start, against
+ * N + 3 * sqrt(N) + 3 requests in the configured time span, N being what the settings allow at its warmth.
  */
 class ColdFallTest {
     private static final int GATEWAYS = 100;
     private static final int SERVERS = 40;
-    private static final double FROM = 0.25, WARM_MS = 10_000, FACTOR = 3, SPAN_MS = 1000; // as FleetRun's settings say
-    private static final double BUSY = 0.5;          // of what warm regions can do, before any is lost
+    private static final double FROM = 0.25, WARM_MS = 10_000, FACTOR = 3, SPAN_MS = 1000; // as in the settings of FleetRun
+    private static final double BUSY = 0.5;          // fraction of the capacity of warm regions in use before the replacement
 
-    /** The worst of all spans, as a part of what makes it fall: over 1 it falls. */
+    /** The highest load of any time span, as a fraction of the overload bound. */
     private static double worst(List<Double> sent, double startedAt, double warmPerS) {
         double worst = 0;
         for (int from = 0; from < sent.size(); from++) {
@@ -32,7 +32,7 @@
         return worst;
     }
 
-    /** The worst of all cold regions where so many of 40 are replaced at one stroke. */
+    /** The highest load of any cold region when so many of 40 are replaced at once. */
     private static double worstOf(int replaced, long seed) {
         FleetRun fleet = new FleetRun(GATEWAYS, SERVERS, 150, 0.05, seed);
         fleet.run(4000);
@@ -48,7 +48,7 @@
         double startedAt = fleet.now;
         fleet.list(servers);
         fleet.run(startedAt + 6000);
-        assertThat(fleet.sentAt.values()).as("cold ones serve").allMatch(sent -> !sent.isEmpty());
+        assertThat(fleet.sentAt.values()).as("cold regions serve").allMatch(sent -> !sent.isEmpty());
         return fleet.sentAt.values().stream().mapToDouble(sent -> worst(sent, startedAt, demand / SERVERS / BUSY)).max().orElseThrow();
     }
 
@@ -57,13 +57,13 @@
         for (int replaced : new int[] {2, 12, 24}) {
             for (long seed = 1; seed <= 2; seed++) {
                 double worst = worstOf(replaced, seed);
-                System.out.printf("cold: %d of 40 replaced, seed %d: at most %.2f of what makes one fall%n", replaced, seed, worst);
+                System.out.printf("cold: %d of 40 replaced, seed %d: at most %.2f of the overload bound%n", replaced, seed, worst);
                 assertThat(worst).as("%d of 40, seed %d", replaced, seed).isLessThan(1);
             }
         }
     }
 
-    /** A check of the check. */
+    /** Shows that the check detects an overload. */
     @Test
     void aBurstAtAColdRegionIsSeen() {
         List<Double> burst = new ArrayList<>();
--- a/src/test/java/yardusher/ColdRun.java
+++ b/src/test/java/yardusher/ColdRun.java
@@ -12,19 +12,19 @@
 import yardusher.Api.*;
 
 /**
- * A fleet on scripted time whose backends are replaced or restarted at a stroke, by seed: backends with cores, a queue and
- * a warm-up, clients that come again, ingresses that get unlike parts of the traffic. Counts what each cold backend is sent
- * in any span against what the settings allow it then. Times are in ms.
+ * Simulation, by seed, of a fleet whose backends are replaced or restarted at once: backends with cores, a queue and a warm-up,
+ * clients that retry, ingresses with unequal parts of the traffic. Compares the attempts at each cold backend in any time span
+ * with what the settings allow. Times are in milliseconds.
  */
 final class ColdRun {
-    /** How cold backends do their work: slower by their warmth, or as quick as warm ones, which is harder on the bound. */
+    /** Speed of cold backends: slower by their warmth, or as quick as warm ones, which makes the bound harder to keep. */
     enum Pace { BY_WARMTH, AS_WARM }
 
     /**
-     * What is played. {@code load}: asked, as a part of what all warm backends can do. {@code skew}: the exponent by which
-     * ingresses' parts fall off, 0 for even ones. {@code hot}: the part of all that comes through one ingress besides.
-     * {@code restart}: the same ids come back. {@code toldOverMs}: ingresses hear the list over so long. {@code untold}: the
-     * list says that all started long ago.
+     * A scenario. {@code load}: demand as a fraction of the capacity of all warm backends. {@code skew}: the exponent by which
+     * the ingresses' parts of the traffic decrease, 0 for equal ones. {@code hot}: the extra fraction that comes through one ingress.
+     * {@code restart}: the backends keep their ids. {@code toldOverMs}: the time over which the ingresses get the list.
+     * {@code comeAgain}: how often a client retries.
      */
     record Case(int gateways, int servers, int replaced, Rules rules, int cores, double load, double skew, double hot, Pace pace,
             boolean restart, double toldOverMs, int comeAgain, long seed) {
@@ -53,7 +53,7 @@
 
     private record Due(double at, long order, Runnable work) { }
 
-    /** One attempt at a cold backend: when, and whether its ingress had been told of the start. */
+    /** One attempt at a cold backend: when, and whether its ingress knew of the start. */
     record Sent(double at, boolean told) { }
 
     private static final double WORK_MS = 80, SETTLED = 6000;
@@ -87,10 +87,10 @@
     private final Policy[] gateways;
     private final boolean[] told;
     private final double[] parts;
-    private final Map<Long, int[]> open = new HashMap<>(); // attempts made, times come before, ingress
+    private final Map<Long, int[]> open = new HashMap<>(); // attempts made, earlier tries, ingress
     private double now = 1000, replacedAt = Double.POSITIVE_INFINITY;
     private long order, ids;
-    /** After the replacement. */
+    /** Counts after the replacement. */
     int asked, refused, refusedWithNoBackend, served, failed;
 
     ColdRun(Case of) {
@@ -201,14 +201,14 @@
         gateways[from].on(now, new AttemptDone(id, number, outOn.remove(id), how, took, ends, 0, null));
     }
 
-    /** Plays until so long after the replacement. */
+    /** Runs until a time after the replacement. */
     ColdRun run(double afterMs) {
         play(now + SETTLED);
         replacedAt = now;
         List<Machine> all = new ArrayList<>(machines.values());
         for (Machine old : all.subList(0, of.replaced())) {
             Machine fresh = of.restart() ? old : new Machine(old.id + 1000, now);
-            if (of.restart()) {                      // what it had is lost
+            if (of.restart()) {                      // its running requests are lost
                 List<Long> lost = outOn.entrySet().stream().filter(e -> e.getValue() == old.id).map(Map.Entry::getKey).sorted().toList();
                 old.startedAt = now;
                 old.busy = 0;
@@ -242,12 +242,12 @@
         now = untilMs;
     }
 
-    /** How often a cold backend was sent something, at least and at most. */
+    /** Smallest and largest number of attempts at a cold backend. */
     int[] sent() {
         return new int[] {cold.stream().mapToInt(m -> m.sent.size()).min().orElse(0), cold.stream().mapToInt(m -> m.sent.size()).max().orElse(0)};
     }
 
-    /** The worst of all spans of all cold ones, as a part of what makes one fall by the ingresses' fault: over 1 it falls. */
+    /** The highest load of any cold backend, as a fraction of the bound, in a span with two thirds of the attempts by ingresses that knew. */
     double worst() {
         double span = of.rules().overloadForMs(), worst = 0;
         for (Machine m : cold) {
@@ -263,11 +263,11 @@
         return worst;
     }
 
-    /** Requests of mean work that the settings allow a backend of this warmth in their span. */
+    /** Requests of mean work that the settings allow a backend of this warmth in their time span. */
     static double allowed(Rules rules, double warmPerMs, double warmth) {
         return rules.overloadFactor() * warmPerMs * warmth * rules.overloadForMs();
     }
 
-    /** Beyond what is allowed, so much is put down to chance. */
+    /** The overload bound: what is allowed plus a margin for chance. */
     static double bound(double allowed) { return allowed + 2 * Math.sqrt(allowed) + 2; }
 }
--- a/src/test/java/yardusher/ColdSumTest.java
+++ b/src/test/java/yardusher/ColdSumTest.java
@@ -15,9 +15,9 @@
 import yardusher.ColdRun.Pace;
 
 /**
- * The fall of a cold backend, as operators count it: the sum over all ingresses, two thirds of it from such as had been told
- * of its start, against N + 2 x root of N + 2 requests in any span of the settings' time, N being what the settings allow
- * it at its warmth when the span begins. With the figures of two sites; 4 cores and 80 ms a request.
+ * Overload of a cold backend as operators define it: the attempts of all ingresses, at least two thirds of them from ingresses that
+ * know of its start, against N + 2 * sqrt(N) + 2 requests in any time span of the configured length, N being what the settings allow
+ * at its warmth when the span begins. With the settings of two sites; 4 cores and 80 ms per request.
  */
 class ColdSumTest {
     private static final Rules LIERBEEK = new Rules(0.16, 18_000, 3, 3000, 10_000), STARFATORG = new Rules(0.16, 15_000, 3, 1500, 10_000),
@@ -39,7 +39,7 @@
         all.add(new Case(100, 40, 24, LIERBEEK, 0.9, 1).paced(Pace.BY_WARMTH));
         all.add(new Case(3, 40, 1, LIERBEEK, 0.5, 1).uneven(0.4, 0.25)); // a hot customer through one ingress
         all.add(new Case(30, 10, 6, STARFATORG, 0.5, 1).uneven(0.4, 0.5));
-        all.add(new Case(3, 40, 40, LIERBEEK, 0.5, 1).restarted(3000)); // under the same ids, told over 3 s
+        all.add(new Case(3, 40, 40, LIERBEEK, 0.5, 1).restarted(3000)); // under the same ids, known after up to 3 s
         all.add(new Case(20, 3, 3, STARFATORG, 0.9, 1).restarted(3000));
         all.add(new Case(30, 10, 6, LIERBEEK, 0.65, 1).told(3000));
         all.add(new Case(20, 10, 10, QUICKLY_WARM, 0.9, 1));
@@ -53,8 +53,9 @@
     void noColdBackendFallsUnderTheSumOfAllIngressesAndAllServe(Case of) { falls(of); }
 
     /**
-     * Served of what is asked by seeds 1 to 4, in the mean, before cold backends had an allowance: by place in {@link #cases}, the twenty in which the bound
-     * held then by the case's own seed, and four in which it did by some. Not the 31st, where it did not by its own: 0.94 of what was served there (docs/measurements/cold.md).
+     * Mean fraction of requests served with seeds 1 to 4 before cold backends had an allowance, by position in {@link #cases}: the twenty
+     * cases in which the bound held then with the case's own seed, and four in which it held with some seed. Not the 31st, where it failed
+     * with its own: 0.94 of what was served there (docs/measurements/cold.md).
      */
     private static final Map<Integer, Double> SERVED_BEFORE = Map.ofEntries(entry(1, 0.999), entry(2, 0.999), entry(4, 1.003), entry(5, 1.006), entry(7, 0.999),
             entry(8, 1.002), entry(10, 1.000), entry(11, 1.000), entry(13, 0.997), entry(14, 0.997), entry(16, 1.005), entry(17, 0.993), entry(19, 0.999),
@@ -63,7 +64,7 @@
 
     static Stream<Integer> servedBefore() { return SERVED_BEFORE.keySet().stream().sorted(); }
 
-    /** Guards against an allowance that refuses what was served with nobody's harm. */
+    /** Guards against an allowance that refuses requests which were served before without overload. */
     @ParameterizedTest
     @MethodSource("servedBefore")
     void whatWasServedInsideTheBoundStillIs(int place) {
@@ -73,27 +74,27 @@
             served += run.served / (double) run.asked / 4;
             worst = Math.max(worst, run.worst());
         }
-        assertThat(served).as("served of what is asked in case " + place).isGreaterThan(0.97 * SERVED_BEFORE.get(place));
-        assertThat(worst).as("of what makes one fall").isLessThan(1);
+        assertThat(served).as("fraction of requests served in case " + place).isGreaterThan(0.97 * SERVED_BEFORE.get(place));
+        assertThat(worst).as("fraction of the overload bound").isLessThan(1);
     }
 
     private static void falls(Case of) {
         ColdRun run = new ColdRun(of).run(2 * of.rules().overloadForMs());
         System.out.println(said(of, run));
-        assertThat(run.worst()).as("of what makes one fall").isLessThan(1);
-        assertThat(run.sent()[0]).as("the least that a cold one got").isPositive();
+        assertThat(run.worst()).as("fraction of the overload bound").isLessThan(1);
+        assertThat(run.sent()[0]).as("attempts at the cold backend with the fewest").isPositive();
         int least = of.replaced() == 1 ? 95 : of.pace() == Pace.BY_WARMTH || of.rules() == DOUBLE ? 15 : of.replaced() < of.servers() && of.load() < 0.9 ? 55 : 35;
         assertThat(run.served).as("served of " + run.asked).isGreaterThan(run.asked * least / 100);
     }
 
     private static String said(Case of, ColdRun run) {
         return String.format("cold: %d ingresses, %d of %d replaced, asked %.2f, multiple %.0f in %.0f ms, skew %.1f, hot %.2f, %s%s told over %.0f ms: "
-                + "at most %.2f of what makes one fall; each sent %d to %d, %d of %d served", of.gateways(), of.replaced(), of.servers(), of.load(),
+                + "at most %.2f of the overload bound; each sent %d to %d, %d of %d served", of.gateways(), of.replaced(), of.servers(), of.load(),
                 of.rules().overloadFactor(), of.rules().overloadForMs(), of.skew(), of.hot(), of.pace(), of.restart() ? ", same ids," : ",",
                 of.toldOverMs(), run.worst(), run.sent()[0], run.sent()[1], run.served, run.asked);
     }
 
-    /** A check of the check. */
+    /** Shows that the check detects an overload. */
     @Test
     void aBurstAtAColdBackendIsSeen() {
         double allowed = ColdRun.allowed(LIERBEEK, 0.05, 0.16);
@@ -107,7 +108,7 @@
         return new ColdRun(other).run(2 * of.rules().overloadForMs());
     }
 
-    /** Arguments: first seed, how many. All cases by other seeds. */
+    /** Arguments: first seed, number of seeds. Runs all cases with other seeds. */
     public static void main(String[] args) {
         for (long seed = Long.parseLong(args[0]), last = seed + Long.parseLong(args[1]); seed < last; seed++) {
             for (Case of : cases()) { System.out.println("seed " + seed + " " + said(of, played(of, seed))); }
--- a/src/test/java/yardusher/HeavyRequestsTest.java
+++ b/src/test/java/yardusher/HeavyRequestsTest.java
@@ -12,19 +12,19 @@
 import yardusher.Api.*;
 import yardusher.PolicyTest.Gateway;
 
-/** The module where single requests take long: since they are heavy, or since one attempt hangs. */
+/** Single requests that take long, because they are heavy or because one attempt hangs. */
 class HeavyRequestsTest {
     private static final Server[] FOUR = {PolicyTest.server(1, 0), PolicyTest.server(2, 0), PolicyTest.server(3, 0),
         PolicyTest.server(4, 0)};
 
     private record Answer(double at, long id, int attempt, long server, double took, Outcome how) { }
 
-    /** Reruns by request number, and how many requests were refused. */
+    /** Number of reruns by request number, and number of refused requests. */
     private record Seen(Map<Long, Integer> reruns, int refused) {
         long after(int number) { return reruns.keySet().stream().filter(n -> n >= number).count(); }
     }
 
-    /** Requests every 20 ms for so long, answered by their number and attempt. */
+    /** Sends a request every 20 ms; {@code answerMs} gives the latency by request number and attempt. */
     private static Seen run(double untilMs, ToDoubleBiFunction<Integer, Integer> answerMs) {
         Gateway g = new Gateway(0, 1, 0, FOUR);
         PriorityQueue<Answer> answers = new PriorityQueue<>(Comparator.comparingDouble(Answer::at));
@@ -43,7 +43,7 @@
                 }
             }
             if (t % 20 == 0) { numbers.put(g.ask(0, PolicyTest.NONE, 7, 1), number++); }
-            for (boolean any = true; any;) {         // what an action brings about may bring about more
+            for (boolean any = true; any;) {         // an action may cause further ones
                 List<Action> actions = List.copyOf(g.actions);
                 g.actions.clear();
                 any = false;
@@ -68,10 +68,10 @@
     @Test
     void aRequestThatIsHeavyByItselfIsNotStartedOverTimeAndAgain() {
         Seen seen = run(40_000, (number, attempt) -> number % 20 == 0 ? 2500 : 20);
-        assertThat(seen.after(1000)).isLessThanOrEqualTo(25); // of the last 50 heavy ones: a look now and then
+        assertThat(seen.after(1000)).isLessThanOrEqualTo(25); // of the last 50 heavy ones: occasional probes
     }
 
-    /** Guards against limits cut by the mean of what answers take: a quarter that is heavy moved it past the bound. */
+    /** Guards against limits that are cut by the mean latency: a quarter of heavy requests moved it above the threshold. */
     @Test
     void aHeavySpellShutsNoHealthyServer() {
         Seen seen = run(20_000, (number, attempt) -> number % 4 == 0 && number > 200 ? 2500 : 20);
--- a/src/test/java/yardusher/OverloadTest.java
+++ b/src/test/java/yardusher/OverloadTest.java
@@ -15,11 +15,11 @@
 import yardusher.Api.*;
 import yardusher.PolicyTest.Gateway;
 
-/** One gateway of a hundred, whose part of each server's limit is too small to tell it that all of them have too much to do. */
+/** One gateway of a hundred, whose share of each server's limit is too small to show that all servers are overloaded. */
 class OverloadTest {
     private static final double AIM_MS = PolicyTest.settings(0, 1, false).classes().get(0).aimMs();
 
-    /** What of the tries of the last two of six seconds was refused for pressure, where the n-th attempt is answered so late. */
+    /** Fraction of the tries in the last two of six seconds that were shed; {@code answerMs} gives the latency of the n-th attempt. */
     private static double shed(LongUnaryOperator answerMs) {
         Server[] servers = new Server[60];
         for (int i = 0; i < servers.length; i++) { servers[i] = PolicyTest.server(1 + i, 0); }
@@ -64,15 +64,15 @@
     }
 
     /**
-     * Danger: where backends work off what is given up already, most attempts are never answered, and the few answers that come are
-     * quick ones. A gateway that goes by answers alone holds all to be well and goes on asking; so do all the others.
+     * Guards against an undetected overload: backends that work on abandoned requests leave most attempts unanswered, and the few answers
+     * are quick. A gateway that goes by answers alone sees no problem and keeps sending; so do all the others.
      */
     @Test
     void attemptsThatAreNeverAnsweredCountAsLateOnes() {
         assertThat(shed(n -> n % 3 == 0 ? (long) (AIM_MS / 5) : 1_000_000)).isGreaterThan(0.3);
     }
 
-    /** A check of the check: nothing is shed where answers are quick, nor where one of twenty attempts hangs. */
+    /** Shows that the check can pass: nothing is shed when answers are quick, nor when one of twenty attempts hangs. */
     @Test
     void nothingIsShedWhereAnswersAreQuick() {
         assertThat(shed(n -> (long) (AIM_MS / 5))).isZero();
--- a/src/test/java/yardusher/PressureTest.java
+++ b/src/test/java/yardusher/PressureTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import yardusher.Api.*;
 
-/** What is refused for pressure: the asked part of the work, the cheapest first, evenly, and nothing more. */
+/** Load shedding refuses the set fraction of the work, the least worth first, evenly, and nothing more. */
 class PressureTest {
     private static RequestClass worth(double worth) { return new RequestClass(500, 2000, worth, 0, Effect.IDEMPOTENT, Group.ALL, 0, false); }
 
@@ -23,14 +23,14 @@
     private final Pressure pressure = new Pressure(settings, servers);
     private long ids;
 
-    /** Of so many requests of a class. */
+    /** Number of refused ones of so many requests of a class. */
     private int refused(int classIndex, int asked) {
         int refused = 0;
         for (int i = 0; i < asked; i++) { refused += pressure.shed(new Request(++ids, classIndex, 0, 7, 1000, 1, 0, 3)) ? 1 : 0; }
         return refused;
     }
 
-    /** Answers take this part of their aims for so many sweeps, while one class is asked. */
+    /** Sets the latency of answers as a fraction of the aim for so many sweeps, with requests of one class. */
     private void answersTake(double part, int sweeps) {
         servers.times.fleetPart = part;
         for (int i = 0; i < sweeps; i++) {
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Danger: what a class usually takes moves with each answer, and with it its worth; refusals would be all or none. */
+    /** Guards against refusing all or none: the usual latency of a class changes with each answer, and so does its worth. */
     @Test
     void ofTheCheapestThePartAskedIsRefusedHoweverItsUsualLatencyMoves() {
         answersTake(0.4, 20);
