--- a/src/test/java/yardusher/CapacityPageTest.java
+++ b/src/test/java/yardusher/CapacityPageTest.java
@@ -62,7 +62,7 @@
                 check(number.get("source").startsWith("given:") || hasSource(number.get("source")), name, "needs its source");
             });
             rows.forEach(this::row);
-            for (String name : numbers.keySet()) { check(used.contains(name), name, "is used nowhere"); }
+            for (String name : numbers.keySet()) { check(used.contains(name), name, "is not used"); }
             Set<String> roles = new HashSet<>(ROLES);
             rows.forEach(row -> roles.remove(row.get("role")));
             check(roles.isEmpty(), "the page", "has no row for " + roles);
@@ -80,7 +80,7 @@
             if (columns.equals(ROWS)) {
                 rows.add(row);
             } else {
-                check(numbers.put(cells.get(0), row) == null, cells.get(0), "stands twice");
+                check(numbers.put(cells.get(0), row) == null, cells.get(0), "is defined twice");
             }
         }
 
@@ -115,7 +115,7 @@
             for (String name : row.get("source").startsWith("assumed:") ? List.<String>of() : names(row.get("formula"))) {
                 String source = numbers.getOrDefault(name, Map.of("source", "")).get("source");
                 boolean firm = source.startsWith("measured:") || source.startsWith("given:");
-                check(firm, what, "is called " + row.get("source").replaceFirst(":.*", "") + " and rests on " + name);
+                check(firm, what, "is marked as " + row.get("source").replaceFirst(":.*", "") + " but depends on " + name);
             }
             if (row.get("budget").equals("-") && row.get("factor").equals("-")) { return; }
             Double budget = evaluate(row.get("budget"), what + ", budget");
@@ -148,7 +148,7 @@
                 Expression expression = new Expression(code.group(1));
                 for (String name : names(code.group(1))) {
                     Double number = numbers.containsKey(name) ? number(numbers.get(name).get("number")) : null;
-                    if (number == null) { throw new IllegalArgumentException("nothing is called " + name); }
+                    if (number == null) { throw new IllegalArgumentException("unknown name " + name); }
                     used.add(name);
                     expression.with(name, number);
                 }
@@ -210,16 +210,16 @@
         assertThat(told(head + table + row.replace("Gossip", "Gossips"))).containsExactly("journal, bytes: no class yardusher.Gossips");
         assertThat(told(head + table + row.replace("`yardusher.Gossip`", "the gossip"))).containsExactly("journal, bytes: needs its mechanism, or \"none\"");
         assertThat(told(head + table + row.replace("`a * b`", "a * b"))).contains("journal, bytes: needs a formula in backquotes");
-        assertThat(told(head + table + row.replace("a * b", "a * c"))).contains("journal, bytes: nothing is called c");
+        assertThat(told(head + table + row.replace("a * b", "a * c"))).contains("journal, bytes: unknown name c");
         String guessed = head.replace("given: for", "assumed: for");
-        assertThat(told(guessed + table + row.replace("worked out from: a and b", "measured: `run`"))).containsExactly("journal, bytes: is called measured and rests on b");
-        assertThat(told(guessed + table + row)).containsExactly("journal, bytes: is called worked out from and rests on b");
+        assertThat(told(guessed + table + row.replace("worked out from: a and b", "measured: `run`"))).containsExactly("journal, bytes: is marked as measured but depends on b");
+        assertThat(told(guessed + table + row)).containsExactly("journal, bytes: is marked as worked out from but depends on b");
         assertThat(told(guessed + table + row.replace("worked out from: a and b", "assumed: b is a guess"))).isEmpty();
         assertThat(told(head + table + row.replace("worked out from: a and b", "measured: docs/measurements/none.md"))).contains("journal, bytes: needs its source");
-        assertThat(told(head.replace("given: for the test", "guess") + table + row)).containsExactly("b: needs its source", "journal, bytes: is called worked out from and rests on b");
+        assertThat(told(head.replace("given: for the test", "guess") + table + row)).containsExactly("b: needs its source", "journal, bytes: is marked as worked out from but depends on b");
         assertThat(told(head.replace("| 4 |", "| many |") + table + row)).contains("b: needs a number");
-        assertThat(told(head.replace("\n\n", "\n| a | 3 | B | given: again |\n\n") + table + row)).containsExactly("a: stands twice");
-        assertThat(told(head.replace("\n\n", "\n| c | 3 | B | given: issue 33 |\n\n") + table + row)).containsExactly("c: is used nowhere");
+        assertThat(told(head.replace("\n\n", "\n| a | 3 | B | given: again |\n\n") + table + row)).containsExactly("a: is defined twice");
+        assertThat(told(head.replace("\n\n", "\n| c | 3 | B | given: issue 33 |\n\n") + table + row)).containsExactly("c: is not used");
         assertThat(told(head + table + row.replace(" | 3.0 |", " |"))).anyMatch(fault -> fault.endsWith("has 8 cells of 9"));
         assertThat(new Page(head + table + row).faults).anyMatch(fault -> fault.startsWith("the page: has no row for")).contains("the page: should say 1 rows: 0 measured, 1 worked out, 0 assumed");
     }
