--- a/lab/src/yardusher/GossipRows.java
+++ b/lab/src/yardusher/GossipRows.java
@@ -10,12 +10,12 @@
         text.get(1);
         text.get(2);
         int rows = 0;
-        while (text.more()) {
+        while (text.hasMore()) {
             int kind = (int) text.get(1);
             if (kind < 0) { return rows; }
-            if (kind % RowText.KINDS >= RowText.FAULT) {
-                Fault.read(kind, text);
-            } else if (RowText.read(kind, kind / RowText.KINDS, text, settings) == null) {
+            if (kind % RowMessage.KINDS >= RowMessage.FAULT) {
+                FaultReport.read(kind, text);
+            } else if (RowMessage.read(kind, kind / RowMessage.KINDS, text, settings) == null) {
                 return rows;
             } else {
                 rows++;
--- a/lab/src/yardusher/lab/capacity/ModuleCosts.java
+++ b/lab/src/yardusher/lab/capacity/ModuleCosts.java
@@ -78,7 +78,7 @@
         if (day == null) { return; }
         Lines.print(day, 7, REQUESTS * STEP_MS / 1000, Map.of("backends", backends, "tenants", tenants, "ingresses", 850),
                 Map.of("hosts_heap_bytes", listed, "tenants_heap_bytes", full, "request_us", requestNs / 1000, "sweep_us", sweepUs));
-        policy.avoided(now);                         // still held while the heap was measured
+        policy.countAvoided(now);                         // still held while the heap was measured
     }
 
     /** One request, sent and served at once. */
--- a/lab/src/yardusher/lab/rates/RatesRun.java
+++ b/lab/src/yardusher/lab/rates/RatesRun.java
@@ -144,7 +144,7 @@
         modules[i] = new Policy(settings, random.nextLong(), now, action -> act(i, life, action));
         modules[i].on(now, new ServerList(ListKind.CACHED, servers));
         if (!of.wide) { return; }
-        modules[i].on(now, new Wide(2));
+        modules[i].on(now, new ExternalDemandThreshold(2));
         Rates one = new Rates(new Rates.Terms(of.bytesPerS, HEAD_BYTES, MOST_BODY, quotas, 20_000), i, random.nextLong(), now, (to, body) -> carry(i, (int) to, body));
         rates[i] = one;
         one.members(seenBy(i));
@@ -208,7 +208,7 @@
         if (of.wide) {
             rates[g].asked(now, t.id, t.plan, units);
             double perS = rates[g].askedPerS(now, t.id, t.plan);
-            if (perS > 0) { modules[g].on(now, new Asked(t.id, t.plan, perS)); }
+            if (perS > 0) { modules[g].on(now, new ExternalDemand(t.id, t.plan, perS)); }
         }
         modules[g].on(now, new Request(current, 0, t.plan, t.id, now + 2000, units, t.first, t.spread));
         if (sent && fits) { t.level -= units; }
--- a/lab/src/yardusher/lab/scale/HollowIngress.java
+++ b/lab/src/yardusher/lab/scale/HollowIngress.java
@@ -127,7 +127,7 @@
             double[] quotas = settings.plans().stream().mapToDouble(Api.Plan::ratePerS).toArray();
             rates = new Rates(new Rates.Terms(sizes.ratesBytesPerS(), HEADS + FRAME, Mesh.MOST_BODY, quotas, RATES_HORIZON_MS), id(Configs.name(number)), own + 2, loop.now(), this);
             membership.follow(change -> members(change.now()));
-            core.tell(new Api.Wide(Configs.RATES_FROM));
+            core.tell(new Api.ExternalDemandThreshold(Configs.RATES_FROM));
         } else {
             rates = null;
         }
@@ -149,8 +149,8 @@
 
     /** Its settings, as those that were decoded for another of the same run. */
     static Api.Settings settings(Api.Settings of, int number, int zone) {
-        return new Api.Settings(number, of.gateways(), zone, of.resolutionMs(), of.classes(), of.plans(), of.limits(), of.rules(), of.report(), of.askMembership(),
-                of.peerIntakePerS(), of.mostUnits(), of.crossZonePrice(), of.peerPrice());
+        return new Api.Settings(number, of.gateways(), zone, of.resolutionMs(), of.classes(), of.plans(), of.limits(), of.rules(), of.reportedMetrics(), of.mustSubscribe(),
+                of.peerIntakePerS(), of.maxUnits(), of.crossZonePrice(), of.peerPrice());
     }
 
     void open(Selector selector) throws IOException {
@@ -203,7 +203,7 @@
         if (rates != null && spread >= Configs.RATES_FROM) {
             rates.asked(loop.now(), Demand.customer(tenant), plan, units);
             double perS = rates.askedPerS(loop.now(), Demand.customer(tenant), plan);
-            if (perS > 0) { core.tell(new Api.Asked(Demand.customer(tenant), plan, perS)); }
+            if (perS > 0) { core.tell(new Api.ExternalDemand(Demand.customer(tenant), plan, perS)); }
         }
         core.take(new Order(0, plan, Demand.customer(tenant), units, first, spread, waitMs, CARGO, new Terminal() {
             @Override
--- a/src/main/java/yardusher/Api.java
+++ b/src/main/java/yardusher/Api.java
@@ -23,7 +23,7 @@
     private Api() { }
 
     /** Latest time after its {@link Send} at which an attempt under a ceiling may still be written, in milliseconds. */
-    public static final double WRITTEN_WITHIN_MS = 260;
+    public static final double MAX_WRITE_DELAY_MS = 260;
 
     /** Whether a request of a class may be sent again after an attempt that may have run. */
     public enum Effect { IDEMPOTENT, DEDUPLICATED, AT_MOST_ONCE }
@@ -61,24 +61,24 @@
      * A customer's plan. A rate, cap or ceiling of 0 means that the plan has none; {@code overCost} is the fraction of its worth that
      * a request beyond the quota costs.
      */
-    public record Plan(double ratePerS, double burst, int openCap, double value, double ceilingRate,
-            double ceilingBurst, double ceilingSlack, double overCost) {
+    public record Plan(double ratePerS, double burst, int openCap, double value, double ceilingRatePerS,
+            double ceilingBurst, double ceilingSlack, double overQuotaCost) {
         /** A plan in which a request beyond the quota costs its whole worth. */
-        public Plan(double ratePerS, double burst, int openCap, double value, double ceilingRate, double ceilingBurst,
+        public Plan(double ratePerS, double burst, int openCap, double value, double ceilingRatePerS, double ceilingBurst,
                 double ceilingSlack) {
-            this(ratePerS, burst, openCap, value, ceilingRate, ceilingBurst, ceilingSlack, 1);
+            this(ratePerS, burst, openCap, value, ceilingRatePerS, ceilingBurst, ceilingSlack, 1);
         }
     }
 
     /** What the site allows the gateways to do; {@code peers} is whether they may send messages to each other. */
-    public record Limits(int maxAttempts, boolean mayCancel, boolean peers,
+    public record Limits(int maxAttempts, boolean mayCancel, boolean mayMessagePeers,
             double maxRetryAfterMs) { }
 
     /**
      * Limits for cold servers: their initial warmth, the warm-up time, and how much load in which time counts as an overload.
      * {@code mustAskMs} is for a membership that has to be asked for.
      */
-    public record Rules(double coldFrom, double warmAfterMs, double overloadFactor, double overloadForMs,
+    public record Rules(double initialWarmth, double warmAfterMs, double overloadFactor, double overloadWindowMs,
             double mustAskMs) { }
 
     /**
@@ -89,7 +89,7 @@
      */
     public record Settings(int self, int gateways, int zone, double resolutionMs,
             List<RequestClass> classes, List<Plan> plans, Limits limits, Rules rules,
-            List<Metric> report, boolean askMembership, double peerIntakePerS, double mostUnits,
+            List<Metric> reportedMetrics, boolean mustSubscribe, double peerIntakePerS, double maxUnits,
             double crossZonePrice, double peerPrice) { }
 
     /** One server of a list. A {@code startedAtMs} of 0 means that it started long ago. */
@@ -98,7 +98,7 @@
 
     /** An input of the decision module. */
     public sealed interface Event permits ServerList, Request, FirstByte, AttemptDelayed, AttemptWritten, AttemptDone, ClientGone,
-            TimerFired, PeerMessage, Ban, Twin, Room, Wide, Asked { }
+            TimerFired, PeerMessage, Ban, SiblingProcess, AttemptLimit, ExternalDemandThreshold, ExternalDemand { }
 
     /** The list of servers, or changes of it. */
     public record ServerList(ListKind kind, List<Server> servers) implements Event { }
@@ -118,10 +118,10 @@
      * restricts where it may run, null for anywhere.
      */
     public record Request(long id, int classIndex, int plan, long customer, double dueMs, double units,
-            int firstGateway, int spread, Binding only) implements Event {
+            int firstGateway, int gatewayCount, Binding binding) implements Event {
         public Request(long id, int classIndex, int plan, long customer, double dueMs, double units, int firstGateway,
-                int spread) {
-            this(id, classIndex, plan, customer, dueMs, units, firstGateway, spread, null);
+                int gatewayCount) {
+            this(id, classIndex, plan, customer, dueMs, units, firstGateway, gatewayCount, null);
         }
     }
 
@@ -142,7 +142,7 @@
      * final unit count, 0 if unknown; {@code load} is a load report in the order of the settings' metrics, or null.
      */
     public record AttemptDone(long id, int attempt, long server, Outcome outcome, double tookMs,
-            boolean finished, double billed, double[] load) implements Event { }
+            boolean finished, double billedUnits, double[] load) implements Event { }
 
     /** The client disconnected; the request needs no answer. */
     public record ClientGone(long id) implements Event { }
@@ -157,37 +157,37 @@
      * An operator bans a server regardless of the server list, or lifts the ban. A readmitted server counts as cold and its
      * health record is reset. Idempotent.
      */
-    public record Ban(long server, boolean out) implements Event { }
+    public record Ban(long server, boolean banned) implements Event { }
 
     /**
      * Sets the largest number of concurrent attempts at a server. Applies to a server of the list, until the next such
      * event for it. Without one, a server has no such bound.
      */
-    public record Room(long server, int most) implements Event { }
+    public record AttemptLimit(long server, int maxOpen) implements Event { }
 
     /**
      * Whether a second process of this same gateway runs, as during an upgrade. It sends messages with this gateway's index
      * and its own incarnation. Only one of the two owns the gateway's shares of ceilings: this one if {@code ownsCeilings}.
      */
-    public record Twin(boolean there, boolean owns) implements Event { }
+    public record SiblingProcess(boolean present, boolean ownsCeilings) implements Event { }
 
     /**
      * Customers with this many gateways or more get their total demand by {@link ExternalDemand}, so the module does not gossip their
      * counts, except for plans with a cap on open requests. Sent once at the start; without it, all counts are gossiped.
      */
-    public record Wide(int from) implements Event { }
+    public record ExternalDemandThreshold(int minGateways) implements Event { }
 
     /**
      * The estimated total demand of a customer at all its gateways, which exceeds its quota. Valid for one window; sent before
      * each request of the customer while the excess lasts.
      */
-    public record Asked(long customer, int plan, double perS) implements Event { }
+    public record ExternalDemand(long customer, int plan, double unitsPerS) implements Event { }
 
     /**
      * The state of a customer's quota: the limit and what remains of it, in units; the time until the requested units would
      * fit, 0 for now; and the time until the whole limit is free again. Times are in milliseconds from now.
      */
-    public record Standing(double limit, double remaining, double retryAfterMs, double resetMs) { }
+    public record QuotaStatus(double limit, double remaining, double retryAfterMs, double resetMs) { }
 
     /** An output of the decision module. */
     public sealed interface Action permits Send, Cancel, Refuse, Fail, SetTimer, Tell, Subscribe { }
--- a/src/main/java/yardusher/CeilingLoans.java
+++ b/src/main/java/yardusher/CeilingLoans.java
@@ -16,34 +16,34 @@
  */
 final class CeilingLoans {
     /** Factor on the recent demand that an ingress keeps available: for itself, and as a lender. */
-    private static final double HEADROOM = 1.25;
-    private static final double KEPT_HEADROOM = 1.25;
+    private static final double BORROWER_HEADROOM = 1.25;
+    private static final double LENDER_HEADROOM = 1.25;
     /** Time for which tokens must cover the demand: below the first an ingress asks for a loan, the second is what a lender keeps. */
-    private static final double COMFORT_MS = 1000;
-    private static final double KEPT_MS = 500;
-    private static final double ASK_EVERY_MS = 100;
+    private static final double BORROWER_RESERVE_MS = 1000;
+    private static final double LENDER_RESERVE_MS = 500;
+    private static final double REQUEST_INTERVAL_MS = 100;
     /** Backoff before a lender that granted nothing is asked again. */
-    private static final double MUTED_MS = 1000;
+    private static final double LENDER_BACKOFF_MS = 1000;
     /** A lease that expires sooner than this is renewed. */
-    private static final double RENEW_MS = CeilingShare.LEASE_MS / 2;
-    private static final int LENDERS = 2;
+    private static final double RENEWAL_MS = CeilingShare.LEASE_MS / 2;
+    private static final int MAX_LENDERS = 2;
     /** Largest distance between the indexes of lender and borrower, modulo the number of ingresses. */
-    private static final int REACH = 2;
-    private static final double RECALL_EVERY_MS = 100;
+    private static final int MAX_DISTANCE = 2;
+    private static final double RECALL_INTERVAL_MS = 100;
     /** Smallest portion that is worth a message, as a fraction of the own portion. */
-    private static final double LEAST_PART = 0.05;
+    private static final double MIN_PORTION_FRACTION = 0.05;
     /** Fraction of the message intake of the ingresses that loan requests may use. */
-    private static final double INTAKE_PART = 0.1;
-    private static final double MOST_SAVED_REQUESTS = 4;
+    private static final double INTAKE_FRACTION = 0.1;
+    private static final double MAX_SAVED_REQUESTS = 4;
 
     /** A loan request that is not answered yet. */
-    private record Asked(long nonce, double atMs) { }
+    private record OpenRequest(long nonce, double sentAtMs) { }
 
     /** Loan state of one customer: open requests of this ingress, and the last nonce from each borrower. */
-    static final class Lenders {
-        private final Map<Integer, Asked> asked = new HashMap<>();
+    static final class LoanState {
+        private final Map<Integer, OpenRequest> openRequests = new HashMap<>();
         private final Map<Integer, Long> lastNonces = new HashMap<>();
-        private double askedAt = Double.NEGATIVE_INFINITY;
+        private double requestedAtMs = Double.NEGATIVE_INFINITY;
     }
 
     private final Settings settings;
@@ -55,9 +55,9 @@
     private final Gossip gossip;
     private final Set<Integer> unconfirmed = new HashSet<>();
     private long recallNonce;
-    private double recalledAt = Double.NEGATIVE_INFINITY;
-    private double requestsLeft = MOST_SAVED_REQUESTS;
-    private double requestsLeftAt;
+    private double recalledAtMs = Double.NEGATIVE_INFINITY;
+    private double requestTokens = MAX_SAVED_REQUESTS;
+    private double requestTokensAtMs;
 
     CeilingLoans(Settings settings, Clock clock, SplittableRandom random, Peers peers, Quotas quotas, Ceilings ceilings, Gossip gossip) {
         this.settings = settings;
@@ -67,164 +67,164 @@
         this.quotas = quotas;
         this.ceilings = ceilings;
         this.gossip = gossip;
-        requestsLeftAt = clock.now;
+        requestTokensAtMs = clock.now;
     }
 
     /** After a start or when this process becomes the owner: asks all neighbours to return the loans of the previous incarnation. */
     void recall() {
         unconfirmed.clear();
-        boolean mayLend = settings.limits().peers() && settings.peerIntakePerS() > 0 && settings.plans().stream().anyMatch(Ceilings::hasCeiling);
+        boolean mayLend = settings.limits().mayMessagePeers() && settings.peerIntakePerS() > 0 && settings.plans().stream().anyMatch(Ceilings::hasCeiling);
         for (int peer = 0; peer < settings.gateways(); peer++) {
             if (mayLend && isNeighbour(peer)) { unconfirmed.add(peer); }
         }
         recallNonce = random.nextLong(CeilingMessage.NONCES);
-        remind();
+        resendRecalls();
     }
 
     /** Repeats the recall to the peers that have not confirmed it. */
-    void remind() {
-        if (!ceilings.mayHaveLentBefore()) { unconfirmed.clear(); }
-        if (unconfirmed.isEmpty() || clock.now - recalledAt < RECALL_EVERY_MS) { return; }
-        recalledAt = clock.now;
-        for (int peer : unconfirmed) { gossip.send(peer, new RecallText(false, recallNonce)); }
+    void resendRecalls() {
+        if (!ceilings.mayHavePreviousLoans()) { unconfirmed.clear(); }
+        if (unconfirmed.isEmpty() || clock.now - recalledAtMs < RECALL_INTERVAL_MS) { return; }
+        recalledAtMs = clock.now;
+        for (int peer : unconfirmed) { gossip.send(peer, new RecallMessage(false, recallNonce)); }
     }
 
     /** Loans are restricted to ingresses with close indexes, so that a restarted one has few borrowers to recall from. */
     private boolean isNeighbour(int peer) {
         int ahead = Math.floorMod(peer - settings.self(), settings.gateways());
-        return ahead > 0 && Math.min(ahead, settings.gateways() - ahead) <= REACH;
+        return ahead > 0 && Math.min(ahead, settings.gateways() - ahead) <= MAX_DISTANCE;
     }
 
     /** Called after each request of a customer: asks for loans if its share runs short. */
-    void look(Customer c) {
-        if (Ceilings.hasCeiling(c.plan)) { remind(); }
-        if (!Ceilings.hasCeiling(c.plan) || !mayMove(c) || clock.now - c.lenders.askedAt < ASK_EVERY_MS) { return; }
-        CeilingShare share = ceilings.share(c);
-        double wanted = HEADROOM * demand(c);
-        double comfort = settings.mostUnits() + demand(c) * COMFORT_MS;
-        double portionSoon = share.portionAt(clock.now + RENEW_MS);
-        boolean rateSuffices = portionSoon * ratePerMs(c) >= wanted;
-        boolean fits = share.capacity() >= settings.mostUnits();
-        if (share.tokens() >= comfort || rateSuffices && share.tokens() >= settings.mostUnits()) { return; }
-        double missingRate = Math.max(0, wanted / ratePerMs(c) - portionSoon);
-        double missingRoom = fits ? 0 : 2 * settings.mostUnits() / (c.plan.ceilingBurst() + c.plan.ceilingSlack()) - portionSoon;
-        double portion = Math.max(Math.max(missingRate, missingRoom), LEAST_PART * share.ownPortion());
-        ask(c, share, portion, comfort - share.tokens());
-    }
-
-    private boolean mayMove(Customer c) { return peers.owns && !peers.twin && c.first >= 0 && ceilings.canLend(c) && c.has(settings.self()); }
+    void requestIfShort(Customer customer) {
+        if (Ceilings.hasCeiling(customer.plan)) { resendRecalls(); }
+        if (!Ceilings.hasCeiling(customer.plan) || !mayMoveShares(customer) || clock.now - customer.loanState.requestedAtMs < REQUEST_INTERVAL_MS) { return; }
+        CeilingShare share = ceilings.share(customer);
+        double wantedPerMs = BORROWER_HEADROOM * demandPerMs(customer);
+        double reserve = settings.maxUnits() + demandPerMs(customer) * BORROWER_RESERVE_MS;
+        double portionSoon = share.portionAt(clock.now + RENEWAL_MS);
+        boolean rateSuffices = portionSoon * ratePerMs(customer) >= wantedPerMs;
+        boolean fits = share.capacity() >= settings.maxUnits();
+        if (share.tokens() >= reserve || rateSuffices && share.tokens() >= settings.maxUnits()) { return; }
+        double missingRate = Math.max(0, wantedPerMs / ratePerMs(customer) - portionSoon);
+        double missingRoom = fits ? 0 : 2 * settings.maxUnits() / (customer.plan.ceilingBurst() + customer.plan.ceilingSlack()) - portionSoon;
+        double portion = Math.max(Math.max(missingRate, missingRoom), MIN_PORTION_FRACTION * share.ownPortion());
+        requestLoans(customer, share, portion, reserve - share.tokens());
+    }
+
+    private boolean mayMoveShares(Customer customer) { return peers.ownsCeilings && !peers.hasSibling && customer.firstGateway >= 0 && ceilings.canLend(customer) && customer.includes(settings.self()); }
 
     /** Units requested here per millisecond, admitted or not. */
-    private double demand(Customer c) { return c.asked(c.mine) / c.windowMs; }
+    private double demandPerMs(Customer customer) { return customer.requestedUnits(customer.ownRow) / customer.windowMs; }
 
-    private static double ratePerMs(Customer c) { return c.plan.ceilingRate() / 1000; }
+    private static double ratePerMs(Customer customer) { return customer.plan.ceilingRatePerS() / 1000; }
 
-    private void ask(Customer c, CeilingShare share, double portion, double tokens) {
-        List<Integer> lenders = choose(c, share);
-        c.lenders.askedAt = clock.now;
+    private void requestLoans(Customer customer, CeilingShare share, double portion, double tokens) {
+        List<Integer> lenders = chooseLenders(customer, share);
+        customer.loanState.requestedAtMs = clock.now;
         for (int peer : lenders) {
-            if (!takeRequest()) { return; }
+            if (!takeRequestToken()) { return; }
             long nonce = random.nextLong(CeilingMessage.NONCES);
-            c.lenders.asked.put(peer, new Asked(nonce, clock.now));
+            customer.loanState.openRequests.put(peer, new OpenRequest(nonce, clock.now));
             double each = share.borrowedFrom(peer, clock.now) + portion / lenders.size();
-            send(peer, c, LoanText.Kind.REQUEST, nonce, Math.min(each, CeilingShare.LENDABLE * share.ownPortion()), tokens);
+            send(peer, customer, LoanMessage.Kind.REQUEST, nonce, Math.min(each, CeilingShare.LENDABLE_FRACTION * share.ownPortion()), tokens);
         }
     }
 
-    private boolean takeRequest() {
-        double earned = INTAKE_PART * peers.intake * (clock.now - requestsLeftAt);
-        requestsLeft = Math.min(MOST_SAVED_REQUESTS, requestsLeft + earned);
-        requestsLeftAt = clock.now;
-        if (requestsLeft < 1) { return false; }
-        requestsLeft--;
+    private boolean takeRequestToken() {
+        double earned = INTAKE_FRACTION * peers.intakePerMs * (clock.now - requestTokensAtMs);
+        requestTokens = Math.min(MAX_SAVED_REQUESTS, requestTokens + earned);
+        requestTokensAtMs = clock.now;
+        if (requestTokens < 1) { return false; }
+        requestTokens--;
         return true;
     }
 
     /** The peers that probably have most to spare, by their reported demand and a random factor; lenders to renew come first. */
-    private List<Integer> choose(Customer c, CeilingShare share) {
-        Map<Integer, Double> askedByPeer = new HashMap<>();
-        for (Row row : c.rows) { askedByPeer.merge(row.gateway, c.asked(row), Double::sum); }
+    private List<Integer> chooseLenders(Customer customer, CeilingShare share) {
+        Map<Integer, Double> requestedByPeer = new HashMap<>();
+        for (Row row : customer.peerRows) { requestedByPeer.merge(row.gateway, customer.requestedUnits(row), Double::sum); }
         Map<Integer, Double> spare = new HashMap<>();
         List<Integer> lenders = new ArrayList<>();
-        for (int k = 0; k < c.spread; k++) {
-            int peer = c.member(k);
-            if (!isNeighbour(peer) || isWaitedFor(c, peer)) { continue; }
-            double demand = askedByPeer.getOrDefault(peer, 0.0) / c.windowMs;
-            double idle = 1 - HEADROOM * demand / (share.ownPortion() * ratePerMs(c));
-            if (idle < LEAST_PART) { continue; }
+        for (int k = 0; k < customer.gatewayCount; k++) {
+            int peer = customer.member(k);
+            if (!isNeighbour(peer) || isOpenOrBackedOff(customer, peer)) { continue; }
+            double demand = requestedByPeer.getOrDefault(peer, 0.0) / customer.windowMs;
+            double idle = 1 - BORROWER_HEADROOM * demand / (share.ownPortion() * ratePerMs(customer));
+            if (idle < MIN_PORTION_FRACTION) { continue; }
             boolean renews = share.borrowedFrom(peer, clock.now) > 0;
             spare.put(peer, idle * (0.5 + random.nextDouble()) + (renews ? 1 : 0));
             lenders.add(peer);
         }
         lenders.sort(Comparator.comparingDouble(peer -> -spare.get(peer)));
-        return lenders.subList(0, Math.min(LENDERS, lenders.size()));
+        return lenders.subList(0, Math.min(MAX_LENDERS, lenders.size()));
     }
 
     /** Whether a loan request to this peer is open or was left unanswered recently. */
-    private boolean isWaitedFor(Customer c, int peer) {
-        Asked asked = c.lenders.asked.get(peer);
-        return asked != null && clock.now - asked.atMs() < MUTED_MS;
+    private boolean isOpenOrBackedOff(Customer customer, int peer) {
+        OpenRequest request = customer.loanState.openRequests.get(peer);
+        return request != null && clock.now - request.sentAtMs() < LENDER_BACKOFF_MS;
     }
 
-    private void send(int peer, Customer c, LoanText.Kind kind, long nonce, double portion, double tokens) {
-        gossip.send(peer, new LoanText(kind, c.planIndex, c.id, c.first, c.spread, nonce, portion, tokens));
+    private void send(int peer, Customer customer, LoanMessage.Kind kind, long nonce, double portion, double tokens) {
+        gossip.send(peer, new LoanMessage(kind, customer.planIndex, customer.id, customer.firstGateway, customer.gatewayCount, nonce, portion, tokens));
     }
 
     /** Handles a loan or recall message of a peer. */
     void receive(int from, CeilingMessage message) {
         if (!isNeighbour(from)) { return; }
-        if (message instanceof LoanText loan) { receiveLoan(from, loan); }
-        if (message instanceof RecallText recall && !recall.confirms()) { giveUp(from, recall.nonce()); }
-        if (message instanceof RecallText recall && recall.confirms()) { confirmed(from, recall.nonce()); }
+        if (message instanceof LoanMessage loan) { receiveLoan(from, loan); }
+        if (message instanceof RecallMessage recall && !recall.confirms()) { returnLoans(from, recall.nonce()); }
+        if (message instanceof RecallMessage recall && recall.confirms()) { receiveConfirmation(from, recall.nonce()); }
     }
 
     /** Returns what a previous incarnation of the peer has lent, and ignores grants that it may still send. */
-    private void giveUp(int lender, long nonce) {
+    private void returnLoans(int lender, long nonce) {
         boolean free = true;
-        for (Customer c : quotas.customers.values()) {
-            if (c.lenders == null) { continue; }
-            c.lenders.asked.remove(lender);
-            free &= c.ceilingShare == null || c.ceilingShare.giveUp(lender, clock.now);
+        for (Customer customer : quotas.customers.values()) {
+            if (customer.loanState == null) { continue; }
+            customer.loanState.openRequests.remove(lender);
+            free &= customer.ceilingShare == null || customer.ceilingShare.returnLoans(lender, clock.now);
         }
-        if (free) { gossip.send(lender, new RecallText(true, nonce)); }
+        if (free) { gossip.send(lender, new RecallMessage(true, nonce)); }
     }
 
-    private void confirmed(int borrower, long nonce) {
+    private void receiveConfirmation(int borrower, long nonce) {
         boolean last = nonce == recallNonce && unconfirmed.remove(borrower) && unconfirmed.isEmpty();
-        if (last && ceilings.mayHaveLentBefore()) { quotas.endFormerLoans(); }
+        if (last && ceilings.mayHavePreviousLoans()) { quotas.endPreviousLoans(); }
     }
 
     /** Ignores messages for another gateway set. */
-    private void receiveLoan(int from, LoanText text) {
-        Customer c = quotas.customer(text.customer(), text.plan());
-        if (c.first < 0) { c.reachedBy(text.first(), text.spread()); }
-        boolean sameSet = c.first == text.first() && c.spread == text.spread() && c.has(from);
-        if (!sameSet || !mayMove(c)) { return; }
-        switch (text.kind()) {
-            case REQUEST -> grant(c, from, text);
-            case GRANT -> granted(c, from, text);
-            default -> throw new IllegalStateException("unknown loan message kind " + text.kind());
+    private void receiveLoan(int from, LoanMessage message) {
+        Customer customer = quotas.customer(message.customer(), message.plan());
+        if (customer.firstGateway < 0) { customer.setGateways(message.firstGateway(), message.gatewayCount()); }
+        boolean sameSet = customer.firstGateway == message.firstGateway() && customer.gatewayCount == message.gatewayCount() && customer.includes(from);
+        if (!sameSet || !mayMoveShares(customer)) { return; }
+        switch (message.kind()) {
+            case REQUEST -> grant(customer, from, message);
+            case GRANT -> receiveGrant(customer, from, message);
+            default -> throw new IllegalStateException("unknown loan message kind " + message.kind());
         }
     }
 
-    private void grant(Customer c, int borrower, LoanText request) {
-        Long last = c.lenders.lastNonces.put(borrower, request.nonce());
+    private void grant(Customer customer, int borrower, LoanMessage request) {
+        Long last = customer.loanState.lastNonces.put(borrower, request.nonce());
         if (last != null && last == request.nonce()) { return; }
-        CeilingShare share = ceilings.share(c);
+        CeilingShare share = ceilings.share(customer);
         if (share.isBorrowing()) { return; }
-        double kept = KEPT_HEADROOM * demand(c) / ratePerMs(c);
-        double portion = Math.min(request.portion(), share.lendable(borrower, kept));
-        if (portion < LEAST_PART * share.ownPortion()) { return; }
-        double keptTokens = demand(c) > 0 ? settings.mostUnits() + demand(c) * KEPT_MS : 0;
+        double keptPortion = LENDER_HEADROOM * demandPerMs(customer) / ratePerMs(customer);
+        double portion = Math.min(request.portion(), share.lendable(borrower, keptPortion));
+        if (portion < MIN_PORTION_FRACTION * share.ownPortion()) { return; }
+        double keptTokens = demandPerMs(customer) > 0 ? settings.maxUnits() + demandPerMs(customer) * LENDER_RESERVE_MS : 0;
         double tokens = share.lend(borrower, portion, Math.min(request.tokens(), share.tokens() - keptTokens), clock.now);
-        send(borrower, c, LoanText.Kind.GRANT, request.nonce(), portion, tokens);
+        send(borrower, customer, LoanMessage.Kind.GRANT, request.nonce(), portion, tokens);
     }
 
-    private void granted(Customer c, int lender, LoanText grant) {
-        Asked asked = c.lenders.asked.get(lender);
-        if (asked == null || asked.nonce() != grant.nonce()) { return; }
-        c.lenders.asked.remove(lender);
-        double askedAt = asked.atMs();
-        if (clock.now < askedAt + CeilingShare.LEASE_MS) { ceilings.share(c).borrow(lender, grant.portion(), grant.tokens(), askedAt); }
+    private void receiveGrant(Customer customer, int lender, LoanMessage grant) {
+        OpenRequest request = customer.loanState.openRequests.get(lender);
+        if (request == null || request.nonce() != grant.nonce()) { return; }
+        customer.loanState.openRequests.remove(lender);
+        double requestedAtMs = request.sentAtMs();
+        if (clock.now < requestedAtMs + CeilingShare.LEASE_MS) { ceilings.share(customer).borrow(lender, grant.portion(), grant.tokens(), requestedAtMs); }
     }
 }
--- a/src/main/java/yardusher/CeilingMessage.java
+++ b/src/main/java/yardusher/CeilingMessage.java
@@ -3,7 +3,7 @@
 import yardusher.Api.Settings;
 
 /** A message between ingresses about loans of shares of ceilings. */
-sealed interface CeilingMessage permits LoanText, RecallText {
+sealed interface CeilingMessage permits LoanMessage, RecallMessage {
     int REQUEST = 0;
     int GRANT = 1;
     int RECALL = 2;
@@ -17,8 +17,8 @@
     static CeilingMessage read(Digits text, Settings settings) {
         int kind = (int) text.get(1);
         return switch (kind) {
-            case REQUEST, GRANT -> LoanText.read(kind, text, settings);
-            case RECALL, CONFIRMATION -> RecallText.read(kind == CONFIRMATION, text);
+            case REQUEST, GRANT -> LoanMessage.read(kind, text, settings);
+            case RECALL, CONFIRMATION -> RecallMessage.read(kind == CONFIRMATION, text);
             default -> null;
         };
     }
--- a/src/main/java/yardusher/CeilingShare.java
+++ b/src/main/java/yardusher/CeilingShare.java
@@ -15,7 +15,7 @@
     /** How much longer the lender waits before it reclaims a portion: covers attempts not yet written, process pauses and clock drift. */
     static final double MARGIN_MS = 450;
     /** Fraction of its own portion that an ingress may lend; a new incarnation can use the rest at once. */
-    static final double LENDABLE = 0.5;
+    static final double LENDABLE_FRACTION = 0.5;
     /** Placeholder for the unknown borrowers of the previous incarnation of this ingress. */
     private static final int UNKNOWN = -1;
 
@@ -28,16 +28,16 @@
     private final List<Lease> borrowed = new ArrayList<>();
     private double tokens;
     private double reserved;
-    private double updatedAt;
-    private double retiredAt = Double.POSITIVE_INFINITY;
-    private double roomAtRetirement;
+    private double updatedAtMs;
+    private double retiredAtMs = Double.POSITIVE_INFINITY;
+    private double capacityAtRetirement;
 
     /** An empty bucket that fills from {@code sinceMs} on; until {@code lentUntilMs}, loans of the previous incarnation may be out. */
     CeilingShare(Plan plan, int spread, double sinceMs, double lentUntilMs) {
         this.plan = plan;
         ownPortion = 1.0 / spread;
-        updatedAt = sinceMs;
-        if (lentUntilMs > sinceMs) { lent.add(new Lease(UNKNOWN, LENDABLE * ownPortion, lentUntilMs)); }
+        updatedAtMs = sinceMs;
+        if (lentUntilMs > sinceMs) { lent.add(new Lease(UNKNOWN, LENDABLE_FRACTION * ownPortion, lentUntilMs)); }
     }
 
     /** An independent copy. */
@@ -48,37 +48,37 @@
         borrowed.addAll(other.borrowed);
         tokens = other.tokens;
         reserved = other.reserved;
-        updatedAt = other.updatedAt;
-        retiredAt = other.retiredAt;
-        roomAtRetirement = other.roomAtRetirement;
+        updatedAtMs = other.updatedAtMs;
+        retiredAtMs = other.retiredAtMs;
+        capacityAtRetirement = other.capacityAtRetirement;
     }
 
     /** All loans of the previous incarnation have been returned. */
-    void endFormerLoans(double now) {
+    void endPreviousLoans(double now) {
         advance(now);
         lent.removeIf(lease -> lease.peer() == UNKNOWN);
     }
 
     /** Advances the bucket to this time, using for each interval between lease expiries the rate and capacity that the leases left. */
     void advance(double now) {
-        while (updatedAt < now) {
-            double next = Math.min(now, Math.min(firstEnd(lent), firstEnd(borrowed)));
-            tokens += portion() * plan.ceilingRate() / 1000 * (next - updatedAt);
-            updatedAt = next;
+        while (updatedAtMs < now) {
+            double next = Math.min(now, Math.min(earliestExpiry(lent), earliestExpiry(borrowed)));
+            tokens += portion() * plan.ceilingRatePerS() / 1000 * (next - updatedAtMs);
+            updatedAtMs = next;
             lent.removeIf(lease -> lease.untilMs() <= next);
             borrowed.removeIf(lease -> lease.untilMs() <= next);
-            clip();
+            dropExcess();
         }
     }
 
-    private static double firstEnd(List<Lease> leases) {
+    private static double earliestExpiry(List<Lease> leases) {
         double first = Double.POSITIVE_INFINITY;
         for (Lease lease : leases) { first = Math.min(first, lease.untilMs()); }
         return first;
     }
 
     /** Discards tokens above the capacity; tokens reserved by requests still occupy it. */
-    private void clip() { tokens = Math.min(tokens, capacity() - reserved); }
+    private void dropExcess() { tokens = Math.min(tokens, capacity() - reserved); }
 
     /**
      * A sibling process of this ingress earns the portion from now on. Tokens earned here may still be spent, but the capacity shrinks
@@ -87,13 +87,13 @@
     void retire(double now) {
         advance(now);
         borrowed.clear();
-        roomAtRetirement = capacity();
-        retiredAt = now;
-        clip();
+        capacityAtRetirement = capacity();
+        retiredAtMs = now;
+        dropExcess();
     }
 
     /** The portion that this ingress may use now. */
-    double portion() { return retiredAt < Double.POSITIVE_INFINITY ? 0 : Math.max(0, ownPortion - total(lent)) + total(borrowed); }
+    double portion() { return retiredAtMs < Double.POSITIVE_INFINITY ? 0 : Math.max(0, ownPortion - total(lent)) + total(borrowed); }
 
     /** The portion that it may use at a later time if nothing more is lent or borrowed. */
     double portionAt(double later) {
@@ -110,19 +110,19 @@
         return total;
     }
 
-    private static boolean isLargest(List<Lease> leases, int at) {
-        Lease lease = leases.get(at);
+    private static boolean isLargest(List<Lease> leases, int index) {
+        Lease lease = leases.get(index);
         for (int i = 0; i < leases.size(); i++) {
             Lease other = leases.get(i);
-            boolean larger = other.portion() > lease.portion() || other.portion() == lease.portion() && i < at;
-            if (i != at && other.peer() == lease.peer() && larger) { return false; }
+            boolean larger = other.portion() > lease.portion() || other.portion() == lease.portion() && i < index;
+            if (i != index && other.peer() == lease.peer() && larger) { return false; }
         }
         return true;
     }
 
     /** Capacity of the bucket: the portion's part of the ceiling's burst and slack. */
     double capacity() {
-        if (retiredAt < Double.POSITIVE_INFINITY) { return Math.max(0, roomAtRetirement - ownPortion * plan.ceilingRate() / 1000 * (updatedAt - retiredAt)); }
+        if (retiredAtMs < Double.POSITIVE_INFINITY) { return Math.max(0, capacityAtRetirement - ownPortion * plan.ceilingRatePerS() / 1000 * (updatedAtMs - retiredAtMs)); }
         return portion() * (plan.ceilingBurst() + plan.ceilingSlack());
     }
 
@@ -140,11 +140,11 @@
 
     /** The portion borrowed from a peer beyond this time. */
     double borrowedFrom(int peer, double later) {
-        double most = 0;
+        double largest = 0;
         for (Lease lease : borrowed) {
-            if (lease.peer() == peer && lease.untilMs() > later) { most = Math.max(most, lease.portion()); }
+            if (lease.peer() == peer && lease.untilMs() > later) { largest = Math.max(largest, lease.portion()); }
         }
-        return most;
+        return largest;
     }
 
     void spend(double units) { tokens -= units; }
@@ -153,7 +153,7 @@
     void reserve(double units, double now) {
         advance(now);
         reserved += units;
-        clip();
+        dropExcess();
     }
 
     /** Ends a reservation: the request has reached a backend. */
@@ -167,14 +167,14 @@
         advance(now);
         reserved -= units;
         tokens += units;
-        clip();
+        dropExcess();
     }
 
     /** The largest portion that this peer may hold, its present leases included, while {@code keptPortion} stays here. */
     double lendable(int peer, double keptPortion) {
         double toOthers = total(lent.stream().filter(lease -> lease.peer() != peer).toList());
         double heldByRequests = reserved / (plan.ceilingBurst() + plan.ceilingSlack());
-        double kept = Math.max((1 - LENDABLE) * ownPortion, Math.max(keptPortion, heldByRequests));
+        double kept = Math.max((1 - LENDABLE_FRACTION) * ownPortion, Math.max(keptPortion, heldByRequests));
         return Math.max(0, ownPortion - toOthers - kept);
     }
 
@@ -183,30 +183,30 @@
      * Tokens move only together with capacity, so a renewal carries none: otherwise the lender would earn them again while the
      * borrower still holds them.
      */
-    double lend(int peer, double portion, double mostTokens, double now) {
-        double roomBefore = capacity();
+    double lend(int peer, double portion, double maxTokens, double now) {
+        double capacityBefore = capacity();
         lent.add(new Lease(peer, portion, now + LEASE_MS + MARGIN_MS));
-        double roomLent = roomBefore - capacity();
+        double capacityLent = capacityBefore - capacity();
         double overflow = tokens + reserved - capacity();
-        double given = Math.max(0, Math.max(overflow, Math.min(Math.min(mostTokens, tokens), roomLent)));
+        double given = Math.max(0, Math.max(overflow, Math.min(Math.min(maxTokens, tokens), capacityLent)));
         tokens -= given;
-        clip();
+        dropExcess();
         return given;
     }
 
     /** Returns a peer's loans. The result is false while reserved tokens still exceed the remaining capacity. */
-    boolean giveUp(int peer, double now) {
+    boolean returnLoans(int peer, double now) {
         advance(now);
         borrowed.removeIf(lease -> lease.peer() == peer);
-        clip();
+        dropExcess();
         return reserved <= capacity();
     }
 
     /** Adds a granted loan; {@code askedAt} is when it was requested. */
-    void borrow(int peer, double portion, double moreTokens, double askedAt) {
-        if (askedAt + LEASE_MS <= updatedAt) { return; }
-        borrowed.add(new Lease(peer, portion, askedAt + LEASE_MS));
+    void borrow(int peer, double portion, double moreTokens, double requestedAtMs) {
+        if (requestedAtMs + LEASE_MS <= updatedAtMs) { return; }
+        borrowed.add(new Lease(peer, portion, requestedAtMs + LEASE_MS));
         tokens += moreTokens;
-        clip();
+        dropExcess();
     }
 }
--- a/src/main/java/yardusher/Ceilings.java
+++ b/src/main/java/yardusher/Ceilings.java
@@ -11,104 +11,104 @@
     private final Settings settings;
     private final Clock clock;
     private final Peers peers;
-    private double earnsSince;
-    private double lentUntil;
+    private double earnsSinceMs;
+    private double lentUntilMs;
 
     /** {@code bornMs} is when this process began; the previous incarnation of the ingress had ended by then. */
     Ceilings(Settings settings, Clock clock, Peers peers, double bornMs) {
         this.settings = settings;
         this.clock = clock;
         this.peers = peers;
-        beginsAnew(bornMs);
+        reset(bornMs);
     }
 
     /** Up to this time, the previous incarnation or the sibling process may have spent all tokens and lent all it could. */
-    private void beginsAnew(double since) {
-        earnsSince = since;
-        lentUntil = since + CeilingShare.LEASE_MS + CeilingShare.MARGIN_MS;
+    private void reset(double sinceMs) {
+        earnsSinceMs = sinceMs;
+        lentUntilMs = sinceMs + CeilingShare.LEASE_MS + CeilingShare.MARGIN_MS;
     }
 
     /** No peer holds a loan of the previous incarnation any more: the shares earn at their full rate again. */
-    void endFormerLoans(Iterable<Customer> customers) {
-        lentUntil = clock.now;
-        for (Customer c : customers) {
-            if (c.ceilingShare != null) { c.ceilingShare.endFormerLoans(clock.now); }
+    void endPreviousLoans(Iterable<Customer> customers) {
+        lentUntilMs = clock.now;
+        for (Customer customer : customers) {
+            if (customer.ceilingShare != null) { customer.ceilingShare.endPreviousLoans(clock.now); }
         }
     }
 
     /** Whether loans of the previous incarnation may still be out. */
-    boolean mayHaveLentBefore() { return clock.now < lentUntil; }
+    boolean mayHavePreviousLoans() { return clock.now < lentUntilMs; }
 
     /** Sets whether this process, of the two of an ingress in an upgrade, earns the shares from now on. */
-    void owns(boolean owns, Iterable<Customer> customers) {
-        if (owns == peers.owns) { return; }
-        for (Customer c : customers) {
-            if (owns) { c.ceilingShare = null; }
-            if (c.ceilingShare != null) { c.ceilingShare.retire(clock.now); }
+    void setOwnership(boolean owns, Iterable<Customer> customers) {
+        if (owns == peers.ownsCeilings) { return; }
+        for (Customer customer : customers) {
+            if (owns) { customer.ceilingShare = null; }
+            if (customer.ceilingShare != null) { customer.ceilingShare.retire(clock.now); }
         }
-        beginsAnew(clock.now);
+        reset(clock.now);
     }
 
     /** A customer's state is dropped, so what it has spent or lent since the start is unknown from now on. */
-    void forget(Customer c) {
-        CeilingShare share = c.ceilingShare;
+    void forget(Customer customer) {
+        CeilingShare share = customer.ceilingShare;
         if (share == null) { return; }
-        earnsSince = clock.now;
+        earnsSinceMs = clock.now;
         share.advance(clock.now);
-        if (share.hasLeasesOut()) { beginsAnew(clock.now); }
+        if (share.hasLeasesOut()) { reset(clock.now); }
     }
 
     /** Whether the customer's share has to be kept because others use a portion of it. */
-    boolean hasLeasesOut(Customer c) {
-        if (c.ceilingShare == null) { return false; }
-        c.ceilingShare.advance(clock.now);
-        return c.ceilingShare.hasLeasesOut();
+    boolean hasLeasesOut(Customer customer) {
+        if (customer.ceilingShare == null) { return false; }
+        customer.ceilingShare.advance(clock.now);
+        return customer.ceilingShare.hasLeasesOut();
     }
 
     /** The customer's share, advanced to the current time. */
-    CeilingShare share(Customer c) {
-        if (c.ceilingShare == null || !isOfSet(c)) {
-            c.ceilingShare = begin(c);
-            c.ceilingSpread = c.spread;
-            c.ceilingFirst = c.first;
+    CeilingShare share(Customer customer) {
+        if (customer.ceilingShare == null || !hasCurrentSet(customer)) {
+            customer.ceilingShare = newShare(customer);
+            customer.ceilingGatewayCount = customer.gatewayCount;
+            customer.ceilingFirstGateway = customer.firstGateway;
         }
-        c.ceilingShare.advance(clock.now);
-        return c.ceilingShare;
+        customer.ceilingShare.advance(clock.now);
+        return customer.ceilingShare;
     }
 
     /** A new share. When the gateway set has changed, the tokens of the old share are void, and its loans are still out. */
-    private CeilingShare begin(Customer c) {
-        boolean setChanged = c.ceilingShare != null;
-        if (setChanged) { return new CeilingShare(c.plan, c.spread, clock.now, clock.now + CeilingShare.LEASE_MS + CeilingShare.MARGIN_MS); }
-        return new CeilingShare(c.plan, c.spread, earnsSince, canLend(c) ? lentUntil : earnsSince);
+    private CeilingShare newShare(Customer customer) {
+        boolean setChanged = customer.ceilingShare != null;
+        if (setChanged) { return new CeilingShare(customer.plan, customer.gatewayCount, clock.now, clock.now + CeilingShare.LEASE_MS + CeilingShare.MARGIN_MS); }
+        return new CeilingShare(customer.plan, customer.gatewayCount, earnsSinceMs, canLend(customer) ? lentUntilMs : earnsSinceMs);
     }
 
     /** Whether portions of the customer's ceiling may be lent between ingresses. */
-    boolean canLend(Customer c) { return c.spread > 1 && settings.limits().peers() && settings.peerIntakePerS() > 0; }
+    boolean canLend(Customer customer) { return customer.gatewayCount > 1 && settings.limits().mayMessagePeers() && settings.peerIntakePerS() > 0; }
 
-    boolean holds(Customer c, double units) {
-        if (!hasCeiling(c.plan)) { return true; }
-        return mayHold(c) && share(c).tokens() >= units;
+    boolean canSpend(Customer customer, double units) {
+        if (!hasCeiling(customer.plan)) { return true; }
+        return mayUseShare(customer) && share(customer).tokens() >= units;
     }
 
     /** A process that does not own the shares may spend what it earned before but creates no new share. */
-    private boolean mayHold(Customer c) { return peers.owns || c.ceilingShare != null && isOfSet(c); }
+    private boolean mayUseShare(Customer customer) { return peers.ownsCeilings || customer.ceilingShare != null && hasCurrentSet(customer); }
 
-    private static boolean isOfSet(Customer c) { return c.ceilingSpread == c.spread && c.ceilingFirst == c.first; }
+    private static boolean hasCurrentSet(Customer customer) { return customer.ceilingGatewayCount == customer.gatewayCount && customer.ceilingFirstGateway == customer.firstGateway; }
 
-    static boolean hasCeiling(Plan plan) { return plan.ceilingRate() > 0; }
+    static boolean hasCeiling(Plan plan) { return plan.ceilingRatePerS() > 0; }
 
     /** Takes the units of an admitted request. Returns the share that they came from, null without a ceiling. */
-    CeilingShare spend(Customer c, double units) {
-        if (!hasCeiling(c.plan)) { return null; }
-        CeilingShare share = share(c);
+    CeilingShare spend(Customer customer, double units) {
+        if (!hasCeiling(customer.plan)) { return null; }
+        CeilingShare share = share(customer);
         share.spend(units);
         return share;
     }
 
     /** A copy of the customer's share, advanced to the current time; changes nothing. */
-    CeilingShare look(Customer c) {
-        CeilingShare share = c.ceilingShare == null ? begin(c) : new CeilingShare(c.ceilingShare);
+    CeilingShare copyOfShare(Customer customer) {
+        CeilingShare share = customer.ceilingShare == null ? newShare(customer) : new CeilingShare(customer.ceilingShare);
         share.advance(clock.now);
         return share;
     }
--- a/src/main/java/yardusher/Sums.java
+++ b/src/main/java/yardusher/CustomerSums.java
@@ -1,4 +1,4 @@
 package yardusher;
 
 /** An outbox item: the sums of all known rows of a customer. */
-record Sums(Customer of) { }
+record CustomerSums(Customer customer) { }
--- a/src/main/java/yardusher/Digits.java
+++ b/src/main/java/yardusher/Digits.java
@@ -4,28 +4,28 @@
 final class Digits {
     /** Values of a character; the characters 7 to 126 are used, so that each takes one byte in UTF-8. */
     static final int BASE = 120;
-    private static final int FIRST = 7;
+    private static final int FIRST_CHARACTER = 7;
     private final String text;
-    private int read;
+    private int position;
 
     /** Reads a text from this index on. */
     Digits(String text, int from) {
         this.text = text;
-        read = from;
+        position = from;
     }
 
     /** Appends a number below {@code BASE} to the power of {@code width}, least significant digit first. */
     static void put(StringBuilder body, long value, int width) {
-        for (; width > 0; width--, value /= BASE) { body.append((char) (FIRST + value % BASE)); }
+        for (; width > 0; width--, value /= BASE) { body.append((char) (FIRST_CHARACTER + value % BASE)); }
     }
 
     /** Reads the next number of {@code width} digits. Returns -1 if the text is truncated or has an invalid digit; then nothing follows. */
     long get(int width) {
         long value = 0;
         for (long scale = 1; width > 0; width--, scale *= BASE) {
-            int digit = read < text.length() ? text.charAt(read++) - FIRST : -1;
+            int digit = position < text.length() ? text.charAt(position++) - FIRST_CHARACTER : -1;
             if (digit < 0 || digit >= BASE) {
-                read = Integer.MAX_VALUE;
+                position = Integer.MAX_VALUE;
                 return -1;
             }
             value += scale * digit;
@@ -33,5 +33,5 @@
         return value;
     }
 
-    boolean more() { return read < text.length(); }
+    boolean hasMore() { return position < text.length(); }
 }
--- a/src/main/java/yardusher/FaultReporter.java
+++ b/src/main/java/yardusher/FaultReporter.java
@@ -3,8 +3,8 @@
 /** Sends reports of server failures to other gateways. */
 interface FaultReporter {
     /** Reports a fault to one gateway. */
-    void accuse(int peer, Fault fault);
+    void report(int peer, FaultReport fault);
 
     /** Passes a fault on with the next messages to other gateways. */
-    void pass(Fault fault);
+    void passOn(FaultReport fault);
 }
--- a/src/main/java/yardusher/Gossip.java
+++ b/src/main/java/yardusher/Gossip.java
@@ -12,188 +12,188 @@
  * the customer requests more than its quota, the relays send the sums of all they know to one part of the set after another.
  */
 final class Gossip implements FaultReporter {
-    private static final double FLUSH_MS = 10;       // time in which changes are collected to share a message
-    private static final int SWEPT = 8;              // ejections in a message
+    private static final double FLUSH_DELAY_MS = 10;       // time in which changes are collected to share a message
+    private static final int MAX_EJECTIONS = 8;              // ejections in a message
     private static final Object HELLO = new Object();
     private final Settings settings; private final Clock clock; private final SplittableRandom random;
-    private final Consumer<Action> out; private final Peers peers; private final Quotas quotas;
+    private final Consumer<Action> actions; private final Peers peers; private final Quotas quotas;
     private final Map<Integer, Outbox> outboxes = new LinkedHashMap<>();
-    private final LinkedHashSet<Customer> waiting = new LinkedHashSet<>(); // with a row to send or sums to relay
-    private final ArrayDeque<Fault> verdicts = new ArrayDeque<>(); // sent with the next messages
-    private double earned = 1, earnedAt, flushAt = Double.POSITIVE_INFINITY; private int sequence;
+    private final LinkedHashSet<Customer> pendingCustomers = new LinkedHashSet<>(); // with a row to send or sums to relay
+    private final ArrayDeque<FaultReport> ejections = new ArrayDeque<>(); // sent with the next messages
+    private double sendTokens = 1, sendTokensAtMs, flushAtMs = Double.POSITIVE_INFINITY; private int sequence;
 
-    Gossip(Settings settings, Clock clock, SplittableRandom random, Consumer<Action> out, Peers peers,
+    Gossip(Settings settings, Clock clock, SplittableRandom random, Consumer<Action> actions, Peers peers,
             Quotas quotas) {
-        this.settings = settings; this.clock = clock; this.random = random; this.out = out;
+        this.settings = settings; this.clock = clock; this.random = random; this.actions = actions;
         this.peers = peers; this.quotas = quotas;
     }
 
     /** Greets all peers of a small fleet to ask for their counts; in a large one, the regular messages must suffice. */
     void greet() {
-        for (int peer = 0; settings.gateways() <= Customer.DIRECT + 1 && peer < settings.gateways(); peer++) {
+        for (int peer = 0; settings.gateways() <= Customer.MAX_DIRECT_PEERS + 1 && peer < settings.gateways(); peer++) {
             enqueue(peer, HELLO);
         }
     }
 
     /** The own row changed: sent at once, further changes half a slot later; a change of the demand alone is sent rarely. */
-    void changed(Customer c, boolean counts) {
-        boolean wide = c.spread >= peers.wideFrom && c.plan.openCap() <= 0;
-        if ((c.spread == 1 || wide || peers.intake <= 0) && !peers.twin) { return; }
-        double hold = !counts ? c.windowMs / 2 : c.plan.openCap() > 0 && c.direct() ? FLUSH_MS : c.slotMs / 2;
-        double at = Math.max(clock.now, c.toldAt + hold);
-        c.tellAt = c.fresh ? Math.min(c.tellAt, at) : at; c.fresh = true;
-        waiting.add(c);
-        arm(c.tellAt);
+    void ownRowChanged(Customer customer, boolean countsChanged) {
+        boolean external = customer.gatewayCount >= peers.externalDemandFrom && customer.plan.openCap() <= 0;
+        if ((customer.gatewayCount == 1 || external || peers.intakePerMs <= 0) && !peers.hasSibling) { return; }
+        double holdMs = !countsChanged ? customer.windowMs / 2 : customer.plan.openCap() > 0 && customer.isDirect() ? FLUSH_DELAY_MS : customer.slotMs / 2;
+        double atMs = Math.max(clock.now, customer.sentAtMs + holdMs);
+        customer.sendAtMs = customer.ownRowChanged ? Math.min(customer.sendAtMs, atMs) : atMs; customer.ownRowChanged = true;
+        pendingCustomers.add(customer);
+        scheduleFlush(customer.sendAtMs);
     }
 
     @Override
-    public void accuse(int peer, Fault fault) { enqueue(peer, fault); }
+    public void report(int peer, FaultReport fault) { enqueue(peer, fault); }
 
     @Override
-    public void pass(Fault fault) {
-        for (int i = 0; i < Customer.NEIGHBOURS; i++) { verdicts.add(fault); }
+    public void passOn(FaultReport fault) {
+        for (int i = 0; i < Customer.RELAYS; i++) { ejections.add(fault); }
     }
 
-    private void arm(double at) {
-        double due = Math.max(clock.now + FLUSH_MS, at);
-        if (due < flushAt) { flushAt = due; out.accept(new SetTimer(due, Clock.FLUSH)); }
+    private void scheduleFlush(double atMs) {
+        double dueMs = Math.max(clock.now + FLUSH_DELAY_MS, atMs);
+        if (dueMs < flushAtMs) { flushAtMs = dueMs; actions.accept(new SetTimer(dueMs, Clock.FLUSH_TOKEN)); }
     }
 
     private void enqueue(int peer, Object item) {
-        if (peer == settings.self() ? !peers.twin : peers.intake <= 0) { return; }
-        outboxes.computeIfAbsent(peer, p -> new Outbox()).add(item, due(item));
-        arm(peer == settings.self() ? clock.now : earnedAt + (1 - earned) / peers.intake); // when the next message may be sent
+        if (peer == settings.self() ? !peers.hasSibling : peers.intakePerMs <= 0) { return; }
+        outboxes.computeIfAbsent(peer, p -> new Outbox()).add(item, dueMs(item));
+        scheduleFlush(peer == settings.self() ? clock.now : sendTokensAtMs + (1 - sendTokens) / peers.intakePerMs); // when the next message may be sent
     }
 
     /** When an item is due. Counts are worthless after their window, so the shortest window goes first. */
-    private double due(Object item) {
+    private double dueMs(Object item) {
         if (item instanceof CeilingMessage) { return clock.now; }
-        Customer c = item instanceof Sums sums ? sums.of() : item instanceof Customer own ? own : null;
-        return clock.now + (c == null ? Clock.SWEEP_MS : c.windowMs);
+        Customer customer = item instanceof CustomerSums sums ? sums.customer() : item instanceof Customer own ? own : null;
+        return clock.now + (customer == null ? Clock.SWEEP_MS : customer.windowMs);
     }
 
     void flush() {
-        if (clock.now < flushAt) { return; }               // a superseded timer: an earlier one was set since
-        flushAt = Double.POSITIVE_INFINITY;
+        if (clock.now < flushAtMs) { return; }               // a superseded timer: an earlier one was set since
+        flushAtMs = Double.POSITIVE_INFINITY;
         double next = Double.POSITIVE_INFINITY;
-        for (Iterator<Customer> all = waiting.iterator(); all.hasNext();) {
-            Customer c = all.next();
-            if (c.tellAt <= clock.now) { tellRow(c); }
-            if (c.news && c.passAt <= clock.now) { passOn(c); }
-            next = Math.min(next, Math.min(c.tellAt, c.news ? c.passAt : c.tellAt));
-            if (c.tellAt == Double.POSITIVE_INFINITY && !c.news) { all.remove(); }
+        for (Iterator<Customer> all = pendingCustomers.iterator(); all.hasNext();) {
+            Customer customer = all.next();
+            if (customer.sendAtMs <= clock.now) { sendRow(customer); }
+            if (customer.peerRowsChanged && customer.relayAtMs <= clock.now) { relaySums(customer); }
+            next = Math.min(next, Math.min(customer.sendAtMs, customer.peerRowsChanged ? customer.relayAtMs : customer.sendAtMs));
+            if (customer.sendAtMs == Double.POSITIVE_INFINITY && !customer.peerRowsChanged) { all.remove(); }
         }
-        earned = Math.min(1 + peers.intake * 500, earned + peers.intake * (clock.now - earnedAt)); // saved for at most 0.5 s
-        earnedAt = clock.now;
+        sendTokens = Math.min(1 + peers.intakePerMs * 500, sendTokens + peers.intakePerMs * (clock.now - sendTokensAtMs)); // saved for at most 0.5 s
+        sendTokensAtMs = clock.now;
         Outbox own = outboxes.remove(settings.self()); // to the sibling process, which is not limited by intake
-        for (int n = own == null ? 0 : own.size(); n-- > 0 && own.size() > 0;) { tell(settings.self(), own); }
-        for (int n = outboxes.size(); n-- > 0 && earned >= 1; earned--) {
-            int peer = Outbox.first(outboxes);
-            tell(peer, outboxes.get(peer));
+        for (int n = own == null ? 0 : own.size(); n-- > 0 && own.size() > 0;) { sendMessage(settings.self(), own); }
+        for (int n = outboxes.size(); n-- > 0 && sendTokens >= 1; sendTokens--) {
+            int peer = Outbox.earliestDue(outboxes);
+            sendMessage(peer, outboxes.get(peer));
             if (outboxes.get(peer).size() == 0) { outboxes.remove(peer); }
         }
-        if (!outboxes.isEmpty()) { next = Math.min(next, clock.now + (1 - earned) / peers.intake); }
-        if (next < Double.POSITIVE_INFINITY) { arm(next); }
+        if (!outboxes.isEmpty()) { next = Math.min(next, clock.now + (1 - sendTokens) / peers.intakePerMs); }
+        if (next < Double.POSITIVE_INFINITY) { scheduleFlush(next); }
     }
 
-    private void tellRow(Customer c) {
-        c.toldAt = clock.now; c.tellAt = Double.POSITIVE_INFINITY;
-        if (c.direct()) {
-            for (int k = 0; k < c.spread; k++) { enqueue(c.member(k), c); }
-            if (c.fresh) { c.tellAt = clock.now + c.windowMs / 2; } // sent once more, in case the message is lost
+    private void sendRow(Customer customer) {
+        customer.sentAtMs = clock.now; customer.sendAtMs = Double.POSITIVE_INFINITY;
+        if (customer.isDirect()) {
+            for (int k = 0; k < customer.gatewayCount; k++) { enqueue(customer.member(k), customer); }
+            if (customer.ownRowChanged) { customer.sendAtMs = clock.now + customer.windowMs / 2; } // sent once more, in case the message is lost
         } else {
-            for (int k = 0; k < Customer.NEIGHBOURS; k++) { enqueue(c.meeting(k), c); }
-            enqueue(settings.self(), c);
-            noteNews(c);
+            for (int k = 0; k < Customer.RELAYS; k++) { enqueue(customer.relay(k), customer); }
+            enqueue(settings.self(), customer);
+            scheduleRelay(customer);
         }
-        c.fresh = false;
+        customer.ownRowChanged = false;
     }
 
     /** Peers' counts changed here: relays them while the customer requests more than its quota. */
-    private void noteNews(Customer c) {
-        boolean known = c.news || c.first < 0 || !c.direct() && c.rank < 0 || c.spread <= 2;
-        if (known || !quotas.tight(c)) { return; }
-        c.news = true;
-        waiting.add(c);
-        arm(c.passAt);
-    }
-
-    private void passOn(Customer c) {
-        c.news = false; c.passAt = clock.now + c.passEvery();
-        Sums sums = new Sums(c);
-        int at = random.nextInt(c.spread);
-        if (c.direct()) { enqueue(c.member(at), sums); return; } // all get the source's own row; this bypasses one broken path
-        int part = (c.rank + c.turn++) % Customer.NEIGHBOURS;
-        for (int k = 0; k < c.spread; k++) {
-            int peer = c.member(at + k);
-            if (peer % Customer.NEIGHBOURS == part) { enqueue(peer, sums); }
+    private void scheduleRelay(Customer customer) {
+        boolean ignored = customer.peerRowsChanged || customer.firstGateway < 0 || !customer.isDirect() && customer.relayRank < 0 || customer.gatewayCount <= 2;
+        if (ignored || !quotas.isNearLimit(customer)) { return; }
+        customer.peerRowsChanged = true;
+        pendingCustomers.add(customer);
+        scheduleFlush(customer.relayAtMs);
+    }
+
+    private void relaySums(Customer customer) {
+        customer.peerRowsChanged = false; customer.relayAtMs = clock.now + customer.relayIntervalMs();
+        CustomerSums sums = new CustomerSums(customer);
+        int at = random.nextInt(customer.gatewayCount);
+        if (customer.isDirect()) { enqueue(customer.member(at), sums); return; } // all get the source's own row; this bypasses one broken path
+        int part = (customer.relayRank + customer.relayTurn++) % Customer.RELAYS;
+        for (int k = 0; k < customer.gatewayCount; k++) {
+            int peer = customer.member(at + k);
+            if (peer % Customer.RELAYS == part) { enqueue(peer, sums); }
         }
     }
 
     /** Sends a loan message with the next message to that peer, which goes before others. */
     void send(int peer, CeilingMessage loan) { enqueue(peer, loan); }
 
-    private void tell(int peer, Outbox box) {
-        sequence = (sequence + 1) % MessageText.SEQUENCES;
-        boolean greets = clock.now - clock.startedAt < Clock.SWEEP_MS; // and asks for the known counts
-        MessageText text = new MessageText(settings, peers.life, greets, sequence);
-        int carried = Math.min(SWEPT, (verdicts.size() + 2) / Customer.NEIGHBOURS);
-        for (; carried > 0; carried--) { text.add(verdicts.poll(), peer); }
+    private void sendMessage(int peer, Outbox box) {
+        sequence = (sequence + 1) % GossipMessage.SEQUENCES;
+        boolean greets = clock.now - clock.startedAtMs < Clock.SWEEP_MS; // and asks for the known counts
+        GossipMessage text = new GossipMessage(settings, peers.incarnation, greets, sequence);
+        int ejectionCount = Math.min(MAX_EJECTIONS, (ejections.size() + 2) / Customer.RELAYS);
+        for (; ejectionCount > 0; ejectionCount--) { text.add(ejections.poll(), peer); }
         Iterator<Object> all = box.items.iterator();
         while (all.hasNext() && text.add(all.next(), peer)) { all.remove(); }
-        box.due = clock.now + Clock.SWEEP_MS;        // items that did not fit
-        out.accept(new Tell(peer, text.toString()));
+        box.dueMs = clock.now + Clock.SWEEP_MS;        // items that did not fit
+        actions.accept(new Tell(peer, text.toString()));
     }
 
     /** Handles a message; passes its faults and loan messages to the given consumers. */
-    void receive(PeerMessage message, Consumer<Fault> faults, BiConsumer<Integer, CeilingMessage> loans) {
+    void receive(PeerMessage message, Consumer<FaultReport> faults, BiConsumer<Integer, CeilingMessage> loans) {
         int from = message.from();
-        boolean known = from >= 0 && from < settings.gateways() && (from != settings.self() || peers.twin);
-        MessageText.Heard heard = known ? MessageText.read(message.body(), settings) : null;
-        if (heard == null) { return; }
-        peers.heardAt = clock.now;
-        Integer before = peers.lives.put(from, heard.life());
-        if (heard.greets() && (before == null || before != heard.life())) { handOver(from); }
-        for (Object item : heard.items()) {
-            if (item instanceof Fault fault) { faults.accept(fault); }
+        boolean known = from >= 0 && from < settings.gateways() && (from != settings.self() || peers.hasSibling);
+        GossipMessage.Decoded decoded = known ? GossipMessage.read(message.body(), settings) : null;
+        if (decoded == null) { return; }
+        peers.heardAtMs = clock.now;
+        Integer previous = peers.incarnations.put(from, decoded.incarnation());
+        if (decoded.greets() && (previous == null || previous != decoded.incarnation())) { sendKnownCounts(from); }
+        for (Object item : decoded.items()) {
+            if (item instanceof FaultReport fault) { faults.accept(fault); }
             if (item instanceof CeilingMessage loan) { loans.accept(from, loan); }
-            if (item instanceof RowText row) { receiveRow(row, from, heard.life(), heard.sequence()); }
+            if (item instanceof RowMessage row) { receiveRow(row, from, decoded.incarnation(), decoded.sequence()); }
         }
     }
 
     /** A restarted peer has lost all counts, also its own latest ones: sends it the sums of all that is known here. */
-    private void handOver(int peer) {
+    private void sendKnownCounts(int peer) {
         enqueue(peer, HELLO);
-        for (Customer c : quotas.customers.values()) {
-            if (c.has(peer) && c.used() > 0 && (c.direct() || c.rank >= 0)) { enqueue(peer, new Sums(c)); }
+        for (Customer customer : quotas.customers.values()) {
+            if (customer.includes(peer) && customer.usedUnits() > 0 && (customer.isDirect() || customer.relayRank >= 0)) { enqueue(peer, new CustomerSums(customer)); }
         }
     }
 
     /** A sibling process came or went: two processes of one gateway that each know half of its counts must exchange them. */
-    void twin(Twin event) {
-        boolean came = event.there() && !peers.twin;
-        peers.twin = event.there(); peers.owns = event.owns();
+    void siblingChanged(SiblingProcess event) {
+        boolean came = event.present() && !peers.hasSibling;
+        peers.hasSibling = event.present(); peers.ownsCeilings = event.ownsCeilings();
         if (!came) { return; }
-        for (Customer c : quotas.customers.values()) {
-            if (c.used() > 0) { enqueue(settings.self(), new Sums(c)); }
+        for (Customer customer : quotas.customers.values()) {
+            if (customer.usedUnits() > 0) { enqueue(settings.self(), new CustomerSums(customer)); }
         }
-        flushAt = clock.now;
+        flushAtMs = clock.now;
         flush();
     }
 
-    private void receiveRow(RowText told, int from, int itsLife, int seq) {
-        Customer c = quotas.customer(told.customer(), told.tag() / RowText.KINDS);
-        if (c.first < 0) { c.reachedBy(told.first(), told.spread()); }
-        c.turn();
-        boolean own = told.tag() % RowText.KINDS == RowText.OWN;
-        Row row = c.row(own ? c.rows : c.sums, from, itsLife);
-        int ahead = Math.floorMod(seq - row.seq, MessageText.SEQUENCES);
-        boolean newer = ahead > 0 && ahead <= MessageText.SEQUENCES / 2;
-        if (row.seq >= 0 && !newer) { return; }      // older than the row that is kept
-        row.seq = seq;
-        row.take(told, c, clock.now);
-        if (clock.now - c.newsAt < c.windowMs) { c.newsEvery += 0.3 * (clock.now - c.newsAt - c.newsEvery); }
-        c.newsAt = clock.now;
-        if (own) { noteNews(c); }
+    private void receiveRow(RowMessage received, int from, int incarnation, int sequence) {
+        Customer customer = quotas.customer(received.customer(), received.tag() / RowMessage.KINDS);
+        if (customer.firstGateway < 0) { customer.setGateways(received.firstGateway(), received.gatewayCount()); }
+        customer.advance();
+        boolean own = received.tag() % RowMessage.KINDS == RowMessage.OWN;
+        Row row = customer.row(own ? customer.peerRows : customer.relayedSums, from, incarnation);
+        int ahead = Math.floorMod(sequence - row.sequence, GossipMessage.SEQUENCES);
+        boolean newer = ahead > 0 && ahead <= GossipMessage.SEQUENCES / 2;
+        if (row.sequence >= 0 && !newer) { return; }      // older than the row that is kept
+        row.sequence = sequence;
+        row.replace(received, customer, clock.now);
+        if (clock.now - customer.heardAtMs < customer.windowMs) { customer.heardIntervalMs += 0.3 * (clock.now - customer.heardAtMs - customer.heardIntervalMs); }
+        customer.heardAtMs = clock.now;
+        if (own) { scheduleRelay(customer); }
     }
 }
--- a/src/main/java/yardusher/MessageText.java
+++ b/src/main/java/yardusher/GossipMessage.java
@@ -5,7 +5,7 @@
 import yardusher.Api.Settings;
 
 /** Encoding of a message between gateways: incarnation, sequence number, then faults, rows and loans; at most 256 bytes. */
-final class MessageText {
+final class GossipMessage {
     static final int SEQUENCES = Digits.BASE * Digits.BASE;
     private static final String MARK = "m";
     /** Starts the loans. Not a digit, so a version without loans stops reading here. */
@@ -15,9 +15,9 @@
     private final StringBuilder loans = new StringBuilder();
 
     /** {@code greets}: asks a peer that did not know this incarnation for its counts. */
-    MessageText(Settings settings, int life, boolean greets, int sequence) {
+    GossipMessage(Settings settings, int incarnation, boolean greets, int sequence) {
         this.settings = settings;
-        Digits.put(body, life + (greets ? Peers.LIVES : 0), 1);
+        Digits.put(body, incarnation + (greets ? Peers.INCARNATIONS : 0), 1);
         Digits.put(body, sequence, 2);
     }
 
@@ -27,11 +27,11 @@
      */
     boolean add(Object item, int peer) {
         int before = body.length(), loansBefore = loans.length();
-        if (item instanceof Fault fault) { fault.put(body); }
-        if (item instanceof Customer own) { RowText.of(RowText.OWN, own, peer).put(body, settings); }
-        if (item instanceof Sums sums) { RowText.of(RowText.SUM, sums.of(), peer).put(body, settings); }
+        if (item instanceof FaultReport fault) { fault.put(body); }
+        if (item instanceof Customer own) { RowMessage.of(RowMessage.OWN, own, peer).put(body, settings); }
+        if (item instanceof CustomerSums sums) { RowMessage.of(RowMessage.SUM, sums.customer(), peer).put(body, settings); }
         if (item instanceof CeilingMessage loan) { loan.put(loans, settings); }
-        if (length() <= RowText.MOST_BYTES) { return true; }
+        if (length() <= RowMessage.MAX_MESSAGE_BYTES) { return true; }
         body.setLength(before);
         loans.setLength(loansBefore);
         return false;
@@ -43,28 +43,28 @@
     public String toString() { return loans.isEmpty() ? body.toString() : body + Character.toString(LOANS) + loans; }
 
     private static void readLoans(Digits text, Settings settings, List<Object> items) {
-        for (CeilingMessage loan; text.more() && (loan = CeilingMessage.read(text, settings)) != null;) { items.add(loan); }
+        for (CeilingMessage loan; text.hasMore() && (loan = CeilingMessage.read(text, settings)) != null;) { items.add(loan); }
     }
 
     /** A decoded message; {@code items} are its faults, rows and loans up to the first that is truncated or unknown at this site. */
-    record Heard(int life, boolean greets, int sequence, List<Object> items) { }
+    record Decoded(int incarnation, boolean greets, int sequence, List<Object> items) { }
 
     /** Decodes a message; null if it is not one. */
-    static Heard read(String body, Settings settings) {
+    static Decoded read(String body, Settings settings) {
         if (!body.startsWith(MARK)) { return null; }
         int loansAt = body.indexOf(LOANS);
         Digits text = new Digits(loansAt < 0 ? body : body.substring(0, loansAt), MARK.length());
-        int mark = (int) text.get(1), sequence = (int) text.get(2);
-        if (mark < 0 || sequence < 0) { return null; }
+        int incarnationMark = (int) text.get(1), sequence = (int) text.get(2);
+        if (incarnationMark < 0 || sequence < 0) { return null; }
         List<Object> items = new ArrayList<>();
-        while (text.more()) {
+        while (text.hasMore()) {
             int kind = (int) text.get(1);
-            Object item = kind < 0 ? null : kind % RowText.KINDS >= RowText.FAULT ? Fault.read(kind, text)
-                    : RowText.read(kind, kind / RowText.KINDS, text, settings);
+            Object item = kind < 0 ? null : kind % RowMessage.KINDS >= RowMessage.FAULT ? FaultReport.read(kind, text)
+                    : RowMessage.read(kind, kind / RowMessage.KINDS, text, settings);
             if (item == null) { break; }
             items.add(item);
         }
         if (loansAt >= 0) { readLoans(new Digits(body, loansAt + 1), settings, items); }
-        return new Heard(mark % Peers.LIVES, mark >= Peers.LIVES, sequence, items);
+        return new Decoded(incarnationMark % Peers.INCARNATIONS, incarnationMark >= Peers.INCARNATIONS, sequence, items);
     }
 }
--- a/src/main/java/yardusher/PendingRequest.java
+++ b/src/main/java/yardusher/PendingRequest.java
@@ -5,35 +5,35 @@
 /** An admitted request that has no final answer yet. */
 final class PendingRequest {
     final Request request;
-    final RequestClass of;
+    final RequestClass requestClass;
     final Customer customer;
-    final double arrivedAt;
+    final double arrivedAtMs;
     int attempts;
-    Host last;
-    double sentAt, ranAt;                            // ranAtMs, ranZone, ranCell: of the first attempt that may
+    Host lastHost;
+    double sentAtMs, ranAtMs;                            // ranAtMs, ranZone, ranCell: of the first attempt that may
     int ranZone, ranCell;                            // have run, also while it is open
-    boolean ran;                                     // an ended attempt may have run
-    int lone;                                        // number of attempts when one that hung alone was abandoned; 0 for none
-    double waited;                                   // how long that one had waited
-    CeilingShare share;                              // share of the ceiling that its units came from; null for none
-    int spentAt;                                     // the attempt for which its units were taken
-    boolean reserved;                                // its units are reserved: no attempt has reached a server yet
-    boolean gone, begun;                             // streaming: a streamed answer has begun
+    boolean mayHaveRun;                                     // an ended attempt may have run
+    int hungAttempts;                                        // number of attempts when one that hung alone was abandoned; 0 for none
+    double hungMs;                                   // how long that one had waited
+    CeilingShare ceilingShare;                              // share of the ceiling that its units came from; null for none
+    int spentAttempt;                                     // the attempt for which its units were taken
+    boolean unitsReserved;                                // its units are reserved: no attempt has reached a server yet
+    boolean clientGone, streaming;                             // streaming: a streamed answer has begun
 
-    PendingRequest(Request request, RequestClass of, Customer customer, double arrivedAt) {
-        this.request = request; this.of = of; this.customer = customer; this.arrivedAt = arrivedAt;
+    PendingRequest(Request request, RequestClass requestClass, Customer customer, double arrivedAtMs) {
+        this.request = request; this.requestClass = requestClass; this.customer = customer; this.arrivedAtMs = arrivedAtMs;
     }
 
     /** Records the next attempt, and its place: a retry must keep to that place even if a list moves the server meanwhile. */
-    void sent(Host host, double at) {
-        attempts++; last = host; sentAt = at; host.credit--;
-        if (!ran) { ranAt = at; ranZone = host.zone; ranCell = host.cell; }
+    void attemptSent(Host host, double nowMs) {
+        attempts++; lastHost = host; sentAtMs = nowMs; host.coldTokens--;
+        if (!mayHaveRun) { ranAtMs = nowMs; ranZone = host.zone; ranCell = host.cell; }
     }
 
-    PendingRequest begin(double at) { begun = true; last.quietSince = at; return this; }
+    PendingRequest beginStreaming(double nowMs) { streaming = true; lastHost.lastAnswerAtMs = nowMs; return this; }
 
     /** Until when its answer has its full worth. */
-    double aimAt() { return arrivedAt + of.aimMs(); }
+    double aimAtMs() { return arrivedAtMs + requestClass.aimMs(); }
 
-    boolean boundElsewhere(Host host) { return request.only() != null && !request.only().allows(host); }
+    boolean isBoundElsewhere(Host host) { return request.binding() != null && !request.binding().allows(host); }
 }
--- a/src/main/java/yardusher/Policy.java
+++ b/src/main/java/yardusher/Policy.java
@@ -9,33 +9,33 @@
 
 /** Decides for one gateway: admission by quotas and ceilings, choice of servers, retries and load shedding. Contracts: {@link Api}. */
 public final class Policy {
-    private static final long LOANS = 0x6c6f616e73L; // loans use a random stream of their own
-    private final Consumer<Action> out; private final Clock clock; private final Peers peers;
+    private static final long LOANS_SEED_MASK = 0x6c6f616e73L; // loans use a random stream of their own
+    private final Consumer<Action> actions; private final Clock clock; private final Peers peers;
     final Quotas quotas; final Servers servers;
     private final Gossip gossip; private final Pressure pressure;
-    private final Standings standings; private final Attempts attempts; private final CeilingLoans loans;
+    private final QuotaStatusReader quotaStatusReader; private final Attempts attempts; private final CeilingLoans loans;
 
     /** Starts an instance; {@code nowMs} is the clock at the start. */
-    public Policy(Settings settings, long seed, double nowMs, Consumer<Action> out) { this(settings, seed, nowMs, nowMs, out); }
+    public Policy(Settings settings, long seed, double nowMs, Consumer<Action> actions) { this(settings, seed, nowMs, nowMs, actions); }
 
     /** Starts an instance in a process that began at {@code bornMs}; the previous process of this gateway had ended by then. */
-    public Policy(Settings settings, long seed, double nowMs, double bornMs, Consumer<Action> out) {
-        this.out = out; clock = new Clock(nowMs);
+    public Policy(Settings settings, long seed, double nowMs, double bornMs, Consumer<Action> actions) {
+        this.actions = actions; clock = new Clock(nowMs);
         SplittableRandom random = new SplittableRandom(seed);
-        peers = new Peers(random.nextInt(Peers.LIVES), settings);
+        peers = new Peers(random.nextInt(Peers.INCARNATIONS), settings);
         Ceilings ceilings = new Ceilings(settings, clock, peers, bornMs);
         quotas = new Quotas(settings, clock, random, peers, ceilings);
-        gossip = new Gossip(settings, clock, random, out, peers, quotas);
-        servers = new Servers(settings, clock, random, out, gossip);
+        gossip = new Gossip(settings, clock, random, actions, peers, quotas);
+        servers = new Servers(settings, clock, random, actions, gossip);
         pressure = new Pressure(settings, servers);
-        standings = new Standings(quotas, ceilings);
-        loans = new CeilingLoans(settings, clock, new SplittableRandom(seed ^ LOANS), peers, quotas, ceilings, gossip);
-        attempts = new Attempts(settings, clock, random, out, quotas, ceilings, loans, standings, servers, pressure,
-                gossip::changed);
+        quotaStatusReader = new QuotaStatusReader(quotas, ceilings);
+        loans = new CeilingLoans(settings, clock, new SplittableRandom(seed ^ LOANS_SEED_MASK), peers, quotas, ceilings, gossip);
+        attempts = new Attempts(settings, clock, random, actions, quotas, ceilings, loans, quotaStatusReader, servers, pressure,
+                gossip::ownRowChanged);
         gossip.greet();
         loans.recall();
-        out.accept(new SetTimer(nowMs + Clock.SWEEP_MS, Clock.SWEEP));
-        if (settings.askMembership()) { out.accept(new Subscribe()); }
+        actions.accept(new SetTimer(nowMs + Clock.SWEEP_MS, Clock.SWEEP_TOKEN));
+        if (settings.mustSubscribe()) { actions.accept(new Subscribe()); }
     }
 
     /** Handles one event. The resulting actions go to the consumer given to the constructor before this returns. */
@@ -44,35 +44,35 @@
             throw new IllegalArgumentException("clock went backwards from " + clock.now + " to " + nowMs);
         }
         clock.now = nowMs;
-        if (event instanceof Request e) { attempts.request(e); }
-        if (event instanceof AttemptDone e) { attempts.done(e); }
-        if (event instanceof PeerMessage e) { gossip.receive(e, servers::heard, loans::receive); }
-        if (event instanceof AttemptDelayed e) { attempts.delayed(e.id(), e.attempt()); }
-        if (event instanceof AttemptWritten e) { attempts.written(e.id(), e.attempt()); }
-        if (event instanceof ServerList e) { servers.list(e); }
-        if (event instanceof Wide e) { peers.wideFrom = e.from(); }
-        if (event instanceof Asked e) { quotas.customer(e.customer(), e.plan()).asks(e.perS()); }
-        if (event instanceof Twin e) { twin(e); }
-        if (event instanceof Ban e) { servers.hosts.ban(e.server(), e.out()); }
-        if (event instanceof Room e) { servers.hosts.bound(e.server(), e.most()); }
-        if (event instanceof ClientGone e) { attempts.gone(e.id()); }
-        if (event instanceof TimerFired e && e.token() == Clock.SWEEP) { sweep(); }
-        if (event instanceof TimerFired e && e.token() == Clock.FLUSH) { gossip.flush(); }
-        if (event instanceof TimerFired e && e.token() > Clock.FLUSH) { attempts.check(Clock.request(e)); }
-        if (event instanceof FirstByte e) { attempts.begun(e.id()); }
+        if (event instanceof Request e) { attempts.requestArrived(e); }
+        if (event instanceof AttemptDone e) { attempts.attemptDone(e); }
+        if (event instanceof PeerMessage e) { gossip.receive(e, servers::receiveReport, loans::receive); }
+        if (event instanceof AttemptDelayed e) { attempts.attemptDelayed(e.id(), e.attempt()); }
+        if (event instanceof AttemptWritten e) { attempts.attemptWritten(e.id(), e.attempt()); }
+        if (event instanceof ServerList e) { servers.update(e); }
+        if (event instanceof ExternalDemandThreshold e) { peers.externalDemandFrom = e.minGateways(); }
+        if (event instanceof ExternalDemand e) { quotas.customer(e.customer(), e.plan()).setExternalDemand(e.unitsPerS()); }
+        if (event instanceof SiblingProcess e) { siblingChanged(e); }
+        if (event instanceof Ban e) { servers.hosts.ban(e.server(), e.banned()); }
+        if (event instanceof AttemptLimit e) { servers.hosts.limitOpen(e.server(), e.maxOpen()); }
+        if (event instanceof ClientGone e) { attempts.clientGone(e.id()); }
+        if (event instanceof TimerFired e && e.token() == Clock.SWEEP_TOKEN) { sweep(); }
+        if (event instanceof TimerFired e && e.token() == Clock.FLUSH_TOKEN) { gossip.flush(); }
+        if (event instanceof TimerFired e && e.token() > Clock.FLUSH_TOKEN) { attempts.checkForHang(Clock.requestId(e)); }
+        if (event instanceof FirstByte e) { attempts.streamBegan(e.id()); }
     }
 
-    private void twin(Twin event) {
-        boolean changes = event.owns() != peers.owns;
-        quotas.owns(event.owns());
-        gossip.twin(event);
-        if (changes && event.owns()) { loans.recall(); }
+    private void siblingChanged(SiblingProcess event) {
+        boolean ownerChanged = event.ownsCeilings() != peers.ownsCeilings;
+        quotas.setOwnership(event.ownsCeilings());
+        gossip.siblingChanged(event);
+        if (ownerChanged && event.ownsCeilings()) { loans.recall(); }
     }
 
     private void sweep() {
-        out.accept(new SetTimer(clock.now + Clock.SWEEP_MS, Clock.SWEEP)); // relative to now, so that a stall leaves no backlog of timers
+        actions.accept(new SetTimer(clock.now + Clock.SWEEP_MS, Clock.SWEEP_TOKEN)); // relative to now, so that a stall leaves no backlog of timers
         quotas.sweep();
-        loans.remind();
+        loans.resendRecalls();
         servers.sweep();
         pressure.sweep();
     }
@@ -81,11 +81,11 @@
      * The state of a customer's quota, and when these units would fit if no further request arrived. Read only: it takes no units,
      * creates no row and draws no random number, so it changes no later decision.
      */
-    public Standing standing(double nowMs, long id, int planIndex, double units, int first, int gateways) {
+    public QuotaStatus quotaStatus(double nowMs, long customer, int planIndex, double units, int firstGateway, int gatewayCount) {
         clock.now = Math.max(clock.now, nowMs);
-        return standings.of(id, planIndex, units, first, gateways);
+        return quotaStatusReader.of(customer, planIndex, units, firstGateway, gatewayCount);
     }
 
     /** Number of listed servers that get no attempts now, because they are banned or ejected in every class. */
-    public int avoided(double nowMs) { return servers.hosts.avoided(nowMs); }
+    public int countAvoided(double nowMs) { return servers.hosts.countAvoided(nowMs); }
 }
--- a/src/main/java/yardusher/Quotas.java
+++ b/src/main/java/yardusher/Quotas.java
@@ -5,8 +5,8 @@
 
 /** Admits requests by the counts of each customer, and reserves room for units used at other gateways that are not known yet. */
 final class Quotas {
-    private static final double KEPT = 0.5;          // fraction of the unknown units that is reserved, up to one slot's worth
-    static final int SWEPT = 8;                      // least number of customers visited in a sweep; never all of them
+    private static final double RESERVED_FRACTION = 0.5;          // fraction of the unknown units that is reserved, up to one slot's worth
+    static final int MIN_SWEPT = 8;                      // least number of customers visited in a sweep; never all of them
     private final Settings settings; private final Clock clock; private final SplittableRandom random;
     private final Peers peers; private final Ceilings ceilings;
     final Map<Long, Customer> customers = new LinkedHashMap<>();
@@ -17,39 +17,39 @@
     }
 
     Customer customer(long id, int planIndex) {
-        Customer c = customers.get(id);
-        if (c != null && c.planIndex == planIndex) { return c; }
-        if (c != null) { ceilings.forget(c); }
-        Customer fresh = fresh(id, planIndex);
+        Customer customer = customers.get(id);
+        if (customer != null && customer.planIndex == planIndex) { return customer; }
+        if (customer != null) { ceilings.forget(customer); }
+        Customer fresh = newCustomer(id, planIndex);
         customers.put(id, fresh);
         return fresh;
     }
 
     /** A customer of which nothing is known; not added to the table. */
-    Customer fresh(long id, int planIndex) { return new Customer(id, planIndex, settings, clock, peers); }
+    Customer newCustomer(long id, int planIndex) { return new Customer(id, planIndex, settings, clock, peers); }
 
     /** Whether this process, of two of the same gateway, owns its shares of ceilings. */
-    void owns(boolean owns) { ceilings.owns(owns, customers.values()); }
+    void setOwnership(boolean owns) { ceilings.setOwnership(owns, customers.values()); }
 
-    void endFormerLoans() { ceilings.endFormerLoans(customers.values()); }
+    void endPreviousLoans() { ceilings.endPreviousLoans(customers.values()); }
 
     /** Refuses at random the fraction of requests by which the total demand of a customer exceeds its rate. */
-    private boolean comesTooLate(Customer c) {
-        boolean over = clock.now - c.askedAt < c.windowMs && c.askedPerS > c.plan.ratePerS();
-        return over && random.nextDouble() * c.askedPerS > c.plan.ratePerS();
+    private boolean isShedByExternalDemand(Customer customer) {
+        boolean exceeded = clock.now - customer.externalDemandAtMs < customer.windowMs && customer.externalDemandPerS > customer.plan.ratePerS();
+        return exceeded && random.nextDouble() * customer.externalDemandPerS > customer.plan.ratePerS();
     }
 
     /** Why these units must be refused, or null. */
-    Reason beyond(Customer c, double units) {
-        Plan plan = c.plan;
-        if (plan.openCap() > 0 && c.open() >= plan.openCap()) { return Reason.QUOTA; }
+    Reason refusalReason(Customer customer, double units) {
+        Plan plan = customer.plan;
+        if (plan.openCap() > 0 && customer.openAttempts() >= plan.openCap()) { return Reason.QUOTA; }
         if (plan.ratePerS() > 0) {
-            if (comesTooLate(c)) { return Reason.QUOTA; }
-            double dear = plan.ceilingRate() > 0 ? 1 : Math.min(1, plan.overCost()); // cost of excess
-            double place = random.nextDouble() * dear;
-            if (units > roomFor(c, c.others(-1), place, KEPT * dear) + 1e-9) { return Reason.QUOTA; }
+            if (isShedByExternalDemand(customer)) { return Reason.QUOTA; }
+            double excessCost = plan.ceilingRatePerS() > 0 ? 1 : Math.min(1, plan.overQuotaCost()); // cost of excess
+            double position = random.nextDouble() * excessCost;
+            if (units > roomFor(customer, customer.unitsOfOthers(-1), position, RESERVED_FRACTION * excessCost) + 1e-9) { return Reason.QUOTA; }
         }
-        return ceilings.holds(c, units) ? null : Reason.CEILING;
+        return ceilings.canSpend(customer, units) ? null : Reason.CEILING;
     }
 
     /**
@@ -57,21 +57,21 @@
      * the start, at most this gateway's share of the limit: others may have admitted the whole burst unnoticed.
      * One request always fits, since a quota too small to divide would refuse everybody.
      */
-    double roomFor(Customer c, double[] others, double place, double kept) {
-        double limit = c.plan.burst(), unheard = unheard(c, others[Row.SLOTS + 1]);
-        double room = c.room(others) - place * unheard - Math.min(kept * unheard, limit / Row.SLOTS);
-        if (clock.now - clock.startedAt >= c.windowMs || informed(c)) { return room; }
-        double share = Math.max(limit / c.spread, Math.min(limit, settings.mostUnits()));
-        return Math.min(Math.max(room, share), share - others[Row.SLOTS] - c.mine.sum());
+    double roomFor(Customer customer, double[] others, double position, double reservedFraction) {
+        double limit = customer.plan.burst(), unknownUnits = unknownUnits(customer, others[Row.SLOTS + 1]);
+        double room = customer.room(others) - position * unknownUnits - Math.min(reservedFraction * unknownUnits, limit / Row.SLOTS);
+        if (clock.now - clock.startedAtMs >= customer.windowMs || isInformed(customer)) { return room; }
+        double share = Math.max(limit / customer.gatewayCount, Math.min(limit, settings.maxUnits()));
+        return Math.min(Math.max(room, share), share - others[Row.SLOTS] - customer.ownRow.sum());
     }
 
     /** Whether counts of the customer have arrived or would have: all peers of a small set have spoken, a large set had the time to. */
-    private boolean informed(Customer c) {
-        if (c.newsAt >= c.bornAt || c.spread == 1) { return true; }
-        Map<Integer, Integer> lives = peers.lives;
-        if (!c.direct()) { return !lives.isEmpty() && clock.now - clock.startedAt > 2 * c.passEvery(); }
-        for (int k = 0; k < c.spread; k++) {
-            if (c.member(k) != settings.self() && !lives.containsKey(c.member(k))) { return false; }
+    private boolean isInformed(Customer customer) {
+        if (customer.heardAtMs >= customer.createdAtMs || customer.gatewayCount == 1) { return true; }
+        Map<Integer, Integer> lives = peers.incarnations;
+        if (!customer.isDirect()) { return !lives.isEmpty() && clock.now - clock.startedAtMs > 2 * customer.relayIntervalMs(); }
+        for (int k = 0; k < customer.gatewayCount; k++) {
+            if (customer.member(k) != settings.self() && !lives.containsKey(customer.member(k))) { return false; }
         }
         return true;
     }
@@ -83,27 +83,27 @@
      * refuses too much when the others' demand has just stopped. A direct set sends what it admits within half a slot or one round of
      * messages, so a longer silence means that nothing was admitted and counts for at most two of these.
      */
-    private double unheard(Customer c, double askedByOthers) {
-        double lag = Math.max(c.slotMs / 2, (settings.gateways() - 1) / Math.max(1e-9, peers.intake));
-        double usual = c.direct() || c.rank >= 0 ? lag : Math.max(c.passEvery(), c.newsEvery);
-        double silent = c.direct() ? Math.min(2 * lag, clock.now - c.newsAt) : clock.now - c.newsAt;
-        double staleness = Math.min(c.windowMs, Math.max(usual, silent));
-        return askedByOthers * staleness / c.windowMs;
+    private double unknownUnits(Customer customer, double requestedAtOthers) {
+        double lagMs = Math.max(customer.slotMs / 2, (settings.gateways() - 1) / Math.max(1e-9, peers.intakePerMs));
+        double usualMs = customer.isDirect() || customer.relayRank >= 0 ? lagMs : Math.max(customer.relayIntervalMs(), customer.heardIntervalMs);
+        double silentMs = customer.isDirect() ? Math.min(2 * lagMs, clock.now - customer.heardAtMs) : clock.now - customer.heardAtMs;
+        double stalenessMs = Math.min(customer.windowMs, Math.max(usualMs, silentMs));
+        return requestedAtOthers * stalenessMs / customer.windowMs;
     }
 
-    boolean tight(Customer c) {
-        return c.plan.ratePerS() > 0
-                && c.others(-1)[Row.SLOTS + 1] + c.asked(c.mine) + settings.mostUnits() / 2 > c.plan.burst();
+    boolean isNearLimit(Customer customer) {
+        return customer.plan.ratePerS() > 0
+                && customer.unitsOfOthers(-1)[Row.SLOTS + 1] + customer.requestedUnits(customer.ownRow) + settings.maxUnits() / 2 > customer.plan.burst();
     }
 
     /** Visits the customers whose last visit is longest ago and removes unused ones. */
     void sweep() {
-        for (int i = Math.min(Math.max(SWEPT, customers.size() / 25), customers.size()); i > 0; i--) {
-            Customer c = customers.remove(customers.keySet().iterator().next());
+        for (int i = Math.min(Math.max(MIN_SWEPT, customers.size() / 25), customers.size()); i > 0; i--) {
+            Customer customer = customers.remove(customers.keySet().iterator().next());
             // Many come only once: removed when the bucket is full. A share of a ceiling would have to be earned anew, so it stays longer.
-            boolean escrow = c.plan.ceilingRate() > 0 && clock.now - c.usedAt < 60 * c.windowMs;
-            boolean kept = escrow || ceilings.hasLeasesOut(c) || c.mine.open > 0 || c.used() > 0 || c.base < c.plan.burst();
-            if (kept) { customers.put(c.id, c); } else { ceilings.forget(c); }
+            boolean keepsShare = customer.plan.ceilingRatePerS() > 0 && clock.now - customer.usedAtMs < 60 * customer.windowMs;
+            boolean kept = keepsShare || ceilings.hasLeasesOut(customer) || customer.ownRow.openAttempts > 0 || customer.usedUnits() > 0 || customer.baseLevel < customer.plan.burst();
+            if (kept) { customers.put(customer.id, customer); } else { ceilings.forget(customer); }
         }
     }
 }
--- a/src/main/java/yardusher/cli/Serve.java
+++ b/src/main/java/yardusher/cli/Serve.java
@@ -113,9 +113,9 @@
         int budget = budget(config.sockets());
         Api.Settings settings = config.settings();
         longestMs = settings.classes().stream().mapToDouble(Api.RequestClass::deadlineMs).max().orElse(1000);
-        pool = new BackendPool(sockets, counters, settings.report(), config.dialMs(), config.idleMs(), longestMs, budget * 2 / 5);
+        pool = new BackendPool(sockets, counters, settings.reportedMetrics(), config.dialMs(), config.idleMs(), longestMs, budget * 2 / 5);
         this.budget = budget;
-        peers = config.peerListen() == null || !settings.limits().peers() ? null
+        peers = config.peerListen() == null || !settings.limits().mayMessagePeers() ? null
                 : new PeerSocket(config.peerListen(), config.peers(), loop);
         this.adminAt = adminAt;
         handover = new Handover(sockets, new Part(), settings.self(), config.name(), notes, Events.plain(config.name()));
@@ -216,7 +216,7 @@
 
         @Override
         public void shares(boolean other, boolean owns) {
-            ingress.tell(new Api.Twin(other, owns));
+            ingress.tell(new Api.SiblingProcess(other, owns));
             share(other);
         }
 
--- a/src/main/java/yardusher/clients/PlatformFront.java
+++ b/src/main/java/yardusher/clients/PlatformFront.java
@@ -138,7 +138,7 @@
         if ((call.key != null) != (effect == Api.Effect.DEDUPLICATED)) {
             throw new CommandError.Argument("a keyed class needs k, and no other has it");
         }
-        if (settings.mostUnits() > 0 && call.units > settings.mostUnits()) { throw new CommandError.Argument("bad units"); }
+        if (settings.maxUnits() > 0 && call.units > settings.maxUnits()) { throw new CommandError.Argument("bad units"); }
         if (call.spread < 1 || call.spread > settings.gateways() || call.first >= settings.gateways()) {
             throw new CommandError.Argument("bad set of ingresses");
         }
--- a/src/main/java/yardusher/core/Attempt.java
+++ b/src/main/java/yardusher/core/Attempt.java
@@ -52,7 +52,7 @@
     }
 
     /** Whether it has waited for longer than the units that it takes of a ceiling are held for it. */
-    public boolean isLate(double now) { return request.hasCeiling && now - sentAt > Api.WRITTEN_WITHIN_MS; }
+    public boolean isLate(double now) { return request.hasCeiling && now - sentAt > Api.MAX_WRITE_DELAY_MS; }
 
     /** Whether its bytes are with a socket, and so few that they don't wait there for room. */
     boolean isWrittenAtOnce() { return handed && bytes <= WRITTEN_AT_ONCE; }
--- a/src/main/java/yardusher/core/Ingress.java
+++ b/src/main/java/yardusher/core/Ingress.java
@@ -63,7 +63,7 @@
     public int openCount() { return open.size(); }
 
     /** How many listed backends get no attempts now, kept out by hand or by choice. */
-    public int avoided() { return module.avoided(loop.now()); }
+    public int avoided() { return module.countAvoided(loop.now()); }
 
     /** A front brings a request. Its terminal gets exactly one final answer. */
     @Override
@@ -71,7 +71,7 @@
         Request[] taken = new Request[1];
         Request t = takeIn.take(order, () -> overdue(taken[0]), GRACE_MS);
         taken[0] = t;
-        t.hasCeiling = settings.plans().get(order.plan()).ceilingRate() > 0;
+        t.hasCeiling = settings.plans().get(order.plan()).ceilingRatePerS() > 0;
         OrderLog.Admission admission = log.take(t);
         t.recorded = admission == OrderLog.Admission.RECORDED;
         if (admission == OrderLog.Admission.REFUSED) {
@@ -92,9 +92,9 @@
     }
 
     /** How a customer stands: asks the module only, takes nothing and reaches no backend. */
-    public Api.Standing standing(long customer, int plan, double units, int first, int spread) {
+    public Api.QuotaStatus standing(long customer, int plan, double units, int first, int spread) {
         counters.lookups++;
-        return module.standing(loop.now(), customer, plan, units, first, spread);
+        return module.quotaStatus(loop.now(), customer, plan, units, first, spread);
     }
 
     /** The terminal left: nothing more is owed. */
--- a/src/main/java/yardusher/limits/LimitsFront.java
+++ b/src/main/java/yardusher/limits/LimitsFront.java
@@ -143,12 +143,12 @@
             return;
         }
         queries--;
-        Api.Standing standing = ingress.standing(partner.customer(), plan, 1, partner.first(), partner.spread());
+        Api.QuotaStatus standing = ingress.standing(partner.customer(), plan, 1, partner.first(), partner.spread());
         slot.answer(told(standing, standing.retryAfterMs() > 0 || standing.remaining() < 1));
     }
 
     private void use(Throttle asked, LimitsConfig.Partner partner, int plan, Answers.Slot slot) {
-        double most = ingress.settings().mostUnits();
+        double most = ingress.settings().maxUnits();
         if (most > 0 && asked.quantity() > most) { // 0: not bounded
             throw new CommandError.Argument("quantity is at most " + (long) most);
         }
@@ -212,8 +212,8 @@
                 error(slot, "sent on and not served, come back in " + retryAfterMs + " ms");
                 return;
             }
-            Api.Standing standing = standing();
-            slot.answer(told(new Api.Standing(standing.limit(), standing.remaining(),
+            Api.QuotaStatus standing = standing();
+            slot.answer(told(new Api.QuotaStatus(standing.limit(), standing.remaining(),
                     Math.max(standing.retryAfterMs(), retryAfterMs), standing.resetMs()), true));
         }
 
@@ -223,13 +223,13 @@
             error(slot, why);
         }
 
-        private Api.Standing standing() {
+        private Api.QuotaStatus standing() {
             return ingress.standing(partner.customer(), plan, quantity, partner.first(), partner.spread());
         }
     }
 
     /** redis-cell's answer: limited, limit, remaining, seconds to retry (-1 when allowed), seconds to reset. */
-    private static byte[] told(Api.Standing standing, boolean limited) {
+    private static byte[] told(Api.QuotaStatus standing, boolean limited) {
         long retry = limited ? Math.max(1, (long) Math.ceil(standing.retryAfterMs() / 1000)) : -1;
         return new Encoder(48).array(5).whole(limited ? 1 : 0).whole((long) Math.floor(standing.limit() + 1e-9))
                 .whole((long) Math.floor(standing.remaining() + 1e-9)).whole(retry)
--- a/src/main/java/yardusher/parts/PartsSubsystem.java
+++ b/src/main/java/yardusher/parts/PartsSubsystem.java
@@ -290,7 +290,7 @@
 
     @Override
     public void room(long region, int most) {
-        if (!closed) { site.ingress().tell(new Api.Room(region, most)); }
+        if (!closed) { site.ingress().tell(new Api.AttemptLimit(region, most)); }
     }
 
     @Override
--- a/src/main/java/yardusher/rates/RatesSubsystem.java
+++ b/src/main/java/yardusher/rates/RatesSubsystem.java
@@ -48,7 +48,7 @@
 
     @Override
     public void join(Site site) {
-        ingress.tell(new Api.Wide(settings.from()));
+        ingress.tell(new Api.ExternalDemandThreshold(settings.from()));
         mesh.hear(Mesh.Kind.RATES, (from, body) -> rates.heard(loop.now(), number(from), body));
         site.view().follow(change -> members(change.now()));
         members(site.view().picture());
@@ -90,7 +90,7 @@
         if (order.spread() >= settings.from() && ingress.settings().plans().get(order.plan()).openCap() <= 0) {
             rates.asked(loop.now(), order.customer(), order.plan(), order.units());
             double perS = rates.askedPerS(loop.now(), order.customer(), order.plan());
-            if (perS > 0) { ingress.tell(new Api.Asked(order.customer(), order.plan(), perS)); }
+            if (perS > 0) { ingress.tell(new Api.ExternalDemand(order.customer(), order.plan(), perS)); }
         }
         return inner.take(order);
     }
--- a/src/main/java/yardusher/wire/SettingsNotes.java
+++ b/src/main/java/yardusher/wire/SettingsNotes.java
@@ -45,14 +45,14 @@
         within("resolution_ms", s.resolutionMs(), 0, MOST_MS);
         within("limits.max_attempts", s.limits().maxAttempts(), 1, 1000);
         within("limits.max_retry_after_ms", s.limits().maxRetryAfterMs(), 0, 3_600_000);
-        within("domain.most_units", s.mostUnits(), 0, MOST);
+        within("domain.most_units", s.maxUnits(), 0, MOST);
         within("domain.peer_in_per_s", s.peerIntakePerS(), 0, 1e6);
         within("prices.cross_zone", s.crossZonePrice(), 0, 1000);
         within("prices.peer", s.peerPrice(), 0, 1000);
-        within("rules.cold_from", s.rules().coldFrom(), 0, 1);
+        within("rules.cold_from", s.rules().initialWarmth(), 0, 1);
         within("rules.warm_after_ms", s.rules().warmAfterMs(), 0, 3_600_000);
         within("rules.overload_factor", s.rules().overloadFactor(), 0, 1e6);
-        within("rules.overload_for_ms", s.rules().overloadForMs(), 0, 3_600_000);
+        within("rules.overload_for_ms", s.rules().overloadWindowMs(), 0, 3_600_000);
         within("rules.must_ask_in_ms", s.rules().mustAskMs(), 0, MOST_MS);
         if (s.classes().isEmpty()) { throw new ConfigError.Missing(null, "classes", "at least one entry in \"classes\""); }
         for (int i = 0; i < s.classes().size(); i++) {
@@ -72,11 +72,11 @@
             within(at + "units_per_s", p.ratePerS(), 0, MOST);
             within(at + "peak_units", p.burst(), p.ratePerS() > 0 ? 0.001 : 0, MOST);
             within(at + "at_once", p.openCap(), 0, MOST);
-            within(at + "ceiling_rate", p.ceilingRate(), 0, MOST);
-            within(at + "hard_burst", p.ceilingBurst(), p.ceilingRate() > 0 ? 0.001 : 0, MOST);
+            within(at + "ceiling_rate", p.ceilingRatePerS(), 0, MOST);
+            within(at + "hard_burst", p.ceilingBurst(), p.ceilingRatePerS() > 0 ? 0.001 : 0, MOST);
             within(at + "ceiling_slack", p.ceilingSlack(), 0, MOST);
             within(at + "value_factor", p.value(), 0, MOST);
-            within(at + "beyond_costs", p.overCost(), 0, 1000);
+            within(at + "beyond_costs", p.overQuotaCost(), 0, 1000);
         }
         return s;
     }
--- a/src/test/java/yardusher/AskedTest.java
+++ b/src/test/java/yardusher/AskedTest.java
@@ -21,7 +21,7 @@
         double now = 10_000;
         for (int i = 0; i < TRIES; i++) {
             now += 50;
-            if (perS > 0) { policy.on(now, new Asked(i, 0, perS)); }
+            if (perS > 0) { policy.on(now, new ExternalDemand(i, 0, perS)); }
             policy.on(now + lateMs, new Request(i, 0, 0, i, now + lateMs + 2000, 2, 0, 100));
             if (actions.stream().anyMatch(a -> a instanceof Send)) { policy.on(now + lateMs, new AttemptDone(i, 0, 11, Outcome.SERVED, 1, true, 0, null)); }
             now += lateMs;
@@ -43,13 +43,13 @@
 
     @Test
     void countsOfWideSetsAreNotToldAndThoseOfOthersAre() {
-        policy.on(0, new Wide(50));
+        policy.on(0, new ExternalDemandThreshold(50));
         double now = 5000;
         for (int[] of : new int[][] {{100, 0}, {3, 0}, {100, 1}}) { // the second plan has a cap on requests open at once
             int spread = of[0], plan = of[1];
             actions.clear();
             policy.on(now += 1000, new Request(spread + plan, 0, plan, spread + plan, now + 2000, 2, 0, spread));
-            for (int i = 0; i < 5; i++) { policy.on(now += 500, new TimerFired(Clock.FLUSH)); }
+            for (int i = 0; i < 5; i++) { policy.on(now += 500, new TimerFired(Clock.FLUSH_TOKEN)); }
             assertThat(actions.stream().filter(Tell.class::isInstance).count() > 0).as("a set of %d, plan %d", spread, plan).isEqualTo(spread < 50 || plan == 1);
         }
     }
--- a/src/test/java/yardusher/BoundTest.java
+++ b/src/test/java/yardusher/BoundTest.java
@@ -40,17 +40,17 @@
     @Test
     void noMoreAttemptsAreOutThanTold() {
         lists();
-        policy.on(1, new Room(7, 0));
-        policy.on(1, new Room(8, 1));
-        policy.on(1, new Room(9, 2));
-        policy.on(1, new Room(10, 2));               // not listed: ignored
+        policy.on(1, new AttemptLimit(7, 0));
+        policy.on(1, new AttemptLimit(8, 1));
+        policy.on(1, new AttemptLimit(9, 2));
+        policy.on(1, new AttemptLimit(10, 2));               // not listed: ignored
         List<Long> sent = new ArrayList<>();
         for (int i = 0; i < 3; i++) { sent.add(((Send) asks(null)).server()); }
         assertThat(sent).containsExactlyInAnyOrder(8L, 9L, 9L);
         assertThat(asks(null)).isInstanceOf(Refuse.class);
         now = 20;
         policy.on(20, new AttemptDone(1, 0, sent.get(0), Outcome.SERVED, 10, true, 0, null));
-        policy.on(20, new Room(7, 1));
+        policy.on(20, new AttemptLimit(7, 1));
         assertThat(List.of(((Send) asks(null)).server(), ((Send) asks(null)).server())).containsExactlyInAnyOrder(7L, sent.get(0));
     }
 }
--- a/src/test/java/yardusher/CeilingLoansTest.java
+++ b/src/test/java/yardusher/CeilingLoansTest.java
@@ -95,7 +95,7 @@
         third.runTo(FULL_MS + 5 * ON_THE_WAY_MS);
         Gateway restarted = new Gateway(0, SET, FULL_MS + 5 * ON_THE_WAY_MS, PolicyTest.TWO);
         restarted.admits(PolicyTest.HARD, CUSTOMER, SET);
-        assertThat(share(restarted).portion()).isCloseTo((1 - CeilingShare.LENDABLE) / SET, within(1e-9));
+        assertThat(share(restarted).portion()).isCloseTo((1 - CeilingShare.LENDABLE_FRACTION) / SET, within(1e-9));
         double at = FULL_MS + 6 * ON_THE_WAY_MS;
         List<PeerMessage> toBorrower = messages(restarted, borrower, at);
         List<PeerMessage> toThird = messages(restarted, third, at);
--- a/src/test/java/yardusher/CeilingRun.java
+++ b/src/test/java/yardusher/CeilingRun.java
@@ -132,7 +132,7 @@
     @Override
     public String toString() {
         return String.format("seed %d, set of %d, ceiling %.1f a second and %.1f at once, slack %.1f, least %.1f, too much held %.4f, portions %.4f, %.0f of %.0f units sent on, with %s",
-                seed, set, plan.ceilingRate(), plan.ceilingBurst(), plan.ceilingSlack(), least, mostTooMuch, mostPortions, reached, asked, troubles);
+                seed, set, plan.ceilingRatePerS(), plan.ceilingBurst(), plan.ceilingSlack(), least, mostTooMuch, mostPortions, reached, asked, troubles);
     }
 
     CeilingRun play() {
@@ -201,10 +201,10 @@
             held += Math.max(0, share.tokens());
             portions += share.portion();
         }
-        waiting.removeIf(one -> lives[one.ingress()] != one.life() || now - one.sentAt() > Api.WRITTEN_WITHIN_MS);
+        waiting.removeIf(one -> lives[one.ingress()] != one.life() || now - one.sentAt() > Api.MAX_WRITE_DELAY_MS);
         for (Waiting one : waiting) { held += one.units(); }
         mostPortions = Math.max(mostPortions, portions);
-        double bucket = Math.min(plan.ceilingBurst(), level + plan.ceilingRate() * (now - levelAt) / 1000);
+        double bucket = Math.min(plan.ceilingBurst(), level + plan.ceilingRatePerS() * (now - levelAt) / 1000);
         mostTooMuch = Math.max(mostTooMuch, held - bucket - plan.ceilingSlack());
     }
 
@@ -215,7 +215,7 @@
             int ingress = random.nextInt(set);
             at(from + spreadMs * random.nextDouble(), () -> ask(ingress));
         }
-        for (int i = 0; seed % 2 == 0 && i < plan.ceilingRate(); i++) {
+        for (int i = 0; seed % 2 == 0 && i < plan.ceilingRatePerS(); i++) {
             int ingress = random.nextInt(set);
             at(from + spreadMs + 1000 * random.nextDouble(), () -> ask(ingress));
         }
@@ -296,7 +296,7 @@
         if (lives[from] != wait.life()) { return; }
         if (pausedUntil[from] > now) {
             at(pausedUntil[from], () -> write(wait, send, number));
-        } else if (now - wait.sentAt() > Api.WRITTEN_WITHIN_MS) {
+        } else if (now - wait.sentAt() > Api.MAX_WRITE_DELAY_MS) {
             ends(from, wait.life(), send, number, Outcome.CONNECT_FAILED, 0);
         } else {
             waiting.remove(wait);
@@ -314,7 +314,7 @@
     private void reaches(Sent one) {
         if (one.counted) { return; }
         one.counted = true;
-        level = Math.min(plan.ceilingBurst(), level + plan.ceilingRate() * (now - levelAt) / 1000) - one.units;
+        level = Math.min(plan.ceilingBurst(), level + plan.ceilingRatePerS() * (now - levelAt) / 1000) - one.units;
         levelAt = now;
         least = Math.min(least, level);
         reached += one.units;
--- a/src/test/java/yardusher/CeilingShareTest.java
+++ b/src/test/java/yardusher/CeilingShareTest.java
@@ -35,9 +35,9 @@
         double quietMs = CeilingShare.LEASE_MS + CeilingShare.MARGIN_MS;
         CeilingShare share = new CeilingShare(PLAN, SET, 0, quietMs);
         share.advance(quietMs);
-        assertThat(share.tokens()).isCloseTo(10 * quietMs / 1000 * (1 - CeilingShare.LENDABLE), within(1e-9));
+        assertThat(share.tokens()).isCloseTo(10 * quietMs / 1000 * (1 - CeilingShare.LENDABLE_FRACTION), within(1e-9));
         share.advance(quietMs + 1000);
-        assertThat(share.tokens()).isCloseTo(10 * quietMs / 1000 * (1 - CeilingShare.LENDABLE) + 10, within(1e-9));
+        assertThat(share.tokens()).isCloseTo(10 * quietMs / 1000 * (1 - CeilingShare.LENDABLE_FRACTION) + 10, within(1e-9));
     }
 
     /** Guards against lending tokens without capacity: the lender would refill while the borrower holds them. */
@@ -70,8 +70,8 @@
         CeilingShare lender = full();
         lender.lend(1, 0.05, 0, FULL_MS);
         lender.advance(FULL_MS + 500);
-        assertThat(lender.lendable(1, 0)).as("to the same borrower, the old lease included").isCloseTo(CeilingShare.LENDABLE / SET, within(1e-9));
-        assertThat(lender.lendable(2, 0)).as("to another").isCloseTo(CeilingShare.LENDABLE / SET - 0.05, within(1e-9));
+        assertThat(lender.lendable(1, 0)).as("to the same borrower, the old lease included").isCloseTo(CeilingShare.LENDABLE_FRACTION / SET, within(1e-9));
+        assertThat(lender.lendable(2, 0)).as("to another").isCloseTo(CeilingShare.LENDABLE_FRACTION / SET - 0.05, within(1e-9));
         lender.lend(1, 0.05, 0, FULL_MS + 500);
         assertThat(lender.portion()).isCloseTo(0.2, within(1e-9));
         CeilingShare borrower = full();
--- a/src/test/java/yardusher/ColdAllowanceTest.java
+++ b/src/test/java/yardusher/ColdAllowanceTest.java
@@ -23,8 +23,8 @@
 
     private static Host host(long id, double startedAt, Settings settings, Clock clock) {
         Host host = new Host(id, false, settings, clock);
-        host.place(new Server(id, 0, 0, 1, startedAt, Readiness.READY));
-        host.coldSince = startedAt == 0 ? Double.NEGATIVE_INFINITY : startedAt;
+        host.update(new Server(id, 0, 0, 1, startedAt, Readiness.READY));
+        host.coldSinceMs = startedAt == 0 ? Double.NEGATIVE_INFINITY : startedAt;
         return host;
     }
 
@@ -42,8 +42,8 @@
             for (double at = 0; at < startsAt; at += Clock.SWEEP_MS) {
                 clock.now = at;
                 double mean = part * WARM * ANSWERS * PER_MS * Clock.SWEEP_MS;
-                for (double n = -Math.log(1 - random.nextDouble()); n < mean; n -= Math.log(1 - random.nextDouble())) { allowance.warm.answered(warm.get(0)); }
-                allowance.warm.look(warm);
+                for (double n = -Math.log(1 - random.nextDouble()); n < mean; n -= Math.log(1 - random.nextDouble())) { allowance.warmThroughput.recordAnswer(warm.get(0)); }
+                allowance.warmThroughput.sample(warm);
             }
             clock.now = startsAt;
             cold = host(2, startsAt, settings, clock);
@@ -77,8 +77,8 @@
         for (double now = startsAt; now < startsAt + 3 * spanMs; now += STEP_MS) {
             for (Gateway one : some) {
                 one.clock.now = now;
-                while (one.allowance.due(one.cold)) {
-                    one.cold.credit--;
+                while (one.allowance.isDue(one.cold)) {
+                    one.cold.coldTokens--;
                     sent.add(now);
                     assertThat(sent.size()).as("sends without a limit").isLessThan(100_000);
                 }
@@ -87,7 +87,7 @@
         double worst = 0;
         for (int from = 0, to = 0; from < sent.size(); from++) {
             while (to < sent.size() && sent.get(to) < sent.get(from) + spanMs) { to++; }
-            double warmth = Math.min(1, rules.coldFrom() + (1 - rules.coldFrom()) * (sent.get(from) - startsAt) / rules.warmAfterMs());
+            double warmth = Math.min(1, rules.initialWarmth() + (1 - rules.initialWarmth()) * (sent.get(from) - startsAt) / rules.warmAfterMs());
             double allowed = 3 * PER_MS * warmth * spanMs;
             worst = Math.max(worst, (to - from) / (allowed + 2 * Math.sqrt(allowed) + 2));
         }
@@ -97,9 +97,9 @@
     @Test
     void whoKnowsNothingOfWarmOnesSendsByTheDraws() {
         Gateway fresh = new Gateway(0, 3, new Rules(0.2, 15_000, 3, 1000, 10_000), 1000, 0, new SplittableRandom(1));
-        assertThat(fresh.allowance.due(fresh.cold)).isTrue();
+        assertThat(fresh.allowance.isDue(fresh.cold)).isTrue();
         int let = 0;
-        for (int i = 0; i < 10_000; i++) { let += fresh.allowance.draws(0.2) ? 1 : 0; }
+        for (int i = 0; i < 10_000; i++) { let += fresh.allowance.isCandidate(0.2) ? 1 : 0; }
         assertThat(let).isBetween(1850, 2150);
     }
 
@@ -107,11 +107,11 @@
     @Test
     void whatWasSeenBeforeAQuietTimeIsNotKnownAnyMore() {
         Gateway one = new Gateway(0, 3, new Rules(0.2, 15_000, 3, 1000, 10_000), 60_000, 1, new SplittableRandom(1));
-        assertThat(one.allowance.warm.areKnown()).isTrue();
+        assertThat(one.allowance.warmThroughput.isKnown()).isTrue();
         Host warm = host(9, 0, settings(0, 3, new Rules(0.2, 15_000, 3, 1000, 10_000)), one.clock);
-        for (int i = 0; i < 5000; i++) { one.allowance.warm.look(List.of(warm)); }
-        assertThat(one.allowance.warm.areKnown()).isFalse();
-        assertThat(one.allowance.due(one.cold)).isTrue();
+        for (int i = 0; i < 5000; i++) { one.allowance.warmThroughput.sample(List.of(warm)); }
+        assertThat(one.allowance.warmThroughput.isKnown()).isFalse();
+        assertThat(one.allowance.isDue(one.cold)).isTrue();
     }
 
     /** Guards against a rate of 0 where many answers arrived before the first sample: it is unknown then. */
@@ -119,17 +119,17 @@
     void beforeTheFirstLookNothingIsKnown() {
         Gateway one = new Gateway(0, 1, new Rules(0.2, 15_000, 3, 1000, 10_000), 0, 1, new SplittableRandom(1));
         Host warm = host(9, 0, settings(0, 1, new Rules(0.2, 15_000, 3, 1000, 10_000)), one.clock);
-        for (int i = 0; i < 100; i++) { one.allowance.warm.answered(warm); }
-        assertThat(one.allowance.warm.areKnown()).isFalse();
+        for (int i = 0; i < 100; i++) { one.allowance.warmThroughput.recordAnswer(warm); }
+        assertThat(one.allowance.warmThroughput.isKnown()).isFalse();
     }
 
     /** Guards against late answers of cold servers that cause load shedding: here they take twice what a warmth of a fifth predicts. */
     @Test
     void slowOnesAreDrawnLess() {
         Gateway one = new Gateway(0, 3, new Rules(0.2, 15_000, 3, 1000, 10_000), 1000, 0, new SplittableRandom(1));
-        for (int i = 0; i < 100; i++) { one.allowance.took(one.cold, 10); }
+        for (int i = 0; i < 100; i++) { one.allowance.recordLatency(one.cold, 10); }
         int let = 0;
-        for (int i = 0; i < 10_000; i++) { let += one.allowance.draws(0.2) ? 1 : 0; }
+        for (int i = 0; i < 10_000; i++) { let += one.allowance.isCandidate(0.2) ? 1 : 0; }
         assertThat(let).as("a quarter of 2000").isBetween(400, 600);
     }
 }
--- a/src/test/java/yardusher/ColdRun.java
+++ b/src/test/java/yardusher/ColdRun.java
@@ -73,7 +73,7 @@
 
         double warmth(double at) {
             Rules r = of.rules();
-            return startedAt <= 0 ? 1 : Math.min(1, r.coldFrom() + (1 - r.coldFrom()) * (at - startedAt) / r.warmAfterMs());
+            return startedAt <= 0 ? 1 : Math.min(1, r.initialWarmth() + (1 - r.initialWarmth()) * (at - startedAt) / r.warmAfterMs());
         }
 
         Server listed() { return new Server(id, 0, 0, 1, startedAt, Readiness.READY); }
@@ -249,7 +249,7 @@
 
     /** The highest load of any cold backend, as a fraction of the bound, in a span with two thirds of the attempts by ingresses that knew. */
     double worst() {
-        double span = of.rules().overloadForMs(), worst = 0;
+        double span = of.rules().overloadWindowMs(), worst = 0;
         for (Machine m : cold) {
             for (int from = 0; from < m.sent.size(); from++) {
                 double begins = m.sent.get(from).at(), allowed = allowed(of.rules(), warmPerMs(), m.warmth(begins));
@@ -265,7 +265,7 @@
 
     /** Requests of mean work that the settings allow a backend of this warmth in their time span. */
     static double allowed(Rules rules, double warmPerMs, double warmth) {
-        return rules.overloadFactor() * warmPerMs * warmth * rules.overloadForMs();
+        return rules.overloadFactor() * warmPerMs * warmth * rules.overloadWindowMs();
     }
 
     /** The overload bound: what is allowed plus a margin for chance. */
--- a/src/test/java/yardusher/ColdSumTest.java
+++ b/src/test/java/yardusher/ColdSumTest.java
@@ -79,7 +79,7 @@
     }
 
     private static void falls(Case of) {
-        ColdRun run = new ColdRun(of).run(2 * of.rules().overloadForMs());
+        ColdRun run = new ColdRun(of).run(2 * of.rules().overloadWindowMs());
         System.out.println(said(of, run));
         assertThat(run.worst()).as("fraction of the overload bound").isLessThan(1);
         assertThat(run.sent()[0]).as("attempts at the cold backend with the fewest").isPositive();
@@ -90,7 +90,7 @@
     private static String said(Case of, ColdRun run) {
         return String.format("cold: %d ingresses, %d of %d replaced, asked %.2f, multiple %.0f in %.0f ms, skew %.1f, hot %.2f, %s%s told over %.0f ms: "
                 + "at most %.2f of the overload bound; each sent %d to %d, %d of %d served", of.gateways(), of.replaced(), of.servers(), of.load(),
-                of.rules().overloadFactor(), of.rules().overloadForMs(), of.skew(), of.hot(), of.pace(), of.restart() ? ", same ids," : ",",
+                of.rules().overloadFactor(), of.rules().overloadWindowMs(), of.skew(), of.hot(), of.pace(), of.restart() ? ", same ids," : ",",
                 of.toldOverMs(), run.worst(), run.sent()[0], run.sent()[1], run.served, run.asked);
     }
 
@@ -105,7 +105,7 @@
     private static ColdRun played(Case of, long seed) {
         Case other = new Case(of.gateways(), of.servers(), of.replaced(), of.rules(), of.cores(), of.load(), of.skew(), of.hot(), of.pace(),
                 of.restart(), of.toldOverMs(), of.comeAgain(), seed);
-        return new ColdRun(other).run(2 * of.rules().overloadForMs());
+        return new ColdRun(other).run(2 * of.rules().overloadWindowMs());
     }
 
     /** Arguments: first seed, number of seeds. Runs all cases with other seeds. */
--- a/src/test/java/yardusher/ExcessRun.java
+++ b/src/test/java/yardusher/ExcessRun.java
@@ -73,7 +73,7 @@
             this.id = id;
             this.plan = plan;
             first = random.nextInt(size);
-            int most = PLANS.get(plan).ceilingRate() > 0 ? (int) (PLANS.get(plan).ceilingBurst() / 8) : size;
+            int most = PLANS.get(plan).ceilingRatePerS() > 0 ? (int) (PLANS.get(plan).ceilingBurst() / 8) : size;
             spread = Math.max(2, Math.min(most, size / 2 + random.nextInt(size - size / 2 + 1)));
             double kind = random.nextDouble();           // at the quota, above it, below it, and below it with spikes
             asks = kind < 0.17 ? 0.8 + 0.25 * random.nextDouble() : kind < 0.27 ? 2.6 + 1.7 * random.nextDouble()
@@ -119,7 +119,7 @@
             double gain = p.ratePerS() * (now - at) / 1000;
             level = Math.min(p.burst(), level + gain);
             ideal = Math.min(p.burst(), ideal + gain);
-            ceiling = Math.min(p.ceilingBurst(), ceiling + p.ceilingRate() * (now - at) / 1000);
+            ceiling = Math.min(p.ceilingBurst(), ceiling + p.ceilingRatePerS() * (now - at) / 1000);
             at = now;
         }
     }
@@ -235,12 +235,12 @@
         int g = c.gateway();
         double window = p.burst() / p.ratePerS() * 1000, believed = p.burst(), age = Double.POSITIVE_INFINITY;
         while (!c.let.isEmpty() && c.let.peek().at() < now - window) { c.let.poll(); }
-        gateways[g].standing(now, c.id, c.plan, units, c.first, c.spread); // read only; sets its clock
+        gateways[g].quotaStatus(now, c.id, c.plan, units, c.first, c.spread); // read only; sets its clock
         yardusher.Customer known = gateways[g].quotas.customers.get(c.id);
         double[] unheard = new double[AGES.length];
         if (known != null) {
-            believed = known.room(known.others(-1));
-            age = now - known.newsAt;
+            believed = known.room(known.unitsOfOthers(-1));
+            age = now - known.heardAtMs;
         }
         for (Let let : c.let) {
             if (let.gateway() != g && let.at() > now - age) { unheard[bucket(now - let.at())] += let.units(); }
@@ -253,7 +253,7 @@
         double truth = c.level;
         if (sent) {
             c.ceiling -= units;
-            if (p.ceilingRate() > 0) { ceilingLeast = Math.min(ceilingLeast, c.ceiling); }
+            if (p.ceilingRatePerS() > 0) { ceilingLeast = Math.min(ceilingLeast, c.ceiling); }
             if (fits) { c.level -= units; }
             c.let.add(new Let(now, g, units));
         } else if (tried < 2 && random.nextDouble() < 0.6) {
@@ -262,7 +262,7 @@
         if (now < from) { return; }
         tries++;
         String asked = c.spike > 1 ? "in spikes" : c.asks < 0.6 ? "little" : c.asks < 1.2 ? "nearly all" : "several times";
-        String plan = p.ceilingRate() > 0 ? "groot" : c.plan == 0 ? "basis" : "plus";
+        String plan = p.ceilingRatePerS() > 0 ? "groot" : c.plan == 0 ? "basis" : "plus";
         String set = c.spread < 50 ? "2 to 49" : c.spread < 65 ? "50 to 64" : c.spread < 80 ? "65 to 79" : "80 and more";
         for (String key : List.of("all", "1 " + plan + ", asks " + asked, "2 " + plan + ", set of " + set, "3 " + plan + ", heard "
                 + NAMES[bucket(age)])) {
@@ -271,7 +271,7 @@
             if (sent && fits) {
                 t.inside += worth;
             } else if (sent) {
-                t.beyond += worth * p.overCost();
+                t.beyond += worth * p.overQuotaCost();
                 t.letIn.add(believed, truth, unheard);
             } else if (fits) {
                 t.refused += worth;
@@ -290,7 +290,7 @@
     /** The cost of excess as a fraction of the worth that one gateway with full knowledge would admit. */
     double excess() { return tallies.get("all").beyond / tallies.get("all").ideal; }
 
-    double messages() { return PEER_PRICE * bytes / RowText.MOST_BYTES / tries; }
+    double messages() { return PEER_PRICE * bytes / RowMessage.MAX_MESSAGE_BYTES / tries; }
 
     /** Fraction of messages dropped by receivers at their intake limit. */
     double overrun() { return lost / (double) tells; }
--- a/src/test/java/yardusher/FleetRun.java
+++ b/src/test/java/yardusher/FleetRun.java
@@ -60,7 +60,7 @@
             Plan p = plans.get(plan);
             level = Math.min(p.burst(), level + p.ratePerS() * (now - at) / 1000);
             ideal = Math.min(p.burst(), ideal + p.ratePerS() * (now - at) / 1000);
-            ceiling = Math.min(p.ceilingBurst(), ceiling + p.ceilingRate() * (now - at) / 1000);
+            ceiling = Math.min(p.ceilingBurst(), ceiling + p.ceilingRatePerS() * (now - at) / 1000);
             at = now;
         }
     }
@@ -203,7 +203,7 @@
         gateways[c.gateway()].on(now, new Request(current, 0, c.plan, c.id, now + 2000, units, c.first, c.spread));
         if (!sent) { return; }
         c.ceiling -= units;
-        if (plans.get(c.plan).ceilingRate() > 0) { leastOfCeilings = Math.min(leastOfCeilings, c.ceiling); }
+        if (plans.get(c.plan).ceilingRatePerS() > 0) { leastOfCeilings = Math.min(leastOfCeilings, c.ceiling); }
         if (c.level >= units) {
             c.level -= units;
             tally.inside += units;
--- a/src/test/java/yardusher/LargeCountsTest.java
+++ b/src/test/java/yardusher/LargeCountsTest.java
@@ -18,7 +18,7 @@
                     new Limits(4, true, true, 1000), new Rules(0.25, 10_000, 3, 1000, 1000), List.of(), false, 60, units, 0, 0.01), 7, 0, actions::add);
             policy.on(0, new ServerList(ListKind.CACHED, List.of(new Server(11, 0, 0, 1, 0, Readiness.READY))));
             policy.on(0, new Request(1, 0, 0, 5, 2000, units, 0, 2));
-            for (double now = 500; now <= 3000; now += 500) { policy.on(now, new TimerFired(Clock.FLUSH)); }
+            for (double now = 500; now <= 3000; now += 500) { policy.on(now, new TimerFired(Clock.FLUSH_TOKEN)); }
             List<Integer> lengths = actions.stream().filter(Tell.class::isInstance).map(a -> ((Tell) a).body().length()).toList();
             assertThat(lengths).as("%s units", units).allMatch(length -> length <= 256).anyMatch(length -> length > 200);
         }
--- a/src/test/java/yardusher/LargeFleetTest.java
+++ b/src/test/java/yardusher/LargeFleetTest.java
@@ -37,7 +37,7 @@
             assertThat(fleet.leastOfCeilings).as("seed %d, least of the ceilings", seed).isGreaterThan(-5);
             for (int plan = 0; plan < 3; plan++) {
                 FleetRun.Tally tally = fleet.tallies[plan];
-                assertThat(tally.inside / tally.ideal).as("seed %d, plan %d, inside", seed, plan).isGreaterThan(FleetRun.PLANS.get(plan).ceilingRate() > 0 ? 0.8 : 0.95);
+                assertThat(tally.inside / tally.ideal).as("seed %d, plan %d, inside", seed, plan).isGreaterThan(FleetRun.PLANS.get(plan).ceilingRatePerS() > 0 ? 0.8 : 0.95);
                 assertThat(tally.beyond / tally.ideal).as("seed %d, plan %d, beyond", seed, plan).isLessThan(0.06);
             }
         }
--- a/src/test/java/yardusher/ServiceDaysTest.java
+++ b/src/test/java/yardusher/ServiceDaysTest.java
@@ -29,19 +29,19 @@
         long id = g.ask(0, PolicyTest.NONE, 7, 1);
         long bad = g.sent(id).server();              // it refuses connections and is ejected
         g.on(new AttemptDone(id, 0, bad, Outcome.CONNECT_FAILED, 10, true, 0, null));
-        assertThat(g.policy.avoided(g.now)).isEqualTo(1);
+        assertThat(g.policy.countAvoided(g.now)).isEqualTo(1);
         g.on(new Ban(bad, true));
         g.on(new Ban(bad, true));
         g.on(new ServerList(ListKind.DELTA, List.of(new Server(bad, 0, 0, 1, 0, Readiness.GONE))));
-        assertThat(g.policy.avoided(g.now)).isZero(); // not listed
+        assertThat(g.policy.countAvoided(g.now)).isZero(); // not listed
         g.runTo(15_000);
         g.on(new ServerList(ListKind.FULL, List.of(TWO)));
-        assertThat(g.policy.avoided(g.now)).isEqualTo(1);
+        assertThat(g.policy.countAvoided(g.now)).isEqualTo(1);
         g.actions.clear();
         assertThat(g.admitted(200, PolicyTest.NONE, 7, 1)).isPositive();
         assertThat(sentTo(g, bad)).isZero();
         g.on(new Ban(bad, false));
-        assertThat(g.policy.avoided(g.now)).isZero();
+        assertThat(g.policy.countAvoided(g.now)).isZero();
         long cold = 0;
         for (int i = 0; i < 40; i++) {               // over 4 s: a cold server gets its tokens over time, not at once
             g.runTo(g.now + 100);
@@ -58,8 +58,8 @@
         old.runTo(5000);
         assertThat(old.admitted(6, PolicyTest.QUOTA, 7, 1)).isEqualTo(6);
         Gateway next = new Gateway(0, 3, 5000, TWO);
-        next.on(new Twin(true, false));
-        old.on(new Twin(true, true));
+        next.on(new SiblingProcess(true, false));
+        old.on(new SiblingProcess(true, true));
         pass(old, next);
         assertThat(old.admitted(2, PolicyTest.QUOTA, 7, 1)).isEqualTo(2);
         old.runTo(5060);
@@ -74,13 +74,13 @@
         old.runTo(5000);
         old.admitted(1, PolicyTest.HARD, 7, 1);
         Gateway next = new Gateway(0, 3, 5000, TWO);
-        next.on(new Twin(true, false));
+        next.on(new SiblingProcess(true, false));
         next.admitted(1, PolicyTest.HARD, 7, 1);
         next.runTo(10_000);
         int early = next.admitted(50, PolicyTest.HARD, 7, 1);
-        next.on(new Twin(true, true));
+        next.on(new SiblingProcess(true, true));
         old.runTo(10_000);
-        old.on(new Twin(true, false));
+        old.on(new SiblingProcess(true, false));
         int before = old.admitted(50, PolicyTest.HARD, 7, 1);
         old.runTo(15_000);
         assertThat(early).isLessThanOrEqualTo(1);    // the slack alone
--- a/src/test/java/yardusher/SharesTest.java
+++ b/src/test/java/yardusher/SharesTest.java
@@ -23,7 +23,7 @@
                     FleetRun.Tally tally = fleet.tallies[plan];
                     System.out.printf("shares: seed %d, third %d, plan %d: %.2f%n", seed, third, plan, tally.inside / tally.ideal);
                     assertThat(tally.inside / tally.ideal).as("seed %d, third %d, plan %d", seed, third, plan)
-                            .isGreaterThan(third == 0 && PLANS.get(plan).ceilingRate() > 0 ? 0.4 : 0.5); // shares of a ceiling start empty
+                            .isGreaterThan(third == 0 && PLANS.get(plan).ceilingRatePerS() > 0 ? 0.4 : 0.5); // shares of a ceiling start empty
                 }
             }
             System.out.printf("shares: seed %d, of customers under a tenth: %.3f%n", seed, fleet.starved());
--- a/src/test/java/yardusher/core/CeilingDelayTest.java
+++ b/src/test/java/yardusher/core/CeilingDelayTest.java
@@ -91,7 +91,7 @@
     void whatWaitsForAConnectionHoldsItsUnitsUntilItIsWritten() {
         World world = new World();
         assertThat(world.admitted(2 * WHOLE)).isEqualTo(WHOLE);
-        world.now += Api.WRITTEN_WITHIN_MS - 10;
+        world.now += Api.MAX_WRITE_DELAY_MS - 10;
         assertThat(world.admitted(WHOLE)).as("earned while all units are held").isZero();
         assertThat(world.write()).isEqualTo(WHOLE);
         world.now += 500;
@@ -102,7 +102,7 @@
     void whatWaitedTooLongIsNotWritten() {
         World world = new World();
         assertThat(world.admitted(1)).isEqualTo(1);
-        world.now += Api.WRITTEN_WITHIN_MS + 1;
+        world.now += Api.MAX_WRITE_DELAY_MS + 1;
         assertThat(world.write()).isZero();
     }
 }
--- a/src/test/java/yardusher/deployments/DeploymentRun.java
+++ b/src/test/java/yardusher/deployments/DeploymentRun.java
@@ -47,7 +47,7 @@
 
         double warmth(double at) {
             if (startedAt <= 0) { return 1; }
-            return Math.min(1, d.rules().coldFrom() + (1 - d.rules().coldFrom()) * (at - startedAt) / d.rules().warmAfterMs());
+            return Math.min(1, d.rules().initialWarmth() + (1 - d.rules().initialWarmth()) * (at - startedAt) / d.rules().warmAfterMs());
         }
 
         void take(Runnable begin) {
@@ -131,8 +131,8 @@
 
         void count(double units) {
             Plan p = d.plans().get(plan);
-            if (p.ceilingRate() <= 0) { return; }
-            ceiling = Math.min(p.ceilingBurst(), ceiling + p.ceilingRate() * (now - at) / 1000) - units;
+            if (p.ceilingRatePerS() <= 0) { return; }
+            ceiling = Math.min(p.ceilingBurst(), ceiling + p.ceilingRatePerS() * (now - at) / 1000) - units;
             at = now;
             if (ceiling < -p.ceilingSlack() - 1e-6) { breaks("ceiling: customer " + id + " at " + ceiling); }
         }
@@ -317,9 +317,9 @@
                 c.deadlineMs(), c.worth(), c.lateValue(), Effect.IDEMPOTENT, Group.ALL, 0, false)).toList();
         List<Plan> plans = plant != Plant.CEILINGS_UNTOLD ? s.plans() : s.plans().stream().map(p -> new Plan(100 * p.ratePerS(),
                 100 * p.burst(), 0, p.value(), 0, 0, 0, 0)).toList();
-        Limits limits = plant != Plant.ATTEMPTS_UNTOLD ? s.limits() : new Limits(20, true, s.limits().peers(), s.limits().maxRetryAfterMs());
-        return new Settings(s.self(), s.gateways(), s.zone(), 1, classes, plans, limits, s.rules(), s.report(), s.askMembership(),
-                s.peerIntakePerS(), s.mostUnits(), s.crossZonePrice(), s.peerPrice());
+        Limits limits = plant != Plant.ATTEMPTS_UNTOLD ? s.limits() : new Limits(20, true, s.limits().mayMessagePeers(), s.limits().maxRetryAfterMs());
+        return new Settings(s.self(), s.gateways(), s.zone(), 1, classes, plans, limits, s.rules(), s.reportedMetrics(), s.mustSubscribe(),
+                s.peerIntakePerS(), s.maxUnits(), s.crossZonePrice(), s.peerPrice());
     }
 
     private void act(Gateway g, int life, Action action) {
@@ -343,7 +343,7 @@
             if (!(a.atMs() > now - 1e-6)) { breaks("timer in the past"); }
             at(Math.max(a.atMs(), now + 0.1), () -> g.tell(life, new TimerFired(a.token())));
         } else if (action instanceof Tell a) {
-            if (!d.limits().peers()) { breaks("told a peer where none may be told"); }
+            if (!d.limits().mayMessagePeers()) { breaks("told a peer where none may be told"); }
             if (a.body().getBytes(java.nio.charset.StandardCharsets.UTF_8).length > 256) { breaks("message of more than 256 bytes"); }
             if (random.nextDouble() >= d.loss()) {
                 at(now + d.peerMs() * (0.5 + random.nextDouble()), () -> deliver(gateways[a.to()], new PeerMessage(g.number, a.body())));
@@ -438,7 +438,7 @@
         if (m.warmth(now) >= 1) { return; }
         boolean knew = g.startTold.getOrDefault(m.id, 0.0) == m.startedAt;
         m.lately.add(new double[] {now, work, knew ? work : 0});
-        double span = d.rules().overloadForMs(), sum = 0, told = 0, most = 0;
+        double span = d.rules().overloadWindowMs(), sum = 0, told = 0, most = 0;
         while (m.lately.peek()[0] < now - span) { m.lately.poll(); }
         for (double[] sent : m.lately) {
             sum += sent[1];
--- a/src/test/java/yardusher/deployments/ExtremesTest.java
+++ b/src/test/java/yardusher/deployments/ExtremesTest.java
@@ -99,7 +99,7 @@
                 assertThat(a.atMs()).isFinite().isGreaterThanOrEqualTo(now);
                 timers.add(a);
             } else if (action instanceof Tell a) {
-                assertThat(settings.limits().peers() || a.to() == settings.self()).as("peers may be told").isTrue();
+                assertThat(settings.limits().mayMessagePeers() || a.to() == settings.self()).as("peers may be told").isTrue();
                 assertThat(a.body()).hasSizeLessThanOrEqualTo(256).doesNotContain("NaN");
                 told.add(a);
             }
@@ -233,18 +233,18 @@
                     if (listed.containsKey(id) && listed.get(id).readiness() == Readiness.READY) {
                         int most = Math.max(open.getOrDefault(id, 0), (int) one(r, 0, 1, 5, Integer.MAX_VALUE));
                         room.put(id, most);
-                        policy.on(now, new Room(id, most));
+                        policy.on(now, new AttemptLimit(id, most));
                     }
                 }
                 case 13 -> {
                     boolean own = r.nextInt(5) == 0 || told.isEmpty();
                     String body = own ? "m" + Long.toString(r.nextLong() >>> 1, 36) : told.remove(told.size() - 1).body();
-                    policy.on(now, r.nextInt(9) == 0 ? new Twin(r.nextBoolean(), r.nextBoolean()) : new PeerMessage(r.nextInt(settings.gateways()), body));
+                    policy.on(now, r.nextInt(9) == 0 ? new SiblingProcess(r.nextBoolean(), r.nextBoolean()) : new PeerMessage(r.nextInt(settings.gateways()), body));
                 }
                 default -> pass(one(r, 0, 0.5, 20, 400, 3000));
             }
             if (!seen.isEmpty() && r.nextInt(8) == 0) {
-                Standing standing = policy.standing(now, r.nextInt(5), r.nextInt(settings.plans().size()), one(r, 0, 1, 1e9), 0, settings.gateways());
+                QuotaStatus standing = policy.quotaStatus(now, r.nextInt(5), r.nextInt(settings.plans().size()), one(r, 0, 1, 1e9), 0, settings.gateways());
                 assertThat(new double[] {standing.limit(), standing.remaining(), standing.retryAfterMs(), standing.resetMs()}).doesNotContain(Double.NaN);
             }
         }
