--- a/src/test/java/yardusher/ActionsDigest.java
+++ b/src/test/java/yardusher/ActionsDigest.java
@@ -13,7 +13,7 @@
         for (long seed = first; seed < first + count; seed++) {
             FleetRun fleet = new FleetRun(1 + (int) (seed % 8), 2 + (int) (seed % 13), 12, 0.02 * (seed % 10), seed);
             int restarted = (int) (seed % (1 + seed % 8));
-            fleet.at(1700, () -> fleet.restart(restarted));
+            fleet.schedule(1700, () -> fleet.restart(restarted));
             fleet.run(2600);
             all = 31 * all + fleet.digest;
         }
--- a/src/test/java/yardusher/ServiceDaysTest.java
+++ b/src/test/java/yardusher/BanAndUpgradeTest.java
@@ -8,11 +8,11 @@
 import yardusher.PolicyTest.Gateway;
 
 /** Operator actions: banned servers, and two processes of one gateway during an upgrade. */
-class ServiceDaysTest {
+class BanAndUpgradeTest {
     private static final Server[] TWO = {new Server(1, 0, 0, 1, 0, Readiness.READY), new Server(2, 0, 0, 1, 0, Readiness.READY)};
 
     /** Delivers the pending messages of one process to the other. */
-    private static void pass(Gateway from, Gateway to) {
+    private static void deliver(Gateway from, Gateway to) {
         List<Tell> told = from.actions.stream().filter(a -> a instanceof Tell t && t.to() == from.self).map(a -> (Tell) a).toList();
         from.actions.clear();
         for (Tell tell : told) { to.on(new PeerMessage(from.self, tell.body())); }
@@ -23,10 +23,10 @@
     }
 
     @Test
-    void aServerOutByHandGetsNothingAndComesBackColdAndUnjudged() {
+    void aBannedServerGetsNothingAndComesBackColdWithItsHealthReset() {
         Gateway g = new Gateway(0, 1, 0, TWO);
         g.runTo(5000);
-        long id = g.ask(0, PolicyTest.NONE, 7, 1);
+        long id = g.ask(0, PolicyTest.FREE_PLAN, 7, 1);
         long bad = g.sent(id).server();              // it refuses connections and is ejected
         g.on(new AttemptDone(id, 0, bad, Outcome.CONNECT_FAILED, 10, true, 0, null));
         assertThat(g.policy.countAvoided(g.now)).isEqualTo(1);
@@ -38,7 +38,7 @@
         g.on(new ServerList(ListKind.FULL, List.of(TWO)));
         assertThat(g.policy.countAvoided(g.now)).isEqualTo(1);
         g.actions.clear();
-        assertThat(g.admitted(200, PolicyTest.NONE, 7, 1)).isPositive();
+        assertThat(g.admitted(200, PolicyTest.FREE_PLAN, 7, 1)).isPositive();
         assertThat(sentTo(g, bad)).isZero();
         g.on(new Ban(bad, false));
         assertThat(g.policy.countAvoided(g.now)).isZero();
@@ -46,48 +46,48 @@
         for (int i = 0; i < 40; i++) {               // over 4 s: a cold server gets its tokens over time, not at once
             g.runTo(g.now + 100);
             g.actions.clear();
-            g.admitted(10, PolicyTest.NONE, 7, 1);
+            g.admitted(10, PolicyTest.FREE_PLAN, 7, 1);
             cold += sentTo(g, bad);
         }
         assertThat(cold).isBetween(1L, 150L);        // about a quarter of the draws, since it is cold
     }
 
     @Test
-    void theNextProcessKnowsWhatTheOneBeforeLetInAndHearsTheRest() {
+    void theNextProcessGetsTheCountsOfThePreviousOne() {
         Gateway old = new Gateway(0, 3, 0, TWO);
         old.runTo(5000);
-        assertThat(old.admitted(6, PolicyTest.QUOTA, 7, 1)).isEqualTo(6);
+        assertThat(old.admitted(6, PolicyTest.QUOTA_PLAN, 7, 1)).isEqualTo(6);
         Gateway next = new Gateway(0, 3, 5000, TWO);
         next.on(new SiblingProcess(true, false));
         old.on(new SiblingProcess(true, true));
-        pass(old, next);
-        assertThat(old.admitted(2, PolicyTest.QUOTA, 7, 1)).isEqualTo(2);
+        deliver(old, next);
+        assertThat(old.admitted(2, PolicyTest.QUOTA_PLAN, 7, 1)).isEqualTo(2);
         old.runTo(5060);
-        pass(old, next);
+        deliver(old, next);
         next.runTo(5060);
-        assertThat(next.admitted(20, PolicyTest.QUOTA, 7, 1)).isBetween(1, 2); // eight of ten are used
+        assertThat(next.admitted(20, PolicyTest.QUOTA_PLAN, 7, 1)).isBetween(1, 2); // eight of ten are used
     }
 
     @Test
-    void twoProcessesEarnOnePartOfACeiling() {
+    void twoProcessesEarnOneShareOfACeiling() {
         Gateway old = new Gateway(0, 3, 0, TWO);
         old.runTo(5000);
-        old.admitted(1, PolicyTest.HARD, 7, 1);
+        old.admitted(1, PolicyTest.CEILING_PLAN, 7, 1);
         Gateway next = new Gateway(0, 3, 5000, TWO);
         next.on(new SiblingProcess(true, false));
-        next.admitted(1, PolicyTest.HARD, 7, 1);
+        next.admitted(1, PolicyTest.CEILING_PLAN, 7, 1);
         next.runTo(10_000);
-        int early = next.admitted(50, PolicyTest.HARD, 7, 1);
+        int early = next.admitted(50, PolicyTest.CEILING_PLAN, 7, 1);
         next.on(new SiblingProcess(true, true));
         old.runTo(10_000);
         old.on(new SiblingProcess(true, false));
-        int before = old.admitted(50, PolicyTest.HARD, 7, 1);
+        int before = old.admitted(50, PolicyTest.CEILING_PLAN, 7, 1);
         old.runTo(15_000);
         assertThat(early).isLessThanOrEqualTo(1);    // the slack alone
         assertThat(before).isPositive();
-        assertThat(old.admitted(50, PolicyTest.HARD, 7, 1)).as("earned after the other took over, but for the slack")
+        assertThat(old.admitted(50, PolicyTest.CEILING_PLAN, 7, 1)).as("earned after the other took over, but for the slack")
                 .isLessThanOrEqualTo(2);
         next.runTo(20_000);
-        assertThat(next.admitted(50, PolicyTest.HARD, 7, 1)).isPositive();
+        assertThat(next.admitted(50, PolicyTest.CEILING_PLAN, 7, 1)).isPositive();
     }
 }
--- a/src/test/java/yardusher/BurstRun.java
+++ b/src/test/java/yardusher/BurstRun.java
@@ -22,214 +22,214 @@
      * backends. {@code cold}: backends that restart as the burst begins; {@code joining}: new ones; {@code hung}: ones that do no
      * work during the burst.
      */
-    record Case(int gateways, int servers, int cold, int joining, int hung, double load, double burst, double coldFrom, double warmAfterMs, double workMs,
-            double aimMs, double deadlineMs, int cores, int slots, int queue, boolean dropsExpired, long seed) { }
+    record Scenario(int gateways, int servers, int cold, int joining, int hanging, double load, double burst, double initialWarmth, double warmAfterMs, double workMs,
+            double aimMs, double deadlineMs, int cores, int slotsPerCore, int queuePerCore, boolean dropsExpired, long seed) { }
 
-    static final double BURST_AT = 8000, BURST_MS = 6000;
-    static final double TICK = 2;
+    static final double BURST_AT_MS = 8000, BURST_MS = 6000;
+    static final double TICK_MS = 2;
 
-    private final class Work {
-        final int from, number;
+    private final class Job {
+        final int gateway, attempt;
         final long id;
-        final double expiresAt;
-        double left;
+        final double expiresAtMs;
+        double leftMs;
 
-        Work(int from, long id, int number, double left, double expiresAt) {
-            this.from = from; this.id = id; this.number = number; this.left = left; this.expiresAt = expiresAt;
+        Job(int gateway, long id, int attempt, double leftMs, double expiresAtMs) {
+            this.gateway = gateway; this.id = id; this.attempt = attempt; this.leftMs = leftMs; this.expiresAtMs = expiresAtMs;
         }
     }
 
-    private final class Machine {
+    private final class Backend {
         final long id;
-        double startedAt;
-        final List<Work> inWork = new ArrayList<>();
-        final ArrayDeque<Work> waiting = new ArrayDeque<>();
+        double startedAtMs;
+        final List<Job> running = new ArrayList<>();
+        final ArrayDeque<Job> waiting = new ArrayDeque<>();
 
-        Machine(long id, double startedAt) { this.id = id; this.startedAt = startedAt; }
+        Backend(long id, double startedAtMs) { this.id = id; this.startedAtMs = startedAtMs; }
 
         double warmth() {
-            return startedAt <= 0 ? 1 : Math.min(1, of.coldFrom + (1 - of.coldFrom) * (now - startedAt) / of.warmAfterMs);
+            return startedAtMs <= 0 ? 1 : Math.min(1, scenario.initialWarmth + (1 - scenario.initialWarmth) * (now - startedAtMs) / scenario.warmAfterMs);
         }
 
-        Server listed() { return new Server(id, 0, 0, 1, startedAt, Readiness.READY); }
+        Server toServer() { return new Server(id, 0, 0, 1, startedAtMs, Readiness.READY); }
 
         void tick() {
-            if (id < 100 + of.hung && inBurst()) { return; }
-            while (inWork.size() < of.cores * of.slots && !waiting.isEmpty()) {
-                Work w = waiting.poll();
-                if (of.dropsExpired && w.expiresAt <= now) { continue; }
-                inWork.add(w);
+            if (id < 100 + scenario.hanging && inBurst()) { return; }
+            while (running.size() < scenario.cores * scenario.slotsPerCore && !waiting.isEmpty()) {
+                Job job = waiting.poll();
+                if (scenario.dropsExpired && job.expiresAtMs <= now) { continue; }
+                running.add(job);
             }
-            if (inWork.isEmpty()) { return; }
-            double each = TICK * warmth() * Math.min(1, (double) of.cores / inWork.size());
-            List<Work> over = new ArrayList<>();
-            for (Work w : inWork) { if ((w.left -= each) <= 0) { over.add(w); } }
-            inWork.removeAll(over);
-            for (Work w : over) { at(now + 1, () -> end(w.from, w.id, w.number, Outcome.SERVED)); }
+            if (running.isEmpty()) { return; }
+            double stepMs = TICK_MS * warmth() * Math.min(1, (double) scenario.cores / running.size());
+            List<Job> finished = new ArrayList<>();
+            for (Job job : running) { if ((job.leftMs -= stepMs) <= 0) { finished.add(job); } }
+            running.removeAll(finished);
+            for (Job job : finished) { schedule(now + 1, () -> endAttempt(job.gateway, job.id, job.attempt, Outcome.SERVED)); }
         }
     }
 
     /** Results of the requests that first arrived in one period of two seconds; refusals of all tries by reason. */
-    static final class Part {
-        int asked, servedInAim;
+    static final class Period {
+        int requests, servedInAim;
         final Map<Reason, Integer> refused = new EnumMap<>(Reason.class);
     }
 
-    private record Due(double at, long order, Runnable work) { }
+    private record Task(double atMs, long number, Runnable work) { }
 
-    private static final class Open {
-        int attempts, before, gateway;
-        double cameAt, firstAt, sentAt;
-        long on;
-        boolean out;
+    private static final class OpenRequest {
+        int attempts, triesBefore, gateway;
+        double arrivedAtMs, firstTriedAtMs, sentAtMs;
+        long backend;
+        boolean attemptOpen;
     }
 
-    private final Case of;
+    private final Scenario scenario;
     private final SplittableRandom random;
-    private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
-    private final Map<Long, Machine> machines = new LinkedHashMap<>();
+    private final PriorityQueue<Task> tasks = new PriorityQueue<>(Comparator.comparingDouble(Task::atMs).thenComparingLong(Task::number));
+    private final Map<Long, Backend> backends = new LinkedHashMap<>();
     private final Policy[] gateways;
-    private final RequestClass safe;
-    private final Map<Long, Open> open = new HashMap<>();
+    private final RequestClass requestClass;
+    private final Map<Long, OpenRequest> openRequests = new HashMap<>();
     double now = 1000;
-    private long order, ids;
-    final List<Part> parts = new ArrayList<>();
-    final double startedAt = now;
-
-    BurstRun(Case of) {
-        this.of = of;
-        random = new SplittableRandom(of.seed);
-        safe = new RequestClass(of.aimMs, of.deadlineMs, 1, 0, Effect.IDEMPOTENT, Group.ALL, 0, false);
-        gateways = new Policy[of.gateways];
-        for (int i = 0; i < of.servers; i++) { machines.put(100L + i, new Machine(100 + i, 0)); }
+    private long taskCount, requestCount;
+    final List<Period> periods = new ArrayList<>();
+    final double startedAtMs = now;
+
+    BurstRun(Scenario scenario) {
+        this.scenario = scenario;
+        random = new SplittableRandom(scenario.seed);
+        requestClass = new RequestClass(scenario.aimMs, scenario.deadlineMs, 1, 0, Effect.IDEMPOTENT, Group.ALL, 0, false);
+        gateways = new Policy[scenario.gateways];
+        for (int i = 0; i < scenario.servers; i++) { backends.put(100L + i, new Backend(100 + i, 0)); }
         for (int i = 0; i < gateways.length; i++) {
             int self = i;
-            Settings settings = new Settings(i, gateways.length, 0, 1, List.of(safe), List.of(new Plan(0, 0, 0, 1, 0, 0, 0)),
-                    new Limits(4, true, true, 2000), new Rules(of.coldFrom, of.warmAfterMs, 3, 1500, 10_000), List.of(), false, 40, 1, 0, 0.02);
-            gateways[i] = new Policy(settings, random.nextLong(), now, action -> act(self, action));
-            gateways[i].on(now, new ServerList(ListKind.CACHED, machines.values().stream().map(Machine::listed).toList()));
-            arrive(i);
+            Settings settings = new Settings(i, gateways.length, 0, 1, List.of(requestClass), List.of(new Plan(0, 0, 0, 1, 0, 0, 0)),
+                    new Limits(4, true, true, 2000), new Rules(scenario.initialWarmth, scenario.warmAfterMs, 3, 1500, 10_000), List.of(), false, 40, 1, 0, 0.02);
+            gateways[i] = new Policy(settings, random.nextLong(), now, action -> handle(self, action));
+            gateways[i].on(now, new ServerList(ListKind.CACHED, backends.values().stream().map(Backend::toServer).toList()));
+            scheduleArrival(i);
         }
         tick();
     }
 
-    private Part part(double cameAt) {
-        int at = (int) ((cameAt - startedAt) / 2000);
-        while (parts.size() <= at) { parts.add(new Part()); }
-        return parts.get(at);
+    private Period period(double arrivedAtMs) {
+        int index = (int) ((arrivedAtMs - startedAtMs) / 2000);
+        while (periods.size() <= index) { periods.add(new Period()); }
+        return periods.get(index);
     }
 
-    private void at(double time, Runnable work) { due.add(new Due(Math.max(now, time), order++, work)); }
+    private void schedule(double atMs, Runnable action) { tasks.add(new Task(Math.max(now, atMs), taskCount++, action)); }
 
     private void tick() {
-        at(now + TICK, () -> {
-            for (Machine m : List.copyOf(machines.values())) { m.tick(); }
+        schedule(now + TICK_MS, () -> {
+            for (Backend m : List.copyOf(backends.values())) { m.tick(); }
             tick();
         });
     }
 
-    private boolean inBurst() { return now - startedAt >= BURST_AT && now - startedAt < BURST_AT + BURST_MS; }
+    private boolean inBurst() { return now - startedAtMs >= BURST_AT_MS && now - startedAtMs < BURST_AT_MS + BURST_MS; }
 
-    private double perMs() {
-        double load = inBurst() ? of.burst : of.load;
-        return load * (of.servers + of.joining) * of.cores / of.workMs / gateways.length;
+    private double requestsPerMs() {
+        double load = inBurst() ? scenario.burst : scenario.load;
+        return load * (scenario.servers + scenario.joining) * scenario.cores / scenario.workMs / gateways.length;
     }
 
-    private void arrive(int gateway) {
-        at(now - Math.log(1 - random.nextDouble()) / perMs(), () -> {
-            ask(gateway, 0, now);
-            arrive(gateway);
+    private void scheduleArrival(int gateway) {
+        schedule(now - Math.log(1 - random.nextDouble()) / requestsPerMs(), () -> {
+            sendRequest(gateway, 0, now);
+            scheduleArrival(gateway);
         });
     }
 
-    private void ask(int gateway, int before, double firstAt) {
-        long id = ++ids;
-        Open o = new Open();
-        o.before = before; o.gateway = gateway; o.cameAt = now; o.firstAt = firstAt;
-        open.put(id, o);
-        if (before == 0) { part(now).asked++; }
-        gateways[gateway].on(now, new Request(id, 0, 0, id % 500, now + of.deadlineMs, 1, 0, gateways.length));
+    private void sendRequest(int gateway, int triesBefore, double firstTriedAtMs) {
+        long id = ++requestCount;
+        OpenRequest request = new OpenRequest();
+        request.triesBefore = triesBefore; request.gateway = gateway; request.arrivedAtMs = now; request.firstTriedAtMs = firstTriedAtMs;
+        openRequests.put(id, request);
+        if (triesBefore == 0) { period(now).requests++; }
+        gateways[gateway].on(now, new Request(id, 0, 0, id % 500, now + scenario.deadlineMs, 1, 0, gateways.length));
     }
 
-    private void again(Open o) {
-        if (o.before < 2) { at(now + 40 + 260 * random.nextDouble(), () -> ask(random.nextInt(gateways.length), o.before + 1, o.firstAt)); }
+    private void retryLater(OpenRequest request) {
+        if (request.triesBefore < 2) { schedule(now + 40 + 260 * random.nextDouble(), () -> sendRequest(random.nextInt(gateways.length), request.triesBefore + 1, request.firstTriedAtMs)); }
     }
 
-    private void act(int from, Action action) {
+    private void handle(int gateway, Action action) {
         if (action instanceof SetTimer timer) {
-            at(timer.atMs(), () -> gateways[from].on(now, new TimerFired(timer.token())));
+            schedule(timer.atMs(), () -> gateways[gateway].on(now, new TimerFired(timer.token())));
         } else if (action instanceof Tell tell) {
-            at(now + 2 + 20 * random.nextDouble(), () -> gateways[tell.to()].on(now, new PeerMessage(from, tell.body())));
+            schedule(now + 2 + 20 * random.nextDouble(), () -> gateways[tell.to()].on(now, new PeerMessage(gateway, tell.body())));
         } else if (action instanceof Refuse refuse) {
-            Open o = open.remove(refuse.id());
-            part(o.cameAt).refused.merge(refuse.reason(), 1, Integer::sum);
-            again(o);
+            OpenRequest request = openRequests.remove(refuse.id());
+            period(request.arrivedAtMs).refused.merge(refuse.reason(), 1, Integer::sum);
+            retryLater(request);
         } else if (action instanceof Fail fail) {
-            Open o = open.remove(fail.id());
-            again(o);
+            OpenRequest request = openRequests.remove(fail.id());
+            retryLater(request);
         } else if (action instanceof Cancel cancel) {
-            at(now + 0.1, () -> end(from, cancel.id(), cancel.attempt(), Outcome.CANCELLED));
+            schedule(now + 0.1, () -> endAttempt(gateway, cancel.id(), cancel.attempt(), Outcome.CANCELLED));
         } else if (action instanceof Send send) {
-            send(from, send);
+            send(gateway, send);
         }
     }
 
-    private void send(int from, Send send) {
-        Machine m = machines.get(send.server());
-        Open o = open.get(send.id());
-        int number = o.attempts++;
-        o.sentAt = now; o.on = m.id; o.out = true;
-        at(now + send.timeoutMs(), () -> end(from, send.id(), number, Outcome.TIMED_OUT));
-        if (m.waiting.size() >= of.queue * of.cores) {
-            at(now + 1, () -> end(from, send.id(), number, Outcome.REJECTED));
+    private void send(int gateway, Send send) {
+        Backend backend = backends.get(send.server());
+        OpenRequest request = openRequests.get(send.id());
+        int attempt = request.attempts++;
+        request.sentAtMs = now; request.backend = backend.id; request.attemptOpen = true;
+        schedule(now + send.timeoutMs(), () -> endAttempt(gateway, send.id(), attempt, Outcome.TIMED_OUT));
+        if (backend.waiting.size() >= scenario.queuePerCore * scenario.cores) {
+            schedule(now + 1, () -> endAttempt(gateway, send.id(), attempt, Outcome.REJECTED));
             return;
         }
-        m.waiting.add(new Work(from, send.id(), number, -Math.log(1 - random.nextDouble()) * of.workMs, now + send.timeoutMs()));
+        backend.waiting.add(new Job(gateway, send.id(), attempt, -Math.log(1 - random.nextDouble()) * scenario.workMs, now + send.timeoutMs()));
     }
 
-    private void end(int from, long id, int number, Outcome how) {
-        Open o = open.get(id);
-        if (o == null || o.attempts != number + 1 || !o.out) { return; }
-        o.out = false;
-        boolean ends = how == Outcome.SERVED;
-        if (ends) {
-            open.remove(id);
-            if (now - o.cameAt <= of.aimMs) { part(o.firstAt).servedInAim++; }
+    private void endAttempt(int gateway, long id, int attempt, Outcome outcome) {
+        OpenRequest request = openRequests.get(id);
+        if (request == null || request.attempts != attempt + 1 || !request.attemptOpen) { return; }
+        request.attemptOpen = false;
+        boolean finished = outcome == Outcome.SERVED;
+        if (finished) {
+            openRequests.remove(id);
+            if (now - request.arrivedAtMs <= scenario.aimMs) { period(request.firstTriedAtMs).servedInAim++; }
         }
-        gateways[from].on(now, new AttemptDone(id, number, o.on, how, now - o.sentAt, ends, 0, null));
+        gateways[gateway].on(now, new AttemptDone(id, attempt, request.backend, outcome, now - request.sentAtMs, finished, 0, null));
     }
 
     BurstRun run(double forMs) {
-        at(startedAt + BURST_AT, () -> {
-            List<Machine> all = new ArrayList<>(machines.values());
-            for (Machine m : all.subList(0, of.cold)) {
-                m.startedAt = now; m.inWork.clear(); m.waiting.clear();
-                List<Long> lost = open.entrySet().stream().filter(e -> e.getValue().out && e.getValue().on == m.id).map(Map.Entry::getKey).sorted().toList();
-                for (long id : lost) { end(open.get(id).gateway, id, open.get(id).attempts - 1, Outcome.CONNECTION_LOST); }
+        schedule(startedAtMs + BURST_AT_MS, () -> {
+            List<Backend> all = new ArrayList<>(backends.values());
+            for (Backend m : all.subList(0, scenario.cold)) {
+                m.startedAtMs = now; m.running.clear(); m.waiting.clear();
+                List<Long> lost = openRequests.entrySet().stream().filter(e -> e.getValue().attemptOpen && e.getValue().backend == m.id).map(Map.Entry::getKey).sorted().toList();
+                for (long id : lost) { endAttempt(openRequests.get(id).gateway, id, openRequests.get(id).attempts - 1, Outcome.CONNECTION_LOST); }
             }
-            for (int i = 0; i < of.joining; i++) { machines.put(1000L + i, new Machine(1000 + i, now)); }
-            List<Server> list = machines.values().stream().map(Machine::listed).toList();
-            for (Policy gateway : gateways) { at(now + 1000 + 1000 * random.nextDouble(), () -> gateway.on(now, new ServerList(ListKind.FULL, list))); }
+            for (int i = 0; i < scenario.joining; i++) { backends.put(1000L + i, new Backend(1000 + i, now)); }
+            List<Server> list = backends.values().stream().map(Backend::toServer).toList();
+            for (Policy gateway : gateways) { schedule(now + 1000 + 1000 * random.nextDouble(), () -> gateway.on(now, new ServerList(ListKind.FULL, list))); }
         });
-        double until = startedAt + forMs;
-        while (due.peek().at() <= until) {
-            Due next = due.poll();
-            now = Math.max(now, next.at());
+        double untilMs = startedAtMs + forMs;
+        while (tasks.peek().atMs() <= untilMs) {
+            Task next = tasks.poll();
+            now = Math.max(now, next.atMs());
             next.work().run();
         }
-        now = until;
+        now = untilMs;
         return this;
     }
 
     /** Fraction of the requests that arrived between two times and were served within the aim. */
-    double served(double from, double to) {
-        int asked = 0, in = 0;
-        for (int i = (int) (from / 2000); i < Math.min(parts.size(), (int) (to / 2000)); i++) { asked += parts.get(i).asked; in += parts.get(i).servedInAim; }
-        return in / (double) asked;
+    double served(double fromMs, double toMs) {
+        int requests = 0, served = 0;
+        for (int i = (int) (fromMs / 2000); i < Math.min(periods.size(), (int) (toMs / 2000)); i++) { requests += periods.get(i).requests; served += periods.get(i).servedInAim; }
+        return served / (double) requests;
     }
 
     /** Number of tries that arrived between two times and were refused by load shedding. */
-    int refusedForPressure(double from, double to) {
-        return parts.subList((int) (from / 2000), Math.min(parts.size(), (int) (to / 2000))).stream().mapToInt(p -> p.refused.getOrDefault(Reason.PRESSURE, 0)).sum();
+    int refusedForPressure(double fromMs, double toMs) {
+        return periods.subList((int) (fromMs / 2000), Math.min(periods.size(), (int) (toMs / 2000))).stream().mapToInt(p -> p.refused.getOrDefault(Reason.PRESSURE, 0)).sum();
     }
 }
--- a/src/test/java/yardusher/CeilingFlawsTest.java
+++ b/src/test/java/yardusher/CeilingFlawsTest.java
@@ -20,8 +20,8 @@
 /** Mutation test of the ceiling simulation: it must detect each flaw, which is a changed line of the module, compiled apart. */
 class CeilingFlawsTest {
     private static final Path SOURCES = Path.of("src/main/java/yardusher");
-    private static final Path ADVERSARY = Path.of("src/test/java/yardusher/CeilingRun.java");
-    private static final long DRAWS = 128;
+    private static final Path SIMULATION = Path.of("src/test/java/yardusher/CeilingRun.java");
+    private static final long SEEDS = 128;
 
     /** A mutation: a file of the module, a text in it and its replacement. */
     enum Flaw {
@@ -50,17 +50,17 @@
 
     @ParameterizedTest
     @EnumSource(Flaw.class)
-    void aSeededFlawIsSeen(Flaw flaw) throws Exception {
-        try (URLClassLoader flawed = new OwnFirst(compile(flaw))) {
-            Object broken = flawed.loadClass("yardusher.CeilingRun").getMethod("countBroken", long.class, long.class).invoke(null, 0L, DRAWS);
-            System.out.println("ceiling: " + flaw + " seen in " + broken + " of " + DRAWS + " draws");
+    void aSeededFlawIsDetected(Flaw flaw) throws Exception {
+        try (URLClassLoader flawed = new ChildFirstLoader(compile(flaw))) {
+            Object broken = flawed.loadClass("yardusher.CeilingRun").getMethod("countBroken", long.class, long.class).invoke(null, 0L, SEEDS);
+            System.out.println("ceiling: " + flaw + " seen in " + broken + " of " + SEEDS + " draws");
             assertThat((Integer) broken).isPositive();
         }
     }
 
     private Path compile(Flaw flaw) throws IOException {
         Path sources = Files.createDirectories(folder.resolve("yardusher"));
-        List<String> words = new ArrayList<>(List.of("-nowarn", "-proc:none", "-d", folder.resolve("classes").toString(), "-cp", System.getProperty("java.class.path")));
+        List<String> arguments = new ArrayList<>(List.of("-nowarn", "-proc:none", "-d", folder.resolve("classes").toString(), "-cp", System.getProperty("java.class.path")));
         try (Stream<Path> files = Files.list(SOURCES)) {
             for (Path file : files.filter(one -> one.toString().endsWith(".java")).toList()) {
                 String text = Files.readString(file);
@@ -68,19 +68,19 @@
                 assertThat(!flawed || text.contains(flaw.from)).as("%s has: %s", file, flaw.from).isTrue();
                 Path copy = sources.resolve(file.getFileName());
                 Files.writeString(copy, flawed ? text.replace(flaw.from, flaw.to) : text);
-                words.add(copy.toString());
+                arguments.add(copy.toString());
             }
         }
-        words.add(ADVERSARY.toString());
-        ByteArrayOutputStream said = new ByteArrayOutputStream();
-        int status = ToolProvider.getSystemJavaCompiler().run(null, said, said, words.toArray(new String[0]));
-        assertThat(status).as(said.toString(StandardCharsets.UTF_8)).isZero();
+        arguments.add(SIMULATION.toString());
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        int status = ToolProvider.getSystemJavaCompiler().run(null, output, output, arguments.toArray(new String[0]));
+        assertThat(status).as(output.toString(StandardCharsets.UTF_8)).isZero();
         return folder.resolve("classes");
     }
 
     /** Loads the classes of the folder in preference to the parent's. */
-    private static final class OwnFirst extends URLClassLoader {
-        OwnFirst(Path classes) throws IOException { super(new URL[] {classes.toUri().toURL()}, CeilingFlawsTest.class.getClassLoader()); }
+    private static final class ChildFirstLoader extends URLClassLoader {
+        ChildFirstLoader(Path classes) throws IOException { super(new URL[] {classes.toUri().toURL()}, CeilingFlawsTest.class.getClassLoader()); }
 
         @Override
         protected Class<?> loadClass(String name, boolean resolve) throws ClassNotFoundException {
--- a/src/test/java/yardusher/CeilingLoansTest.java
+++ b/src/test/java/yardusher/CeilingLoansTest.java
@@ -12,15 +12,15 @@
 /** A loan between two ingresses of a set of three, message by message. */
 class CeilingLoansTest {
     private static final long CUSTOMER = 7;
-    private static final int SET = 3;
+    private static final int SET_SIZE = 3;
     /** Of the plan's ceiling: 20 units per second, a burst of 20, a slack of 2. */
-    private static final double OWN_SHARE = 22.0 / SET;
-    private static final double OWN_RATE = 20.0 / SET;
+    private static final double OWN_SHARE = 22.0 / SET_SIZE;
+    private static final double OWN_RATE = 20.0 / SET_SIZE;
     private static final double FULL_MS = 20_000;
-    private static final double ON_THE_WAY_MS = 20;
+    private static final double MESSAGE_DELAY_MS = 20;
 
-    private final Gateway lender = new Gateway(0, SET, 0, PolicyTest.TWO);
-    private final Gateway borrower = new Gateway(1, SET, 0, PolicyTest.TWO);
+    private final Gateway lender = new Gateway(0, SET_SIZE, 0, PolicyTest.TWO_SERVERS);
+    private final Gateway borrower = new Gateway(1, SET_SIZE, 0, PolicyTest.TWO_SERVERS);
 
     @BeforeEach
     void begin() {
@@ -43,31 +43,31 @@
     }
 
     private PeerMessage grant() {
-        assertThat(borrower.admitted(30, PolicyTest.HARD, CUSTOMER, SET)).as("its own share").isEqualTo(7);
-        List<PeerMessage> requests = messages(borrower, lender, FULL_MS + ON_THE_WAY_MS);
-        lender.runTo(FULL_MS + 2 * ON_THE_WAY_MS);
+        assertThat(borrower.admitted(30, PolicyTest.CEILING_PLAN, CUSTOMER, SET_SIZE)).as("its own share").isEqualTo(7);
+        List<PeerMessage> requests = messages(borrower, lender, FULL_MS + MESSAGE_DELAY_MS);
+        lender.runTo(FULL_MS + 2 * MESSAGE_DELAY_MS);
         requests.forEach(lender::on);
-        List<PeerMessage> grants = messages(lender, borrower, FULL_MS + 4 * ON_THE_WAY_MS);
+        List<PeerMessage> grants = messages(lender, borrower, FULL_MS + 4 * MESSAGE_DELAY_MS);
         assertThat(grants).hasSize(1);
         return grants.get(0);
     }
 
     @Test
-    void whoRunsShortBorrowsWhatTheOtherDoesNotNeed() {
+    void anIngressThatRunsShortBorrowsWhatAnotherDoesNotNeed() {
         PeerMessage grant = grant();
-        borrower.runTo(FULL_MS + 5 * ON_THE_WAY_MS);
+        borrower.runTo(FULL_MS + 5 * MESSAGE_DELAY_MS);
         borrower.on(grant);
         assertThat(share(borrower).isBorrowing()).isTrue();
-        assertThat(share(borrower).tokens()).as("more than what was left and earned since").isGreaterThan(OWN_SHARE - 7 + OWN_RATE * 5 * ON_THE_WAY_MS / 1000 + 0.1);
-        assertThat(share(borrower).portion() + share(lender).portion()).isLessThanOrEqualTo(2.0 / SET + 1e-9);
-        assertThat(borrower.admitted(30, PolicyTest.HARD, CUSTOMER, SET)).isPositive();
+        assertThat(share(borrower).tokens()).as("more than what was left and earned since").isGreaterThan(OWN_SHARE - 7 + OWN_RATE * 5 * MESSAGE_DELAY_MS / 1000 + 0.1);
+        assertThat(share(borrower).portion() + share(lender).portion()).isLessThanOrEqualTo(2.0 / SET_SIZE + 1e-9);
+        assertThat(borrower.admitted(30, PolicyTest.CEILING_PLAN, CUSTOMER, SET_SIZE)).isPositive();
     }
 
     /** Guards against a duplicated grant that counts twice. */
     @Test
-    void aGrantThatComesTwiceCountsOnce() {
+    void aDuplicatedGrantCountsOnce() {
         PeerMessage grant = grant();
-        borrower.runTo(FULL_MS + 5 * ON_THE_WAY_MS);
+        borrower.runTo(FULL_MS + 5 * MESSAGE_DELAY_MS);
         borrower.on(grant);
         double tokens = share(borrower).tokens();
         borrower.on(grant);
@@ -76,7 +76,7 @@
 
     /** Guards against a late grant: the lender has reclaimed the portion by then. */
     @Test
-    void aGrantThatComesAfterItsLeaseIsPassedOver() {
+    void aGrantThatArrivesAfterItsLeaseIsIgnored() {
         PeerMessage grant = grant();
         borrower.runTo(FULL_MS + 2 * CeilingShare.LEASE_MS);
         double tokens = share(borrower).tokens();
@@ -87,25 +87,25 @@
 
     /** Guards against a restarted ingress that earns what its previous incarnation lent. */
     @Test
-    void aBorrowerGivesUpWhatAFormerLifeOfTheLenderLentAndTheNewOneEarnsAllOnceAllHaveConfirmed() {
+    void aRestartedLenderRecallsItsLoansAndEarnsInFullOnceAllHaveConfirmed() {
         PeerMessage grant = grant();
-        borrower.runTo(FULL_MS + 5 * ON_THE_WAY_MS);
+        borrower.runTo(FULL_MS + 5 * MESSAGE_DELAY_MS);
         borrower.on(grant);
-        Gateway third = new Gateway(2, SET, 0, PolicyTest.TWO);
-        third.runTo(FULL_MS + 5 * ON_THE_WAY_MS);
-        Gateway restarted = new Gateway(0, SET, FULL_MS + 5 * ON_THE_WAY_MS, PolicyTest.TWO);
-        restarted.admits(PolicyTest.HARD, CUSTOMER, SET);
-        assertThat(share(restarted).portion()).isCloseTo((1 - CeilingShare.LENDABLE_FRACTION) / SET, within(1e-9));
-        double at = FULL_MS + 6 * ON_THE_WAY_MS;
+        Gateway third = new Gateway(2, SET_SIZE, 0, PolicyTest.TWO_SERVERS);
+        third.runTo(FULL_MS + 5 * MESSAGE_DELAY_MS);
+        Gateway restarted = new Gateway(0, SET_SIZE, FULL_MS + 5 * MESSAGE_DELAY_MS, PolicyTest.TWO_SERVERS);
+        restarted.admits(PolicyTest.CEILING_PLAN, CUSTOMER, SET_SIZE);
+        assertThat(share(restarted).portion()).isCloseTo((1 - CeilingShare.LENDABLE_FRACTION) / SET_SIZE, within(1e-9));
+        double at = FULL_MS + 6 * MESSAGE_DELAY_MS;
         List<PeerMessage> toBorrower = messages(restarted, borrower, at);
         List<PeerMessage> toThird = messages(restarted, third, at);
         borrower.actions.clear();
         toBorrower.forEach(borrower::on);
         toThird.forEach(third::on);
         assertThat(share(borrower).isBorrowing()).isFalse();
-        messages(borrower, restarted, at + 2 * ON_THE_WAY_MS).forEach(restarted::on);
-        assertThat(share(restarted).portion()).as("one has not confirmed yet").isLessThan(1.0 / SET);
-        messages(third, restarted, at + 2 * ON_THE_WAY_MS).forEach(restarted::on);
-        assertThat(share(restarted).portion()).isCloseTo(1.0 / SET, within(1e-9));
+        messages(borrower, restarted, at + 2 * MESSAGE_DELAY_MS).forEach(restarted::on);
+        assertThat(share(restarted).portion()).as("one has not confirmed yet").isLessThan(1.0 / SET_SIZE);
+        messages(third, restarted, at + 2 * MESSAGE_DELAY_MS).forEach(restarted::on);
+        assertThat(share(restarted).portion()).isCloseTo(1.0 / SET_SIZE, within(1e-9));
     }
 }
--- a/src/test/java/yardusher/ColdAllowanceTest.java
+++ b/src/test/java/yardusher/ColdAllowanceTest.java
@@ -12,12 +12,12 @@
 class ColdAllowanceTest {
     private static final double PER_MS = 0.05;       // capacity of a warm server, in requests
     /** Fraction of it that is answered, over all gateways; with all of it, the sum reached 1.014 of the bound by chance (docs/measurements/cold.md). */
-    private static final double ANSWERS = 0.95;
+    private static final double ANSWERED_FRACTION = 0.95;
     private static final double STEP_MS = 10;
-    private static final int WARM = 20;
+    private static final int WARM_SERVERS = 20;
 
     private static Settings settings(int self, int gateways, Rules rules) {
-        return new Settings(self, gateways, 0, 1, List.of(PolicyTest.SAFE), List.of(new Plan(0, 0, 0, 1, 0, 0, 0)), new Limits(4, true, true, 0), rules, List.of(),
+        return new Settings(self, gateways, 0, 1, List.of(PolicyTest.IDEMPOTENT), List.of(new Plan(0, 0, 0, 1, 0, 0, 0)), new Limits(4, true, true, 0), rules, List.of(),
                 false, 60, 1, 0, 0.01);
     }
 
@@ -38,10 +38,10 @@
             Settings settings = settings(self, gateways, rules);
             allowance = new ColdAllowance(settings, clock, random);
             List<Host> warm = new ArrayList<>();
-            for (int i = 0; i < WARM; i++) { warm.add(host(10 + i, 0, settings, clock)); }
+            for (int i = 0; i < WARM_SERVERS; i++) { warm.add(host(10 + i, 0, settings, clock)); }
             for (double at = 0; at < startsAt; at += Clock.SWEEP_MS) {
                 clock.now = at;
-                double mean = part * WARM * ANSWERS * PER_MS * Clock.SWEEP_MS;
+                double mean = part * WARM_SERVERS * ANSWERED_FRACTION * PER_MS * Clock.SWEEP_MS;
                 for (double n = -Math.log(1 - random.nextDouble()); n < mean; n -= Math.log(1 - random.nextDouble())) { allowance.warmThroughput.recordAnswer(warm.get(0)); }
                 allowance.warmThroughput.sample(warm);
             }
@@ -57,7 +57,7 @@
         for (int i = 0; i < 25; i++) {
             long seed = i == 0 ? 19 : draws.nextInt(1 << 30);
             int gateways = i == 0 ? 214 : 1 + draws.nextInt(300), coldPercent = i == 0 ? 21 : 10 + draws.nextInt(41), spanMs = i == 0 ? 1201 : 1000 + draws.nextInt(2001);
-            double[] played = worst(seed, gateways, coldPercent, spanMs);
+            double[] played = highestLoad(seed, gateways, coldPercent, spanMs);
             String what = "seed " + seed + ", " + gateways + " gateways, " + coldPercent + "% warm at the start, spans of " + spanMs + " ms: ";
             assertThat(played[0]).as(what + "fraction of N + 2 * sqrt(N) + 2").isLessThan(1);
             assertThat(played[1]).as(what + "the allowance is used").isGreaterThan(2 * PER_MS * coldPercent / 100 * 3 * spanMs);
@@ -65,7 +65,7 @@
     }
 
     /** The highest load of any time span, as a fraction of the overload bound, and the number of attempts in all. */
-    static double[] worst(long seed, int gateways, int coldPercent, int spanMs) {
+    static double[] highestLoad(long seed, int gateways, int coldPercent, int spanMs) {
         Rules rules = new Rules(coldPercent / 100.0, 15_000, 3, spanMs, 10_000);
         SplittableRandom random = new SplittableRandom(seed);
         double startsAt = 120_000, all = 0;
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void whoKnowsNothingOfWarmOnesSendsByTheDraws() {
+    void withUnknownWarmThroughputTheDrawsDecide() {
         Gateway fresh = new Gateway(0, 3, new Rules(0.2, 15_000, 3, 1000, 10_000), 1000, 0, new SplittableRandom(1));
         assertThat(fresh.allowance.isDue(fresh.cold)).isTrue();
         int let = 0;
@@ -105,7 +105,7 @@
 
     /** Guards against an idle period after which cold servers get nothing because warm ones seem to do nothing. */
     @Test
-    void whatWasSeenBeforeAQuietTimeIsNotKnownAnyMore() {
+    void throughputIsUnknownAfterAnIdlePeriod() {
         Gateway one = new Gateway(0, 3, new Rules(0.2, 15_000, 3, 1000, 10_000), 60_000, 1, new SplittableRandom(1));
         assertThat(one.allowance.warmThroughput.isKnown()).isTrue();
         Host warm = host(9, 0, settings(0, 3, new Rules(0.2, 15_000, 3, 1000, 10_000)), one.clock);
@@ -116,7 +116,7 @@
 
     /** Guards against a rate of 0 where many answers arrived before the first sample: it is unknown then. */
     @Test
-    void beforeTheFirstLookNothingIsKnown() {
+    void throughputIsUnknownBeforeTheFirstSample() {
         Gateway one = new Gateway(0, 1, new Rules(0.2, 15_000, 3, 1000, 10_000), 0, 1, new SplittableRandom(1));
         Host warm = host(9, 0, settings(0, 1, new Rules(0.2, 15_000, 3, 1000, 10_000)), one.clock);
         for (int i = 0; i < 100; i++) { one.allowance.warmThroughput.recordAnswer(warm); }
@@ -125,7 +125,7 @@
 
     /** Guards against late answers of cold servers that cause load shedding: here they take twice what a warmth of a fifth predicts. */
     @Test
-    void slowOnesAreDrawnLess() {
+    void slowColdServersAreDrawnLess() {
         Gateway one = new Gateway(0, 3, new Rules(0.2, 15_000, 3, 1000, 10_000), 1000, 0, new SplittableRandom(1));
         for (int i = 0; i < 100; i++) { one.allowance.recordLatency(one.cold, 10); }
         int let = 0;
--- a/src/test/java/yardusher/ColdFallTest.java
+++ b/src/test/java/yardusher/ColdFallTest.java
@@ -15,25 +15,25 @@
 class ColdFallTest {
     private static final int GATEWAYS = 100;
     private static final int SERVERS = 40;
-    private static final double FROM = 0.25, WARM_MS = 10_000, FACTOR = 3, SPAN_MS = 1000; // as in the settings of FleetRun
-    private static final double BUSY = 0.5;          // fraction of the capacity of warm regions in use before the replacement
+    private static final double INITIAL_WARMTH = 0.25, WARM_UP_MS = 10_000, OVERLOAD_FACTOR = 3, OVERLOAD_SPAN_MS = 1000; // as in the settings of FleetRun
+    private static final double UTILIZATION = 0.5;          // fraction of the capacity of warm regions in use before the replacement
 
     /** The highest load of any time span, as a fraction of the overload bound. */
-    private static double worst(List<Double> sent, double startedAt, double warmPerS) {
+    private static double highestLoad(List<Double> sent, double startedAt, double warmPerS) {
         double worst = 0;
         for (int from = 0; from < sent.size(); from++) {
             double begins = sent.get(from);
-            double warmth = Math.min(1, FROM + (1 - FROM) * (begins - startedAt) / WARM_MS);
-            double allowed = FACTOR * warmPerS * warmth * SPAN_MS / 1000;
+            double warmth = Math.min(1, INITIAL_WARMTH + (1 - INITIAL_WARMTH) * (begins - startedAt) / WARM_UP_MS);
+            double allowed = OVERLOAD_FACTOR * warmPerS * warmth * OVERLOAD_SPAN_MS / 1000;
             int count = 0;
-            while (from + count < sent.size() && sent.get(from + count) < begins + SPAN_MS) { count++; }
+            while (from + count < sent.size() && sent.get(from + count) < begins + OVERLOAD_SPAN_MS) { count++; }
             worst = Math.max(worst, count / (allowed + 3 * Math.sqrt(allowed) + 3));
         }
         return worst;
     }
 
     /** The highest load of any cold region when so many of 40 are replaced at once. */
-    private static double worstOf(int replaced, long seed) {
+    private static double highestLoadOfColdRegions(int replaced, long seed) {
         FleetRun fleet = new FleetRun(GATEWAYS, SERVERS, 150, 0.05, seed);
         fleet.run(4000);
         int before = fleet.attemptsAt.values().stream().mapToInt(i -> i).sum();
@@ -46,17 +46,17 @@
             if (fresh) { fleet.sentAt.put(500L + i, new ArrayList<>()); }
         }
         double startedAt = fleet.now;
-        fleet.list(servers);
+        fleet.setServers(servers);
         fleet.run(startedAt + 6000);
         assertThat(fleet.sentAt.values()).as("cold regions serve").allMatch(sent -> !sent.isEmpty());
-        return fleet.sentAt.values().stream().mapToDouble(sent -> worst(sent, startedAt, demand / SERVERS / BUSY)).max().orElseThrow();
+        return fleet.sentAt.values().stream().mapToDouble(sent -> highestLoad(sent, startedAt, demand / SERVERS / UTILIZATION)).max().orElseThrow();
     }
 
     @Test
-    void noColdRegionFallsUnderTheSumOfAHundredIngresses() {
+    void noColdRegionIsOverloadedByAHundredIngresses() {
         for (int replaced : new int[] {2, 12, 24}) {
             for (long seed = 1; seed <= 2; seed++) {
-                double worst = worstOf(replaced, seed);
+                double worst = highestLoadOfColdRegions(replaced, seed);
                 System.out.printf("cold: %d of 40 replaced, seed %d: at most %.2f of the overload bound%n", replaced, seed, worst);
                 assertThat(worst).as("%d of 40, seed %d", replaced, seed).isLessThan(1);
             }
@@ -65,10 +65,10 @@
 
     /** Shows that the check detects an overload. */
     @Test
-    void aBurstAtAColdRegionIsSeen() {
+    void anOverloadOfAColdRegionIsDetected() {
         List<Double> burst = new ArrayList<>();
         for (int i = 0; i < 40; i++) { burst.add(1000 + 10.0 * i); }
-        assertThat(worst(burst, 1000, 20)).as("N is 15").isGreaterThan(1);
-        assertThat(worst(burst.subList(0, 25), 1000, 20)).isLessThan(1);
+        assertThat(highestLoad(burst, 1000, 20)).as("N is 15").isGreaterThan(1);
+        assertThat(highestLoad(burst.subList(0, 25), 1000, 20)).isLessThan(1);
     }
 }
--- a/src/test/java/yardusher/ColdRun.java
+++ b/src/test/java/yardusher/ColdRun.java
@@ -26,236 +26,236 @@
      * {@code restart}: the backends keep their ids. {@code toldOverMs}: the time over which the ingresses get the list.
      * {@code comeAgain}: how often a client retries.
      */
-    record Case(int gateways, int servers, int replaced, Rules rules, int cores, double load, double skew, double hot, Pace pace,
-            boolean restart, double toldOverMs, int comeAgain, long seed) {
-        Case(int gateways, int servers, int replaced, Rules rules, double load, long seed) {
+    record Scenario(int gateways, int servers, int replaced, Rules rules, int cores, double load, double skew, double hotFraction, Pace pace,
+            boolean restart, double listDelayMs, int retries, long seed) {
+        Scenario(int gateways, int servers, int replaced, Rules rules, double load, long seed) {
             this(gateways, servers, replaced, rules, 4, load, 0, 0, Pace.AS_WARM, false, 0, 2, seed);
         }
 
-        Case uneven(double exponent, double hotPart) {
-            return new Case(gateways, servers, replaced, rules, cores, load, exponent, hotPart, pace, restart, toldOverMs, comeAgain, seed);
+        Scenario withUnevenTraffic(double exponent, double hotPart) {
+            return new Scenario(gateways, servers, replaced, rules, cores, load, exponent, hotPart, pace, restart, listDelayMs, retries, seed);
         }
 
-        Case cores(int n) { return new Case(gateways, servers, replaced, rules, n, load, skew, hot, pace, restart, toldOverMs, comeAgain, seed); }
+        Scenario cores(int n) { return new Scenario(gateways, servers, replaced, rules, n, load, skew, hotFraction, pace, restart, listDelayMs, retries, seed); }
 
-        Case paced(Pace p) { return new Case(gateways, servers, replaced, rules, cores, load, skew, hot, p, restart, toldOverMs, comeAgain, seed); }
+        Scenario withPace(Pace p) { return new Scenario(gateways, servers, replaced, rules, cores, load, skew, hotFraction, p, restart, listDelayMs, retries, seed); }
 
-        Case again(int times) { return new Case(gateways, servers, replaced, rules, cores, load, skew, hot, pace, restart, toldOverMs, times, seed); }
+        Scenario withRetries(int times) { return new Scenario(gateways, servers, replaced, rules, cores, load, skew, hotFraction, pace, restart, listDelayMs, times, seed); }
 
-        Case restarted(double overMs) {
-            return new Case(gateways, servers, replaced, rules, cores, load, skew, hot, pace, true, overMs, comeAgain, seed);
+        Scenario withRestarts(double overMs) {
+            return new Scenario(gateways, servers, replaced, rules, cores, load, skew, hotFraction, pace, true, overMs, retries, seed);
         }
 
-        Case told(double overMs) {
-            return new Case(gateways, servers, replaced, rules, cores, load, skew, hot, pace, restart, overMs, comeAgain, seed);
+        Scenario withListDelay(double overMs) {
+            return new Scenario(gateways, servers, replaced, rules, cores, load, skew, hotFraction, pace, restart, overMs, retries, seed);
         }
     }
 
-    private record Due(double at, long order, Runnable work) { }
+    private record Task(double atMs, long number, Runnable work) { }
 
     /** One attempt at a cold backend: when, and whether its ingress knew of the start. */
-    record Sent(double at, boolean told) { }
+    record Sent(double atMs, boolean informed) { }
 
-    private static final double WORK_MS = 80, SETTLED = 6000;
-    private static final RequestClass SAFE = new RequestClass(1000, 2500, 2, 0, Effect.IDEMPOTENT, Group.ALL, 0, false);
+    private static final double WORK_MS = 80, SETTLE_MS = 6000;
+    private static final RequestClass IDEMPOTENT = new RequestClass(1000, 2500, 2, 0, Effect.IDEMPOTENT, Group.ALL, 0, false);
 
-    private final class Machine {
+    private final class Backend {
         final long id;
-        double startedAt;
-        int busy;
+        double startedAtMs;
+        int running;
         final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
         final List<Sent> sent = new ArrayList<>();
 
-        Machine(long id, double startedAt) {
+        Backend(long id, double startedAtMs) {
             this.id = id;
-            this.startedAt = startedAt;
+            this.startedAtMs = startedAtMs;
         }
 
-        double warmth(double at) {
-            Rules r = of.rules();
-            return startedAt <= 0 ? 1 : Math.min(1, r.initialWarmth() + (1 - r.initialWarmth()) * (at - startedAt) / r.warmAfterMs());
+        double warmth(double atMs) {
+            Rules r = scenario.rules();
+            return startedAtMs <= 0 ? 1 : Math.min(1, r.initialWarmth() + (1 - r.initialWarmth()) * (atMs - startedAtMs) / r.warmAfterMs());
         }
 
-        Server listed() { return new Server(id, 0, 0, 1, startedAt, Readiness.READY); }
+        Server toServer() { return new Server(id, 0, 0, 1, startedAtMs, Readiness.READY); }
     }
 
-    private final Case of;
+    private final Scenario scenario;
     private final SplittableRandom random;
-    private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
-    private final Map<Long, Machine> machines = new LinkedHashMap<>();
-    private final List<Machine> cold = new ArrayList<>();
+    private final PriorityQueue<Task> tasks = new PriorityQueue<>(Comparator.comparingDouble(Task::atMs).thenComparingLong(Task::number));
+    private final Map<Long, Backend> backends = new LinkedHashMap<>();
+    private final List<Backend> cold = new ArrayList<>();
     private final Policy[] gateways;
-    private final boolean[] told;
-    private final double[] parts;
-    private final Map<Long, int[]> open = new HashMap<>(); // attempts made, earlier tries, ingress
-    private double now = 1000, replacedAt = Double.POSITIVE_INFINITY;
-    private long order, ids;
+    private final boolean[] informed;
+    private final double[] trafficParts;
+    private final Map<Long, int[]> openRequests = new HashMap<>(); // attempts made, earlier tries, ingress
+    private double now = 1000, replacedAtMs = Double.POSITIVE_INFINITY;
+    private long taskCount, requestCount;
     /** Counts after the replacement. */
-    int asked, refused, refusedWithNoBackend, served, failed;
-
-    ColdRun(Case of) {
-        this.of = of;
-        random = new SplittableRandom(of.seed());
-        gateways = new Policy[of.gateways()];
-        told = new boolean[of.gateways()];
-        parts = new double[of.gateways()];
+    int requested, refused, refusedWithNoBackend, served, failed;
+
+    ColdRun(Scenario scenario) {
+        this.scenario = scenario;
+        random = new SplittableRandom(scenario.seed());
+        gateways = new Policy[scenario.gateways()];
+        informed = new boolean[scenario.gateways()];
+        trafficParts = new double[scenario.gateways()];
         double all = 0;
-        for (int i = 0; i < parts.length; i++) { all += parts[i] = Math.pow(i + 1, -of.skew()); }
-        for (int i = 0; i < parts.length; i++) { parts[i] *= (1 - of.hot()) / all; }
-        parts[parts.length - 1] += of.hot();
-        for (int i = 0; i < of.servers(); i++) { machines.put(100L + i, new Machine(100 + i, 0)); }
-        for (int i = 0; i < parts.length; i++) {
+        for (int i = 0; i < trafficParts.length; i++) { all += trafficParts[i] = Math.pow(i + 1, -scenario.skew()); }
+        for (int i = 0; i < trafficParts.length; i++) { trafficParts[i] *= (1 - scenario.hotFraction()) / all; }
+        trafficParts[trafficParts.length - 1] += scenario.hotFraction();
+        for (int i = 0; i < scenario.servers(); i++) { backends.put(100L + i, new Backend(100 + i, 0)); }
+        for (int i = 0; i < trafficParts.length; i++) {
             int self = i;
-            Settings settings = new Settings(i, gateways.length, 0, 1, List.of(SAFE), List.of(new Plan(0, 0, 0, 1, 0, 0, 0)),
-                    new Limits(4, true, true, 0), of.rules(), List.of(), false, 60, 1, 0, 0.01);
-            gateways[i] = new Policy(settings, random.nextLong(), now, action -> act(self, action));
-            gateways[i].on(now, new ServerList(ListKind.CACHED, machines.values().stream().map(Machine::listed).toList()));
-            arrive(i);
+            Settings settings = new Settings(i, gateways.length, 0, 1, List.of(IDEMPOTENT), List.of(new Plan(0, 0, 0, 1, 0, 0, 0)),
+                    new Limits(4, true, true, 0), scenario.rules(), List.of(), false, 60, 1, 0, 0.01);
+            gateways[i] = new Policy(settings, random.nextLong(), now, action -> handle(self, action));
+            gateways[i].on(now, new ServerList(ListKind.CACHED, backends.values().stream().map(Backend::toServer).toList()));
+            scheduleArrival(i);
         }
     }
 
-    private double warmPerMs() { return of.cores() / WORK_MS; }
+    private double warmPerMs() { return scenario.cores() / WORK_MS; }
 
-    private void at(double time, Runnable work) { due.add(new Due(Math.max(now, time), order++, work)); }
+    private void schedule(double atMs, Runnable action) { tasks.add(new Task(Math.max(now, atMs), taskCount++, action)); }
 
-    private void arrive(int gateway) {
-        double perMs = parts[gateway] * of.load() * of.servers() * warmPerMs();
-        at(now - Math.log(1 - random.nextDouble()) / perMs, () -> {
-            ask(gateway, 0);
-            arrive(gateway);
+    private void scheduleArrival(int gateway) {
+        double perMs = trafficParts[gateway] * scenario.load() * scenario.servers() * warmPerMs();
+        schedule(now - Math.log(1 - random.nextDouble()) / perMs, () -> {
+            sendRequest(gateway, 0);
+            scheduleArrival(gateway);
         });
     }
 
-    private int some() {
+    private int drawGateway() {
         double draw = random.nextDouble();
         int at = 0;
-        while (at < parts.length - 1 && (draw -= parts[at]) > 0) { at++; }
+        while (at < trafficParts.length - 1 && (draw -= trafficParts[at]) > 0) { at++; }
         return at;
     }
 
-    private void ask(int gateway, int before) {
-        long id = ++ids;
-        open.put(id, new int[] {0, before, gateway});
-        if (now > replacedAt && before == 0) { asked++; }
-        gateways[gateway].on(now, new Request(id, 0, 0, id % 500, now + SAFE.deadlineMs(), 1, 0, gateways.length));
+    private void sendRequest(int gateway, int triesBefore) {
+        long id = ++requestCount;
+        openRequests.put(id, new int[] {0, triesBefore, gateway});
+        if (now > replacedAtMs && triesBefore == 0) { requested++; }
+        gateways[gateway].on(now, new Request(id, 0, 0, id % 500, now + IDEMPOTENT.deadlineMs(), 1, 0, gateways.length));
     }
 
-    private void again(int[] state) {
-        if (state[1] < of.comeAgain()) { at(now + 50 + 350 * random.nextDouble(), () -> ask(some(), state[1] + 1)); }
+    private void retryLater(int[] state) {
+        if (state[1] < scenario.retries()) { schedule(now + 50 + 350 * random.nextDouble(), () -> sendRequest(drawGateway(), state[1] + 1)); }
     }
 
-    private void act(int from, Action action) {
+    private void handle(int gateway, Action action) {
         if (action instanceof SetTimer timer) {
-            at(timer.atMs(), () -> gateways[from].on(now, new TimerFired(timer.token())));
+            schedule(timer.atMs(), () -> gateways[gateway].on(now, new TimerFired(timer.token())));
         } else if (action instanceof Tell tell) {
-            at(now + 1.3 + 20 * random.nextDouble(), () -> gateways[tell.to()].on(now, new PeerMessage(from, tell.body())));
+            schedule(now + 1.3 + 20 * random.nextDouble(), () -> gateways[tell.to()].on(now, new PeerMessage(gateway, tell.body())));
         } else if (action instanceof Refuse refuse) {
-            if (now > replacedAt) { refused++; }
-            if (now > replacedAt && refuse.reason() == Reason.NO_SERVER) { refusedWithNoBackend++; }
-            again(open.remove(refuse.id()));
+            if (now > replacedAtMs) { refused++; }
+            if (now > replacedAtMs && refuse.reason() == Reason.NO_SERVER) { refusedWithNoBackend++; }
+            retryLater(openRequests.remove(refuse.id()));
         } else if (action instanceof Fail fail) {
-            if (now > replacedAt) { failed++; }
-            again(open.remove(fail.id()));
+            if (now > replacedAtMs) { failed++; }
+            retryLater(openRequests.remove(fail.id()));
         } else if (action instanceof Cancel cancel) {
-            at(now + 0.1, () -> end(from, cancel.id(), cancel.attempt(), Outcome.CANCELLED));
+            schedule(now + 0.1, () -> endAttempt(gateway, cancel.id(), cancel.attempt(), Outcome.CANCELLED));
         } else if (action instanceof Send send) {
-            send(from, send);
+            send(gateway, send);
         }
     }
 
-    private final Map<Long, Double> outSince = new HashMap<>();
-    private final Map<Long, Long> outOn = new HashMap<>();
-
-    private void send(int from, Send send) {
-        Machine m = machines.get(send.server());
-        int number = open.get(send.id())[0]++;
-        outSince.put(send.id(), now);
-        outOn.put(send.id(), m.id);
-        if (m.warmth(now) < 1) { m.sent.add(new Sent(now, told[from])); }
-        at(now + send.timeoutMs(), () -> end(from, send.id(), number, Outcome.TIMED_OUT));
-        if (m.waiting.size() > 16 * of.cores()) {
-            at(now + 1, () -> end(from, send.id(), number, Outcome.REJECTED));
+    private final Map<Long, Double> attemptSentAtMs = new HashMap<>();
+    private final Map<Long, Long> attemptBackend = new HashMap<>();
+
+    private void send(int gateway, Send send) {
+        Backend backend = backends.get(send.server());
+        int attempt = openRequests.get(send.id())[0]++;
+        attemptSentAtMs.put(send.id(), now);
+        attemptBackend.put(send.id(), backend.id);
+        if (backend.warmth(now) < 1) { backend.sent.add(new Sent(now, informed[gateway])); }
+        schedule(now + send.timeoutMs(), () -> endAttempt(gateway, send.id(), attempt, Outcome.TIMED_OUT));
+        if (backend.waiting.size() > 16 * scenario.cores()) {
+            schedule(now + 1, () -> endAttempt(gateway, send.id(), attempt, Outcome.REJECTED));
             return;
         }
         double work = -Math.log(1 - random.nextDouble()) * WORK_MS;
-        double begun = m.startedAt;
+        double begun = backend.startedAtMs;
         Runnable begin = () -> {
-            m.busy++;
-            at(now + 1 + (of.pace() == Pace.AS_WARM ? work : work / m.warmth(now)), () -> {
-                if (m.startedAt != begun) { return; }
-                m.busy--;
-                if (!m.waiting.isEmpty()) { m.waiting.poll().run(); }
-                end(from, send.id(), number, Outcome.SERVED);
+            backend.running++;
+            schedule(now + 1 + (scenario.pace() == Pace.AS_WARM ? work : work / backend.warmth(now)), () -> {
+                if (backend.startedAtMs != begun) { return; }
+                backend.running--;
+                if (!backend.waiting.isEmpty()) { backend.waiting.poll().run(); }
+                endAttempt(gateway, send.id(), attempt, Outcome.SERVED);
             });
         };
-        if (m.busy < of.cores()) { begin.run(); } else { m.waiting.add(begin); }
+        if (backend.running < scenario.cores()) { begin.run(); } else { backend.waiting.add(begin); }
     }
 
-    private void end(int from, long id, int number, Outcome how) {
-        int[] state = open.get(id);
-        if (state == null || state[0] != number + 1 || !outSince.containsKey(id)) { return; }
-        double took = now - outSince.remove(id);
-        boolean ends = how == Outcome.SERVED;
-        if (ends) { open.remove(id); }
-        if (ends && now > replacedAt) { served++; }
-        gateways[from].on(now, new AttemptDone(id, number, outOn.remove(id), how, took, ends, 0, null));
+    private void endAttempt(int gateway, long id, int attempt, Outcome outcome) {
+        int[] state = openRequests.get(id);
+        if (state == null || state[0] != attempt + 1 || !attemptSentAtMs.containsKey(id)) { return; }
+        double took = now - attemptSentAtMs.remove(id);
+        boolean finished = outcome == Outcome.SERVED;
+        if (finished) { openRequests.remove(id); }
+        if (finished && now > replacedAtMs) { served++; }
+        gateways[gateway].on(now, new AttemptDone(id, attempt, attemptBackend.remove(id), outcome, took, finished, 0, null));
     }
 
     /** Runs until a time after the replacement. */
     ColdRun run(double afterMs) {
-        play(now + SETTLED);
-        replacedAt = now;
-        List<Machine> all = new ArrayList<>(machines.values());
-        for (Machine old : all.subList(0, of.replaced())) {
-            Machine fresh = of.restart() ? old : new Machine(old.id + 1000, now);
-            if (of.restart()) {                      // its running requests are lost
-                List<Long> lost = outOn.entrySet().stream().filter(e -> e.getValue() == old.id).map(Map.Entry::getKey).sorted().toList();
-                old.startedAt = now;
-                old.busy = 0;
+        runTo(now + SETTLE_MS);
+        replacedAtMs = now;
+        List<Backend> all = new ArrayList<>(backends.values());
+        for (Backend old : all.subList(0, scenario.replaced())) {
+            Backend fresh = scenario.restart() ? old : new Backend(old.id + 1000, now);
+            if (scenario.restart()) {                      // its running requests are lost
+                List<Long> lost = attemptBackend.entrySet().stream().filter(e -> e.getValue() == old.id).map(Map.Entry::getKey).sorted().toList();
+                old.startedAtMs = now;
+                old.running = 0;
                 old.waiting.clear();
-                for (long id : lost) { end(open.get(id)[2], id, open.get(id)[0] - 1, Outcome.CONNECTION_LOST); }
+                for (long id : lost) { endAttempt(openRequests.get(id)[2], id, openRequests.get(id)[0] - 1, Outcome.CONNECTION_LOST); }
             }
-            machines.put(fresh.id, fresh);
+            backends.put(fresh.id, fresh);
             cold.add(fresh);
         }
-        List<Machine> left = all.subList(of.replaced(), all.size());
+        List<Backend> left = all.subList(scenario.replaced(), all.size());
         List<Server> list = new ArrayList<>();
-        for (Machine m : cold) { list.add(m.listed()); }
-        for (Machine m : left) { list.add(m.listed()); }
+        for (Backend m : cold) { list.add(m.toServer()); }
+        for (Backend m : left) { list.add(m.toServer()); }
         for (int i = 0; i < gateways.length; i++) {
             int gateway = i;
-            at(now + of.toldOverMs() * random.nextDouble(), () -> {
-                told[gateway] = true;
+            schedule(now + scenario.listDelayMs() * random.nextDouble(), () -> {
+                informed[gateway] = true;
                 gateways[gateway].on(now, new ServerList(ListKind.FULL, list));
             });
         }
-        play(now + afterMs);
+        runTo(now + afterMs);
         return this;
     }
 
-    private void play(double untilMs) {
-        while (due.peek().at() <= untilMs) {
-            Due next = due.poll();
-            now = Math.max(now, next.at());
+    private void runTo(double untilMs) {
+        while (tasks.peek().atMs() <= untilMs) {
+            Task next = tasks.poll();
+            now = Math.max(now, next.atMs());
             next.work().run();
         }
         now = untilMs;
     }
 
     /** Smallest and largest number of attempts at a cold backend. */
-    int[] sent() {
+    int[] attemptRange() {
         return new int[] {cold.stream().mapToInt(m -> m.sent.size()).min().orElse(0), cold.stream().mapToInt(m -> m.sent.size()).max().orElse(0)};
     }
 
     /** The highest load of any cold backend, as a fraction of the bound, in a span with two thirds of the attempts by ingresses that knew. */
-    double worst() {
-        double span = of.rules().overloadWindowMs(), worst = 0;
-        for (Machine m : cold) {
+    double highestLoad() {
+        double span = scenario.rules().overloadWindowMs(), worst = 0;
+        for (Backend m : cold) {
             for (int from = 0; from < m.sent.size(); from++) {
-                double begins = m.sent.get(from).at(), allowed = allowed(of.rules(), warmPerMs(), m.warmth(begins));
+                double begins = m.sent.get(from).atMs(), allowed = allowed(scenario.rules(), warmPerMs(), m.warmth(begins));
                 int count = 0, knew = 0;
-                while (from + count < m.sent.size() && m.sent.get(from + count).at() < begins + span) {
-                    knew += m.sent.get(from + count++).told() ? 1 : 0;
+                while (from + count < m.sent.size() && m.sent.get(from + count).atMs() < begins + span) {
+                    knew += m.sent.get(from + count++).informed() ? 1 : 0;
                 }
                 if (knew * 3 >= 2 * count) { worst = Math.max(worst, count / bound(allowed)); }
             }
--- a/src/test/java/yardusher/ColdSumTest.java
+++ b/src/test/java/yardusher/ColdSumTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 import yardusher.Api.Rules;
-import yardusher.ColdRun.Case;
+import yardusher.ColdRun.Scenario;
 import yardusher.ColdRun.Pace;
 
 /**
@@ -23,34 +23,34 @@
     private static final Rules LIERBEEK = new Rules(0.16, 18_000, 3, 3000, 10_000), STARFATORG = new Rules(0.16, 15_000, 3, 1500, 10_000),
             QUICKLY_WARM = new Rules(0.46, 7600, 3, 1500, 10_000), DOUBLE = new Rules(0.17, 17_000, 2, 2000, 10_000);
 
-    static List<Case> cases() {
-        List<Case> all = new ArrayList<>();
+    static List<Scenario> cases() {
+        List<Scenario> all = new ArrayList<>();
         for (Rules rules : List.of(LIERBEEK, STARFATORG)) {
             for (int gateways : new int[] {3, 20, 30, 100}) {
                 int servers = gateways == 100 || gateways == 3 ? 40 : 10;
-                all.add(new Case(gateways, servers, 1, rules, 0.65, 1));
-                all.add(new Case(gateways, servers, servers * 6 / 10, rules, 0.65, 2).uneven(1.1, 0));
-                all.add(new Case(gateways, servers, servers, rules, 0.65, 3));
+                all.add(new Scenario(gateways, servers, 1, rules, 0.65, 1));
+                all.add(new Scenario(gateways, servers, servers * 6 / 10, rules, 0.65, 2).withUnevenTraffic(1.1, 0));
+                all.add(new Scenario(gateways, servers, servers, rules, 0.65, 3));
             }
         }
-        all.add(new Case(20, 10, 10, LIERBEEK, 0.9, 1));         // all cold at once, in overload
-        all.add(new Case(30, 10, 6, LIERBEEK, 0.9, 1));
-        all.add(new Case(100, 40, 40, LIERBEEK, 0.9, 1));
-        all.add(new Case(100, 40, 24, LIERBEEK, 0.9, 1).paced(Pace.BY_WARMTH));
-        all.add(new Case(3, 40, 1, LIERBEEK, 0.5, 1).uneven(0.4, 0.25)); // a hot customer through one ingress
-        all.add(new Case(30, 10, 6, STARFATORG, 0.5, 1).uneven(0.4, 0.5));
-        all.add(new Case(3, 40, 40, LIERBEEK, 0.5, 1).restarted(3000)); // under the same ids, known after up to 3 s
-        all.add(new Case(20, 3, 3, STARFATORG, 0.9, 1).restarted(3000));
-        all.add(new Case(30, 10, 6, LIERBEEK, 0.65, 1).told(3000));
-        all.add(new Case(20, 10, 10, QUICKLY_WARM, 0.9, 1));
-        all.add(new Case(20, 10, 10, DOUBLE, 0.9, 1));
-        all.add(new Case(1, 2, 2, DOUBLE, 0.5, 1));
+        all.add(new Scenario(20, 10, 10, LIERBEEK, 0.9, 1));         // all cold at once, in overload
+        all.add(new Scenario(30, 10, 6, LIERBEEK, 0.9, 1));
+        all.add(new Scenario(100, 40, 40, LIERBEEK, 0.9, 1));
+        all.add(new Scenario(100, 40, 24, LIERBEEK, 0.9, 1).withPace(Pace.BY_WARMTH));
+        all.add(new Scenario(3, 40, 1, LIERBEEK, 0.5, 1).withUnevenTraffic(0.4, 0.25)); // a hot customer through one ingress
+        all.add(new Scenario(30, 10, 6, STARFATORG, 0.5, 1).withUnevenTraffic(0.4, 0.5));
+        all.add(new Scenario(3, 40, 40, LIERBEEK, 0.5, 1).withRestarts(3000)); // under the same ids, known after up to 3 s
+        all.add(new Scenario(20, 3, 3, STARFATORG, 0.9, 1).withRestarts(3000));
+        all.add(new Scenario(30, 10, 6, LIERBEEK, 0.65, 1).withListDelay(3000));
+        all.add(new Scenario(20, 10, 10, QUICKLY_WARM, 0.9, 1));
+        all.add(new Scenario(20, 10, 10, DOUBLE, 0.9, 1));
+        all.add(new Scenario(1, 2, 2, DOUBLE, 0.5, 1));
         return all;
     }
 
     @ParameterizedTest
     @MethodSource("cases")
-    void noColdBackendFallsUnderTheSumOfAllIngressesAndAllServe(Case of) { falls(of); }
+    void noColdBackendIsOverloadedByAllIngressesAndAllServe(Scenario of) { checkScenario(of); }
 
     /**
      * Mean fraction of requests served with seeds 1 to 4 before cold backends had an allowance, by position in {@link #cases}: the twenty
@@ -67,51 +67,51 @@
     /** Guards against an allowance that refuses requests which were served before without overload. */
     @ParameterizedTest
     @MethodSource("servedBefore")
-    void whatWasServedInsideTheBoundStillIs(int place) {
+    void theAllowanceServesWhatWasServedWithinTheBoundBefore(int place) {
         double served = 0, worst = 0;
         for (long seed = 1; seed <= 4; seed++) {
-            ColdRun run = played(cases().get(place - 1), seed);
-            served += run.served / (double) run.asked / 4;
-            worst = Math.max(worst, run.worst());
+            ColdRun run = run(cases().get(place - 1), seed);
+            served += run.served / (double) run.requested / 4;
+            worst = Math.max(worst, run.highestLoad());
         }
         assertThat(served).as("fraction of requests served in case " + place).isGreaterThan(0.97 * SERVED_BEFORE.get(place));
         assertThat(worst).as("fraction of the overload bound").isLessThan(1);
     }
 
-    private static void falls(Case of) {
+    private static void checkScenario(Scenario of) {
         ColdRun run = new ColdRun(of).run(2 * of.rules().overloadWindowMs());
-        System.out.println(said(of, run));
-        assertThat(run.worst()).as("fraction of the overload bound").isLessThan(1);
-        assertThat(run.sent()[0]).as("attempts at the cold backend with the fewest").isPositive();
+        System.out.println(describe(of, run));
+        assertThat(run.highestLoad()).as("fraction of the overload bound").isLessThan(1);
+        assertThat(run.attemptRange()[0]).as("attempts at the cold backend with the fewest").isPositive();
         int least = of.replaced() == 1 ? 95 : of.pace() == Pace.BY_WARMTH || of.rules() == DOUBLE ? 15 : of.replaced() < of.servers() && of.load() < 0.9 ? 55 : 35;
-        assertThat(run.served).as("served of " + run.asked).isGreaterThan(run.asked * least / 100);
+        assertThat(run.served).as("served of " + run.requested).isGreaterThan(run.requested * least / 100);
     }
 
-    private static String said(Case of, ColdRun run) {
+    private static String describe(Scenario of, ColdRun run) {
         return String.format("cold: %d ingresses, %d of %d replaced, asked %.2f, multiple %.0f in %.0f ms, skew %.1f, hot %.2f, %s%s told over %.0f ms: "
                 + "at most %.2f of the overload bound; each sent %d to %d, %d of %d served", of.gateways(), of.replaced(), of.servers(), of.load(),
-                of.rules().overloadFactor(), of.rules().overloadWindowMs(), of.skew(), of.hot(), of.pace(), of.restart() ? ", same ids," : ",",
-                of.toldOverMs(), run.worst(), run.sent()[0], run.sent()[1], run.served, run.asked);
+                of.rules().overloadFactor(), of.rules().overloadWindowMs(), of.skew(), of.hotFraction(), of.pace(), of.restart() ? ", same ids," : ",",
+                of.listDelayMs(), run.highestLoad(), run.attemptRange()[0], run.attemptRange()[1], run.served, run.requested);
     }
 
     /** Shows that the check detects an overload. */
     @Test
-    void aBurstAtAColdBackendIsSeen() {
+    void anOverloadOfAColdBackendIsDetected() {
         double allowed = ColdRun.allowed(LIERBEEK, 0.05, 0.16);
         assertThat(allowed).as("three times 0.16 of 150 requests").isBetween(71.99, 72.01);
         assertThat(ColdRun.bound(allowed)).isBetween(90.9, 91.0);
     }
 
-    private static ColdRun played(Case of, long seed) {
-        Case other = new Case(of.gateways(), of.servers(), of.replaced(), of.rules(), of.cores(), of.load(), of.skew(), of.hot(), of.pace(),
-                of.restart(), of.toldOverMs(), of.comeAgain(), seed);
+    private static ColdRun run(Scenario of, long seed) {
+        Scenario other = new Scenario(of.gateways(), of.servers(), of.replaced(), of.rules(), of.cores(), of.load(), of.skew(), of.hotFraction(), of.pace(),
+                of.restart(), of.listDelayMs(), of.retries(), seed);
         return new ColdRun(other).run(2 * of.rules().overloadWindowMs());
     }
 
     /** Arguments: first seed, number of seeds. Runs all cases with other seeds. */
     public static void main(String[] args) {
         for (long seed = Long.parseLong(args[0]), last = seed + Long.parseLong(args[1]); seed < last; seed++) {
-            for (Case of : cases()) { System.out.println("seed " + seed + " " + said(of, played(of, seed))); }
+            for (Scenario of : cases()) { System.out.println("seed " + seed + " " + describe(of, run(of, seed))); }
         }
     }
 }
--- a/src/test/java/yardusher/ExcessTest.java
+++ b/src/test/java/yardusher/ExcessTest.java
@@ -19,15 +19,15 @@
     @Test
     void countsComeInTimeAndCostLittle() {
         ExcessRun run = run(0.055);
-        assertThat(run.overrun()).as("lost at full receivers").isLessThan(0.03);
-        assertThat(run.messages()).as("price of the messages").isLessThan(0.03);
-        assertThat(run.excess()).as("price of excess").isLessThan(0.11);
-        assertThat(run.inside()).as("let in inside the quotas").isGreaterThan(0.93);
+        assertThat(run.droppedFraction()).as("lost at full receivers").isLessThan(0.03);
+        assertThat(run.messageCost()).as("price of the messages").isLessThan(0.03);
+        assertThat(run.excessCost()).as("price of excess").isLessThan(0.11);
+        assertThat(run.admittedFraction()).as("let in inside the quotas").isGreaterThan(0.93);
     }
 
     /** Shows that the measure can fail: with all messages lost, the excess is that of a fleet without gossip. */
     @Test
     void excessIsSeenWhereNothingIsHeard() {
-        assertThat(run(1).excess()).isGreaterThan(0.25);
+        assertThat(run(1).excessCost()).isGreaterThan(0.25);
     }
 }
--- a/src/test/java/yardusher/AskedTest.java
+++ b/src/test/java/yardusher/ExternalDemandTest.java
@@ -8,41 +8,41 @@
 import yardusher.Api.*;
 
 /** Customers whose total demand comes by {@link ExternalDemand}: it decides on admission, and their counts are not gossiped. */
-class AskedTest {
-    private static final int TRIES = 4000;
+class ExternalDemandTest {
+    private static final int REQUESTS = 4000;
     private final List<Action> actions = new ArrayList<>();
-    private final Policy policy = new Policy(new Settings(0, 100, 0, 1, List.of(PolicyTest.SAFE), List.of(new Plan(20, 40, 0, 1, 0, 0, 0), new Plan(20, 40, 5, 1, 0, 0, 0)),
+    private final Policy policy = new Policy(new Settings(0, 100, 0, 1, List.of(PolicyTest.IDEMPOTENT), List.of(new Plan(20, 40, 0, 1, 0, 0, 0), new Plan(20, 40, 5, 1, 0, 0, 0)),
             new Limits(1, true, true, 1000), new Rules(0.25, 10_000, 3, 1000, 1000), List.of(), false, 60, 2, 0, 0.01), 7, 0, actions::add);
 
-    AskedTest() { policy.on(0, new ServerList(ListKind.CACHED, List.of(new Server(11, 0, 0, 1, 0, Readiness.READY)))); }
+    ExternalDemandTest() { policy.on(0, new ServerList(ListKind.CACHED, List.of(new Server(11, 0, 0, 1, 0, Readiness.READY)))); }
 
     /** Number of admitted requests. Each request is of another customer, so that its own row always has room. */
-    private long letIn(double perS, double lateMs) {
+    private long countAdmitted(double unitsPerS, double delayMs) {
         double now = 10_000;
-        for (int i = 0; i < TRIES; i++) {
+        for (int i = 0; i < REQUESTS; i++) {
             now += 50;
-            if (perS > 0) { policy.on(now, new ExternalDemand(i, 0, perS)); }
-            policy.on(now + lateMs, new Request(i, 0, 0, i, now + lateMs + 2000, 2, 0, 100));
-            if (actions.stream().anyMatch(a -> a instanceof Send)) { policy.on(now + lateMs, new AttemptDone(i, 0, 11, Outcome.SERVED, 1, true, 0, null)); }
-            now += lateMs;
-            letIn += actions.removeIf(a -> a instanceof Send) ? 1 : 0;
+            if (unitsPerS > 0) { policy.on(now, new ExternalDemand(i, 0, unitsPerS)); }
+            policy.on(now + delayMs, new Request(i, 0, 0, i, now + delayMs + 2000, 2, 0, 100));
+            if (actions.stream().anyMatch(a -> a instanceof Send)) { policy.on(now + delayMs, new AttemptDone(i, 0, 11, Outcome.SERVED, 1, true, 0, null)); }
+            now += delayMs;
+            admitted += actions.removeIf(a -> a instanceof Send) ? 1 : 0;
         }
-        return letIn;
+        return admitted;
     }
 
-    private long letIn;
+    private long admitted;
 
     @Test
-    void aQuotasPartOfWhatAllAreAskedGetsIn() { assertThat(letIn(80, 0)).isBetween(TRIES * 22L / 100, TRIES * 28L / 100); }
+    void theFractionThatTheQuotaAllowsIsAdmitted() { assertThat(countAdmitted(80, 0)).isBetween(REQUESTS * 22L / 100, REQUESTS * 28L / 100); }
 
     @Test
-    void allOfItWhereItIsNoMoreThanTheQuota() { assertThat(letIn(20, 0)).isEqualTo(TRIES); }
+    void demandWithinTheQuotaIsAdmittedInFull() { assertThat(countAdmitted(20, 0)).isEqualTo(REQUESTS); }
 
     @Test
-    void wordOfAWindowAgoDecidesNothing() { assertThat(letIn(80, 2001)).isEqualTo(TRIES); }
+    void demandReportedAWindowAgoIsIgnored() { assertThat(countAdmitted(80, 2001)).isEqualTo(REQUESTS); }
 
     @Test
-    void countsOfWideSetsAreNotToldAndThoseOfOthersAre() {
+    void countsOfLargeSetsAreNotGossipedAndThoseOfOthersAre() {
         policy.on(0, new ExternalDemandThreshold(50));
         double now = 5000;
         for (int[] of : new int[][] {{100, 0}, {3, 0}, {100, 1}}) { // the second plan has a cap on requests open at once
--- a/src/test/java/yardusher/FleetTest.java
+++ b/src/test/java/yardusher/FleetTest.java
@@ -15,16 +15,16 @@
     static final int GATEWAYS = 200;
     static final int SERVERS = 40;
     static final Plan PLAN = new Plan(10, 20, 0, 1, 0, 0, 0);       // twenty units over two seconds
-    static final Plan HARD = new Plan(20, 20, 0, 1, 40, 40, 4);
+    static final Plan CEILING = new Plan(20, 20, 0, 1, 40, 40, 4);
 
     /** Runs all gateways in steps of 20 ms; messages arrive one step later; servers answer as {@link #outcome} says. */
     static class Fleet {
         final List<Policy> gateways = new ArrayList<>();
         final List<List<Action>> actions = new ArrayList<>();
         final Map<Integer, List<SetTimer>> timers = new HashMap<>();
-        final int[] told = new int[GATEWAYS];
+        final int[] messagesSent = new int[GATEWAYS];
         double now;
-        long ids;
+        long requestCount;
         int bytes;
 
         Fleet(Plan plan, double coldFrom, double startedAt) {
@@ -38,7 +38,7 @@
                 actions.add(list);
                 timers.put(i, new ArrayList<>());
                 gateways.add(new Policy(new Settings(i, GATEWAYS, 0, 1,
-                        List.of(PolicyTest.SAFE, PolicyTest.KEYED), List.of(plan), new Limits(4, true, true, 1000),
+                        List.of(PolicyTest.IDEMPOTENT, PolicyTest.DEDUPLICATED), List.of(plan), new Limits(4, true, true, 1000),
                         new Rules(coldFrom, 10000, 3, 1000, 1000), List.of(), false, 60, 1, 0, 0.01), i, now, list::add));
                 gateways.get(i).on(now, new ServerList(ListKind.CACHED, servers));
             }
@@ -48,7 +48,7 @@
 
         /** Sends a request and answers it at once. Returns the server, or -1 if it was refused. */
         long ask(int gateway, long customer, int classIndex, int spread) {
-            long id = ++ids;
+            long id = ++requestCount;
             List<Action> list = actions.get(gateway);
             int from = list.size();
             gateways.get(gateway).on(now, new Request(id, classIndex, 0, customer, now + 2000, 1, 0, spread));
@@ -79,7 +79,7 @@
             }
             for (int i = 0; i < tells.size(); i++) {
                 gateways.get(tells.get(i).to()).on(now, new PeerMessage(from.get(i), tells.get(i).body()));
-                told[from.get(i)]++;
+                messagesSent[from.get(i)]++;
                 bytes += tells.get(i).body().length();
             }
             for (int i = 0; i < GATEWAYS; i++) {
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void sparseNewsIsNoSilenceACalmCustomerIsNotRefused() {
+    void aCustomerWithLowDemandIsNotRefusedWhenItsCountsAreRare() {
         Fleet fleet = new Fleet(PLAN, 0.25, 0);
         for (int step = 0; step < 500; step++) {
             fleet.step();
@@ -111,21 +111,21 @@
     }
 
     @Test
-    void anIdleFleetSaysNothing() {
+    void anIdleFleetSendsNoMessages() {
         Fleet fleet = new Fleet(PLAN, 0.25, 0);
         for (int step = 0; step < 250; step++) { fleet.step(); }
         assertEquals(0, fleet.bytes);
     }
 
     @Test
-    void idsBeyondSixtyTravelAndMessagesKeepToTheirBudget() {
+    void gatewayIndexesAboveSixtyAreSentAndMessagesStayWithinTheIntake() {
         Fleet fleet = new Fleet(PLAN, 0.25, 0);
         for (int step = 0; step < 250; step++) {                     // gateways 120 and up get all requests
             fleet.step();
             for (int i = 0; i < 4; i++) { fleet.ask(120 + (step * 4 + i) % 80, 9, 0, 200); }
         }
         for (int gateway = 0; gateway < GATEWAYS; gateway++) {
-            assertTrue(fleet.told[gateway] <= 5 * 60 * 0.75 * 3 + 70, gateway + " told " + fleet.told[gateway]);
+            assertTrue(fleet.messagesSent[gateway] <= 5 * 60 * 0.75 * 3 + 70, gateway + " told " + fleet.messagesSent[gateway]);
         }
         int later = 0;
         for (int gateway = 0; gateway < 100; gateway++) { later += fleet.ask(gateway, 9, 0, 200) >= 0 ? 1 : 0; }
@@ -134,7 +134,7 @@
 
     @Test
     void aCeilingHoldsWhenAFloodComesAndGatewaysRestart() {
-        Fleet fleet = new Fleet(HARD, 0.25, 0);
+        Fleet fleet = new Fleet(CEILING, 0.25, 0);
         int sent = 0;
         for (int step = 1; step <= 250; step++) {                    // five seconds, twenty times the quota
             fleet.step();
@@ -144,7 +144,7 @@
     }
 
     @Test
-    void aColdServerIsNotPushedOverByManyGatewaysAtOnce() {
+    void aColdServerIsNotOverloadedByManyGatewaysAtOnce() {
         Fleet fleet = new Fleet(new Plan(0, 0, 0, 1, 0, 0, 0), 0.2, 1000);
         Map<Long, Integer> share = new HashMap<>();
         for (int step = 0; step < 100; step++) {
@@ -155,7 +155,7 @@
     }
 
     @Test
-    void aServerThatFailsOneClassIsLeftOutForThatClassAlone() {
+    void aServerThatFailsOneClassIsEjectedForThatClassAlone() {
         Fleet fleet = new Fleet(new Plan(0, 0, 0, 1, 0, 0, 0), 0.25, 0) {
             @Override
             Outcome outcome(long server, int classIndex) {
--- a/src/test/java/yardusher/HeavyRequestsTest.java
+++ b/src/test/java/yardusher/HeavyRequestsTest.java
@@ -17,32 +17,32 @@
     private static final Server[] FOUR = {PolicyTest.server(1, 0), PolicyTest.server(2, 0), PolicyTest.server(3, 0),
         PolicyTest.server(4, 0)};
 
-    private record Answer(double at, long id, int attempt, long server, double took, Outcome how) { }
+    private record Answer(double atMs, long id, int attempt, long server, double tookMs, Outcome outcome) { }
 
     /** Number of reruns by request number, and number of refused requests. */
-    private record Seen(Map<Long, Integer> reruns, int refused) {
-        long after(int number) { return reruns.keySet().stream().filter(n -> n >= number).count(); }
+    private record Result(Map<Long, Integer> reruns, int refused) {
+        long rerunsFrom(int number) { return reruns.keySet().stream().filter(n -> n >= number).count(); }
     }
 
     /** Sends a request every 20 ms; {@code answerMs} gives the latency by request number and attempt. */
-    private static Seen run(double untilMs, ToDoubleBiFunction<Integer, Integer> answerMs) {
+    private static Result run(double untilMs, ToDoubleBiFunction<Integer, Integer> answerMs) {
         Gateway g = new Gateway(0, 1, 0, FOUR);
-        PriorityQueue<Answer> answers = new PriorityQueue<>(Comparator.comparingDouble(Answer::at));
+        PriorityQueue<Answer> answers = new PriorityQueue<>(Comparator.comparingDouble(Answer::atMs));
         Map<Long, Integer> numbers = new HashMap<>(), attempts = new HashMap<>();
         Map<Long, Integer> reruns = new HashMap<>();
         int number = 0;
         int refused = 0;
         for (double t = 10; t < untilMs; t += 5) {
             g.runTo(t);
-            while (!answers.isEmpty() && answers.peek().at() <= t) {
+            while (!answers.isEmpty() && answers.peek().atMs() <= t) {
                 Answer a = answers.poll();
                 if (attempts.getOrDefault(a.id(), -1) == a.attempt()) {
-                    boolean over = a.how() == Outcome.SERVED;
-                    g.on(new AttemptDone(a.id(), a.attempt(), a.server(), a.how(), a.took(), over, 0, null));
+                    boolean over = a.outcome() == Outcome.SERVED;
+                    g.on(new AttemptDone(a.id(), a.attempt(), a.server(), a.outcome(), a.tookMs(), over, 0, null));
                     attempts.merge(a.id(), 0, (x, y) -> over ? null : x);
                 }
             }
-            if (t % 20 == 0) { numbers.put(g.ask(0, PolicyTest.NONE, 7, 1), number++); }
+            if (t % 20 == 0) { numbers.put(g.ask(0, PolicyTest.FREE_PLAN, 7, 1), number++); }
             for (boolean any = true; any;) {         // an action may cause further ones
                 List<Action> actions = List.copyOf(g.actions);
                 g.actions.clear();
@@ -62,32 +62,32 @@
                 }
             }
         }
-        return new Seen(reruns, refused);
+        return new Result(reruns, refused);
     }
 
     @Test
-    void aRequestThatIsHeavyByItselfIsNotStartedOverTimeAndAgain() {
-        Seen seen = run(40_000, (number, attempt) -> number % 20 == 0 ? 2500 : 20);
-        assertThat(seen.after(1000)).isLessThanOrEqualTo(25); // of the last 50 heavy ones: occasional probes
+    void aHeavyRequestIsNotRerunAgainAndAgain() {
+        Result seen = run(40_000, (number, attempt) -> number % 20 == 0 ? 2500 : 20);
+        assertThat(seen.rerunsFrom(1000)).isLessThanOrEqualTo(25); // of the last 50 heavy ones: occasional probes
     }
 
     /** Guards against limits that are cut by the mean latency: a quarter of heavy requests moved it above the threshold. */
     @Test
-    void aHeavySpellShutsNoHealthyServer() {
-        Seen seen = run(20_000, (number, attempt) -> number % 4 == 0 && number > 200 ? 2500 : 20);
+    void manyHeavyRequestsDoNotCutTheLimitsOfHealthyServers() {
+        Result seen = run(20_000, (number, attempt) -> number % 4 == 0 && number > 200 ? 2500 : 20);
         assertThat(seen.refused()).isLessThanOrEqualTo(40); // of 1000
     }
 
     @Test
-    void anAttemptThatHangsIsStartedOverElsewhere() {
-        Seen seen = run(40_000, (number, attempt) -> number % 20 == 0 && attempt == 0 ? 9000 : 20);
-        assertThat(seen.after(1000)).isGreaterThanOrEqualTo(35);
+    void aHangingAttemptIsRerunElsewhere() {
+        Result seen = run(40_000, (number, attempt) -> number % 20 == 0 && attempt == 0 ? 9000 : 20);
+        assertThat(seen.rerunsFrom(1000)).isGreaterThanOrEqualTo(35);
     }
 
     @Test
-    void whatHeavyRequestsTaughtIsUnlearnedWhenAttemptsHangAgain() {
-        Seen seen = run(80_000, (number, attempt) -> number % 20 != 0 ? 20
+    void rerunsResumeWhenAttemptsHangAfterHeavyRequests() {
+        Result seen = run(80_000, (number, attempt) -> number % 20 != 0 ? 20
                 : number < 2000 ? 2500 : attempt == 0 ? 9000 : 20);
-        assertThat(seen.after(3000)).isGreaterThanOrEqualTo(35);
+        assertThat(seen.rerunsFrom(3000)).isGreaterThanOrEqualTo(35);
     }
 }
--- a/src/test/java/yardusher/KnownRed.java
+++ b/src/test/java/yardusher/KnownRed.java
@@ -17,7 +17,7 @@
  */
 final class KnownRed {
     static final Path FILE = Path.of("KNOWN-RED.txt");
-    private static final int MOST = 3;
+    private static final int MAX_LINES = 3;
 
     private static final int FIELDS = 4;
 
@@ -37,7 +37,7 @@
     static List<Line> of(String text) {
         List<Line> lines = new ArrayList<>();
         for (String line : text.lines().toList()) {
-            if (lines.size() == MOST) { throw new IllegalArgumentException("more than " + MOST + " lines: " + line); }
+            if (lines.size() == MAX_LINES) { throw new IllegalArgumentException("more than " + MAX_LINES + " lines: " + line); }
             lines.add(line(line));
         }
         return lines;
--- a/src/test/java/yardusher/LargeCountsTest.java
+++ b/src/test/java/yardusher/LargeCountsTest.java
@@ -11,10 +11,10 @@
 class LargeCountsTest {
     /** Guards against a row that grows with its units and is never sent because it fits no message. */
     @Test
-    void aRowOfManyUnitsIsToldInOneMessage() {
+    void aRowOfManyUnitsFitsOneMessage() {
         for (double units : new double[] {3000, 1_000_000}) {
             List<Action> actions = new ArrayList<>();
-            Policy policy = new Policy(new Settings(0, 2, 0, 1, List.of(PolicyTest.SAFE), List.of(new Plan(1e6, 1e7, 0, 1, 0, 0, 0)),
+            Policy policy = new Policy(new Settings(0, 2, 0, 1, List.of(PolicyTest.IDEMPOTENT), List.of(new Plan(1e6, 1e7, 0, 1, 0, 0, 0)),
                     new Limits(4, true, true, 1000), new Rules(0.25, 10_000, 3, 1000, 1000), List.of(), false, 60, units, 0, 0.01), 7, 0, actions::add);
             policy.on(0, new ServerList(ListKind.CACHED, List.of(new Server(11, 0, 0, 1, 0, Readiness.READY))));
             policy.on(0, new Request(1, 0, 0, 5, 2000, units, 0, 2));
--- a/src/test/java/yardusher/LargeFleetTest.java
+++ b/src/test/java/yardusher/LargeFleetTest.java
@@ -16,12 +16,12 @@
 
     /** Guards against more messages than receivers accept: half of them were dropped, and the counts with them. */
     @Test
-    void whatAllSayIsWhatAllCanTakeIn() {
+    void messagesSentStayWithinTheIntake() {
         for (int gateways = 2; gateways <= 16; gateways++) {
             FleetRun fleet = new FleetRun(gateways, SERVERS, CUSTOMERS, 0.05, gateways);
             fleet.run(6000);
-            assertThat(fleet.told).as("told by %d", gateways).isLessThanOrEqualTo((int) (gateways * 5 * FleetRun.INTAKE_PER_S));
-            assertThat(fleet.overrun).as("lost at %d", gateways).isLessThanOrEqualTo(fleet.told / 50);
+            assertThat(fleet.messagesSent).as("told by %d", gateways).isLessThanOrEqualTo((int) (gateways * 5 * FleetRun.INTAKE_PER_S));
+            assertThat(fleet.messagesDropped).as("lost at %d", gateways).isLessThanOrEqualTo(fleet.messagesSent / 50);
         }
     }
 
@@ -30,11 +30,11 @@
      * of the others, were counted as a debt, although requests beyond a quota take nothing from it.
      */
     @Test
-    void customersGetWhatTheirQuotasHoldAndLittleMore() {
+    void customersGetTheirQuotasAndLittleMore() {
         for (int seed = 1; seed <= 3; seed++) {
             FleetRun fleet = new FleetRun(GATEWAYS, SERVERS, 150, 0.07, seed);
             fleet.run(16_000);
-            assertThat(fleet.leastOfCeilings).as("seed %d, least of the ceilings", seed).isGreaterThan(-5);
+            assertThat(fleet.lowestCeiling).as("seed %d, least of the ceilings", seed).isGreaterThan(-5);
             for (int plan = 0; plan < 3; plan++) {
                 FleetRun.Tally tally = fleet.tallies[plan];
                 assertThat(tally.inside / tally.ideal).as("seed %d, plan %d, inside", seed, plan).isGreaterThan(FleetRun.PLANS.get(plan).ceilingRatePerS() > 0 ? 0.8 : 0.95);
@@ -48,7 +48,7 @@
      * limited a cold one in the draw and again by its cost, so that it got the square of its fraction.
      */
     @Test
-    void manyColdServersGetThePartThatTheyCanDo() {
+    void manyColdServersGetTheFractionOfTheirWarmth() {
         FleetRun fleet = new FleetRun(GATEWAYS, SERVERS, CUSTOMERS, 0.05, 4);
         fleet.run(4000);
         List<Server> replaced = new ArrayList<>();
@@ -56,7 +56,7 @@
             boolean fresh = i < 36;
             replaced.add(new Server(fresh ? 500 + i : 100 + i, i % 3, 0, 1, fresh ? fleet.now : 0, Readiness.READY));
         }
-        fleet.list(replaced);
+        fleet.setServers(replaced);
         fleet.attemptsAt.clear();
         fleet.run(6000);                             // by the end their warmth is 0.25 + 0.75 * 2 of 10 s
         double cold = fleet.attemptsAt.entrySet().stream().filter(e -> e.getKey() >= 500).mapToInt(e -> e.getValue()).sum() / 36.0;
@@ -71,11 +71,11 @@
             FleetRun fleet = new FleetRun(GATEWAYS, SERVERS, 150, 0.07, seed);
             for (int i = 0; i < GATEWAYS; i++) {
                 int gateway = i;
-                fleet.at(4000 + 70 * i, () -> fleet.restart(gateway));
-                fleet.at(7000 + 70 * i, () -> fleet.restart(gateway));
+                fleet.schedule(4000 + 70 * i, () -> fleet.restart(gateway));
+                fleet.schedule(7000 + 70 * i, () -> fleet.restart(gateway));
             }
             fleet.run(12_000);
-            assertThat(fleet.leastOfCeilings).as("seed %d, least of the ceilings", seed).isGreaterThan(-5);
+            assertThat(fleet.lowestCeiling).as("seed %d, least of the ceilings", seed).isGreaterThan(-5);
             for (FleetRun.Tally tally : fleet.tallies) {
                 assertThat(tally.inside / tally.ideal).as("seed %d, inside", seed).isGreaterThan(0.7);
             }
--- a/src/test/java/yardusher/LoanTextTest.java
+++ b/src/test/java/yardusher/LoanMessageTest.java
@@ -5,10 +5,10 @@
 import org.junit.jupiter.api.Test;
 
 /** Encoding and decoding of loan messages. */
-class LoanTextTest {
+class LoanMessageTest {
     private static final Api.Settings SETTINGS = PolicyTest.settings(0, 14, false);
     private static final LoanMessage REQUEST =
-            new LoanMessage(LoanMessage.Kind.REQUEST, PolicyTest.HARD, (1L << 33) - 1, 13, 5, CeilingMessage.NONCES - 1, 0.0625, 12.25);
+            new LoanMessage(LoanMessage.Kind.REQUEST, PolicyTest.CEILING_PLAN, (1L << 33) - 1, 13, 5, CeilingMessage.NONCES - 1, 0.0625, 12.25);
 
     private static String text(LoanMessage loan) {
         StringBuilder body = new StringBuilder();
@@ -19,7 +19,7 @@
     private static LoanMessage read(String text) { return (LoanMessage) CeilingMessage.read(new Digits(text, 0), SETTINGS); }
 
     @Test
-    void loansGoBehindAllElseAndAMessageHoldsNoMoreThanItsBytes() {
+    void loansComeLastAndAMessageStaysWithinItsSize() {
         GossipMessage message = new GossipMessage(SETTINGS, 3, false, 5);
         FaultReport fault = new FaultReport(false, 11, 1);
         int loans;
@@ -32,25 +32,25 @@
     }
 
     @Test
-    void aMessageIsReadAsItWasSentWithAmountsRoundedDown() {
+    void aDecodedMessageEqualsTheEncodedOneWithAmountsRoundedDown() {
         LoanMessage read = read(text(REQUEST));
         assertThat(read).usingRecursiveComparison().withComparatorForType((a, b) -> Math.abs(a - b) < 1e-9 ? 0 : 1, Double.class).isEqualTo(REQUEST);
-        LoanMessage fraction = new LoanMessage(LoanMessage.Kind.GRANT, PolicyTest.HARD, 7, 0, 2, 1, 1 / 3.0, 2 / 3.0);
+        LoanMessage fraction = new LoanMessage(LoanMessage.Kind.GRANT, PolicyTest.CEILING_PLAN, 7, 0, 2, 1, 1 / 3.0, 2 / 3.0);
         LoanMessage again = read(text(fraction));
         assertThat(again.portion()).isLessThanOrEqualTo(1 / 3.0).isGreaterThan(0.333);
         assertThat(again.tokens()).isLessThanOrEqualTo(2 / 3.0).isGreaterThan(0.65);
     }
 
     @Test
-    void whatIsCutShortOrNamesNothingOfThisSiteIsNoMessage() {
+    void truncatedMessagesAndUnknownNamesAreRejected() {
         String body = text(REQUEST);
         for (int length = 0; length < body.length(); length++) { assertThat(read(body.substring(0, length))).as("cut at " + length).isNull(); }
         for (LoanMessage bad : new LoanMessage[] {
-            new LoanMessage(LoanMessage.Kind.GRANT, PolicyTest.QUOTA, 7, 0, 2, 1, 0.1, 1), // a plan without a ceiling
+            new LoanMessage(LoanMessage.Kind.GRANT, PolicyTest.QUOTA_PLAN, 7, 0, 2, 1, 0.1, 1), // a plan without a ceiling
             new LoanMessage(LoanMessage.Kind.GRANT, 9, 7, 0, 2, 1, 0.1, 1),
-            new LoanMessage(LoanMessage.Kind.GRANT, PolicyTest.HARD, 7, 14, 2, 1, 0.1, 1),
-            new LoanMessage(LoanMessage.Kind.GRANT, PolicyTest.HARD, 7, 0, 1, 1, 0.1, 1),
-            new LoanMessage(LoanMessage.Kind.GRANT, PolicyTest.HARD, 7, 0, 15, 1, 0.1, 1)}) {
+            new LoanMessage(LoanMessage.Kind.GRANT, PolicyTest.CEILING_PLAN, 7, 14, 2, 1, 0.1, 1),
+            new LoanMessage(LoanMessage.Kind.GRANT, PolicyTest.CEILING_PLAN, 7, 0, 1, 1, 0.1, 1),
+            new LoanMessage(LoanMessage.Kind.GRANT, PolicyTest.CEILING_PLAN, 7, 0, 15, 1, 0.1, 1)}) {
             assertThat(read(text(bad))).as(bad.toString()).isNull();
         }
     }
--- a/src/test/java/yardusher/OverloadTest.java
+++ b/src/test/java/yardusher/OverloadTest.java
@@ -20,7 +20,7 @@
     private static final double AIM_MS = PolicyTest.settings(0, 1, false).classes().get(0).aimMs();
 
     /** Fraction of the tries in the last two of six seconds that were shed; {@code answerMs} gives the latency of the n-th attempt. */
-    private static double shed(LongUnaryOperator answerMs) {
+    private static double shedFraction(LongUnaryOperator answerMs) {
         Server[] servers = new Server[60];
         for (int i = 0; i < servers.length; i++) { servers[i] = PolicyTest.server(1 + i, 0); }
         Gateway g = new Gateway(0, 100, 0, servers);
@@ -33,7 +33,7 @@
         for (double t = 0; t < 6000; t += 5) {
             g.runTo(t);
             if (t % 20 == 0) {
-                g.ask(0, PolicyTest.NONE, (long) (t / 20) % 97, 1);
+                g.ask(0, PolicyTest.FREE_PLAN, (long) (t / 20) % 97, 1);
                 tries += t >= 4000 ? 1 : 0;
             }
             ArrayDeque<Answer> now = new ArrayDeque<>();
@@ -68,14 +68,14 @@
      * are quick. A gateway that goes by answers alone sees no problem and keeps sending; so do all the others.
      */
     @Test
-    void attemptsThatAreNeverAnsweredCountAsLateOnes() {
-        assertThat(shed(n -> n % 3 == 0 ? (long) (AIM_MS / 5) : 1_000_000)).isGreaterThan(0.3);
+    void unansweredAttemptsCountAsLate() {
+        assertThat(shedFraction(n -> n % 3 == 0 ? (long) (AIM_MS / 5) : 1_000_000)).isGreaterThan(0.3);
     }
 
     /** Shows that the check can pass: nothing is shed when answers are quick, nor when one of twenty attempts hangs. */
     @Test
     void nothingIsShedWhereAnswersAreQuick() {
-        assertThat(shed(n -> (long) (AIM_MS / 5))).isZero();
-        assertThat(shed(n -> n % 20 == 0 ? 1_000_000 : (long) (AIM_MS / 5))).isZero();
+        assertThat(shedFraction(n -> (long) (AIM_MS / 5))).isZero();
+        assertThat(shedFraction(n -> n % 20 == 0 ? 1_000_000 : (long) (AIM_MS / 5))).isZero();
     }
 }
--- a/src/test/java/yardusher/PolicyTest.java
+++ b/src/test/java/yardusher/PolicyTest.java
@@ -18,19 +18,19 @@
 
 /** Drives the decision module through its interface, without the simulator. */
 class PolicyTest {
-    static final RequestClass SAFE = new RequestClass(500, 2000, 1, 0.1, Effect.IDEMPOTENT, Group.ALL, 0, false);
-    static final RequestClass KEYED =
+    static final RequestClass IDEMPOTENT = new RequestClass(500, 2000, 1, 0.1, Effect.IDEMPOTENT, Group.ALL, 0, false);
+    static final RequestClass DEDUPLICATED =
             new RequestClass(500, 2000, 2, 0.1, Effect.DEDUPLICATED, Group.CELL, 1000, false);
-    static final RequestClass ONCE =
+    static final RequestClass AT_MOST_ONCE =
             new RequestClass(500, 2000, 5, 0.1, Effect.AT_MOST_ONCE, Group.ALL, 0, false);
     static final Plan RATED = new Plan(10, 10, 0, 1, 0, 0, 0);      // ten units per second
     static final Plan CAPPED = new Plan(0, 0, 2, 1, 0, 0, 0);
     static final Plan CEILING = new Plan(20, 20, 0, 1, 20, 20, 2);
     static final Plan FREE = new Plan(0, 0, 0, 1, 0, 0, 0);
-    static final int QUOTA = 0, CAP = 1, HARD = 2, NONE = 3;
+    static final int QUOTA_PLAN = 0, CAP_PLAN = 1, CEILING_PLAN = 2, FREE_PLAN = 3;
 
     static Settings settings(int self, int gateways, boolean ask) {
-        return new Settings(self, gateways, 0, 1, List.of(SAFE, KEYED, ONCE), List.of(RATED, CAPPED, CEILING, FREE),
+        return new Settings(self, gateways, 0, 1, List.of(IDEMPOTENT, DEDUPLICATED, AT_MOST_ONCE), List.of(RATED, CAPPED, CEILING, FREE),
                 new Limits(4, true, true, 1000), new Rules(0.25, 10000, 3, 1000, 1000),
                 List.of(Metric.QUEUE), ask, 60, 1, 0, 0.01);
     }
@@ -42,7 +42,7 @@
         final int self;
         Policy policy;
         double now;
-        long ids;
+        long requestCount;
 
         Gateway(int self, int gateways, double start, Server... servers) {
             this.self = self;
@@ -80,7 +80,7 @@
         }
 
         long ask(int classIndex, int plan, long customer, int spread) {
-            long id = 1000L * self + ++ids;
+            long id = 1000L * self + ++requestCount;
             on(new Request(id, classIndex, plan, customer, now + 2000, 1, 0, spread));
             return id;
         }
@@ -142,7 +142,7 @@
         return new Server(id, 0, cell, 1, 0, Readiness.READY);
     }
 
-    static final Server[] TWO = {server(11, 0), server(12, 0)};
+    static final Server[] TWO_SERVERS = {server(11, 0), server(12, 0)};
 
     /** Runs gateways in steps of 20 ms; messages arrive one step later unless the sender or receiver is cut off. */
     static void run(double until, Set<Integer> cut, Gateway... net) {
@@ -167,76 +167,76 @@
     // ---- quotas and gossip
 
     @Test
-    void aloneTheWholeBurstIsAdmittedAndNotAUnitMore() {
-        Gateway g = new Gateway(0, 1, 0, TWO);
-        assertEquals(10, g.admitted(15, QUOTA, 1, 1));
+    void aSingleGatewayAdmitsTheWholeBurstAndNoMore() {
+        Gateway g = new Gateway(0, 1, 0, TWO_SERVERS);
+        assertEquals(10, g.admitted(15, QUOTA_PLAN, 1, 1));
     }
 
     @Test
-    void unitsComeBackAsTheRateEarnsThem() {
-        Gateway g = new Gateway(0, 1, 0, TWO);
-        g.admitted(10, QUOTA, 1, 1);
+    void unitsAreRefilledAtTheRate() {
+        Gateway g = new Gateway(0, 1, 0, TWO_SERVERS);
+        g.admitted(10, QUOTA_PLAN, 1, 1);
         g.runTo(90);
-        assertFalse(g.admits(QUOTA, 1, 1));
+        assertFalse(g.admits(QUOTA_PLAN, 1, 1));
         g.runTo(110);
-        assertTrue(g.admits(QUOTA, 1, 1));
+        assertTrue(g.admits(QUOTA_PLAN, 1, 1));
     }
 
     @Test
-    void anUnseenCustomerGetsTheFairShareUntilTheTableIsHandedOver() {
-        Gateway a = new Gateway(0, 2, 0, TWO);
-        assertEquals(5, a.admitted(15, QUOTA, 1, 2));
-        Gateway b = new Gateway(1, 2, 0, TWO);
-        Gateway c = new Gateway(0, 2, 0, TWO);
+    void anUnseenCustomerGetsAFairShareUntilCountsAreReceived() {
+        Gateway a = new Gateway(0, 2, 0, TWO_SERVERS);
+        assertEquals(5, a.admitted(15, QUOTA_PLAN, 1, 2));
+        Gateway b = new Gateway(1, 2, 0, TWO_SERVERS);
+        Gateway c = new Gateway(0, 2, 0, TWO_SERVERS);
         run(500, Set.of(), c, b);
-        assertTrue(c.admitted(15, QUOTA, 1, 2) > 5);
+        assertTrue(c.admitted(15, QUOTA_PLAN, 1, 2) > 5);
     }
 
     @Test
-    void theSilenceOfASmallSetIsNotTakenForUseUnheard() {
-        Gateway a = new Gateway(0, 2, 0, TWO);
-        Gateway b = new Gateway(1, 2, 0, TWO);
+    void silenceOfASmallSetIsNotCountedAsUnknownUse() {
+        Gateway a = new Gateway(0, 2, 0, TWO_SERVERS);
+        Gateway b = new Gateway(1, 2, 0, TWO_SERVERS);
         run(600, Set.of(), a, b);
-        b.admitted(40, QUOTA, 1, 2);                 // a flood that has been sent and has left the window since
+        b.admitted(40, QUOTA_PLAN, 1, 2);                 // a flood that has been sent and has left the window since
         run(1700, Set.of(), a, b);
-        assertEquals(8, a.admitted(8, QUOTA, 1, 2));
+        assertEquals(8, a.admitted(8, QUOTA_PLAN, 1, 2));
     }
 
     @Test
-    void countsOfAPeerLeaveRoomForTheRestAlone() {
-        Gateway a = new Gateway(0, 2, 0, TWO);
-        Gateway b = new Gateway(1, 2, 0, TWO);
+    void countsOfAPeerLeaveRoomForTheRestOnly() {
+        Gateway a = new Gateway(0, 2, 0, TWO_SERVERS);
+        Gateway b = new Gateway(1, 2, 0, TWO_SERVERS);
         run(600, Set.of(), a, b);
-        int first = a.admitted(8, QUOTA, 1, 2);
+        int first = a.admitted(8, QUOTA_PLAN, 1, 2);
         run(900, Set.of(), a, b);
-        int second = b.admitted(15, QUOTA, 1, 2);    // plus the refill of 300 ms
+        int second = b.admitted(15, QUOTA_PLAN, 1, 2);    // plus the refill of 300 ms
         assertTrue(first >= 5 && second > 0 && first + second <= 13, first + " and " + second);
     }
 
     @Test
-    void theStoreGivesWhatItsRateEarnsBetweenBurstsAndNoMore() {
-        Gateway alone = new Gateway(0, 1, 0, TWO);
+    void theBucketRefillsAtItsRateBetweenBurstsAndNoFaster() {
+        Gateway alone = new Gateway(0, 1, 0, TWO_SERVERS);
         alone.runTo(3000);
-        assertEquals(10, alone.admitted(30, QUOTA, 1, 1));
+        assertEquals(10, alone.admitted(30, QUOTA_PLAN, 1, 1));
         // A quarter of a window later a quarter of the bucket is refilled; a sum over the window would still be full.
         alone.runTo(3300);
-        int again = alone.admitted(30, QUOTA, 1, 1);
+        int again = alone.admitted(30, QUOTA_PLAN, 1, 1);
         assertTrue(again >= 2 && again <= 4, "admitted " + again);
         int steady = 0;
         for (double t = 3400; t <= 13_400; t += 100) {
             alone.runTo(t);
-            steady += alone.admitted(5, QUOTA, 1, 1); // five times the rate
+            steady += alone.admitted(5, QUOTA_PLAN, 1, 1); // five times the rate
         }
         assertTrue(steady >= 90 && steady <= 105, "admitted " + steady);
     }
 
     @Test
-    void serversThatLoseSomeAnswersAreNotHeldToBeDown() {
-        Gateway g = new Gateway(0, 4, 0, TWO);
+    void serversThatLoseSomeAnswersAreNotEjected() {
+        Gateway g = new Gateway(0, 4, 0, TWO_SERVERS);
         int refused = 0;
         for (int i = 0; i < 400; i++) {              // every sixth answer is lost, at either server
             g.runTo(2000 + 50 * i);
-            long id = g.ask(0, NONE, 5000 + i, 1);
+            long id = g.ask(0, FREE_PLAN, 5000 + i, 1);
             for (Send send; (send = g.sent(id)) != null && g.sends(id) <= 6;) {
                 int attempt = (int) g.sends(id) - 1;
                 boolean lost = i % 6 == 0 && attempt == 0;
@@ -250,16 +250,16 @@
     }
 
     @Test
-    void anAttemptThatHangsAloneStartsOverWhereSomeHungLately() {
+    void anAttemptThatHangsAloneIsCancelledIfOthersHungRecently() {
         Gateway g = new Gateway(0, 1, 0, server(11, 0));
         g.runTo(2000);
         boolean over = false;
         for (int i = 0; i < 20 && !over; i++) {
-            long hung = g.ask(0, NONE, 7000 + i, 1);
+            long hung = g.ask(0, FREE_PLAN, 7000 + i, 1);
             double until = g.now + 490;
             for (int n = 0; g.now < until; n++) {    // the server answers all others at once
                 g.runTo(Math.min(until, g.now + 25));
-                assertTrue(g.admits(NONE, 8000 + 100 * i + n, 1));
+                assertTrue(g.admits(FREE_PLAN, 8000 + 100 * i + n, 1));
             }
             g.runTo(until + 20);
             over = g.actions.stream().anyMatch(x -> x instanceof Cancel c && c.id() == hung);
@@ -270,11 +270,11 @@
     }
 
     @Test
-    void customersSeenOnceAndServersGoneAreForgotten() throws Exception {
-        Gateway g = new Gateway(0, 1, 0, TWO);
+    void customersSeenOnceAndRemovedServersAreForgotten() throws Exception {
+        Gateway g = new Gateway(0, 1, 0, TWO_SERVERS);
         for (int i = 0; i < 600; i++) {
             g.runTo(100 + 50 * i);
-            g.admitted(1, QUOTA, 1000 + i, 1);
+            g.admitted(1, QUOTA_PLAN, 1000 + i, 1);
             g.on(new ServerList(ListKind.DELTA, List.of(new Server(5000 + i, 0, 0, 1, 0, Readiness.READY))));
             g.on(new ServerList(ListKind.DELTA, List.of(new Server(5000 + i, 0, 0, 1, 0, Readiness.GONE))));
         }
@@ -283,15 +283,15 @@
     }
 
     @Test
-    void oldRepeatedAndForeignMessagesChangeNothing() {
-        Gateway a = new Gateway(0, 2, 0, TWO);
-        Gateway b = new Gateway(1, 2, 0, TWO);
+    void oldDuplicatedAndInvalidMessagesChangeNothing() {
+        Gateway a = new Gateway(0, 2, 0, TWO_SERVERS);
+        Gateway b = new Gateway(1, 2, 0, TWO_SERVERS);
         run(600, Set.of(), a, b);
-        a.admitted(1, QUOTA, 1, 2);
+        a.admitted(1, QUOTA_PLAN, 1, 2);
         a.runTo(1000);
         List<Tell> before = a.tells();
         a.actions.clear();
-        a.admitted(7, QUOTA, 1, 2);
+        a.admitted(7, QUOTA_PLAN, 1, 2);
         a.runTo(1100);
         b.runTo(1100);
         List<Tell> after = a.tells();
@@ -302,22 +302,22 @@
             b.on(new PeerMessage(0, body));
         }
         b.on(new PeerMessage(99, "k####"));
-        int admitted = b.admitted(15, QUOTA, 1, 2);
+        int admitted = b.admitted(15, QUOTA_PLAN, 1, 2);
         assertTrue(admitted >= 1 && admitted <= 3, "admitted " + admitted);
     }
 
     @Test
-    void countsArePassedOnToAPeerThatDoesNotHearTheirOrigin() {
-        Gateway a = new Gateway(0, 3, 0, TWO);
-        Gateway b = new Gateway(1, 3, 0, TWO);
-        Gateway c = new Gateway(2, 3, 0, TWO);
+    void countsAreRelayedToAPeerThatDoesNotHearTheirSource() {
+        Gateway a = new Gateway(0, 3, 0, TWO_SERVERS);
+        Gateway b = new Gateway(1, 3, 0, TWO_SERVERS);
+        Gateway c = new Gateway(2, 3, 0, TWO_SERVERS);
         for (double t = 20; t < 2000; t += 20) { // a and c hear b only, and b hears both
             for (Gateway g : List.of(a, b, c)) {
                 g.runTo(t);
             }
             if (t % 200 == 0) {
-                a.admitted(4, QUOTA, 1, 3); // twice its quota
-                b.admitted(1, QUOTA, 1, 3);
+                a.admitted(4, QUOTA_PLAN, 1, 3); // twice its quota
+                b.admitted(1, QUOTA_PLAN, 1, 3);
             }
             for (Gateway from : List.of(a, b, c)) {
                 for (Tell tell : from.tells()) {
@@ -328,40 +328,40 @@
                 from.actions.removeIf(x -> x instanceof Tell);
             }
         }
-        assertTrue(c.admitted(15, QUOTA, 1, 3) <= 6, "c never got a's counts");
+        assertTrue(c.admitted(15, QUOTA_PLAN, 1, 3) <= 6, "c never got a's counts");
     }
 
     @Test
-    void aRestartedGatewayGetsItsOwnLastCountsBack() {
-        Gateway a = new Gateway(0, 2, 0, TWO);
-        Gateway b = new Gateway(1, 2, 0, TWO);
+    void aRestartedGatewayGetsItsOwnLatestCountsBack() {
+        Gateway a = new Gateway(0, 2, 0, TWO_SERVERS);
+        Gateway b = new Gateway(1, 2, 0, TWO_SERVERS);
         run(600, Set.of(), a, b);
-        int before = a.admitted(8, QUOTA, 1, 2);
+        int before = a.admitted(8, QUOTA_PLAN, 1, 2);
         run(800, Set.of(), a, b);
-        Gateway again = new Gateway(0, 2, 800, TWO);
+        Gateway again = new Gateway(0, 2, 800, TWO_SERVERS);
         run(1100, Set.of(), again, b);
-        int after = again.admitted(15, QUOTA, 1, 2); // plus the refill of 500 ms
+        int after = again.admitted(15, QUOTA_PLAN, 1, 2); // plus the refill of 500 ms
         assertTrue(before + after <= 15, before + " and " + after);
     }
 
     @Test
-    void aStallLongerThanAWindowAgesOutAllSlotsAndPoursOutNoBacklog() {
-        Gateway g = new Gateway(0, 2, 0, TWO);
-        g.admitted(10, QUOTA, 1, 2);
+    void aStallLongerThanAWindowExpiresAllSlotsAndLeavesNoBacklog() {
+        Gateway g = new Gateway(0, 2, 0, TWO_SERVERS);
+        g.admitted(10, QUOTA_PLAN, 1, 2);
         g.actions.clear();
         g.now = 60000;
         List<SetTimer> due = new ArrayList<>(g.timers);
         g.timers.clear();
         due.forEach(timer -> g.on(new TimerFired(timer.token())));
         assertTrue(g.tells().size() <= 1, "one message, however long the stall");
-        assertTrue(g.admitted(15, QUOTA, 1, 2) >= 5);
+        assertTrue(g.admitted(15, QUOTA_PLAN, 1, 2) >= 5);
     }
 
     @Test
-    void messagesFitTheirSizeAndStayUnderTheIntake() {
-        Gateway g = new Gateway(0, 2, 0, TWO);
+    void messagesStayWithinTheirSizeAndTheIntake() {
+        Gateway g = new Gateway(0, 2, 0, TWO_SERVERS);
         for (int i = 0; i < 400; i++) {
-            g.admits(QUOTA, 8_000_000_000L + i, 2);
+            g.admits(QUOTA_PLAN, 8_000_000_000L + i, 2);
         }
         g.runTo(2000);
         assertTrue(g.tells().stream().allMatch(tell -> tell.body().length() <= 256));
@@ -370,21 +370,21 @@
 
     @Test
     void theOpenCapCountsAttemptsAtAllGateways() {
-        Gateway a = new Gateway(0, 2, 0, TWO);
-        Gateway b = new Gateway(1, 2, 0, TWO);
+        Gateway a = new Gateway(0, 2, 0, TWO_SERVERS);
+        Gateway b = new Gateway(1, 2, 0, TWO_SERVERS);
         run(600, Set.of(), a, b);
-        a.ask(0, CAP, 1, 2);
+        a.ask(0, CAP_PLAN, 1, 2);
         run(700, Set.of(), a, b);
-        long second = b.ask(0, CAP, 1, 2);
-        long third = b.ask(0, CAP, 1, 2);
+        long second = b.ask(0, CAP_PLAN, 1, 2);
+        long third = b.ask(0, CAP_PLAN, 1, 2);
         assertTrue(b.sent(second) != null && b.sent(third) == null && b.refused(third));
         b.done(second, Outcome.SERVED);
-        assertTrue(b.admits(CAP, 1, 2));
+        assertTrue(b.admits(CAP_PLAN, 1, 2));
     }
 
     @Test
     void aPlanWithNeitherRateNorCapAdmitsAll() {
-        assertEquals(50, new Gateway(0, 2, 0, TWO).admitted(50, NONE, 1, 2));
+        assertEquals(50, new Gateway(0, 2, 0, TWO_SERVERS).admitted(50, FREE_PLAN, 1, 2));
     }
 
     // ---- ceilings
@@ -393,27 +393,27 @@
     void partitionedAndRestartedGatewaysTogetherKeepTheCeiling() {
         int sent = 0;
         double seconds = 6;
-        Gateway[] net = {new Gateway(0, 3, 0, TWO), new Gateway(1, 3, 0, TWO), new Gateway(2, 3, 0, TWO)};
+        Gateway[] net = {new Gateway(0, 3, 0, TWO_SERVERS), new Gateway(1, 3, 0, TWO_SERVERS), new Gateway(2, 3, 0, TWO_SERVERS)};
         for (int step = 1; step <= seconds * 50; step++) {
             double at = step * 20;
             for (int i = 0; i < 3; i++) {
                 if (step % 70 == 20 * i + 9) {
-                    net[i] = new Gateway(i, 3, at, TWO); // restarts, all messages lost
+                    net[i] = new Gateway(i, 3, at, TWO_SERVERS); // restarts, all messages lost
                 }
                 net[i].runTo(at);
-                sent += net[i].admitted(5, HARD, 1, 3);
+                sent += net[i].admitted(5, CEILING_PLAN, 1, 3);
             }
         }
         assertTrue(sent > 0 && sent <= 20 + 20 * seconds + 2, "sent " + sent);
     }
 
     @Test
-    void aBusyGatewayOverdrawsItsShareWhilePeersAreHeardAndTheCeilingHolds() {
-        Gateway[] net = {new Gateway(0, 2, 0, TWO), new Gateway(1, 2, 0, TWO)};
+    void aBusyGatewayBorrowsSharesAndTheCeilingHolds() {
+        Gateway[] net = {new Gateway(0, 2, 0, TWO_SERVERS), new Gateway(1, 2, 0, TWO_SERVERS)};
         int sent = 0;
         for (int step = 1; step <= 300; step++) {
             run(step * 20, Set.of(), net);
-            sent += net[step / 60 % 2].admitted(5, HARD, 1, 2); // all at one gateway, then at the other
+            sent += net[step / 60 % 2].admitted(5, CEILING_PLAN, 1, 2); // all at one gateway, then at the other
         }
         assertTrue(sent > 40 && sent <= 20 + 20 * 6 + 2, "sent " + sent);
     }
@@ -421,9 +421,9 @@
     // ---- answers and effects
 
     @Test
-    void aSafeRequestIsTriedElsewhereAfterALostConnection() {
-        Gateway g = new Gateway(0, 1, 0, TWO);
-        long id = g.ask(0, NONE, 1, 1);
+    void anIdempotentRequestIsRetriedElsewhereAfterALostConnection() {
+        Gateway g = new Gateway(0, 1, 0, TWO_SERVERS);
+        long id = g.ask(0, FREE_PLAN, 1, 1);
         long first = g.sent(id).server();
         g.done(id, Outcome.CONNECTION_LOST);
         assertEquals(2, g.sends(id));
@@ -431,11 +431,11 @@
     }
 
     @Test
-    void anUnsafeRequestIsSentAgainOnlyWhenItCannotHaveRun() {
+    void anAtMostOnceRequestIsRetriedOnlyIfItCannotHaveRun() {
         for (Outcome outcome : Outcome.values()) {
             if (outcome != Outcome.SERVED) {
-                Gateway g = new Gateway(0, 1, 0, TWO);
-                long id = g.ask(2, NONE, 1, 1);
+                Gateway g = new Gateway(0, 1, 0, TWO_SERVERS);
+                long id = g.ask(2, FREE_PLAN, 1, 1);
                 g.done(id, outcome);
                 assertTrue(outcome.neverRan() || g.sends(id) == 1 && g.failed(id) && !g.refused(id), "" + outcome);
                 assertTrue(g.sends(id) == 2 ^ g.failed(id) ^ g.refused(id), "exactly one of retry, failure and refusal, " + outcome);
@@ -444,10 +444,10 @@
     }
 
     @Test
-    void aKeyedRequestStaysInItsCellAndItsWindow() {
+    void aDeduplicatedRequestIsRetriedOnlyInItsCellAndWindow() {
         Server[] cells = {server(11, 0), server(12, 0), server(21, 1), server(22, 1)};
         Gateway g = new Gateway(0, 1, 0, cells);
-        long id = g.ask(1, NONE, 1, 1);
+        long id = g.ask(1, FREE_PLAN, 1, 1);
         long cell = g.sent(id).server() / 10;
         g.now = 100;
         g.done(id, Outcome.CONNECTION_LOST);
@@ -459,9 +459,9 @@
     }
 
     @Test
-    void noAttemptOutlivesTheDeadlineAndItsTimeOutIsAnsweredAtOnce() {
-        Gateway g = new Gateway(0, 1, 0, TWO);
-        long id = g.ask(2, NONE, 1, 1);
+    void noAttemptOutlivesTheDeadlineAndATimeoutFailsAtOnce() {
+        Gateway g = new Gateway(0, 1, 0, TWO_SERVERS);
+        long id = g.ask(2, FREE_PLAN, 1, 1);
         assertTrue(g.sent(id).timeoutMs() <= 2000);
         g.now = 2000;
         g.done(id, Outcome.TIMED_OUT);
@@ -469,9 +469,9 @@
     }
 
     @Test
-    void lateOutcomesStaleTimersAndUnknownRequestsArePassedOver() {
-        Gateway g = new Gateway(0, 1, 0, TWO);
-        long id = g.ask(0, NONE, 1, 1);
+    void lateOutcomesStaleTimersAndUnknownRequestsAreIgnored() {
+        Gateway g = new Gateway(0, 1, 0, TWO_SERVERS);
+        long id = g.ask(0, FREE_PLAN, 1, 1);
         g.on(new ClientGone(id));
         long sends = g.sends(id);
         g.done(id, Outcome.CONNECTION_LOST);
@@ -487,23 +487,23 @@
     // ---- draining and cold servers
 
     @Test
-    void nothingNewGoesToADrainingOrVanishedServer() {
-        Gateway g = new Gateway(0, 1, 0, TWO);
+    void noAttemptGoesToADrainingOrRemovedServer() {
+        Gateway g = new Gateway(0, 1, 0, TWO_SERVERS);
         g.on(new ServerList(ListKind.DELTA, List.of(new Server(11, 0, 0, 1, 0, Readiness.DRAINING))));
-        g.admitted(20, NONE, 1, 1);
+        g.admitted(20, FREE_PLAN, 1, 1);
         assertTrue(g.actions.stream().noneMatch(a -> a instanceof Send s && s.server() == 11));
         g.on(new ServerList(ListKind.FULL, List.of()));
-        assertTrue(g.refused(g.ask(0, NONE, 1, 1)), "an empty list means refusal, not silence");
+        assertTrue(g.refused(g.ask(0, FREE_PLAN, 1, 1)), "an empty list means refusal, not silence");
     }
 
     @Test
-    void aColdServerGetsALesserPartAndAllColdServersStillServe() {
-        Gateway g = new Gateway(0, 1, 0, TWO);
+    void aColdServerGetsFewerRequestsAndAllColdServersStillServe() {
+        Gateway g = new Gateway(0, 1, 0, TWO_SERVERS);
         g.on(new ServerList(ListKind.DELTA, List.of(new Server(12, 0, 0, 1, 1, Readiness.READY))));
         for (int t = 10; t < 2000; t += 10) {
             g.runTo(t);
-            g.ask(0, NONE, 1, 1);
-            long old = g.ids - 5; // each takes 50 ms
+            g.ask(0, FREE_PLAN, 1, 1);
+            long old = g.requestCount - 5; // each takes 50 ms
             if (old > 0 && g.sent(old) != null) {
                 g.done(old, Outcome.SERVED);
             }
@@ -515,7 +515,7 @@
         int served = 0;
         for (int t = 10; t < 4000; t += 10) {
             all.runTo(t);
-            served += all.admits(NONE, 1, 1) ? 1 : 0;
+            served += all.admits(FREE_PLAN, 1, 1) ? 1 : 0;
         }
         assertTrue(served > 50, "served " + served + " while all are cold");
     }
@@ -523,8 +523,8 @@
     // ---- servers
 
     @Test
-    void aSilentServerLosesItsTrafficAndASafeRequestIsRescued() {
-        Gateway g = new Gateway(0, 1, 0, TWO);
+    void aSilentServerLosesItsTrafficAndAnIdempotentRequestIsRetried() {
+        Gateway g = new Gateway(0, 1, 0, TWO_SERVERS);
         int silent = 0;
         long rescued = 0;
         for (int t = 10; t < 4000; t += 10) {
@@ -536,7 +536,7 @@
                     rescued += g.sends(cancel.id()) == 2 ? 1 : 0;
                 }
             }
-            long id = g.ask(0, NONE, 1, 1);
+            long id = g.ask(0, FREE_PLAN, 1, 1);
             if (g.sent(id) != null && g.sent(id).server() == 12) {
                 g.done(id, Outcome.SERVED);
             } else {
@@ -548,26 +548,26 @@
     }
 
     @Test
-    void whenAllServersFailAtOnceTheyAreNotAllGivenUp() {
-        Gateway g = new Gateway(0, 1, 0, TWO);
+    void whenAllServersFailAtOnceTheyAreNotAllEjected() {
+        Gateway g = new Gateway(0, 1, 0, TWO_SERVERS);
         for (int t = 10; t < 400; t += 10) {
             g.runTo(t);
-            long id = g.ask(2, NONE, 1, 1);
+            long id = g.ask(2, FREE_PLAN, 1, 1);
             if (g.sent(id) != null) {
                 g.done(id, Outcome.TIMED_OUT);
             }
         }
         g.runTo(5000);
-        assertTrue(g.sent(g.ask(0, NONE, 1, 1)) != null);
+        assertTrue(g.sent(g.ask(0, FREE_PLAN, 1, 1)) != null);
     }
 
     @Test
-    void givenUpWorkCountsOnAgainstAServersLimit() {
+    void abandonedWorkCountsAgainstAServersLimit() {
         Gateway g = new Gateway(0, 1, 0, server(11, 0));
         int sent = 0;
         for (int t = 0; t < 1000; t += 5) {
             g.now = t;
-            long id = g.ask(2, NONE, 1, 1);
+            long id = g.ask(2, FREE_PLAN, 1, 1);
             if (g.sent(id) != null) {
                 sent++;
                 g.done(id, Outcome.TIMED_OUT);
@@ -577,12 +577,12 @@
     }
 
     @Test
-    void manyGatewaysTogetherHoldNoMoreAtAServerThanOneAlone() {
+    void manyGatewaysTogetherKeepToTheLimitOfAServer() {
         for (int gateways : new int[] {1, 10}) {
             Gateway g = new Gateway(0, gateways, 0, server(11, 0));
             int sent = 0;
             for (int i = 0; i < 100; i++) {
-                sent += g.sent(g.ask(0, NONE, 1, 1)) != null ? 1 : 0;
+                sent += g.sent(g.ask(0, FREE_PLAN, 1, 1)) != null ? 1 : 0;
             }
             assertTrue(sent >= 2 && sent * gateways <= 40, sent + " at once by each of " + gateways);
         }
@@ -595,19 +595,19 @@
             Gateway g = new Gateway(0, 1, 0, server(11, 0));
             for (int t = 0; t < 60; t++) {
                 g.now = 1000 * t;
-                long id = g.ask(0, NONE, 1, 1);
+                long id = g.ask(0, FREE_PLAN, 1, 1);
                 g.now += all == 1 || t == 59 ? 400 : 50;
                 g.done(id, Outcome.SERVED);
             }
             for (int i = 0; i < 100; i++) {
-                room[all] += g.sent(g.ask(0, NONE, 1, 1)) != null ? 1 : 0;
+                room[all] += g.sent(g.ask(0, FREE_PLAN, 1, 1)) != null ? 1 : 0;
             }
         }
         assertTrue(room[0] > 10 && room[1] < 5, room[0] + " and " + room[1]);
     }
 
     @Test
-    void membershipThatMustBeAskedForIsAskedForAgainAfterAFailure() {
+    void aFailedSubscriptionIsRepeated() {
         List<Action> actions = new ArrayList<>();
         Policy policy = new Policy(settings(0, 1, true), 1, 0, actions::add);
         policy.on(10, new ServerList(ListKind.FAILED, List.of()));
@@ -621,7 +621,7 @@
     void theSameEventsGiveTheSameActions() {
         List<List<Action>> runs = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
-            Gateway g = new Gateway(0, 3, 0, TWO);
+            Gateway g = new Gateway(0, 3, 0, TWO_SERVERS);
             for (int t = 10; t < 1000; t += 10) {
                 g.runTo(t);
                 g.ask(t % 3, t % 4, t % 7, 3);
@@ -634,7 +634,7 @@
     // ---- the deploy file
 
     @Test
-    void theDeployFileNamesFilesOfTheModuleThatAreThere() throws IOException {
+    void theDeployFileNamesExistingFilesOfTheModule() throws IOException {
         List<String> files = new ArrayList<>();
         Matcher named = Pattern.compile("\"(src/main/java/yardusher/\\w+\\.java)\"").matcher(Files.readString(Path.of("deploy/balancer.toml")));
         while (named.find()) { files.add(named.group(1)); }
--- a/src/test/java/yardusher/PressureTest.java
+++ b/src/test/java/yardusher/PressureTest.java
@@ -9,9 +9,9 @@
 
 /** Load shedding refuses the set fraction of the work, the least worth first, evenly, and nothing more. */
 class PressureTest {
-    private static RequestClass worth(double worth) { return new RequestClass(500, 2000, worth, 0, Effect.IDEMPOTENT, Group.ALL, 0, false); }
+    private static RequestClass requestClass(double worth) { return new RequestClass(500, 2000, worth, 0, Effect.IDEMPOTENT, Group.ALL, 0, false); }
 
-    private final Settings settings = new Settings(0, 3, 0, 1, List.of(worth(1), worth(1), worth(3)), List.of(new Plan(0, 0, 0, 1, 0, 0, 0)),
+    private final Settings settings = new Settings(0, 3, 0, 1, List.of(requestClass(1), requestClass(1), requestClass(3)), List.of(new Plan(0, 0, 0, 1, 0, 0, 0)),
             new Limits(4, true, true, 1000), new Rules(0.25, 10_000, 3, 1000, 1000), List.of(), false, 60, 1, 0, 0.01);
     private final Servers servers = new Servers(settings, new Clock(0), new SplittableRandom(1), action -> { }, new FaultReporter() {
         @Override
@@ -31,7 +31,7 @@
     }
 
     /** Sets the latency of answers as a fraction of the aim for so many sweeps, with requests of one class. */
-    private void answersTake(double part, int sweeps) {
+    private void runWithLatency(double part, int sweeps) {
         servers.latencies.fleetFraction = part;
         for (int i = 0; i < sweeps; i++) {
             refused(0, 100);
@@ -41,8 +41,8 @@
 
     /** Guards against refusing all or none: the usual latency of a class changes with each answer, and so does its worth. */
     @Test
-    void ofTheCheapestThePartAskedIsRefusedHoweverItsUsualLatencyMoves() {
-        answersTake(0.4, 20);
+    void theShedFractionOfTheLeastWorthIsRefusedHoweverItsLatencyChanges() {
+        runWithLatency(0.4, 20);
         assertThat(pressure.shedFraction).as("the part asked").isBetween(0.2, 0.5);
         int asked = (int) (1000 * pressure.shedFraction);
         for (double moved : new double[] {1, 1.02, 0.96, 1.1}) {
@@ -53,9 +53,9 @@
 
     @Test
     void oncePressureIsOverNothingIsRefused() {
-        answersTake(0.9, 20);
+        runWithLatency(0.9, 20);
         assertThat(refused(0, 1000)).isGreaterThan(800);
-        answersTake(0.1, 12);                        // 4.8 s later
+        runWithLatency(0.1, 12);                        // 4.8 s later
         servers.latencies.classLatencyMs[0] *= 1.05;
         assertThat(refused(0, 1000)).isLessThan(2);
     }
--- a/src/test/java/yardusher/QuotaStoreTest.java
+++ b/src/test/java/yardusher/QuotaStoreTest.java
@@ -18,31 +18,31 @@
      * order within a slot is not kept.
      */
     @Property(tries = 200)
-    void noMoreIsLetInThanTheStoreHolds(@ForAll @DoubleRange(min = 0.5, max = 40) double rate,
-            @ForAll @DoubleRange(min = 0.5, max = 8) double burstS, @ForAll @DoubleRange(min = 1.5, max = 8) double asked,
-            @ForAll @IntRange(min = 1, max = 4) int most, @ForAll long seed) {
+    void noMoreIsAdmittedThanTheBucketHolds(@ForAll @DoubleRange(min = 0.5, max = 40) double rate,
+            @ForAll @DoubleRange(min = 0.5, max = 8) double burstS, @ForAll @DoubleRange(min = 1.5, max = 8) double demand,
+            @ForAll @IntRange(min = 1, max = 4) int maxUnits, @ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        double burst = Math.max(2 * most, rate * burstS);
-        Settings settings = new Settings(0, 1, 0, 1, List.of(PolicyTest.SAFE), List.of(new Plan(rate, burst, 0, 1, 0, 0, 0, 0.5)),
-                new Limits(4, true, true, 1000), new Rules(0.25, 10000, 3, 1000, 1000), List.of(), false, 60, most, 0, 0.01);
+        double burst = Math.max(2 * maxUnits, rate * burstS);
+        Settings settings = new Settings(0, 1, 0, 1, List.of(PolicyTest.IDEMPOTENT), List.of(new Plan(rate, burst, 0, 1, 0, 0, 0, 0.5)),
+                new Limits(4, true, true, 1000), new Rules(0.25, 10000, 3, 1000, 1000), List.of(), false, 60, maxUnits, 0, 0.01);
         List<Action> actions = new ArrayList<>();
         Policy policy = new Policy(settings, seed, 0, actions::add);
-        policy.on(0, new ServerList(ListKind.CACHED, List.of(PolicyTest.TWO)));
-        double window = burst / rate * 1000, start = window + 1, end = start + 20_000, let = 0;
-        double every = 1000 * (1 + most) / 2.0 / (rate * asked);
+        policy.on(0, new ServerList(ListKind.CACHED, List.of(PolicyTest.TWO_SERVERS)));
+        double window = burst / rate * 1000, start = window + 1, end = start + 20_000, admitted = 0;
+        double every = 1000 * (1 + maxUnits) / 2.0 / (rate * demand);
         long id = 0;
         for (double t = start; t < end; t += every * 2 * random.nextDouble()) {
-            int units = 1 + random.nextInt(most);
+            int units = 1 + random.nextInt(maxUnits);
             actions.clear();
             policy.on(t, new Request(++id, 0, 0, 7, t + 2000, units, 0, 1));
             for (Action action : List.copyOf(actions)) {
                 if (action instanceof Send s) {
-                    let += units;
+                    admitted += units;
                     policy.on(t, new AttemptDone(s.id(), 0, s.server(), Outcome.SERVED, 5, true, 0, null));
                 }
             }
         }
         double slot = burst / 10;
-        assertThat(let).isLessThanOrEqualTo(burst + rate * (end - start) / 1000 + slot + 1e-6);
+        assertThat(admitted).isLessThanOrEqualTo(burst + rate * (end - start) / 1000 + slot + 1e-6);
     }
 }
--- a/src/test/java/yardusher/RepeatsTest.java
+++ b/src/test/java/yardusher/RepeatsTest.java
@@ -34,7 +34,7 @@
     private long cancels() { return actions.stream().filter(Cancel.class::isInstance).count(); }
 
     /** Lets four requests hang until half of their aim, two at each backend; returns how many are abandoned. */
-    private long givenUp() {
+    private long countAbandoned() {
         for (long id = 1; id <= 4; id++) { ask(id); }
         for (Action a : List.copyOf(actions)) {
             if (a instanceof SetTimer t && t.atMs() == 250) { policy.on(250, new TimerFired(t.token())); }
@@ -44,7 +44,7 @@
 
     /** Guards against a retry in the wrong group after the list has moved the backend of the first attempt. */
     @Test
-    void aRepeatKeepsToThePlaceThatItsFirstAttemptWasSentTo() {
+    void aRetryStaysInTheCellOfTheFirstAttemptWhenTheListMovesItsBackend() {
         start(Effect.DEDUPLICATED, Group.CELL, 1000);
         ask(1);
         long first = sends(1).get(0).server();
@@ -55,27 +55,27 @@
     }
 
     @Test
-    void whatNoRepeatCouldFollowIsNotGivenUp() {
+    void anAttemptIsNotAbandonedWhereNoRetryIsAllowed() {
         start(Effect.DEDUPLICATED, Group.ALL, 100);   // its window has passed by then
-        assertThat(givenUp()).as("window of 100 ms").isZero();
+        assertThat(countAbandoned()).as("window of 100 ms").isZero();
         actions.clear();
         start(Effect.DEDUPLICATED, Group.CELL, 1000); // alone in its cell
-        assertThat(givenUp()).as("one backend a cell").isZero();
+        assertThat(countAbandoned()).as("one backend a cell").isZero();
         actions.clear();
         start(Effect.AT_MOST_ONCE, Group.ALL, 0);
-        assertThat(givenUp()).as("at most once").isZero();
+        assertThat(countAbandoned()).as("at most once").isZero();
         actions.clear();
         start(Effect.DEDUPLICATED, Group.ALL, 1000);
-        assertThat(givenUp()).as("where one may follow").isPositive();
+        assertThat(countAbandoned()).as("where one may follow").isPositive();
         actions.clear();
         start(Effect.IDEMPOTENT, Group.CELL, 0);
-        assertThat(givenUp()).as("where any may follow").isPositive();
+        assertThat(countAbandoned()).as("where any may follow").isPositive();
     }
 
     /** The outcome of the first attempt and the effect of the request decide on a retry. */
     @ParameterizedTest
     @EnumSource(Outcome.class)
-    void theOutcomeSaysWhichRepeatIsDue(Outcome how) {
+    void outcomeAndEffectDecideOnARetry(Outcome how) {
         if (how == Outcome.SERVED) { return; }        // the request is finished
         boolean never = how == Outcome.REJECTED || how == Outcome.CONNECT_FAILED;
         for (Effect effect : Effect.values()) {
@@ -95,7 +95,7 @@
 
     /** The deduplication window starts with the first attempt that may have run, not with one that never ran or with the last. */
     @Test
-    void theWindowCountsFromTheFirstThatMayHaveRun() {
+    void theWindowStartsWithTheFirstAttemptThatMayHaveRun() {
         start(Effect.DEDUPLICATED, Group.ALL, 300);
         ask(1);
         policy.on(100, new AttemptDone(1, 0, sends(1).get(0).server(), Outcome.REJECTED, 100, false, 0, null));
--- a/src/test/java/yardusher/SharesTest.java
+++ b/src/test/java/yardusher/SharesTest.java
@@ -13,7 +13,7 @@
             new Plan(30, 60, 0, 1.8, 63, 126, 5, 0));
 
     @Test
-    void eachPlanGetsItsPartInEachThirdAndHardlyACustomerIsStarved() {
+    void eachPlanGetsItsShareInEachThirdAndFewCustomersAreStarved() {
         for (long seed = 1; seed <= 2; seed++) {
             FleetRun fleet = new FleetRun(100, 60, 150, 0.05, seed, PLANS, 0);
             for (int third = 0; third < 3; third++) {
@@ -26,8 +26,8 @@
                             .isGreaterThan(third == 0 && PLANS.get(plan).ceilingRatePerS() > 0 ? 0.4 : 0.5); // shares of a ceiling start empty
                 }
             }
-            System.out.printf("shares: seed %d, of customers under a tenth: %.3f%n", seed, fleet.starved());
-            assertThat(fleet.starved()).as("seed %d", seed).isLessThan(0.15);
+            System.out.printf("shares: seed %d, of customers under a tenth: %.3f%n", seed, fleet.starvedFraction());
+            assertThat(fleet.starvedFraction()).as("seed %d", seed).isLessThan(0.15);
         }
     }
 
@@ -36,7 +36,7 @@
      * The fraction is only printed; a better way to share ceilings should raise it.
      */
     @Test
-    void requestsOfTwoUnitsUnderACeilingAreToldBesideThoseOfOne() {
+    void admittedFractionsOfOneAndTwoUnitRequestsUnderACeiling() {
         FleetRun fleet = new FleetRun(100, 60, 150, 0.05, 1, List.of(PLANS.get(0), PLANS.get(1), new Plan(35, 52, 0, 1.8, 80, 118, 12, 0)), 1 / 3.0);
         fleet.run(25_000);
         for (int plan = 0; plan < 3; plan++) {
@@ -45,6 +45,6 @@
             System.out.printf("shares: plan %d, of one unit %.2f, of two %.2f%n", plan, one, two);
             assertThat(one).as("plan %d", plan).isGreaterThan(0.7);
         }
-        assertThat(fleet.leastOfCeilings).isGreaterThan(-12);
+        assertThat(fleet.lowestCeiling).isGreaterThan(-12);
     }
 }
