--- a/src/test/java/yardusher/CeilingFlawsTest.java
+++ b/src/test/java/yardusher/CeilingFlawsTest.java
@@ -28,11 +28,11 @@
         TOKENS_MOVE_WITHOUT_ROOM("CeilingShare", "lent.add(new Lease(peer, portion, now + LEASE_MS + MARGIN_MS));", ""),
         LENDER_TAKES_BACK_WITH_THE_LEASE("CeilingShare", "now + LEASE_MS + MARGIN_MS));", "now + LEASE_MS / 2));"),
         RESTART_EARNS_WHAT_WAS_LENT("CeilingShare", "if (lentUntilMs > sinceMs) {", "if (false) {"),
-        RESTART_BEGINS_FULL("CeilingShare", "updatedAt = sinceMs;", "updatedAt = sinceMs;\n tokens = plan.ceilingSlack() / spread;"),
-        LEASE_COUNTS_FROM_THE_GRANT("CeilingLoans", "double askedAt = asked.atMs();", "double askedAt = clock.now;"),
-        WAITING_REQUEST_LEAVES_ROOM("Attempts", "pending.share.reserve(pending.request.units(), clock.now);", "pending.share.reserve(0, clock.now);"),
-        RETRY_TAKES_NO_UNITS("Attempts", "if (!ceilings.holds(c, units)) { return false; }", "if (true) { return true; }"),
-        OVERDRAFT("Ceilings", "share(c).tokens() >= units", "share(c).tokens() >= units - share(c).capacity()");
+        RESTART_BEGINS_FULL("CeilingShare", "updatedAtMs = sinceMs;", "updatedAtMs = sinceMs;\n tokens = plan.ceilingSlack() / spread;"),
+        LEASE_COUNTS_FROM_THE_GRANT("CeilingLoans", "double requestedAtMs = request.sentAtMs();", "double requestedAtMs = clock.now;"),
+        WAITING_REQUEST_LEAVES_ROOM("Attempts", "pending.ceilingShare.reserve(pending.request.units(), clock.now);", "pending.ceilingShare.reserve(0, clock.now);"),
+        RETRY_TAKES_NO_UNITS("Attempts", "if (!ceilings.canSpend(customer, units)) { return false; }", "if (true) { return true; }"),
+        OVERDRAFT("Ceilings", "share(customer).tokens() >= units", "share(customer).tokens() >= units - share(customer).capacity()");
 
         private final String file;
         private final String from;
