--- a/src/main/java/yardusher/Attempts.java
+++ b/src/main/java/yardusher/Attempts.java
@@ -6,20 +6,20 @@
 
 /** Admits requests, starts their attempts, learns from the outcomes, and retries or ends the requests. */
 final class Attempts {
-    private static final double RETRY_TOKENS_PER_REQUEST = 0.2;    // retry tokens earned by each admitted request
-    private static final double MAX_RETRY_TOKENS = 10;     // retry tokens saved up at most
-    private static final double MIN_RERUN_SUCCESS_RATE = 0.5;          // fraction of reruns that must be answered quickly
-    private static final int RERUN_PROBE_INTERVAL = 8;              // below that, one in this many hanging attempts is still rerun
-    private static final double MIN_SERVER_LIMIT = 0.2;         // lower bound of a server's limit: one attempt, then a pause
+    private static final double RETRY_TOKENS_PER_REQUEST = 0.2; // retry tokens earned by each admitted request
+    private static final double MAX_RETRY_TOKENS = 10; // retry tokens saved up at most
+    private static final double MIN_RERUN_SUCCESS_RATE = 0.5; // fraction of reruns that must be answered quickly
+    private static final int RERUN_PROBE_INTERVAL = 8; // below that, one in this many hanging attempts is still rerun
+    private static final double MIN_SERVER_LIMIT = 0.2; // lower bound of a server's limit: one attempt, then a pause
     private final Settings settings; private final Clock clock; private final SplittableRandom random;
     private final Consumer<Action> actions; private final Quotas quotas; private final QuotaStatusReader quotaStatusReader;
     private final Ceilings ceilings; private final CeilingLoans loans;
     private final Servers servers; private final Pressure pressure;
     private final BiConsumer<Customer, Boolean> rowChanged; // the own row changed: by its counts (true), or by demand alone
-    final Map<Long, PendingRequest> pendingRequests = new HashMap<>();  // by id; never iterated, so its order affects nothing
+    final Map<Long, PendingRequest> pendingRequests = new HashMap<>(); // by id; never iterated, so its order affects nothing
     private double retryTokens = MAX_RETRY_TOKENS;
-    private double hangRate;                          // recent fraction of attempts that hang alone while their server answers others
-    private double rerunSuccessRate = 1;                    // recent fraction of reruns of such attempts that were answered quickly
+    private double hangRate; // recent fraction of attempts that hang alone while their server answers others
+    private double rerunSuccessRate = 1; // recent fraction of reruns of such attempts that were answered quickly
 
     Attempts(Settings settings, Clock clock, SplittableRandom random, Consumer<Action> actions, Quotas quotas,
             Ceilings ceilings, CeilingLoans loans, QuotaStatusReader quotaStatusReader, Servers servers, Pressure pressure,
@@ -33,7 +33,8 @@
     void requestArrived(Request request) {
         RequestClass requestClass = settings.classes().get(request.classIndex());
         Customer customer = quotas.customer(request.customer(), request.plan());
-        boolean gatewaysChanged = customer.firstGateway != request.firstGateway() || customer.gatewayCount != Math.min(request.gatewayCount(), settings.gateways());
+        boolean gatewaysChanged = customer.firstGateway != request.firstGateway()
+                || customer.gatewayCount != Math.min(request.gatewayCount(), settings.gateways());
         if (gatewaysChanged) { customer.setGateways(request.firstGateway(), request.gatewayCount()); }
         customer.usedAtMs = clock.now;
         PendingRequest pending = new PendingRequest(request, requestClass, customer, clock.now);
@@ -48,7 +49,8 @@
             return;
         }
         customer.addUsed(request.units());
-        pending.ceilingShare = ceilings.spend(customer, request.units()); retryTokens = Math.min(MAX_RETRY_TOKENS, retryTokens + RETRY_TOKENS_PER_REQUEST);
+        pending.ceilingShare = ceilings.spend(customer, request.units());
+        retryTokens = Math.min(MAX_RETRY_TOKENS, retryTokens + RETRY_TOKENS_PER_REQUEST);
         pendingRequests.put(request.id(), pending);
         send(pending, host);
         loans.requestIfShort(customer);
@@ -90,7 +92,8 @@
     /** When to retry after a refusal: once the quota has room again, or else after the next evaluation of the pressure. */
     private double retryAfterMs(Customer customer, Request request) {
         double maxMs = settings.limits().maxRetryAfterMs(); if (maxMs <= 0) { return 0; }
-        double waitMs = quotaStatusReader.of(request.customer(), request.plan(), request.units(), customer.firstGateway, customer.gatewayCount).retryAfterMs();
+        double waitMs = quotaStatusReader.of(request.customer(), request.plan(), request.units(), customer.firstGateway,
+                customer.gatewayCount).retryAfterMs();
         return Math.min(maxMs, Math.max(1, waitMs > 0 ? waitMs : Clock.SWEEP_MS));
     }
 
@@ -170,7 +173,8 @@
         switch (event.outcome()) {
             case SERVED -> {
                 host.lastAnswerAtMs = clock.now; hangRate *= 0.99;
-                servers.recordAnswer(host, classIndex); servers.cold.recordLatency(host, event.tookMs() / servers.latencies.classLatencyMs[classIndex]);
+                servers.recordAnswer(host, classIndex);
+                servers.cold.recordLatency(host, event.tookMs() / servers.latencies.classLatencyMs[classIndex]);
                 servers.latencies.recordAnswer(classIndex, event.tookMs(), pending.requestClass.aimMs());
                 adaptLimit(host, event.tookMs() / servers.latencies.classLatencyMs[classIndex], pending);
             }
@@ -232,7 +236,7 @@
     void clientGone(long id) {
         PendingRequest pending = pendingRequests.get(id);
         if (pending != null && !pending.clientGone) {
-            pending.clientGone = true;                        // the outcome of its attempt still follows
+            pending.clientGone = true; // the outcome of its attempt still follows
             if (settings.limits().mayCancel()) { actions.accept(new Cancel(id, pending.attempts - 1)); }
         }
     }
--- a/src/main/java/yardusher/CeilingLoans.java
+++ b/src/main/java/yardusher/CeilingLoans.java
@@ -73,7 +73,8 @@
     /** After a start or when this process becomes the owner: asks all neighbours to return the loans of the previous incarnation. */
     void recall() {
         unconfirmed.clear();
-        boolean mayLend = settings.limits().mayMessagePeers() && settings.peerIntakePerS() > 0 && settings.plans().stream().anyMatch(Ceilings::hasCeiling);
+        boolean mayLend = settings.limits().mayMessagePeers() && settings.peerIntakePerS() > 0
+                && settings.plans().stream().anyMatch(Ceilings::hasCeiling);
         for (int peer = 0; peer < settings.gateways(); peer++) {
             if (mayLend && isNeighbour(peer)) { unconfirmed.add(peer); }
         }
@@ -98,7 +99,8 @@
     /** Called after each request of a customer: asks for loans if its share runs short. */
     void requestIfShort(Customer customer) {
         if (Ceilings.hasCeiling(customer.plan)) { resendRecalls(); }
-        if (!Ceilings.hasCeiling(customer.plan) || !mayMoveShares(customer) || clock.now - customer.loanState.requestedAtMs < REQUEST_INTERVAL_MS) { return; }
+        if (!Ceilings.hasCeiling(customer.plan) || !mayMoveShares(customer)
+                || clock.now - customer.loanState.requestedAtMs < REQUEST_INTERVAL_MS) { return; }
         CeilingShare share = ceilings.share(customer);
         double wantedPerMs = BORROWER_HEADROOM * demandPerMs(customer);
         double reserve = settings.maxUnits() + demandPerMs(customer) * BORROWER_RESERVE_MS;
@@ -112,7 +114,10 @@
         requestLoans(customer, share, portion, reserve - share.tokens());
     }
 
-    private boolean mayMoveShares(Customer customer) { return peers.ownsCeilings && !peers.hasSibling && customer.firstGateway >= 0 && ceilings.canLend(customer) && customer.includes(settings.self()); }
+    private boolean mayMoveShares(Customer customer) {
+        return peers.ownsCeilings && !peers.hasSibling && customer.firstGateway >= 0 && ceilings.canLend(customer)
+                && customer.includes(settings.self());
+    }
 
     /** Units requested here per millisecond, admitted or not. */
     private double demandPerMs(Customer customer) { return customer.requestedUnits(customer.ownRow) / customer.windowMs; }
@@ -127,7 +132,8 @@
             long nonce = random.nextLong(CeilingMessage.NONCES);
             customer.loanState.openRequests.put(peer, new OpenRequest(nonce, clock.now));
             double each = share.borrowedFrom(peer, clock.now) + portion / lenders.size();
-            send(peer, customer, LoanMessage.Kind.REQUEST, nonce, Math.min(each, CeilingShare.LENDABLE_FRACTION * share.ownPortion()), tokens);
+            send(peer, customer, LoanMessage.Kind.REQUEST, nonce,
+                    Math.min(each, CeilingShare.LENDABLE_FRACTION * share.ownPortion()), tokens);
         }
     }
 
@@ -167,7 +173,8 @@
     }
 
     private void send(int peer, Customer customer, LoanMessage.Kind kind, long nonce, double portion, double tokens) {
-        gossip.send(peer, new LoanMessage(kind, customer.planIndex, customer.id, customer.firstGateway, customer.gatewayCount, nonce, portion, tokens));
+        gossip.send(peer, new LoanMessage(kind, customer.planIndex, customer.id, customer.firstGateway, customer.gatewayCount,
+                nonce, portion, tokens));
     }
 
     /** Handles a loan or recall message of a peer. */
@@ -198,7 +205,8 @@
     private void receiveLoan(int from, LoanMessage message) {
         Customer customer = quotas.customer(message.customer(), message.plan());
         if (customer.firstGateway < 0) { customer.setGateways(message.firstGateway(), message.gatewayCount()); }
-        boolean sameSet = customer.firstGateway == message.firstGateway() && customer.gatewayCount == message.gatewayCount() && customer.includes(from);
+        boolean sameSet = customer.firstGateway == message.firstGateway() && customer.gatewayCount == message.gatewayCount()
+                && customer.includes(from);
         if (!sameSet || !mayMoveShares(customer)) { return; }
         switch (message.kind()) {
             case REQUEST -> grant(customer, from, message);
@@ -225,6 +233,8 @@
         if (request == null || request.nonce() != grant.nonce()) { return; }
         customer.loanState.openRequests.remove(lender);
         double requestedAtMs = request.sentAtMs();
-        if (clock.now < requestedAtMs + CeilingShare.LEASE_MS) { ceilings.share(customer).borrow(lender, grant.portion(), grant.tokens(), requestedAtMs); }
+        if (clock.now < requestedAtMs + CeilingShare.LEASE_MS) {
+            ceilings.share(customer).borrow(lender, grant.portion(), grant.tokens(), requestedAtMs);
+        }
     }
 }
--- a/src/main/java/yardusher/CeilingShare.java
+++ b/src/main/java/yardusher/CeilingShare.java
@@ -122,7 +122,9 @@
 
     /** Capacity of the bucket: the portion's part of the ceiling's burst and slack. */
     double capacity() {
-        if (retiredAtMs < Double.POSITIVE_INFINITY) { return Math.max(0, capacityAtRetirement - ownPortion * plan.ceilingRatePerS() / 1000 * (updatedAtMs - retiredAtMs)); }
+        if (retiredAtMs < Double.POSITIVE_INFINITY) {
+            return Math.max(0, capacityAtRetirement - ownPortion * plan.ceilingRatePerS() / 1000 * (updatedAtMs - retiredAtMs));
+        }
         return portion() * (plan.ceilingBurst() + plan.ceilingSlack());
     }
 
--- a/src/main/java/yardusher/Ceilings.java
+++ b/src/main/java/yardusher/Ceilings.java
@@ -79,12 +79,17 @@
     /** A new share. When the gateway set has changed, the tokens of the old share are void, and its loans are still out. */
     private CeilingShare newShare(Customer customer) {
         boolean setChanged = customer.ceilingShare != null;
-        if (setChanged) { return new CeilingShare(customer.plan, customer.gatewayCount, clock.now, clock.now + CeilingShare.LEASE_MS + CeilingShare.MARGIN_MS); }
+        if (setChanged) {
+            return new CeilingShare(customer.plan, customer.gatewayCount, clock.now,
+                    clock.now + CeilingShare.LEASE_MS + CeilingShare.MARGIN_MS);
+        }
         return new CeilingShare(customer.plan, customer.gatewayCount, earnsSinceMs, canLend(customer) ? lentUntilMs : earnsSinceMs);
     }
 
     /** Whether portions of the customer's ceiling may be lent between ingresses. */
-    boolean canLend(Customer customer) { return customer.gatewayCount > 1 && settings.limits().mayMessagePeers() && settings.peerIntakePerS() > 0; }
+    boolean canLend(Customer customer) {
+        return customer.gatewayCount > 1 && settings.limits().mayMessagePeers() && settings.peerIntakePerS() > 0;
+    }
 
     boolean canSpend(Customer customer, double units) {
         if (!hasCeiling(customer.plan)) { return true; }
@@ -94,7 +99,9 @@
     /** A process that does not own the shares may spend what it earned before but creates no new share. */
     private boolean mayUseShare(Customer customer) { return peers.ownsCeilings || customer.ceilingShare != null && hasCurrentSet(customer); }
 
-    private static boolean hasCurrentSet(Customer customer) { return customer.ceilingGatewayCount == customer.gatewayCount && customer.ceilingFirstGateway == customer.firstGateway; }
+    private static boolean hasCurrentSet(Customer customer) {
+        return customer.ceilingGatewayCount == customer.gatewayCount && customer.ceilingFirstGateway == customer.firstGateway;
+    }
 
     static boolean hasCeiling(Plan plan) { return plan.ceilingRatePerS() > 0; }
 
--- a/src/main/java/yardusher/ColdAllowance.java
+++ b/src/main/java/yardusher/ColdAllowance.java
@@ -10,15 +10,15 @@
  * by the square root of its share, which is concave, so the parts sum to no more than the whole. Times are in milliseconds.
  */
 final class ColdAllowance {
-    private static final double WARMTH_LAG = 0.6;           // fraction of a span by which the tokens lag behind the warmth
-    private static final double ROUNDING_MARGIN = 0.5;      // rounding to whole tokens: the square root of a quarter of one
+    private static final double WARMTH_LAG = 0.6; // fraction of a span by which the tokens lag behind the warmth
+    private static final double ROUNDING_MARGIN = 0.5; // rounding to whole tokens: the square root of a quarter of one
     private static final double SLACK_FACTOR = 1.8, MAX_SAVED_TOKENS = 2; // factor of the root; tokens saved for one server
-    private static final double CHECK_WEIGHT = 0.02, ANSWER_WEIGHT = 0.1, MAX_SLOWNESS = 6; // weights of one check and one answer, and the cap of the latter
-    private static final double RARITY_FACTOR = 0.15;         // chance of a lower cost, by how rarely cold servers are due
+    private static final double CHECK_WEIGHT = 0.02, ANSWER_WEIGHT = 0.1, MAX_SLOWNESS = 6; // weight of a check and of an answer, and its cap
+    private static final double RARITY_FACTOR = 0.15; // chance of a lower cost, by how rarely cold servers are due
     private final Settings settings; private final Clock clock; private final SplittableRandom random;
     final WarmThroughput warmThroughput = new WarmThroughput();
-    private double dueFraction = 0.03;                   // recent fraction of the checked cold servers that were due
-    private double slowness = 1;                       // latency of cold servers relative to what their warmth predicts
+    private double dueFraction = 0.03; // recent fraction of the checked cold servers that were due
+    private double slowness = 1; // latency of cold servers relative to what their warmth predicts
 
     ColdAllowance(Settings settings, Clock clock, SplittableRandom random) {
         this.settings = settings; this.clock = clock; this.random = random;
--- a/src/main/java/yardusher/Customer.java
+++ b/src/main/java/yardusher/Customer.java
@@ -9,27 +9,27 @@
  * the sums of all others.
  */
 final class Customer {
-    static final int RELAYS = 3;                 // peers told of each change; the Tarantool quotas README recommends two or more
-    static final int MAX_DIRECT_PEERS = 12;                    // with at most this many other gateways, each change is sent to all at once
-    private static final double RELAY_COST_FRACTION = 0.1;     // fraction of a quota's worth that relaying its sums may cost
-    private static final double SUM_BYTES = 16;      // approximate size of a customer's sums in a message
+    static final int RELAYS = 3; // peers told of each change; the Tarantool quotas README recommends two or more
+    static final int MAX_DIRECT_PEERS = 12; // with at most this many other gateways, each change is sent to all at once
+    private static final double RELAY_COST_FRACTION = 0.1; // fraction of a quota's worth that relaying its sums may cost
+    private static final double SUM_BYTES = 16; // approximate size of a customer's sums in a message
     private final Settings settings; private final Clock clock; private final Peers peers;
     final long id;
     final int planIndex;
     final double slotMs, windowMs, createdAtMs;
     final Row ownRow; final Plan plan;
-    final List<Row> peerRows = new ArrayList<>();    // counts as sent by the gateways that made them
-    final List<Row> relayedSums = new ArrayList<>();    // of all other gateways, as sent by the peers that relay them
+    final List<Row> peerRows = new ArrayList<>(); // counts as sent by the gateways that made them
+    final List<Row> relayedSums = new ArrayList<>(); // of all other gateways, as sent by the peers that relay them
     long headSlot;
     int firstGateway = -1, gatewayCount = 1, relayTurn, relayRank = -1; // relayRank: index of this gateway among the relays, or -1
     double usedAtMs, relayAtMs, heardAtMs = Double.NEGATIVE_INFINITY, heardIntervalMs;
     double sentAtMs = Double.NEGATIVE_INFINITY, sendAtMs = Double.POSITIVE_INFINITY;
-    boolean ownRowChanged, peerRowsChanged;                         // changes of the own row, and of peers' rows, that are not sent yet
-    double baseLevel;                                 // bucket level before the ten slots
+    boolean ownRowChanged, peerRowsChanged; // changes of the own row, and of peers' rows, that are not sent yet
+    double baseLevel; // bucket level before the ten slots
     double externalDemandPerS, externalDemandAtMs = Double.NEGATIVE_INFINITY; // total at all its gateways, from Api.ExternalDemand
-    CeilingShare ceilingShare;                   // null until it is needed
-    int ceilingFirstGateway, ceilingGatewayCount;             // the gateway set that the share belongs to
-    final CeilingLoans.LoanState loanState;          // null where the plan has no ceiling
+    CeilingShare ceilingShare; // null until it is needed
+    int ceilingFirstGateway, ceilingGatewayCount; // the gateway set that the share belongs to
+    final CeilingLoans.LoanState loanState; // null where the plan has no ceiling
 
     Customer(long id, int planIndex, Settings settings, Clock clock, Peers peers) {
         this.settings = settings; this.clock = clock; this.peers = peers; this.id = id;
@@ -112,7 +112,7 @@
     /** Units used at other gateways, by age: from their rows, or from the largest relayed sums if those are higher. */
     double[] unitsOfOthers(int except) {
         advance();
-        double[] units = new double[Row.SLOTS + 2];  // then their sum, and the units requested there
+        double[] units = new double[Row.SLOTS + 2]; // then their sum, and the units requested there
         int exceptIncarnation = peers.incarnations.getOrDefault(except, -1);
         for (Row row : peerRows) { if (row.gateway != except || row.incarnation != exceptIncarnation) { add(units, row); } }
         for (Row row : relayedSums) {
--- a/src/main/java/yardusher/Gossip.java
+++ b/src/main/java/yardusher/Gossip.java
@@ -12,8 +12,8 @@
  * the customer requests more than its quota, the relays send the sums of all they know to one part of the set after another.
  */
 final class Gossip implements FaultReporter {
-    private static final double FLUSH_DELAY_MS = 10;       // time in which changes are collected to share a message
-    private static final int MAX_EJECTIONS = 8;              // ejections in a message
+    private static final double FLUSH_DELAY_MS = 10; // time in which changes are collected to share a message
+    private static final int MAX_EJECTIONS = 8; // ejections in a message
     private static final Object HELLO = new Object();
     private final Settings settings; private final Clock clock; private final SplittableRandom random;
     private final Consumer<Action> actions; private final Peers peers; private final Quotas quotas;
@@ -39,7 +39,8 @@
     void ownRowChanged(Customer customer, boolean countsChanged) {
         boolean external = customer.gatewayCount >= peers.externalDemandFrom && customer.plan.openCap() <= 0;
         if ((customer.gatewayCount == 1 || external || peers.intakePerMs <= 0) && !peers.hasSibling) { return; }
-        double holdMs = !countsChanged ? customer.windowMs / 2 : customer.plan.openCap() > 0 && customer.isDirect() ? FLUSH_DELAY_MS : customer.slotMs / 2;
+        double holdMs = !countsChanged ? customer.windowMs / 2
+                : customer.plan.openCap() > 0 && customer.isDirect() ? FLUSH_DELAY_MS : customer.slotMs / 2;
         double atMs = Math.max(clock.now, customer.sentAtMs + holdMs);
         customer.sendAtMs = customer.ownRowChanged ? Math.min(customer.sendAtMs, atMs) : atMs; customer.ownRowChanged = true;
         pendingCustomers.add(customer);
@@ -62,7 +63,8 @@
     private void enqueue(int peer, Object item) {
         if (peer == settings.self() ? !peers.hasSibling : peers.intakePerMs <= 0) { return; }
         outboxes.computeIfAbsent(peer, p -> new Outbox()).add(item, dueMs(item));
-        scheduleFlush(peer == settings.self() ? clock.now : sendTokensAtMs + (1 - sendTokens) / peers.intakePerMs); // when the next message may be sent
+        // when the next message may be sent
+        scheduleFlush(peer == settings.self() ? clock.now : sendTokensAtMs + (1 - sendTokens) / peers.intakePerMs);
     }
 
     /** When an item is due. Counts are worthless after their window, so the shortest window goes first. */
@@ -73,7 +75,7 @@
     }
 
     void flush() {
-        if (clock.now < flushAtMs) { return; }               // a superseded timer: an earlier one was set since
+        if (clock.now < flushAtMs) { return; } // a superseded timer: an earlier one was set since
         flushAtMs = Double.POSITIVE_INFINITY;
         double next = Double.POSITIVE_INFINITY;
         for (Iterator<Customer> all = pendingCustomers.iterator(); all.hasNext();) {
@@ -83,7 +85,8 @@
             next = Math.min(next, Math.min(customer.sendAtMs, customer.peerRowsChanged ? customer.relayAtMs : customer.sendAtMs));
             if (customer.sendAtMs == Double.POSITIVE_INFINITY && !customer.peerRowsChanged) { all.remove(); }
         }
-        sendTokens = Math.min(1 + peers.intakePerMs * 500, sendTokens + peers.intakePerMs * (clock.now - sendTokensAtMs)); // saved for at most 0.5 s
+        // tokens are saved for at most 0.5 s
+        sendTokens = Math.min(1 + peers.intakePerMs * 500, sendTokens + peers.intakePerMs * (clock.now - sendTokensAtMs));
         sendTokensAtMs = clock.now;
         Outbox own = outboxes.remove(settings.self()); // to the sibling process, which is not limited by intake
         for (int n = own == null ? 0 : own.size(); n-- > 0 && own.size() > 0;) { sendMessage(settings.self(), own); }
@@ -100,7 +103,7 @@
         customer.sentAtMs = clock.now; customer.sendAtMs = Double.POSITIVE_INFINITY;
         if (customer.isDirect()) {
             for (int k = 0; k < customer.gatewayCount; k++) { enqueue(customer.member(k), customer); }
-            if (customer.ownRowChanged) { customer.sendAtMs = clock.now + customer.windowMs / 2; } // sent once more, in case the message is lost
+            if (customer.ownRowChanged) { customer.sendAtMs = clock.now + customer.windowMs / 2; } // resent in case of a loss
         } else {
             for (int k = 0; k < Customer.RELAYS; k++) { enqueue(customer.relay(k), customer); }
             enqueue(settings.self(), customer);
@@ -111,7 +114,8 @@
 
     /** Peers' counts changed here: relays them while the customer requests more than its quota. */
     private void scheduleRelay(Customer customer) {
-        boolean ignored = customer.peerRowsChanged || customer.firstGateway < 0 || !customer.isDirect() && customer.relayRank < 0 || customer.gatewayCount <= 2;
+        boolean ignored = customer.peerRowsChanged || customer.firstGateway < 0
+                || !customer.isDirect() && customer.relayRank < 0 || customer.gatewayCount <= 2;
         if (ignored || !quotas.isNearLimit(customer)) { return; }
         customer.peerRowsChanged = true;
         pendingCustomers.add(customer);
@@ -122,7 +126,8 @@
         customer.peerRowsChanged = false; customer.relayAtMs = clock.now + customer.relayIntervalMs();
         CustomerSums sums = new CustomerSums(customer);
         int at = random.nextInt(customer.gatewayCount);
-        if (customer.isDirect()) { enqueue(customer.member(at), sums); return; } // all get the source's own row; this bypasses one broken path
+        // All get the source's own row; this bypasses one broken path.
+        if (customer.isDirect()) { enqueue(customer.member(at), sums); return; }
         int part = (customer.relayRank + customer.relayTurn++) % Customer.RELAYS;
         for (int k = 0; k < customer.gatewayCount; k++) {
             int peer = customer.member(at + k);
@@ -141,7 +146,7 @@
         for (; ejectionCount > 0; ejectionCount--) { text.add(ejections.poll(), peer); }
         Iterator<Object> all = box.items.iterator();
         while (all.hasNext() && text.add(all.next(), peer)) { all.remove(); }
-        box.dueMs = clock.now + Clock.SWEEP_MS;        // items that did not fit
+        box.dueMs = clock.now + Clock.SWEEP_MS; // items that did not fit
         actions.accept(new Tell(peer, text.toString()));
     }
 
@@ -165,7 +170,9 @@
     private void sendKnownCounts(int peer) {
         enqueue(peer, HELLO);
         for (Customer customer : quotas.customers.values()) {
-            if (customer.includes(peer) && customer.usedUnits() > 0 && (customer.isDirect() || customer.relayRank >= 0)) { enqueue(peer, new CustomerSums(customer)); }
+            if (customer.includes(peer) && customer.usedUnits() > 0 && (customer.isDirect() || customer.relayRank >= 0)) {
+                enqueue(peer, new CustomerSums(customer));
+            }
         }
     }
 
@@ -189,10 +196,12 @@
         Row row = customer.row(own ? customer.peerRows : customer.relayedSums, from, incarnation);
         int ahead = Math.floorMod(sequence - row.sequence, GossipMessage.SEQUENCES);
         boolean newer = ahead > 0 && ahead <= GossipMessage.SEQUENCES / 2;
-        if (row.sequence >= 0 && !newer) { return; }      // older than the row that is kept
+        if (row.sequence >= 0 && !newer) { return; } // older than the row that is kept
         row.sequence = sequence;
         row.replace(received, customer, clock.now);
-        if (clock.now - customer.heardAtMs < customer.windowMs) { customer.heardIntervalMs += 0.3 * (clock.now - customer.heardAtMs - customer.heardIntervalMs); }
+        if (clock.now - customer.heardAtMs < customer.windowMs) {
+            customer.heardIntervalMs += 0.3 * (clock.now - customer.heardAtMs - customer.heardIntervalMs);
+        }
         customer.heardAtMs = clock.now;
         if (own) { scheduleRelay(customer); }
     }
--- a/src/main/java/yardusher/Host.java
+++ b/src/main/java/yardusher/Host.java
@@ -6,26 +6,26 @@
 
 /** State of one listed server: its load, its learned concurrency limit, and its health by request class. */
 final class Host {
-    private static final double INITIAL_LIMIT = 20;          // initial limit of a server, over all gateways
-    private static final double LATENCY_STEP = 0.1;          // relative step by which one answer moves latencyFraction
+    private static final double INITIAL_LIMIT = 20; // initial limit of a server, over all gateways
+    private static final double LATENCY_STEP = 0.1; // relative step by which one answer moves latencyFraction
     private static final double MIN_LATENCY_FRACTION = 0.01;
     private final Settings settings;
     private final Clock clock;
     final long id;
-    int zone, cell, openAttempts, maxOpen = Integer.MAX_VALUE;  // maxOpen: bound on concurrent attempts, if one was set
+    int zone, cell, openAttempts, maxOpen = Integer.MAX_VALUE; // maxOpen: bound on concurrent attempts, if one was set
     double size = 1, startedAtMs, reportsUpdatedAtMs;
-    boolean ready, gone, down;                       // down: the last connection attempt failed
-    boolean banned;                                  // by an operator
+    boolean ready, gone, down; // down: the last connection attempt failed
+    boolean banned; // by an operator
     final int[] failures;
-    final double[] failureRate;                          // recent fraction of its answers that failed
+    final double[] failureRate; // recent fraction of its answers that failed
     final double[] ejectedUntilMs, failureReports;
-    double abandonedAttempts;                                   // attempts abandoned here that the server may still work on
-    double limit, limitCutAtMs;                             // learned concurrency limit, and when it was last cut
-    double latencyFraction;                                     // latency of its answers as a fraction of the aim
-    double latencyRatio = 1, sampledAtMs;                     // its latency relative to all servers, by class
-    double coldTokens;                                   // attempts that a cold server may be sent now
+    double abandonedAttempts; // attempts abandoned here that the server may still work on
+    double limit, limitCutAtMs; // learned concurrency limit, and when it was last cut
+    double latencyFraction; // latency of its answers as a fraction of the aim
+    double latencyRatio = 1, sampledAtMs; // its latency relative to all servers, by class
+    double coldTokens; // attempts that a cold server may be sent now
     private double coldTokensAtMs, coldTokensSinceMs = Double.NEGATIVE_INFINITY; // when they were last updated, and for which start
-    double lastAnswerAtMs;                               // last answer while attempts are open
+    double lastAnswerAtMs; // last answer while attempts are open
     double rejectingUntilMs, coldSinceMs = Double.NEGATIVE_INFINITY;
     double reportedQueue, reportedCpu = 0.5, reportedAtMs = Double.NEGATIVE_INFINITY;
 
@@ -36,7 +36,7 @@
         int classes = settings.classes().size();
         failures = new int[classes]; failureRate = new double[classes];
         ejectedUntilMs = new double[classes]; failureReports = new double[classes];
-        Arrays.fill(failureRate, 0.5);               // unknown
+        Arrays.fill(failureRate, 0.5); // unknown
     }
 
     /** Lifts a ban: forgets what was learned before it, and counts the server as cold rather than warm. */
@@ -53,7 +53,8 @@
      * requests, whose latency says nothing about the server.
      */
     void recordLatency(double fraction) {
-        double next = fraction > latencyFraction ? Math.min(fraction, latencyFraction * (1 + LATENCY_STEP)) : Math.max(fraction, latencyFraction / (1 + LATENCY_STEP));
+        double next = fraction > latencyFraction ? Math.min(fraction, latencyFraction * (1 + LATENCY_STEP))
+                : Math.max(fraction, latencyFraction / (1 + LATENCY_STEP));
         latencyFraction = Math.max(MIN_LATENCY_FRACTION, Math.min(2, next));
     }
 
--- a/src/main/java/yardusher/LatencyStats.java
+++ b/src/main/java/yardusher/LatencyStats.java
@@ -5,10 +5,10 @@
 
 /** Latency statistics of the answers seen here, over all servers: in milliseconds, and as fractions of the aim. */
 final class LatencyStats {
-    static final double FLEET_AVERAGE_MS = 500;               // time in which answers update the fleet's latency fully
+    static final double FLEET_AVERAGE_MS = 500; // time in which answers update the fleet's latency fully
     private final Clock clock;
-    final double[] classLatencyMs;                          // usual latency of each class
-    double typicalLatencyMs = 100, fleetFraction;               // usual latency; answers as a fraction of the aim
+    final double[] classLatencyMs; // usual latency of each class
+    double typicalLatencyMs = 100, fleetFraction; // usual latency; answers as a fraction of the aim
     private double fleetUpdatedAtMs;
 
     LatencyStats(List<RequestClass> classes, Clock clock) {
--- a/src/main/java/yardusher/LoanMessage.java
+++ b/src/main/java/yardusher/LoanMessage.java
@@ -42,8 +42,9 @@
         long portion = text.get(AMOUNT_DIGITS);
         long tokens = text.get(AMOUNT_DIGITS);
         boolean known = tokens >= 0 && plan < settings.plans().size()
-                && settings.plans().get((int) plan).ceilingRatePerS() > 0 && firstGateway < settings.gateways() && gatewayCount > 1 && gatewayCount <= settings.gateways();
-        return !known ? null : new LoanMessage(kind == CeilingMessage.GRANT ? Kind.GRANT : Kind.REQUEST, (int) plan, customer, (int) firstGateway, (int) gatewayCount, nonce,
-                portion * PORTION_UNIT, tokens * TOKEN_UNIT);
+                && settings.plans().get((int) plan).ceilingRatePerS() > 0
+                && firstGateway < settings.gateways() && gatewayCount > 1 && gatewayCount <= settings.gateways();
+        return !known ? null : new LoanMessage(kind == CeilingMessage.GRANT ? Kind.GRANT : Kind.REQUEST, (int) plan, customer,
+                (int) firstGateway, (int) gatewayCount, nonce, portion * PORTION_UNIT, tokens * TOKEN_UNIT);
     }
 }
--- a/src/main/java/yardusher/Peers.java
+++ b/src/main/java/yardusher/Peers.java
@@ -4,16 +4,16 @@
 import java.util.Map;
 import yardusher.Api.Settings;
 
-/** What is known of the other gateways as senders of messages. Written by gossip; tells others how old and complete the counts can be. */
+/** What is known of the other gateways as senders of messages. Written by gossip; shows how old and complete the counts can be. */
 final class Peers {
-    private static final double INTAKE_FRACTION = 0.9;   // fraction of the configured intake; the rest is for bursts
-    static final int INCARNATIONS = 60;                     // incarnation numbers, which are reused
-    final int incarnation;                                  // distinguishes counts of this process from those of a previous one
-    final double intakePerMs;                             // messages that a gateway may receive, and send, per millisecond
+    private static final double INTAKE_FRACTION = 0.9; // fraction of the configured intake; the rest is for bursts
+    static final int INCARNATIONS = 60; // incarnation numbers, which are reused
+    final int incarnation; // distinguishes counts of this process from those of a previous one
+    final double intakePerMs; // messages that a gateway may receive, and send, per millisecond
     final Map<Integer, Integer> incarnations = new HashMap<>(); // of the peers heard from; looked up only
-    int externalDemandFrom = Integer.MAX_VALUE;                // set size from which Api.ExternalDemand replaces counts
-    double heardAtMs;                                  // when the last message arrived
-    boolean hasSibling, ownsCeilings = true;                       // another process of this gateway runs; this one owns the shares of ceilings
+    int externalDemandFrom = Integer.MAX_VALUE; // set size from which Api.ExternalDemand replaces counts
+    double heardAtMs; // when the last message arrived
+    boolean hasSibling, ownsCeilings = true; // a second process of this gateway runs; this one owns the ceilings
 
     /** The limit applies to sending, too: all that is sent has to be received, and receivers drop what exceeds their intake. */
     Peers(int incarnation, Settings settings) {
--- a/src/main/java/yardusher/PendingRequest.java
+++ b/src/main/java/yardusher/PendingRequest.java
@@ -10,15 +10,15 @@
     final double arrivedAtMs;
     int attempts;
     Host lastHost;
-    double sentAtMs, ranAtMs;                            // ranAtMs, ranZone, ranCell: of the first attempt that may
-    int ranZone, ranCell;                            // have run, also while it is open
-    boolean mayHaveRun;                                     // an ended attempt may have run
-    int hungAttempts;                                        // number of attempts when one that hung alone was abandoned; 0 for none
-    double hungMs;                                   // how long that one had waited
-    CeilingShare ceilingShare;                              // share of the ceiling that its units came from; null for none
-    int spentAttempt;                                     // the attempt for which its units were taken
-    boolean unitsReserved;                                // its units are reserved: no attempt has reached a server yet
-    boolean clientGone, streaming;                             // streaming: a streamed answer has begun
+    double sentAtMs, ranAtMs; // ranAtMs, ranZone, ranCell: of the first attempt that may
+    int ranZone, ranCell; // have run, also while it is open
+    boolean mayHaveRun; // an ended attempt may have run
+    int hungAttempts; // number of attempts when one that hung alone was abandoned; 0 for none
+    double hungMs; // how long that one had waited
+    CeilingShare ceilingShare; // share of the ceiling that its units came from; null for none
+    int spentAttempt; // the attempt for which its units were taken
+    boolean unitsReserved; // its units are reserved: no attempt has reached a server yet
+    boolean clientGone, streaming; // streaming: a streamed answer has begun
 
     PendingRequest(Request request, RequestClass requestClass, Customer customer, double arrivedAtMs) {
         this.request = request; this.requestClass = requestClass; this.customer = customer; this.arrivedAtMs = arrivedAtMs;
--- a/src/main/java/yardusher/Policy.java
+++ b/src/main/java/yardusher/Policy.java
@@ -70,7 +70,8 @@
     }
 
     private void sweep() {
-        actions.accept(new SetTimer(clock.now + Clock.SWEEP_MS, Clock.SWEEP_TOKEN)); // relative to now, so that a stall leaves no backlog of timers
+        // Relative to now, so that a stall leaves no backlog of timers.
+        actions.accept(new SetTimer(clock.now + Clock.SWEEP_MS, Clock.SWEEP_TOKEN));
         quotas.sweep();
         loans.resendRecalls();
         servers.sweep();
--- a/src/main/java/yardusher/Pressure.java
+++ b/src/main/java/yardusher/Pressure.java
@@ -9,13 +9,13 @@
  * When the servers are near their limits or answers take much of their aim, requests of the least worth for their work are refused.
  */
 final class Pressure {
-    static final double SHED_FROM_LOAD = 0.7;          // fraction of all servers' limits at which shedding starts
-    static final double SHED_FROM_LATENCY = 0.25;         // the same for the latency of answers, as a fraction of the aim: few are late then
+    static final double SHED_FROM_LOAD = 0.7; // fraction of all servers' limits at which shedding starts
+    static final double SHED_FROM_LATENCY = 0.25; // the same for the latency of answers, as a fraction of the aim: few are late then
     private final Settings settings; private final Servers servers;
-    private final double[] requestedWork;                   // requested work by class and plan, decaying
-    private final double[] refuseFraction;                  // fraction of it to refuse until the next sweep
-    double shedFraction;                                 // fraction of all work to refuse
-    private double refusalsDue;                          // refusals that are due, below 1
+    private final double[] requestedWork; // requested work by class and plan, decaying
+    private final double[] refuseFraction; // fraction of it to refuse until the next sweep
+    double shedFraction; // fraction of all work to refuse
+    private double refusalsDue; // refusals that are due, below 1
 
     Pressure(Settings settings, Servers servers) {
         this.settings = settings; this.servers = servers;
--- a/src/main/java/yardusher/Quotas.java
+++ b/src/main/java/yardusher/Quotas.java
@@ -5,8 +5,8 @@
 
 /** Admits requests by the counts of each customer, and reserves room for units used at other gateways that are not known yet. */
 final class Quotas {
-    private static final double RESERVED_FRACTION = 0.5;          // fraction of the unknown units that is reserved, up to one slot's worth
-    static final int MIN_SWEPT = 8;                      // least number of customers visited in a sweep; never all of them
+    private static final double RESERVED_FRACTION = 0.5; // fraction of the unknown units that is reserved, up to one slot's worth
+    static final int MIN_SWEPT = 8; // least number of customers visited in a sweep; never all of them
     private final Settings settings; private final Clock clock; private final SplittableRandom random;
     private final Peers peers; private final Ceilings ceilings;
     final Map<Long, Customer> customers = new LinkedHashMap<>();
@@ -35,7 +35,8 @@
 
     /** Refuses at random the fraction of requests by which the total demand of a customer exceeds its rate. */
     private boolean isShedByExternalDemand(Customer customer) {
-        boolean exceeded = clock.now - customer.externalDemandAtMs < customer.windowMs && customer.externalDemandPerS > customer.plan.ratePerS();
+        boolean exceeded = clock.now - customer.externalDemandAtMs < customer.windowMs
+                && customer.externalDemandPerS > customer.plan.ratePerS();
         return exceeded && random.nextDouble() * customer.externalDemandPerS > customer.plan.ratePerS();
     }
 
@@ -68,10 +69,10 @@
     /** Whether counts of the customer have arrived or would have: all peers of a small set have spoken, a large set had the time to. */
     private boolean isInformed(Customer customer) {
         if (customer.heardAtMs >= customer.createdAtMs || customer.gatewayCount == 1) { return true; }
-        Map<Integer, Integer> lives = peers.incarnations;
-        if (!customer.isDirect()) { return !lives.isEmpty() && clock.now - clock.startedAtMs > 2 * customer.relayIntervalMs(); }
+        Map<Integer, Integer> incarnations = peers.incarnations;
+        if (!customer.isDirect()) { return !incarnations.isEmpty() && clock.now - clock.startedAtMs > 2 * customer.relayIntervalMs(); }
         for (int k = 0; k < customer.gatewayCount; k++) {
-            if (customer.member(k) != settings.self() && !lives.containsKey(customer.member(k))) { return false; }
+            if (customer.member(k) != settings.self() && !incarnations.containsKey(customer.member(k))) { return false; }
         }
         return true;
     }
@@ -85,7 +86,8 @@
      */
     private double unknownUnits(Customer customer, double requestedAtOthers) {
         double lagMs = Math.max(customer.slotMs / 2, (settings.gateways() - 1) / Math.max(1e-9, peers.intakePerMs));
-        double usualMs = customer.isDirect() || customer.relayRank >= 0 ? lagMs : Math.max(customer.relayIntervalMs(), customer.heardIntervalMs);
+        double usualMs = customer.isDirect() || customer.relayRank >= 0 ? lagMs
+                : Math.max(customer.relayIntervalMs(), customer.heardIntervalMs);
         double silentMs = customer.isDirect() ? Math.min(2 * lagMs, clock.now - customer.heardAtMs) : clock.now - customer.heardAtMs;
         double stalenessMs = Math.min(customer.windowMs, Math.max(usualMs, silentMs));
         return requestedAtOthers * stalenessMs / customer.windowMs;
@@ -93,7 +95,8 @@
 
     boolean isNearLimit(Customer customer) {
         return customer.plan.ratePerS() > 0
-                && customer.unitsOfOthers(-1)[Row.SLOTS + 1] + customer.requestedUnits(customer.ownRow) + settings.maxUnits() / 2 > customer.plan.burst();
+                && customer.unitsOfOthers(-1)[Row.SLOTS + 1] + customer.requestedUnits(customer.ownRow) + settings.maxUnits() / 2
+                        > customer.plan.burst();
     }
 
     /** Visits the customers whose last visit is longest ago and removes unused ones. */
@@ -102,7 +105,8 @@
             Customer customer = customers.remove(customers.keySet().iterator().next());
             // Many come only once: removed when the bucket is full. A share of a ceiling would have to be earned anew, so it stays longer.
             boolean keepsShare = customer.plan.ceilingRatePerS() > 0 && clock.now - customer.usedAtMs < 60 * customer.windowMs;
-            boolean kept = keepsShare || ceilings.hasLeasesOut(customer) || customer.ownRow.openAttempts > 0 || customer.usedUnits() > 0 || customer.baseLevel < customer.plan.burst();
+            boolean kept = keepsShare || ceilings.hasLeasesOut(customer) || customer.ownRow.openAttempts > 0
+                    || customer.usedUnits() > 0 || customer.baseLevel < customer.plan.burst();
             if (kept) { customers.put(customer.id, customer); } else { ceilings.forget(customer); }
         }
     }
--- a/src/main/java/yardusher/Row.java
+++ b/src/main/java/yardusher/Row.java
@@ -2,11 +2,11 @@
 
 /** A customer's counts by slot, as one gateway knows them; absolute slot i is at index i mod 10. */
 final class Row {
-    static final int SLOTS = 10;                     // tenths of a window, as in the Tarantool quotas README
+    static final int SLOTS = 10; // tenths of a window, as in the Tarantool quotas README
     final int gateway, incarnation;
     final double[] slots = new double[SLOTS];
     int sequence = -1, openAttempts;
-    double openAtMs, requestedUnits, requestedAtMs;                   // units requested, admitted or not; they decay over a window
+    double openAtMs, requestedUnits, requestedAtMs; // units requested, admitted or not; they decay over a window
 
     Row(int gateway, int incarnation) { this.gateway = gateway; this.incarnation = incarnation; }
 
--- a/src/main/java/yardusher/RowMessage.java
+++ b/src/main/java/yardusher/RowMessage.java
@@ -5,11 +5,11 @@
 /** A row of counts, or the sums of rows, in a message between gateways: whole units, by the age of their slot. */
 record RowMessage(int tag, long customer, int firstGateway, int gatewayCount, double requestedUnits, int openAttempts, long[] counts) {
     static final int OWN = 0, SUM = 1, FAULT = 2, EJECTION = 3, KINDS = 4; // kinds in a tag, which also holds the plan
-    private static final double REQUESTED_STEP = 0.1;    // requested units are sent as a logarithm, as floods reach high values
-    static final int MAX_MESSAGE_BYTES = 256;               // of one message
+    private static final double REQUESTED_STEP = 0.1; // requested units are sent as a logarithm, as floods reach high values
+    static final int MAX_MESSAGE_BYTES = 256; // of one message
     static final int CUSTOMER_DIGITS = 5;
-    private static final int MAX_COUNT_BYTES = 230;      // of a row at most, so that it fits a message
-    private static final int MAX_DIGIT_UNITS = 11;              // units in one digit; more take several digits
+    private static final int MAX_COUNT_BYTES = 230; // of a row at most, so that it fits a message
+    private static final int MAX_DIGIT_UNITS = 11; // units in one digit; more take several digits
 
     /** Number of digits of an ingress index. */
     static int gatewayDigits(Settings settings) { return settings.gateways() < Digits.BASE ? 1 : 2; }
@@ -39,13 +39,15 @@
     /** The counts of a customer for a peer: this gateway's own row, or the sums of all rows except that peer's. */
     static RowMessage of(int kind, Customer customer, int peer) {
         double[] units = customer.unitsOfOthers(peer);
-        double requestedUnits = kind == OWN ? customer.requestedUnits(customer.ownRow) : units[Row.SLOTS + 1] + customer.requestedUnits(customer.ownRow);
+        double requestedUnits = kind == OWN ? customer.requestedUnits(customer.ownRow)
+                : units[Row.SLOTS + 1] + customer.requestedUnits(customer.ownRow);
         long[] counts = new long[Row.SLOTS];
         for (int age = 0; age < Row.SLOTS; age++) {
             counts[age] = Math.round(customer.ownRow.slots[customer.index(age)] + (kind == OWN ? 0 : units[age]));
         }
         int tag = kind + KINDS * customer.planIndex, openAttempts = kind == OWN ? customer.ownRow.openAttempts : 0;
-        return new RowMessage(tag, customer.id, Math.max(0, customer.firstGateway), customer.gatewayCount, requestedUnits, openAttempts, counts);
+        return new RowMessage(tag, customer.id, Math.max(0, customer.firstGateway), customer.gatewayCount, requestedUnits,
+                openAttempts, counts);
     }
 
     /** Reads the fields after the tag, or null if they are truncated or refer to something unknown at this site. */
--- a/src/main/java/yardusher/Servers.java
+++ b/src/main/java/yardusher/Servers.java
@@ -10,19 +10,19 @@
  * {@link #EJECT_AFTER_FAILURES} + 1, the server is ejected and that is passed on to all gateways.
  */
 final class Servers {
-    private static final double EJECT_MS = 500;      // first ejection; doubles up to MAX_EJECT_MS
+    private static final double EJECT_MS = 500; // first ejection; doubles up to MAX_EJECT_MS
     private static final double MAX_EJECT_MS = 8000;
-    private static final int EJECT_AFTER_FAILURES = 3;             // failures in a row here, or reported by all gateways within REPORT_DECAY_MS
-    private static final double COMMON_FAILURE_FRACTION = 0.75;       // above this fraction of ejected servers, the cause is not the servers
+    private static final int EJECT_AFTER_FAILURES = 3; // failures in a row here, or reported by all gateways within REPORT_DECAY_MS
+    private static final double COMMON_FAILURE_FRACTION = 0.75; // above this fraction of ejected servers, the cause is not the servers
     static final double REPORT_DECAY_MS = 2000;
-    static final double FAILURE_RATE_WEIGHT = 0.2;               // weight of one answer in a failure rate
-    static final double LATE_FRACTION = 0.35;                 // fraction of the aim from which the answers of the fleet are late
+    static final double FAILURE_RATE_WEIGHT = 0.2; // weight of one answer in a failure rate
+    static final double LATE_FRACTION = 0.35; // fraction of the aim from which the answers of the fleet are late
     private final Settings settings; private final Clock clock; private final SplittableRandom random;
     private final Consumer<Action> actions; private final FaultReporter faultReporter;
-    private final double abandonedDecayMs;                    // how long abandoned work counts as still running
+    private final double abandonedDecayMs; // how long abandoned work counts as still running
 
     final Hosts hosts; final ColdAllowance cold; final LatencyStats latencies;
-    private final int[] ejectedCount;                    // ejected servers, by class
+    private final int[] ejectedCount; // ejected servers, by class
     int openAttempts;
     private double resubscribeAtMs = Double.POSITIVE_INFINITY; // when to subscribe to the list again
 
@@ -39,7 +39,7 @@
         for (Host host : hosts.update(list)) {
             host.coldSinceMs = Math.max(host.coldSinceMs, host.startedAtMs);
             if (host.down) { Arrays.fill(host.ejectedUntilMs, clock.now); } // a new process has started since
-            cold.isDue(host);                          // its tokens accumulate from now on, not from the first use
+            cold.isDue(host); // its tokens accumulate from now on, not from the first use
         }
     }
 
@@ -48,7 +48,7 @@
         if (clock.now - host.reportedAtMs < 1000) {
             load += host.reportedQueue / settings.gateways(); load *= 0.5 + host.reportedCpu;
         }
-        double cost = load * host.latencyRatio / host.size;   // a cold one is limited by its chance to be drawn alone
+        double cost = load * host.latencyRatio / host.size; // a cold one is limited by its chance to be drawn alone
         if (host.zone != settings.zone() && settings.crossZonePrice() > 0) { cost *= 1.2; }
         double silentMs = host.openAttempts > 0 ? clock.now - host.lastAnswerAtMs : 0;
         if (silentMs > 3 * latencies.typicalLatencyMs) { cost *= 1 + silentMs / latencies.typicalLatencyMs; } // has work but answers nothing
@@ -66,7 +66,8 @@
         Host best = null, spare = null;
         double bestCost = 0;
         int classIndex = pending.request.classIndex();
-        boolean commonFailure = ejectedCount[classIndex] > COMMON_FAILURE_FRACTION * ready.size(); // most servers fail, so no single one is at fault
+        // most servers fail, so no single one is at fault
+        boolean commonFailure = ejectedCount[classIndex] > COMMON_FAILURE_FRACTION * ready.size();
         int drawn = 0;
         for (int i = 0; i < ready.size() && drawn < 3 + openAttempts; i++) {
             int index = i + random.nextInt(ready.size() - i);
@@ -144,7 +145,8 @@
         double decay = Math.exp((host.reportsUpdatedAtMs - clock.now) / REPORT_DECAY_MS);
         for (int i = 0; i < latencies.classLatencyMs.length; i++) { host.failureReports[i] *= decay; }
         host.reportsUpdatedAtMs = clock.now;
-        if (++host.failureReports[classIndex] > EJECT_AFTER_FAILURES + 1 && settings.gateways() > Customer.RELAYS) { eject(host, classIndex); }
+        if (++host.failureReports[classIndex] > EJECT_AFTER_FAILURES + 1
+                && settings.gateways() > Customer.RELAYS) { eject(host, classIndex); }
     }
 
     /** Ejects a server for a class; a gateway that did not know yet passes this on once, with its next messages. */
--- a/src/main/java/yardusher/WarmThroughput.java
+++ b/src/main/java/yardusher/WarmThroughput.java
@@ -4,11 +4,11 @@
 
 /** Throughput of a warm server as seen here: a fast moving average, with a fraction of a slow one as its lower bound. Times are in ms. */
 final class WarmThroughput {
-    private static final double MIN_ANSWERS = 20;            // answers at which a sample weighs half; with fewer in all, the throughput is unknown
+    private static final double MIN_ANSWERS = 20; // answers at which a sample weighs half, and needed for a known throughput
     private static final double SLOW_WEIGHT = 0.002, MIN_SLOW_FRACTION = 0.75; // lower bound as a fraction of the slow average: demand may drop
-    private static final double COUNT_DECAY = 0.997;        // decay of the count in a sample; none while no server is warm
+    private static final double COUNT_DECAY = 0.997; // decay of the count in a sample; none while no server is warm
     private double sampleAnswers, recentAnswers, samples, fastAverage, slowAverage;
-    private boolean hasWarmServers = true;                     // whether any server was warm at the last sample
+    private boolean hasWarmServers = true; // whether any server was warm at the last sample
 
     void recordAnswer(Host host) {
         if (host.warmth() >= 1) { sampleAnswers++; recentAnswers++; }
--- a/src/test/java/yardusher/BurstRun.java
+++ b/src/test/java/yardusher/BurstRun.java
@@ -22,8 +22,8 @@
      * backends. {@code cold}: backends that restart as the burst begins; {@code joining}: new ones; {@code hung}: ones that do no
      * work during the burst.
      */
-    record Scenario(int gateways, int servers, int cold, int joining, int hanging, double load, double burst, double initialWarmth, double warmAfterMs, double workMs,
-            double aimMs, double deadlineMs, int cores, int slotsPerCore, int queuePerCore, boolean dropsExpired, long seed) { }
+    record Scenario(int gateways, int servers, int cold, int joining, int hanging, double load, double burst,
+            double initialWarmth, double warmAfterMs, double workMs, double aimMs, double deadlineMs, int cores, int slotsPerCore, int queuePerCore, boolean dropsExpired, long seed) { }
 
     static final double BURST_AT_MS = 8000, BURST_MS = 6000;
     static final double TICK_MS = 2;
@@ -152,7 +152,10 @@
     }
 
     private void retryLater(OpenRequest request) {
-        if (request.triesBefore < 2) { schedule(now + 40 + 260 * random.nextDouble(), () -> sendRequest(random.nextInt(gateways.length), request.triesBefore + 1, request.firstTriedAtMs)); }
+        if (request.triesBefore < 2) {
+            schedule(now + 40 + 260 * random.nextDouble(),
+                    () -> sendRequest(random.nextInt(gateways.length), request.triesBefore + 1, request.firstTriedAtMs));
+        }
     }
 
     private void handle(int gateway, Action action) {
@@ -204,7 +207,8 @@
             List<Backend> all = new ArrayList<>(backends.values());
             for (Backend m : all.subList(0, scenario.cold)) {
                 m.startedAtMs = now; m.running.clear(); m.waiting.clear();
-                List<Long> lost = openRequests.entrySet().stream().filter(e -> e.getValue().attemptOpen && e.getValue().backend == m.id).map(Map.Entry::getKey).sorted().toList();
+                List<Long> lost = openRequests.entrySet().stream().filter(e -> e.getValue().attemptOpen && e.getValue().backend == m.id)
+                        .map(Map.Entry::getKey).sorted().toList();
                 for (long id : lost) { endAttempt(openRequests.get(id).gateway, id, openRequests.get(id).attempts - 1, Outcome.CONNECTION_LOST); }
             }
             for (int i = 0; i < scenario.joining; i++) { backends.put(1000L + i, new Backend(1000 + i, now)); }
@@ -224,12 +228,15 @@
     /** Fraction of the requests that arrived between two times and were served within the aim. */
     double served(double fromMs, double toMs) {
         int requests = 0, served = 0;
-        for (int i = (int) (fromMs / 2000); i < Math.min(periods.size(), (int) (toMs / 2000)); i++) { requests += periods.get(i).requests; served += periods.get(i).servedInAim; }
+        for (int i = (int) (fromMs / 2000); i < Math.min(periods.size(), (int) (toMs / 2000)); i++) {
+            requests += periods.get(i).requests; served += periods.get(i).servedInAim;
+        }
         return served / (double) requests;
     }
 
     /** Number of tries that arrived between two times and were refused by load shedding. */
     int refusedForPressure(double fromMs, double toMs) {
-        return periods.subList((int) (fromMs / 2000), Math.min(periods.size(), (int) (toMs / 2000))).stream().mapToInt(p -> p.refused.getOrDefault(Reason.PRESSURE, 0)).sum();
+        return periods.subList((int) (fromMs / 2000), Math.min(periods.size(), (int) (toMs / 2000))).stream()
+                .mapToInt(p -> p.refused.getOrDefault(Reason.PRESSURE, 0)).sum();
     }
 }
--- a/src/test/java/yardusher/CeilingRun.java
+++ b/src/test/java/yardusher/CeilingRun.java
@@ -115,11 +115,11 @@
     /** Number of seeds that break the ceiling or could have; the bits of a seed select its faults. */
     public static int countBroken(long first, long draws) {
         return (int) LongStream.range(first, first + draws).parallel().mapToObj(seed -> {
-            Set<Disturbance> troubles = EnumSet.noneOf(Disturbance.class);
-            for (Disturbance trouble : Disturbance.values()) {
-                if ((seed >> trouble.ordinal()) % 2 == 1) { troubles.add(trouble); }
+            Set<Disturbance> disturbances = EnumSet.noneOf(Disturbance.class);
+            for (Disturbance disturbance : Disturbance.values()) {
+                if ((seed >> disturbance.ordinal()) % 2 == 1) { disturbances.add(disturbance); }
             }
-            return new CeilingRun(seed, troubles).play();
+            return new CeilingRun(seed, disturbances).play();
         }).filter(run -> run.isBroken() || run.couldBreak()).count();
     }
 
@@ -131,8 +131,9 @@
 
     @Override
     public String toString() {
-        return String.format("seed %d, set of %d, ceiling %.1f a second and %.1f at once, slack %.1f, least %.1f, too much held %.4f, portions %.4f, %.0f of %.0f units sent on, with %s",
-                seed, setSize, plan.ceilingRatePerS(), plan.ceilingBurst(), plan.ceilingSlack(), lowestLevel, largestExcess, largestPortionSum, reachedUnits, requestedUnits, disturbances);
+        return String.format("seed %d, set of %d, ceiling %.1f per second, burst %.1f, slack %.1f, lowest level %.1f, excess %.4f, portions %.4f, %.0f of %.0f units sent, with %s",
+                seed, setSize, plan.ceilingRatePerS(), plan.ceilingBurst(), plan.ceilingSlack(), lowestLevel, largestExcess,
+                largestPortionSum, reachedUnits, requestedUnits, disturbances);
     }
 
     CeilingRun play() {
@@ -156,7 +157,10 @@
             schedule(twice + spreadMs + between(RESTART_MS, 2000), () -> restart(one));
         }
         if (disturbances.contains(Disturbance.PAUSES)) {
-            for (int i = 0; i < 6; i++) { schedule(begin + between(0, CALM_MS + BURSTS * REST_MS), () -> pausedUntilMs[random.nextInt(setSize)] = now + between(100, MAX_PAUSE_MS)); }
+            for (int i = 0; i < 6; i++) {
+                schedule(begin + between(0, CALM_MS + BURSTS * REST_MS),
+                        () -> pausedUntilMs[random.nextInt(setSize)] = now + between(100, MAX_PAUSE_MS));
+            }
         }
         double ends = begin + CALM_MS + BURSTS * REST_MS;
         while (!tasks.isEmpty() && tasks.peek().atMs() <= ends) {
@@ -307,7 +311,8 @@
     }
 
     private void scheduleEnd(int from, int incarnation, Send send, int number, Outcome outcome, double afterMs) {
-        schedule(now + afterMs, () -> deliver(from, incarnation, new AttemptDone(send.id(), number, send.server(), outcome, afterMs, outcome == Outcome.SERVED, 0, null)));
+        schedule(now + afterMs, () -> deliver(from, incarnation,
+                new AttemptDone(send.id(), number, send.server(), outcome, afterMs, outcome == Outcome.SERVED, 0, null)));
     }
 
     /** Takes a request's units from the bucket once, when its first attempt reaches a backend. */
--- a/src/test/java/yardusher/CeilingTest.java
+++ b/src/test/java/yardusher/CeilingTest.java
@@ -13,8 +13,8 @@
 class CeilingTest {
     private static final long SEEDS = 200;
 
-    private static List<String> broken(long first, long draws, Set<Disturbance> troubles) {
-        return LongStream.range(first, first + draws).parallel().mapToObj(seed -> new CeilingRun(seed, troubles).play())
+    private static List<String> broken(long first, long seeds, Set<Disturbance> disturbances) {
+        return LongStream.range(first, first + seeds).parallel().mapToObj(seed -> new CeilingRun(seed, disturbances).play())
                 .filter(run -> run.isBroken() || run.couldBreak()).map(CeilingRun::toString).toList();
     }
 
@@ -38,15 +38,15 @@
     /** Arguments: first seed, number of seeds. Prints runs that break the ceiling, and the fraction of requested units that were sent. */
     public static void main(String[] args) {
         long first = Long.parseLong(args[0]);
-        long draws = Long.parseLong(args[1]);
-        for (Set<Disturbance> troubles : List.of(EnumSet.noneOf(Disturbance.class), EnumSet.of(Disturbance.CUT_CONNECTIONS), EnumSet.of(Disturbance.RESTARTS),
+        long seeds = Long.parseLong(args[1]);
+        for (Set<Disturbance> disturbances : List.of(EnumSet.noneOf(Disturbance.class), EnumSet.of(Disturbance.CUT_CONNECTIONS), EnumSet.of(Disturbance.RESTARTS),
                 EnumSet.of(Disturbance.PAUSES), EnumSet.allOf(Disturbance.class))) {
-            List<CeilingRun> runs = LongStream.range(first, first + draws).parallel().mapToObj(seed -> new CeilingRun(seed, troubles).play()).toList();
+            List<CeilingRun> runs = LongStream.range(first, first + seeds).parallel().mapToObj(seed -> new CeilingRun(seed, disturbances).play()).toList();
             List<CeilingRun> broken = runs.stream().filter(run -> run.isBroken() || run.couldBreak()).toList();
             broken.stream().limit(5).forEach(System.out::println);
             double reached = runs.stream().mapToDouble(run -> run.reachedUnits).sum();
             double asked = runs.stream().mapToDouble(run -> run.requestedUnits).sum();
-            System.out.printf("%d of %d draws broken with %s; %.3f of the units asked for were sent on%n", broken.size(), draws, troubles, reached / asked);
+            System.out.printf("%d of %d seeds broken with %s; %.3f of the requested units were sent%n", broken.size(), seeds, disturbances, reached / asked);
         }
     }
 }
