--- a/src/main/java/yardusher/Host.java
+++ b/src/main/java/yardusher/Host.java
@@ -25,7 +25,7 @@
     double latencyRatio = 1, sampledAtMs; // its latency relative to all servers, by class
     double coldTokens; // attempts that a cold server may be sent now
     private double coldTokensAtMs, coldTokensSinceMs = Double.NEGATIVE_INFINITY; // when they were last updated, and for which start
-    double lastAnswerAtMs; // last answer while attempts are open
+    double lastAnswerAtMs; // last sign of life: an answer, or the first attempt after an idle time
     double rejectingUntilMs, coldSinceMs = Double.NEGATIVE_INFINITY;
     double reportedQueue, reportedCpu = 0.5, reportedAtMs = Double.NEGATIVE_INFINITY;
 
