--- a/lab/src/yardusher/lab/scale/RunLines.java
+++ b/lab/src/yardusher/lab/scale/RunLines.java
@@ -24,7 +24,7 @@
      * @param seconds how long it was measured
      * @param sizes by name, such as ingresses; never negative
      * @param figures by name, of one ingress where the name does not say otherwise; what was not measured is absent. Those of the real
-     *     ingresses beside hollow ones have {@code real.} before their names
+     *     ingresses beside hollow ones have {@code real} before their names
      */
     record Run(String day, long seed, boolean partial, boolean saturated, double seconds, Map<String, Double> sizes, Map<String, Double> figures) {
         Run {
--- a/src/main/java/yardusher/Customer.java
+++ b/src/main/java/yardusher/Customer.java
@@ -9,7 +9,7 @@
  * the sums of all others.
  */
 final class Customer {
-    static final int RELAYS = 3; // peers told of each change; the Tarantool quotas README recommends two or more
+    static final int GOSSIP_FANOUT = 3; // peers told of each change; the Tarantool quotas README recommends two or more
     static final int MAX_DIRECT_PEERS = 12; // with at most this many other gateways, each change is sent to all at once
     private static final double RELAY_COST_FRACTION = 0.1; // fraction of a quota's worth that relaying its sums may cost
     private static final double SUM_BYTES = 16; // approximate size of a customer's sums in a message
@@ -46,7 +46,7 @@
     void setGateways(int first, int gateways) {
         firstGateway = first; gatewayCount = Math.max(1, Math.min(gateways, settings.gateways()));
         relayRank = -1;
-        for (int k = isDirect() ? RELAYS : 0; k < RELAYS; k++) {
+        for (int k = isDirect() ? GOSSIP_FANOUT : 0; k < GOSSIP_FANOUT; k++) {
             relayRank = relay(k) == settings.self() ? k : relayRank;
         }
     }
@@ -60,7 +60,7 @@
     int member(int k) { return Math.floorMod(firstGateway + k, settings.gateways()); }
 
     /** The k-th relay: a peer selected by a hash of the customer's id, so that all its gateways select the same. */
-    int relay(int k) { return member((Peers.hash(id, gatewayCount) + k * (gatewayCount / RELAYS)) % gatewayCount); }
+    int relay(int k) { return member((Peers.hash(id, gatewayCount) + k * (gatewayCount / GOSSIP_FANOUT)) % gatewayCount); }
 
     boolean includes(int gateway) { return firstGateway >= 0 && Math.floorMod(gateway - firstGateway, settings.gateways()) < gatewayCount; }
 
--- a/src/main/java/yardusher/Gossip.java
+++ b/src/main/java/yardusher/Gossip.java
@@ -52,7 +52,7 @@
 
     @Override
     public void passOn(FaultReport fault) {
-        for (int i = 0; i < Customer.RELAYS; i++) { ejections.add(fault); }
+        for (int i = 0; i < Customer.GOSSIP_FANOUT; i++) { ejections.add(fault); }
     }
 
     private void scheduleFlush(double atMs) {
@@ -77,12 +77,12 @@
     void flush() {
         if (clock.now < flushAtMs) { return; } // a superseded timer: an earlier one was set since
         flushAtMs = Double.POSITIVE_INFINITY;
-        double next = Double.POSITIVE_INFINITY;
+        double nextMs = Double.POSITIVE_INFINITY;
         for (Iterator<Customer> all = pendingCustomers.iterator(); all.hasNext();) {
             Customer customer = all.next();
             if (customer.sendAtMs <= clock.now) { sendRow(customer); }
             if (customer.peerRowsChanged && customer.relayAtMs <= clock.now) { relaySums(customer); }
-            next = Math.min(next, Math.min(customer.sendAtMs, customer.peerRowsChanged ? customer.relayAtMs : customer.sendAtMs));
+            nextMs = Math.min(nextMs, Math.min(customer.sendAtMs, customer.peerRowsChanged ? customer.relayAtMs : customer.sendAtMs));
             if (customer.sendAtMs == Double.POSITIVE_INFINITY && !customer.peerRowsChanged) { all.remove(); }
         }
         // tokens are saved for at most 0.5 s
@@ -95,8 +95,8 @@
             sendMessage(peer, outboxes.get(peer));
             if (outboxes.get(peer).size() == 0) { outboxes.remove(peer); }
         }
-        if (!outboxes.isEmpty()) { next = Math.min(next, clock.now + (1 - sendTokens) / peers.intakePerMs); }
-        if (next < Double.POSITIVE_INFINITY) { scheduleFlush(next); }
+        if (!outboxes.isEmpty()) { nextMs = Math.min(nextMs, clock.now + (1 - sendTokens) / peers.intakePerMs); }
+        if (nextMs < Double.POSITIVE_INFINITY) { scheduleFlush(nextMs); }
     }
 
     private void sendRow(Customer customer) {
@@ -105,7 +105,7 @@
             for (int k = 0; k < customer.gatewayCount; k++) { enqueue(customer.member(k), customer); }
             if (customer.ownRowChanged) { customer.sendAtMs = clock.now + customer.windowMs / 2; } // resent in case of a loss
         } else {
-            for (int k = 0; k < Customer.RELAYS; k++) { enqueue(customer.relay(k), customer); }
+            for (int k = 0; k < Customer.GOSSIP_FANOUT; k++) { enqueue(customer.relay(k), customer); }
             enqueue(settings.self(), customer);
             scheduleRelay(customer);
         }
@@ -125,29 +125,29 @@
     private void relaySums(Customer customer) {
         customer.peerRowsChanged = false; customer.relayAtMs = clock.now + customer.relayIntervalMs();
         CustomerSums sums = new CustomerSums(customer);
-        int at = random.nextInt(customer.gatewayCount);
+        int start = random.nextInt(customer.gatewayCount);
         // All get the source's own row; this bypasses one broken path.
-        if (customer.isDirect()) { enqueue(customer.member(at), sums); return; }
-        int part = (customer.relayRank + customer.relayTurn++) % Customer.RELAYS;
+        if (customer.isDirect()) { enqueue(customer.member(start), sums); return; }
+        int part = (customer.relayRank + customer.relayTurn++) % Customer.GOSSIP_FANOUT;
         for (int k = 0; k < customer.gatewayCount; k++) {
-            int peer = customer.member(at + k);
-            if (peer % Customer.RELAYS == part) { enqueue(peer, sums); }
+            int peer = customer.member(start + k);
+            if (peer % Customer.GOSSIP_FANOUT == part) { enqueue(peer, sums); }
         }
     }
 
     /** Sends a loan message with the next message to that peer, which goes before others. */
     void send(int peer, CeilingMessage loan) { enqueue(peer, loan); }
 
-    private void sendMessage(int peer, Outbox box) {
+    private void sendMessage(int peer, Outbox outbox) {
         sequence = (sequence + 1) % GossipMessage.SEQUENCES;
         boolean greets = clock.now - clock.startedAtMs < Clock.SWEEP_MS; // and asks for the known counts
-        GossipMessage text = new GossipMessage(settings, peers.incarnation, greets, sequence);
-        int ejectionCount = Math.min(MAX_EJECTIONS, (ejections.size() + 2) / Customer.RELAYS);
-        for (; ejectionCount > 0; ejectionCount--) { text.add(ejections.poll(), peer); }
-        Iterator<Object> all = box.items.iterator();
-        while (all.hasNext() && text.add(all.next(), peer)) { all.remove(); }
-        box.dueMs = clock.now + Clock.SWEEP_MS; // items that did not fit
-        actions.accept(new Tell(peer, text.toString()));
+        GossipMessage message = new GossipMessage(settings, peers.incarnation, greets, sequence);
+        int ejectionCount = Math.min(MAX_EJECTIONS, (ejections.size() + 2) / Customer.GOSSIP_FANOUT);
+        for (; ejectionCount > 0; ejectionCount--) { message.add(ejections.poll(), peer); }
+        Iterator<Object> all = outbox.items.iterator();
+        while (all.hasNext() && message.add(all.next(), peer)) { all.remove(); }
+        outbox.dueMs = clock.now + Clock.SWEEP_MS; // items that did not fit
+        actions.accept(new Tell(peer, message.toString()));
     }
 
     /** Handles a message; passes its faults and loan messages to the given consumers. */
--- a/src/main/java/yardusher/Servers.java
+++ b/src/main/java/yardusher/Servers.java
@@ -125,8 +125,8 @@
     /** Reports a failure to a few gateways: one of hundreds sees too few answers to detect a failing server by itself. */
     private void reportFailure(Host host, int classIndex) {
         int gateways = settings.gateways();
-        for (int i = 0; i < Math.min(Customer.RELAYS, gateways); i++) {
-            int distance = Math.max(1, gateways / Customer.RELAYS);
+        for (int i = 0; i < Math.min(Customer.GOSSIP_FANOUT, gateways); i++) {
+            int distance = Math.max(1, gateways / Customer.GOSSIP_FANOUT);
             int peer = (Peers.hash(host.id, gateways) + i * distance) % gateways;
             if (peer == settings.self()) { countReport(host, classIndex); }
             faultReporter.report(peer, new FaultReport(false, host.id, classIndex));
@@ -146,7 +146,7 @@
         for (int i = 0; i < latencies.classLatencyMs.length; i++) { host.failureReports[i] *= decay; }
         host.reportsUpdatedAtMs = clock.now;
         if (++host.failureReports[classIndex] > EJECT_AFTER_FAILURES + 1
-                && settings.gateways() > Customer.RELAYS) { eject(host, classIndex); }
+                && settings.gateways() > Customer.GOSSIP_FANOUT) { eject(host, classIndex); }
     }
 
     /** Ejects a server for a class; a gateway that did not know yet passes this on once, with its next messages. */
