--- a/src/main/java/yardusher/CeilingShare.java
+++ b/src/main/java/yardusher/CeilingShare.java
@@ -33,9 +33,9 @@
     private double capacityAtRetirement;
 
     /** An empty bucket that fills from {@code sinceMs} on; until {@code lentUntilMs}, loans of the previous incarnation may be out. */
-    CeilingShare(Plan plan, int spread, double sinceMs, double lentUntilMs) {
+    CeilingShare(Plan plan, int gatewayCount, double sinceMs, double lentUntilMs) {
         this.plan = plan;
-        ownPortion = 1.0 / spread;
+        ownPortion = 1.0 / gatewayCount;
         updatedAtMs = sinceMs;
         if (lentUntilMs > sinceMs) { lent.add(new Lease(UNKNOWN, LENDABLE_FRACTION * ownPortion, lentUntilMs)); }
     }
--- a/src/test/java/yardusher/BanAndUpgradeTest.java
+++ b/src/test/java/yardusher/BanAndUpgradeTest.java
@@ -24,30 +24,30 @@
 
     @Test
     void aBannedServerGetsNothingAndComesBackColdWithItsHealthReset() {
-        Gateway g = new Gateway(0, 1, 0, TWO);
-        g.runTo(5000);
-        long id = g.ask(0, PolicyTest.FREE_PLAN, 7, 1);
-        long bad = g.sent(id).server();              // it refuses connections and is ejected
-        g.on(new AttemptDone(id, 0, bad, Outcome.CONNECT_FAILED, 10, true, 0, null));
-        assertThat(g.policy.countAvoided(g.now)).isEqualTo(1);
-        g.on(new Ban(bad, true));
-        g.on(new Ban(bad, true));
-        g.on(new ServerList(ListKind.DELTA, List.of(new Server(bad, 0, 0, 1, 0, Readiness.GONE))));
-        assertThat(g.policy.countAvoided(g.now)).isZero(); // not listed
-        g.runTo(15_000);
-        g.on(new ServerList(ListKind.FULL, List.of(TWO)));
-        assertThat(g.policy.countAvoided(g.now)).isEqualTo(1);
-        g.actions.clear();
-        assertThat(g.admitted(200, PolicyTest.FREE_PLAN, 7, 1)).isPositive();
-        assertThat(sentTo(g, bad)).isZero();
-        g.on(new Ban(bad, false));
-        assertThat(g.policy.countAvoided(g.now)).isZero();
+        Gateway gateway = new Gateway(0, 1, 0, TWO);
+        gateway.runTo(5000);
+        long id = gateway.ask(0, PolicyTest.FREE_PLAN, 7, 1);
+        long bad = gateway.sent(id).server();              // it refuses connections and is ejected
+        gateway.on(new AttemptDone(id, 0, bad, Outcome.CONNECT_FAILED, 10, true, 0, null));
+        assertThat(gateway.policy.countAvoided(gateway.now)).isEqualTo(1);
+        gateway.on(new Ban(bad, true));
+        gateway.on(new Ban(bad, true));
+        gateway.on(new ServerList(ListKind.DELTA, List.of(new Server(bad, 0, 0, 1, 0, Readiness.GONE))));
+        assertThat(gateway.policy.countAvoided(gateway.now)).isZero(); // not listed
+        gateway.runTo(15_000);
+        gateway.on(new ServerList(ListKind.FULL, List.of(TWO)));
+        assertThat(gateway.policy.countAvoided(gateway.now)).isEqualTo(1);
+        gateway.actions.clear();
+        assertThat(gateway.admitted(200, PolicyTest.FREE_PLAN, 7, 1)).isPositive();
+        assertThat(sentTo(gateway, bad)).isZero();
+        gateway.on(new Ban(bad, false));
+        assertThat(gateway.policy.countAvoided(gateway.now)).isZero();
         long cold = 0;
         for (int i = 0; i < 40; i++) {               // over 4 s: a cold server gets its tokens over time, not at once
-            g.runTo(g.now + 100);
-            g.actions.clear();
-            g.admitted(10, PolicyTest.FREE_PLAN, 7, 1);
-            cold += sentTo(g, bad);
+            gateway.runTo(gateway.now + 100);
+            gateway.actions.clear();
+            gateway.admitted(10, PolicyTest.FREE_PLAN, 7, 1);
+            cold += sentTo(gateway, bad);
         }
         assertThat(cold).isBetween(1L, 150L);        // about a quarter of the draws, since it is cold
     }
--- a/src/test/java/yardusher/BurstRun.java
+++ b/src/test/java/yardusher/BurstRun.java
@@ -123,7 +123,7 @@
 
     private void tick() {
         schedule(now + TICK_MS, () -> {
-            for (Backend m : List.copyOf(backends.values())) { m.tick(); }
+            for (Backend backend : List.copyOf(backends.values())) { backend.tick(); }
             tick();
         });
     }
@@ -205,9 +205,9 @@
     BurstRun run(double forMs) {
         schedule(startedAtMs + BURST_AT_MS, () -> {
             List<Backend> all = new ArrayList<>(backends.values());
-            for (Backend m : all.subList(0, scenario.cold)) {
-                m.startedAtMs = now; m.running.clear(); m.waiting.clear();
-                List<Long> lost = openRequests.entrySet().stream().filter(e -> e.getValue().attemptOpen && e.getValue().backend == m.id)
+            for (Backend backend : all.subList(0, scenario.cold)) {
+                backend.startedAtMs = now; backend.running.clear(); backend.waiting.clear();
+                List<Long> lost = openRequests.entrySet().stream().filter(e -> e.getValue().attemptOpen && e.getValue().backend == backend.id)
                         .map(Map.Entry::getKey).sorted().toList();
                 for (long id : lost) { endAttempt(openRequests.get(id).gateway, id, openRequests.get(id).attempts - 1, Outcome.CONNECTION_LOST); }
             }
--- a/src/test/java/yardusher/CeilingLoansTest.java
+++ b/src/test/java/yardusher/CeilingLoansTest.java
@@ -96,16 +96,16 @@
         Gateway restarted = new Gateway(0, SET_SIZE, FULL_MS + 5 * MESSAGE_DELAY_MS, PolicyTest.TWO_SERVERS);
         restarted.admits(PolicyTest.CEILING_PLAN, CUSTOMER, SET_SIZE);
         assertThat(share(restarted).portion()).isCloseTo((1 - CeilingShare.LENDABLE_FRACTION) / SET_SIZE, within(1e-9));
-        double at = FULL_MS + 6 * MESSAGE_DELAY_MS;
-        List<PeerMessage> toBorrower = messages(restarted, borrower, at);
-        List<PeerMessage> toThird = messages(restarted, third, at);
+        double atMs = FULL_MS + 6 * MESSAGE_DELAY_MS;
+        List<PeerMessage> toBorrower = messages(restarted, borrower, atMs);
+        List<PeerMessage> toThird = messages(restarted, third, atMs);
         borrower.actions.clear();
         toBorrower.forEach(borrower::on);
         toThird.forEach(third::on);
         assertThat(share(borrower).isBorrowing()).isFalse();
-        messages(borrower, restarted, at + 2 * MESSAGE_DELAY_MS).forEach(restarted::on);
+        messages(borrower, restarted, atMs + 2 * MESSAGE_DELAY_MS).forEach(restarted::on);
         assertThat(share(restarted).portion()).as("one has not confirmed yet").isLessThan(1.0 / SET_SIZE);
-        messages(third, restarted, at + 2 * MESSAGE_DELAY_MS).forEach(restarted::on);
+        messages(third, restarted, atMs + 2 * MESSAGE_DELAY_MS).forEach(restarted::on);
         assertThat(share(restarted).portion()).isCloseTo(1.0 / SET_SIZE, within(1e-9));
     }
 }
--- a/src/test/java/yardusher/CeilingRun.java
+++ b/src/test/java/yardusher/CeilingRun.java
@@ -137,33 +137,33 @@
     }
 
     CeilingRun play() {
-        double begin = now;
-        scheduleCalm(begin, begin + CALM_MS);
+        double beginMs = now;
+        scheduleCalm(beginMs, beginMs + CALM_MS);
         for (int burst = 0; burst < BURSTS; burst++) {
-            double at = begin + CALM_MS + burst * REST_MS;
-            scheduleBurst(at);
+            double atMs = beginMs + CALM_MS + burst * REST_MS;
+            scheduleBurst(atMs);
             if (disturbances.contains(Disturbance.CUT_CONNECTIONS)) {
-                double lasts = between(100, MAX_CUT_MS);
-                schedule(at + between(-lasts, spreadMs), () -> cutUntilMs = now + lasts);
+                double cutMs = between(100, MAX_CUT_MS);
+                schedule(atMs + between(-cutMs, spreadMs), () -> cutUntilMs = now + cutMs);
             }
-            scheduleCalm(at + spreadMs, at + REST_MS);
+            scheduleCalm(atMs + spreadMs, atMs + REST_MS);
         }
         if (disturbances.contains(Disturbance.RESTARTS)) {
-            for (int i = 0; i < 4; i++) { schedule(begin + between(0, CALM_MS + BURSTS * REST_MS), () -> restart(random.nextInt(setSize))); }
-            schedule(begin + CALM_MS + 0.9 * spreadMs, () -> restart(random.nextInt(setSize)));
-            double twice = begin + CALM_MS + REST_MS;
-            int one = random.nextInt(setSize);
-            schedule(twice + spreadMs, () -> restart(one));
-            schedule(twice + spreadMs + between(RESTART_MS, 2000), () -> restart(one));
+            for (int i = 0; i < 4; i++) { schedule(beginMs + between(0, CALM_MS + BURSTS * REST_MS), () -> restart(random.nextInt(setSize))); }
+            schedule(beginMs + CALM_MS + 0.9 * spreadMs, () -> restart(random.nextInt(setSize)));
+            double secondBurstAtMs = beginMs + CALM_MS + REST_MS;
+            int restarted = random.nextInt(setSize);
+            schedule(secondBurstAtMs + spreadMs, () -> restart(restarted));
+            schedule(secondBurstAtMs + spreadMs + between(RESTART_MS, 2000), () -> restart(restarted));
         }
         if (disturbances.contains(Disturbance.PAUSES)) {
             for (int i = 0; i < 6; i++) {
-                schedule(begin + between(0, CALM_MS + BURSTS * REST_MS),
+                schedule(beginMs + between(0, CALM_MS + BURSTS * REST_MS),
                         () -> pausedUntilMs[random.nextInt(setSize)] = now + between(100, MAX_PAUSE_MS));
             }
         }
-        double ends = begin + CALM_MS + BURSTS * REST_MS;
-        while (!tasks.isEmpty() && tasks.peek().atMs() <= ends) {
+        double endMs = beginMs + CALM_MS + BURSTS * REST_MS;
+        while (!tasks.isEmpty() && tasks.peek().atMs() <= endMs) {
             Task next = tasks.poll();
             now = Math.max(now, next.atMs());
             next.work().run();
@@ -176,10 +176,10 @@
 
     private void scheduleCalm(double from, double until) {
         double units = 2.5;
-        double part = between(0.1, 0.6);
-        for (double at = from; at < until; at -= Math.log(1 - random.nextDouble()) * 1000 * units / (part * plan.ratePerS())) {
+        double loadFraction = between(0.1, 0.6);
+        for (double atMs = from; atMs < until; atMs -= Math.log(1 - random.nextDouble()) * 1000 * units / (loadFraction * plan.ratePerS())) {
             int ingress = drawIngress();
-            schedule(at, () -> sendRequest(ingress));
+            schedule(atMs, () -> sendRequest(ingress));
         }
     }
 
@@ -205,8 +205,8 @@
             held += Math.max(0, share.tokens());
             portions += share.portion();
         }
-        waiting.removeIf(one -> incarnations[one.ingress()] != one.incarnation() || now - one.sentAtMs() > Api.MAX_WRITE_DELAY_MS);
-        for (WaitingAttempt one : waiting) { held += one.units(); }
+        waiting.removeIf(attempt -> incarnations[attempt.ingress()] != attempt.incarnation() || now - attempt.sentAtMs() > Api.MAX_WRITE_DELAY_MS);
+        for (WaitingAttempt attempt : waiting) { held += attempt.units(); }
         largestPortionSum = Math.max(largestPortionSum, portions);
         double bucket = Math.min(plan.ceilingBurst(), level + plan.ceilingRatePerS() * (now - levelAtMs) / 1000);
         largestExcess = Math.max(largestExcess, held - bucket - plan.ceilingSlack());
@@ -284,29 +284,29 @@
             return;
         }
         schedule(now, () -> deliver(from, incarnation, new AttemptDelayed(send.id(), number)));
-        WaitingAttempt wait = new WaitingAttempt(from, incarnation, request.units, now);
-        if (!request.counted) { waiting.add(wait); }
+        WaitingAttempt waitingAttempt = new WaitingAttempt(from, incarnation, request.units, now);
+        if (!request.counted) { waiting.add(waitingAttempt); }
         if (cutUntilMs > now + DIAL_TIMEOUT_MS) {
-            schedule(now + DIAL_TIMEOUT_MS, () -> waiting.remove(wait));
+            schedule(now + DIAL_TIMEOUT_MS, () -> waiting.remove(waitingAttempt));
             scheduleEnd(from, incarnation, send, number, Outcome.CONNECT_FAILED, DIAL_TIMEOUT_MS);
         } else {
-            schedule(cutUntilMs, () -> write(wait, send, number));
+            schedule(cutUntilMs, () -> write(waitingAttempt, send, number));
         }
     }
 
     /** The connection is established: a process that was paused meanwhile writes late, or not at all. */
-    private void write(WaitingAttempt wait, Send send, int number) {
-        int from = wait.ingress();
-        if (incarnations[from] != wait.incarnation()) { return; }
+    private void write(WaitingAttempt waitingAttempt, Send send, int number) {
+        int from = waitingAttempt.ingress();
+        if (incarnations[from] != waitingAttempt.incarnation()) { return; }
         if (pausedUntilMs[from] > now) {
-            schedule(pausedUntilMs[from], () -> write(wait, send, number));
-        } else if (now - wait.sentAtMs() > Api.MAX_WRITE_DELAY_MS) {
-            scheduleEnd(from, wait.incarnation(), send, number, Outcome.CONNECT_FAILED, 0);
+            schedule(pausedUntilMs[from], () -> write(waitingAttempt, send, number));
+        } else if (now - waitingAttempt.sentAtMs() > Api.MAX_WRITE_DELAY_MS) {
+            scheduleEnd(from, waitingAttempt.incarnation(), send, number, Outcome.CONNECT_FAILED, 0);
         } else {
-            waiting.remove(wait);
+            waiting.remove(waitingAttempt);
             takeUnits(admitted.get(send.id()));
-            deliver(from, wait.incarnation(), new AttemptWritten(send.id(), number));
-            scheduleEnd(from, wait.incarnation(), send, number, Outcome.SERVED, ANSWER_MS);
+            deliver(from, waitingAttempt.incarnation(), new AttemptWritten(send.id(), number));
+            scheduleEnd(from, waitingAttempt.incarnation(), send, number, Outcome.SERVED, ANSWER_MS);
         }
     }
 
--- a/src/test/java/yardusher/CeilingShareTest.java
+++ b/src/test/java/yardusher/CeilingShareTest.java
@@ -56,11 +56,11 @@
     @Test
     void aBorrowersLeaseStartsWithItsRequestAndExpiresBeforeTheLenderReclaims() {
         CeilingShare borrower = full();
-        double asked = FULL_MS, granted = FULL_MS + CeilingShare.LEASE_MS / 2;
-        borrower.advance(granted);
-        borrower.borrow(2, 0.125, 11, asked);
+        double requestedAtMs = FULL_MS, grantedAtMs = FULL_MS + CeilingShare.LEASE_MS / 2;
+        borrower.advance(grantedAtMs);
+        borrower.borrow(2, 0.125, 11, requestedAtMs);
         assertThat(borrower.capacity()).isCloseTo(CAPACITY * 1.5, within(1e-9));
-        borrower.advance(asked + CeilingShare.LEASE_MS);
+        borrower.advance(requestedAtMs + CeilingShare.LEASE_MS);
         assertThat(borrower.capacity()).isCloseTo(CAPACITY, within(1e-9));
         assertThat(borrower.tokens()).as("tokens above the capacity are dropped").isCloseTo(CAPACITY, within(1e-9));
     }
--- a/src/test/java/yardusher/CeilingTest.java
+++ b/src/test/java/yardusher/CeilingTest.java
@@ -45,8 +45,8 @@
             List<CeilingRun> broken = runs.stream().filter(run -> run.isBroken() || run.couldBreak()).toList();
             broken.stream().limit(5).forEach(System.out::println);
             double reached = runs.stream().mapToDouble(run -> run.reachedUnits).sum();
-            double asked = runs.stream().mapToDouble(run -> run.requestedUnits).sum();
-            System.out.printf("%d of %d seeds broken with %s; %.3f of the requested units were sent%n", broken.size(), seeds, disturbances, reached / asked);
+            double requested = runs.stream().mapToDouble(run -> run.requestedUnits).sum();
+            System.out.printf("%d of %d seeds broken with %s; %.3f of the requested units were sent%n", broken.size(), seeds, disturbances, reached / requested);
         }
     }
 }
--- a/src/test/java/yardusher/ColdAllowanceTest.java
+++ b/src/test/java/yardusher/ColdAllowanceTest.java
@@ -68,68 +68,68 @@
     static double[] highestLoad(long seed, int gateways, int coldPercent, int spanMs) {
         Rules rules = new Rules(coldPercent / 100.0, 15_000, 3, spanMs, 10_000);
         SplittableRandom random = new SplittableRandom(seed);
-        double startsAt = 120_000, all = 0;
+        double startsAt = 120_000, totalWeight = 0;
         double[] parts = new double[gateways];
-        for (int i = 0; i < gateways; i++) { all += parts[i] = 0.2 + random.nextDouble(); }
-        List<Gateway> some = new ArrayList<>();
-        for (int i = 0; i < gateways; i++) { some.add(new Gateway(i, gateways, rules, startsAt, parts[i] / all, random)); }
+        for (int i = 0; i < gateways; i++) { totalWeight += parts[i] = 0.2 + random.nextDouble(); }
+        List<Gateway> fleet = new ArrayList<>();
+        for (int i = 0; i < gateways; i++) { fleet.add(new Gateway(i, gateways, rules, startsAt, parts[i] / totalWeight, random)); }
         List<Double> sent = new ArrayList<>();
         for (double now = startsAt; now < startsAt + 3 * spanMs; now += STEP_MS) {
-            for (Gateway one : some) {
-                one.clock.now = now;
-                while (one.allowance.isDue(one.cold)) {
-                    one.cold.coldTokens--;
+            for (Gateway gateway : fleet) {
+                gateway.clock.now = now;
+                while (gateway.allowance.isDue(gateway.cold)) {
+                    gateway.cold.coldTokens--;
                     sent.add(now);
                     assertThat(sent.size()).as("sends without a limit").isLessThan(100_000);
                 }
             }
         }
-        double worst = 0;
+        double highest = 0;
         for (int from = 0, to = 0; from < sent.size(); from++) {
             while (to < sent.size() && sent.get(to) < sent.get(from) + spanMs) { to++; }
             double warmth = Math.min(1, rules.initialWarmth() + (1 - rules.initialWarmth()) * (sent.get(from) - startsAt) / rules.warmAfterMs());
             double allowed = 3 * PER_MS * warmth * spanMs;
-            worst = Math.max(worst, (to - from) / (allowed + 2 * Math.sqrt(allowed) + 2));
+            highest = Math.max(highest, (to - from) / (allowed + 2 * Math.sqrt(allowed) + 2));
         }
-        return new double[] {worst, sent.size()};
+        return new double[] {highest, sent.size()};
     }
 
     @Test
     void withUnknownWarmThroughputTheDrawsDecide() {
         Gateway fresh = new Gateway(0, 3, new Rules(0.2, 15_000, 3, 1000, 10_000), 1000, 0, new SplittableRandom(1));
         assertThat(fresh.allowance.isDue(fresh.cold)).isTrue();
-        int let = 0;
-        for (int i = 0; i < 10_000; i++) { let += fresh.allowance.isCandidate(0.2) ? 1 : 0; }
-        assertThat(let).isBetween(1850, 2150);
+        int drawn = 0;
+        for (int i = 0; i < 10_000; i++) { drawn += fresh.allowance.isCandidate(0.2) ? 1 : 0; }
+        assertThat(drawn).isBetween(1850, 2150);
     }
 
     /** Guards against an idle period after which cold servers get nothing because warm ones seem to do nothing. */
     @Test
     void throughputIsUnknownAfterAnIdlePeriod() {
-        Gateway one = new Gateway(0, 3, new Rules(0.2, 15_000, 3, 1000, 10_000), 60_000, 1, new SplittableRandom(1));
-        assertThat(one.allowance.warmThroughput.isKnown()).isTrue();
-        Host warm = host(9, 0, settings(0, 3, new Rules(0.2, 15_000, 3, 1000, 10_000)), one.clock);
-        for (int i = 0; i < 5000; i++) { one.allowance.warmThroughput.sample(List.of(warm)); }
-        assertThat(one.allowance.warmThroughput.isKnown()).isFalse();
-        assertThat(one.allowance.isDue(one.cold)).isTrue();
+        Gateway gateway = new Gateway(0, 3, new Rules(0.2, 15_000, 3, 1000, 10_000), 60_000, 1, new SplittableRandom(1));
+        assertThat(gateway.allowance.warmThroughput.isKnown()).isTrue();
+        Host warm = host(9, 0, settings(0, 3, new Rules(0.2, 15_000, 3, 1000, 10_000)), gateway.clock);
+        for (int i = 0; i < 5000; i++) { gateway.allowance.warmThroughput.sample(List.of(warm)); }
+        assertThat(gateway.allowance.warmThroughput.isKnown()).isFalse();
+        assertThat(gateway.allowance.isDue(gateway.cold)).isTrue();
     }
 
     /** Guards against a rate of 0 where many answers arrived before the first sample: it is unknown then. */
     @Test
     void throughputIsUnknownBeforeTheFirstSample() {
-        Gateway one = new Gateway(0, 1, new Rules(0.2, 15_000, 3, 1000, 10_000), 0, 1, new SplittableRandom(1));
-        Host warm = host(9, 0, settings(0, 1, new Rules(0.2, 15_000, 3, 1000, 10_000)), one.clock);
-        for (int i = 0; i < 100; i++) { one.allowance.warmThroughput.recordAnswer(warm); }
-        assertThat(one.allowance.warmThroughput.isKnown()).isFalse();
+        Gateway gateway = new Gateway(0, 1, new Rules(0.2, 15_000, 3, 1000, 10_000), 0, 1, new SplittableRandom(1));
+        Host warm = host(9, 0, settings(0, 1, new Rules(0.2, 15_000, 3, 1000, 10_000)), gateway.clock);
+        for (int i = 0; i < 100; i++) { gateway.allowance.warmThroughput.recordAnswer(warm); }
+        assertThat(gateway.allowance.warmThroughput.isKnown()).isFalse();
     }
 
     /** Guards against late answers of cold servers that cause load shedding: here they take twice what a warmth of a fifth predicts. */
     @Test
     void slowColdServersAreDrawnLess() {
-        Gateway one = new Gateway(0, 3, new Rules(0.2, 15_000, 3, 1000, 10_000), 1000, 0, new SplittableRandom(1));
-        for (int i = 0; i < 100; i++) { one.allowance.recordLatency(one.cold, 10); }
-        int let = 0;
-        for (int i = 0; i < 10_000; i++) { let += one.allowance.isCandidate(0.2) ? 1 : 0; }
-        assertThat(let).as("a quarter of 2000").isBetween(400, 600);
+        Gateway gateway = new Gateway(0, 3, new Rules(0.2, 15_000, 3, 1000, 10_000), 1000, 0, new SplittableRandom(1));
+        for (int i = 0; i < 100; i++) { gateway.allowance.recordLatency(gateway.cold, 10); }
+        int drawn = 0;
+        for (int i = 0; i < 10_000; i++) { drawn += gateway.allowance.isCandidate(0.2) ? 1 : 0; }
+        assertThat(drawn).as("a quarter of 2000").isBetween(400, 600);
     }
 }
--- a/src/test/java/yardusher/ColdFallTest.java
+++ b/src/test/java/yardusher/ColdFallTest.java
@@ -20,16 +20,16 @@
 
     /** The highest load of any time span, as a fraction of the overload bound. */
     private static double highestLoad(List<Double> sent, double startedAt, double warmPerS) {
-        double worst = 0;
+        double highest = 0;
         for (int from = 0; from < sent.size(); from++) {
-            double begins = sent.get(from);
-            double warmth = Math.min(1, INITIAL_WARMTH + (1 - INITIAL_WARMTH) * (begins - startedAt) / WARM_UP_MS);
+            double spanStartMs = sent.get(from);
+            double warmth = Math.min(1, INITIAL_WARMTH + (1 - INITIAL_WARMTH) * (spanStartMs - startedAt) / WARM_UP_MS);
             double allowed = OVERLOAD_FACTOR * warmPerS * warmth * OVERLOAD_SPAN_MS / 1000;
             int count = 0;
-            while (from + count < sent.size() && sent.get(from + count) < begins + OVERLOAD_SPAN_MS) { count++; }
-            worst = Math.max(worst, count / (allowed + 3 * Math.sqrt(allowed) + 3));
+            while (from + count < sent.size() && sent.get(from + count) < spanStartMs + OVERLOAD_SPAN_MS) { count++; }
+            highest = Math.max(highest, count / (allowed + 3 * Math.sqrt(allowed) + 3));
         }
-        return worst;
+        return highest;
     }
 
     /** The highest load of any cold region when so many of 40 are replaced at once. */
@@ -56,9 +56,9 @@
     void noColdRegionIsOverloadedByAHundredIngresses() {
         for (int replaced : new int[] {2, 12, 24}) {
             for (long seed = 1; seed <= 2; seed++) {
-                double worst = highestLoadOfColdRegions(replaced, seed);
-                System.out.printf("cold: %d of 40 replaced, seed %d: at most %.2f of the overload bound%n", replaced, seed, worst);
-                assertThat(worst).as("%d of 40, seed %d", replaced, seed).isLessThan(1);
+                double highest = highestLoadOfColdRegions(replaced, seed);
+                System.out.printf("cold: %d of 40 replaced, seed %d: at most %.2f of the overload bound%n", replaced, seed, highest);
+                assertThat(highest).as("%d of 40, seed %d", replaced, seed).isLessThan(1);
             }
         }
     }
--- a/src/test/java/yardusher/ColdRun.java
+++ b/src/test/java/yardusher/ColdRun.java
@@ -128,9 +128,9 @@
 
     private int drawGateway() {
         double draw = random.nextDouble();
-        int at = 0;
-        while (at < trafficParts.length - 1 && (draw -= trafficParts[at]) > 0) { at++; }
-        return at;
+        int index = 0;
+        while (index < trafficParts.length - 1 && (draw -= trafficParts[index]) > 0) { index++; }
+        return index;
     }
 
     private void sendRequest(int gateway, int triesBefore) {
@@ -179,7 +179,7 @@
         }
         double work = -Math.log(1 - random.nextDouble()) * WORK_MS;
         double begun = backend.startedAtMs;
-        Runnable begin = () -> {
+        Runnable startWork = () -> {
             backend.running++;
             schedule(now + 1 + (scenario.pace() == Pace.AS_WARM ? work : work / backend.warmth(now)), () -> {
                 if (backend.startedAtMs != begun) { return; }
@@ -188,17 +188,17 @@
                 endAttempt(gateway, send.id(), attempt, Outcome.SERVED);
             });
         };
-        if (backend.running < scenario.cores()) { begin.run(); } else { backend.waiting.add(begin); }
+        if (backend.running < scenario.cores()) { startWork.run(); } else { backend.waiting.add(startWork); }
     }
 
     private void endAttempt(int gateway, long id, int attempt, Outcome outcome) {
         int[] state = openRequests.get(id);
         if (state == null || state[0] != attempt + 1 || !attemptSentAtMs.containsKey(id)) { return; }
-        double took = now - attemptSentAtMs.remove(id);
+        double tookMs = now - attemptSentAtMs.remove(id);
         boolean finished = outcome == Outcome.SERVED;
         if (finished) { openRequests.remove(id); }
         if (finished && now > replacedAtMs) { served++; }
-        gateways[gateway].on(now, new AttemptDone(id, attempt, attemptBackend.remove(id), outcome, took, finished, 0, null));
+        gateways[gateway].on(now, new AttemptDone(id, attempt, attemptBackend.remove(id), outcome, tookMs, finished, 0, null));
     }
 
     /** Runs until a time after the replacement. */
@@ -207,7 +207,7 @@
         replacedAtMs = now;
         List<Backend> all = new ArrayList<>(backends.values());
         for (Backend old : all.subList(0, scenario.replaced())) {
-            Backend fresh = scenario.restart() ? old : new Backend(old.id + 1000, now);
+            Backend replacement = scenario.restart() ? old : new Backend(old.id + 1000, now);
             if (scenario.restart()) {                      // its running requests are lost
                 List<Long> lost = attemptBackend.entrySet().stream().filter(e -> e.getValue() == old.id).map(Map.Entry::getKey).sorted().toList();
                 old.startedAtMs = now;
@@ -215,13 +215,13 @@
                 old.waiting.clear();
                 for (long id : lost) { endAttempt(openRequests.get(id)[2], id, openRequests.get(id)[0] - 1, Outcome.CONNECTION_LOST); }
             }
-            backends.put(fresh.id, fresh);
-            cold.add(fresh);
+            backends.put(replacement.id, replacement);
+            cold.add(replacement);
         }
-        List<Backend> left = all.subList(scenario.replaced(), all.size());
+        List<Backend> remaining = all.subList(scenario.replaced(), all.size());
         List<Server> list = new ArrayList<>();
-        for (Backend m : cold) { list.add(m.toServer()); }
-        for (Backend m : left) { list.add(m.toServer()); }
+        for (Backend backend : cold) { list.add(backend.toServer()); }
+        for (Backend backend : remaining) { list.add(backend.toServer()); }
         for (int i = 0; i < gateways.length; i++) {
             int gateway = i;
             schedule(now + scenario.listDelayMs() * random.nextDouble(), () -> {
@@ -249,18 +249,18 @@
 
     /** The highest load of any cold backend, as a fraction of the bound, in a span with two thirds of the attempts by ingresses that knew. */
     double highestLoad() {
-        double span = scenario.rules().overloadWindowMs(), worst = 0;
-        for (Backend m : cold) {
-            for (int from = 0; from < m.sent.size(); from++) {
-                double begins = m.sent.get(from).atMs(), allowed = allowed(scenario.rules(), warmPerMs(), m.warmth(begins));
-                int count = 0, knew = 0;
-                while (from + count < m.sent.size() && m.sent.get(from + count).atMs() < begins + span) {
-                    knew += m.sent.get(from + count++).informed() ? 1 : 0;
+        double span = scenario.rules().overloadWindowMs(), highest = 0;
+        for (Backend backend : cold) {
+            for (int from = 0; from < backend.sent.size(); from++) {
+                double spanStartMs = backend.sent.get(from).atMs(), allowed = allowed(scenario.rules(), warmPerMs(), backend.warmth(spanStartMs));
+                int count = 0, informedCount = 0;
+                while (from + count < backend.sent.size() && backend.sent.get(from + count).atMs() < spanStartMs + span) {
+                    informedCount += backend.sent.get(from + count++).informed() ? 1 : 0;
                 }
-                if (knew * 3 >= 2 * count) { worst = Math.max(worst, count / bound(allowed)); }
+                if (informedCount * 3 >= 2 * count) { highest = Math.max(highest, count / bound(allowed)); }
             }
         }
-        return worst;
+        return highest;
     }
 
     /** Requests of mean work that the settings allow a backend of this warmth in their time span. */
--- a/src/test/java/yardusher/ColdSumTest.java
+++ b/src/test/java/yardusher/ColdSumTest.java
@@ -50,7 +50,7 @@
 
     @ParameterizedTest
     @MethodSource("cases")
-    void noColdBackendIsOverloadedByAllIngressesAndAllServe(Scenario of) { checkScenario(of); }
+    void noColdBackendIsOverloadedByAllIngressesAndAllServe(Scenario scenario) { checkScenario(scenario); }
 
     /**
      * Mean fraction of requests served with seeds 1 to 4 before cold backends had an allowance, by position in {@link #cases}: the twenty
@@ -67,31 +67,31 @@
     /** Guards against an allowance that refuses requests which were served before without overload. */
     @ParameterizedTest
     @MethodSource("servedBefore")
-    void theAllowanceServesWhatWasServedWithinTheBoundBefore(int place) {
-        double served = 0, worst = 0;
+    void theAllowanceServesWhatWasServedWithinTheBoundBefore(int position) {
+        double served = 0, highest = 0;
         for (long seed = 1; seed <= 4; seed++) {
-            ColdRun run = run(cases().get(place - 1), seed);
+            ColdRun run = run(cases().get(position - 1), seed);
             served += run.served / (double) run.requested / 4;
-            worst = Math.max(worst, run.highestLoad());
+            highest = Math.max(highest, run.highestLoad());
         }
-        assertThat(served).as("fraction of requests served in case " + place).isGreaterThan(0.97 * SERVED_BEFORE.get(place));
-        assertThat(worst).as("fraction of the overload bound").isLessThan(1);
+        assertThat(served).as("fraction of requests served in case " + position).isGreaterThan(0.97 * SERVED_BEFORE.get(position));
+        assertThat(highest).as("fraction of the overload bound").isLessThan(1);
     }
 
-    private static void checkScenario(Scenario of) {
-        ColdRun run = new ColdRun(of).run(2 * of.rules().overloadWindowMs());
-        System.out.println(describe(of, run));
+    private static void checkScenario(Scenario scenario) {
+        ColdRun run = new ColdRun(scenario).run(2 * scenario.rules().overloadWindowMs());
+        System.out.println(describe(scenario, run));
         assertThat(run.highestLoad()).as("fraction of the overload bound").isLessThan(1);
         assertThat(run.attemptRange()[0]).as("attempts at the cold backend with the fewest").isPositive();
-        int least = of.replaced() == 1 ? 95 : of.pace() == Pace.BY_WARMTH || of.rules() == DOUBLE ? 15 : of.replaced() < of.servers() && of.load() < 0.9 ? 55 : 35;
-        assertThat(run.served).as("served of " + run.requested).isGreaterThan(run.requested * least / 100);
+        int minServedPercent = scenario.replaced() == 1 ? 95 : scenario.pace() == Pace.BY_WARMTH || scenario.rules() == DOUBLE ? 15 : scenario.replaced() < scenario.servers() && scenario.load() < 0.9 ? 55 : 35;
+        assertThat(run.served).as("served of " + run.requested).isGreaterThan(run.requested * minServedPercent / 100);
     }
 
-    private static String describe(Scenario of, ColdRun run) {
+    private static String describe(Scenario scenario, ColdRun run) {
         return String.format("cold: %d ingresses, %d of %d replaced, asked %.2f, multiple %.0f in %.0f ms, skew %.1f, hot %.2f, %s%s told over %.0f ms: "
-                + "at most %.2f of the overload bound; each sent %d to %d, %d of %d served", of.gateways(), of.replaced(), of.servers(), of.load(),
-                of.rules().overloadFactor(), of.rules().overloadWindowMs(), of.skew(), of.hotFraction(), of.pace(), of.restart() ? ", same ids," : ",",
-                of.listDelayMs(), run.highestLoad(), run.attemptRange()[0], run.attemptRange()[1], run.served, run.requested);
+                + "at most %.2f of the overload bound; each sent %d to %d, %d of %d served", scenario.gateways(), scenario.replaced(), scenario.servers(), scenario.load(),
+                scenario.rules().overloadFactor(), scenario.rules().overloadWindowMs(), scenario.skew(), scenario.hotFraction(), scenario.pace(), scenario.restart() ? ", same ids," : ",",
+                scenario.listDelayMs(), run.highestLoad(), run.attemptRange()[0], run.attemptRange()[1], run.served, run.requested);
     }
 
     /** Shows that the check detects an overload. */
@@ -102,16 +102,16 @@
         assertThat(ColdRun.bound(allowed)).isBetween(90.9, 91.0);
     }
 
-    private static ColdRun run(Scenario of, long seed) {
-        Scenario other = new Scenario(of.gateways(), of.servers(), of.replaced(), of.rules(), of.cores(), of.load(), of.skew(), of.hotFraction(), of.pace(),
-                of.restart(), of.listDelayMs(), of.retries(), seed);
-        return new ColdRun(other).run(2 * of.rules().overloadWindowMs());
+    private static ColdRun run(Scenario scenario, long seed) {
+        Scenario reseeded = new Scenario(scenario.gateways(), scenario.servers(), scenario.replaced(), scenario.rules(), scenario.cores(), scenario.load(), scenario.skew(), scenario.hotFraction(), scenario.pace(),
+                scenario.restart(), scenario.listDelayMs(), scenario.retries(), seed);
+        return new ColdRun(reseeded).run(2 * scenario.rules().overloadWindowMs());
     }
 
     /** Arguments: first seed, number of seeds. Runs all cases with other seeds. */
     public static void main(String[] args) {
         for (long seed = Long.parseLong(args[0]), last = seed + Long.parseLong(args[1]); seed < last; seed++) {
-            for (Scenario of : cases()) { System.out.println("seed " + seed + " " + describe(of, run(of, seed))); }
+            for (Scenario scenario : cases()) { System.out.println("seed " + seed + " " + describe(scenario, run(scenario, seed))); }
         }
     }
 }
--- a/src/test/java/yardusher/ExcessRun.java
+++ b/src/test/java/yardusher/ExcessRun.java
@@ -109,9 +109,9 @@
             double all = 0;
             for (double w : weights) { all += w; }
             double draw = random.nextDouble() * all;
-            int at = 0;
-            while (at < gatewayCount - 1 && (draw -= weights[at]) > 0) { at++; }
-            return (firstGateway + at) % size;
+            int index = 0;
+            while (index < gatewayCount - 1 && (draw -= weights[index]) > 0) { index++; }
+            return (firstGateway + index) % size;
         }
 
         void refill() {
@@ -199,8 +199,8 @@
         } else if (action instanceof Send send) {
             sent |= send.id() == current;
             int number = attempts.computeIfAbsent(send.id(), id -> new int[1])[0]++;
-            double took = 80 + 120 * random.nextDouble();
-            schedule(now + took, () -> deliverEvent(gateway, incarnation, new AttemptDone(send.id(), number, send.server(), Outcome.SERVED, took, true, 0, null)));
+            double tookMs = 80 + 120 * random.nextDouble();
+            schedule(now + tookMs, () -> deliverEvent(gateway, incarnation, new AttemptDone(send.id(), number, send.server(), Outcome.SERVED, tookMs, true, 0, null)));
         }
     }
 
@@ -261,10 +261,10 @@
         }
         if (now < countFromMs) { return; }
         tries++;
-        String asked = customer.spikeFactor > 1 ? "in spikes" : customer.demand < 0.6 ? "little" : customer.demand < 1.2 ? "nearly all" : "several times";
-        String plan = p.ceilingRatePerS() > 0 ? "groot" : customer.plan == 0 ? "basis" : "plus";
-        String set = customer.gatewayCount < 50 ? "2 to 49" : customer.gatewayCount < 65 ? "50 to 64" : customer.gatewayCount < 80 ? "65 to 79" : "80 and more";
-        for (String key : List.of("all", "1 " + plan + ", asks " + asked, "2 " + plan + ", set of " + set, "3 " + plan + ", heard "
+        String demandName = customer.spikeFactor > 1 ? "in spikes" : customer.demand < 0.6 ? "little" : customer.demand < 1.2 ? "nearly all" : "several times";
+        String planName = p.ceilingRatePerS() > 0 ? "groot" : customer.plan == 0 ? "basis" : "plus";
+        String setName = customer.gatewayCount < 50 ? "2 to 49" : customer.gatewayCount < 65 ? "50 to 64" : customer.gatewayCount < 80 ? "65 to 79" : "80 and more";
+        for (String key : List.of("all", "1 " + planName + ", asks " + demandName, "2 " + planName + ", set of " + setName, "3 " + planName + ", heard "
                 + AGE_NAMES[bucket(age)])) {
             Tally t = tallies.computeIfAbsent(key, name -> new Tally());
             t.ideal += ideal ? worth : 0;
--- a/src/test/java/yardusher/FleetRun.java
+++ b/src/test/java/yardusher/FleetRun.java
@@ -51,9 +51,9 @@
             double all = 0;
             for (double w : weights) { all += w; }
             double draw = random.nextDouble() * all;
-            int at = 0;
-            while (at < gatewayCount - 1 && (draw -= weights[at]) > 0) { at++; }
-            return (firstGateway + at) % gateways.length;
+            int index = 0;
+            while (index < gatewayCount - 1 && (draw -= weights[index]) > 0) { index++; }
+            return (firstGateway + index) % gateways.length;
         }
 
         void refill() {
--- a/src/test/java/yardusher/FleetTest.java
+++ b/src/test/java/yardusher/FleetTest.java
@@ -65,22 +65,22 @@
 
         void step() {
             now += 20;
-            List<Tell> tells = new ArrayList<>();
+            List<Tell> messages = new ArrayList<>();
             List<Integer> from = new ArrayList<>();
             for (int i = 0; i < GATEWAYS; i++) {
                 for (Action action : actions.get(i)) {
                     if (action instanceof SetTimer timer) { timers.get(i).add(timer); }
                     if (action instanceof Tell tell) {
-                        tells.add(tell);
+                        messages.add(tell);
                         from.add(i);
                     }
                 }
                 actions.get(i).clear();
             }
-            for (int i = 0; i < tells.size(); i++) {
-                gateways.get(tells.get(i).to()).on(now, new PeerMessage(from.get(i), tells.get(i).body()));
+            for (int i = 0; i < messages.size(); i++) {
+                gateways.get(messages.get(i).to()).on(now, new PeerMessage(from.get(i), messages.get(i).body()));
                 messagesSent[from.get(i)]++;
-                bytes += tells.get(i).body().length();
+                bytes += messages.get(i).body().length();
             }
             for (int i = 0; i < GATEWAYS; i++) {
                 List<SetTimer> due = timers.get(i).stream().filter(timer -> timer.atMs() <= now).toList();
--- a/src/test/java/yardusher/HeavyRequestsTest.java
+++ b/src/test/java/yardusher/HeavyRequestsTest.java
@@ -26,38 +26,38 @@
 
     /** Sends a request every 20 ms; {@code answerMs} gives the latency by request number and attempt. */
     private static Result run(double untilMs, ToDoubleBiFunction<Integer, Integer> answerMs) {
-        Gateway g = new Gateway(0, 1, 0, FOUR);
+        Gateway gateway = new Gateway(0, 1, 0, FOUR);
         PriorityQueue<Answer> answers = new PriorityQueue<>(Comparator.comparingDouble(Answer::atMs));
         Map<Long, Integer> numbers = new HashMap<>(), attempts = new HashMap<>();
         Map<Long, Integer> reruns = new HashMap<>();
         int number = 0;
         int refused = 0;
-        for (double t = 10; t < untilMs; t += 5) {
-            g.runTo(t);
-            while (!answers.isEmpty() && answers.peek().atMs() <= t) {
+        for (double timeMs = 10; timeMs < untilMs; timeMs += 5) {
+            gateway.runTo(timeMs);
+            while (!answers.isEmpty() && answers.peek().atMs() <= timeMs) {
                 Answer a = answers.poll();
                 if (attempts.getOrDefault(a.id(), -1) == a.attempt()) {
-                    boolean over = a.outcome() == Outcome.SERVED;
-                    g.on(new AttemptDone(a.id(), a.attempt(), a.server(), a.outcome(), a.tookMs(), over, 0, null));
-                    attempts.merge(a.id(), 0, (x, y) -> over ? null : x);
+                    boolean finished = a.outcome() == Outcome.SERVED;
+                    gateway.on(new AttemptDone(a.id(), a.attempt(), a.server(), a.outcome(), a.tookMs(), finished, 0, null));
+                    attempts.merge(a.id(), 0, (x, y) -> finished ? null : x);
                 }
             }
-            if (t % 20 == 0) { numbers.put(g.ask(0, PolicyTest.FREE_PLAN, 7, 1), number++); }
-            for (boolean any = true; any;) {         // an action may cause further ones
-                List<Action> actions = List.copyOf(g.actions);
-                g.actions.clear();
-                any = false;
+            if (timeMs % 20 == 0) { numbers.put(gateway.ask(0, PolicyTest.FREE_PLAN, 7, 1), number++); }
+            for (boolean repeat = true; repeat;) {         // an action may cause further ones
+                List<Action> actions = List.copyOf(gateway.actions);
+                gateway.actions.clear();
+                repeat = false;
                 for (Action action : actions) {
                     refused += action instanceof Refuse ? 1 : 0;
                     if (action instanceof Send s) {
                         int attempt = attempts.merge(s.id(), 0, (a, b) -> a + 1);
-                        double took = answerMs.applyAsDouble(numbers.get(s.id()), attempt);
-                        answers.add(took < s.timeoutMs() ? new Answer(t + took, s.id(), attempt, s.server(), took, Outcome.SERVED)
-                                : new Answer(t + s.timeoutMs(), s.id(), attempt, s.server(), s.timeoutMs(), Outcome.TIMED_OUT));
+                        double tookMs = answerMs.applyAsDouble(numbers.get(s.id()), attempt);
+                        answers.add(tookMs < s.timeoutMs() ? new Answer(timeMs + tookMs, s.id(), attempt, s.server(), tookMs, Outcome.SERVED)
+                                : new Answer(timeMs + s.timeoutMs(), s.id(), attempt, s.server(), s.timeoutMs(), Outcome.TIMED_OUT));
                     } else if (action instanceof Cancel c && attempts.getOrDefault(c.id(), -1) == c.attempt()) {
                         reruns.merge((long) numbers.get(c.id()), 1, Integer::sum);
-                        g.on(new AttemptDone(c.id(), c.attempt(), 1, Outcome.CANCELLED, 250, false, 0, null));
-                        any = true;
+                        gateway.on(new AttemptDone(c.id(), c.attempt(), 1, Outcome.CANCELLED, 250, false, 0, null));
+                        repeat = true;
                     }
                 }
             }
@@ -67,27 +67,27 @@
 
     @Test
     void aHeavyRequestIsNotRerunAgainAndAgain() {
-        Result seen = run(40_000, (number, attempt) -> number % 20 == 0 ? 2500 : 20);
-        assertThat(seen.rerunsFrom(1000)).isLessThanOrEqualTo(25); // of the last 50 heavy ones: occasional probes
+        Result result = run(40_000, (number, attempt) -> number % 20 == 0 ? 2500 : 20);
+        assertThat(result.rerunsFrom(1000)).isLessThanOrEqualTo(25); // of the last 50 heavy ones: occasional probes
     }
 
     /** Guards against limits that are cut by the mean latency: a quarter of heavy requests moved it above the threshold. */
     @Test
     void manyHeavyRequestsDoNotCutTheLimitsOfHealthyServers() {
-        Result seen = run(20_000, (number, attempt) -> number % 4 == 0 && number > 200 ? 2500 : 20);
-        assertThat(seen.refused()).isLessThanOrEqualTo(40); // of 1000
+        Result result = run(20_000, (number, attempt) -> number % 4 == 0 && number > 200 ? 2500 : 20);
+        assertThat(result.refused()).isLessThanOrEqualTo(40); // of 1000
     }
 
     @Test
     void aHangingAttemptIsRerunElsewhere() {
-        Result seen = run(40_000, (number, attempt) -> number % 20 == 0 && attempt == 0 ? 9000 : 20);
-        assertThat(seen.rerunsFrom(1000)).isGreaterThanOrEqualTo(35);
+        Result result = run(40_000, (number, attempt) -> number % 20 == 0 && attempt == 0 ? 9000 : 20);
+        assertThat(result.rerunsFrom(1000)).isGreaterThanOrEqualTo(35);
     }
 
     @Test
     void rerunsResumeWhenAttemptsHangAfterHeavyRequests() {
-        Result seen = run(80_000, (number, attempt) -> number % 20 != 0 ? 20
+        Result result = run(80_000, (number, attempt) -> number % 20 != 0 ? 20
                 : number < 2000 ? 2500 : attempt == 0 ? 9000 : 20);
-        assertThat(seen.rerunsFrom(3000)).isGreaterThanOrEqualTo(35);
+        assertThat(result.rerunsFrom(3000)).isGreaterThanOrEqualTo(35);
     }
 }
--- a/src/test/java/yardusher/KnownRed.java
+++ b/src/test/java/yardusher/KnownRed.java
@@ -57,8 +57,8 @@
         // The test of this file must not be disabled by the file itself.
         if (type.equals(KnownRedTest.class.getName())) { return false; }
         try {
-            for (Method one : Class.forName(type, false, KnownRed.class.getClassLoader()).getDeclaredMethods()) {
-                if (AnnotationSupport.isAnnotated(one, Testable.class) && (method == null || method.equals(one.getName()))) { return true; }
+            for (Method candidate : Class.forName(type, false, KnownRed.class.getClassLoader()).getDeclaredMethods()) {
+                if (AnnotationSupport.isAnnotated(candidate, Testable.class) && (method == null || method.equals(candidate.getName()))) { return true; }
             }
         } catch (ClassNotFoundException | LinkageError e) { /* names no test */ }
         return false;
--- a/src/test/java/yardusher/OverloadTest.java
+++ b/src/test/java/yardusher/OverloadTest.java
@@ -23,41 +23,41 @@
     private static double shedFraction(LongUnaryOperator answerMs) {
         Server[] servers = new Server[60];
         for (int i = 0; i < servers.length; i++) { servers[i] = PolicyTest.server(1 + i, 0); }
-        Gateway g = new Gateway(0, 100, 0, servers);
+        Gateway gateway = new Gateway(0, 100, 0, servers);
         record Answer(double at, long id, int attempt, long server, double took, Outcome how) { }
         PriorityQueue<Answer> answers = new PriorityQueue<>(Comparator.comparingDouble(Answer::at));
         Map<Long, Integer> attempts = new HashMap<>();
-        Set<String> over = new HashSet<>();
+        Set<String> finished = new HashSet<>();
         long sent = 0;
         int shed = 0, tries = 0;
-        for (double t = 0; t < 6000; t += 5) {
-            g.runTo(t);
-            if (t % 20 == 0) {
-                g.ask(0, PolicyTest.FREE_PLAN, (long) (t / 20) % 97, 1);
-                tries += t >= 4000 ? 1 : 0;
+        for (double timeMs = 0; timeMs < 6000; timeMs += 5) {
+            gateway.runTo(timeMs);
+            if (timeMs % 20 == 0) {
+                gateway.ask(0, PolicyTest.FREE_PLAN, (long) (timeMs / 20) % 97, 1);
+                tries += timeMs >= 4000 ? 1 : 0;
             }
             ArrayDeque<Answer> now = new ArrayDeque<>();
-            while (!answers.isEmpty() && answers.peek().at() <= t) { now.add(answers.poll()); }
-            for (boolean any = true; any;) {
+            while (!answers.isEmpty() && answers.peek().at() <= timeMs) { now.add(answers.poll()); }
+            for (boolean repeat = true; repeat;) {
                 for (Answer a; (a = now.poll()) != null;) {
-                    if (!over.add(a.id() + "." + a.attempt())) { continue; }
-                    g.on(new AttemptDone(a.id(), a.attempt(), a.server(), a.how(), a.took(), a.how() == Outcome.SERVED, 0, null));
+                    if (!finished.add(a.id() + "." + a.attempt())) { continue; }
+                    gateway.on(new AttemptDone(a.id(), a.attempt(), a.server(), a.how(), a.took(), a.how() == Outcome.SERVED, 0, null));
                 }
-                List<Action> actions = List.copyOf(g.actions);
-                g.actions.clear();
+                List<Action> actions = List.copyOf(gateway.actions);
+                gateway.actions.clear();
                 for (Action action : actions) {
-                    shed += action instanceof Refuse r && r.reason() == Reason.PRESSURE && t >= 4000 ? 1 : 0;
+                    shed += action instanceof Refuse r && r.reason() == Reason.PRESSURE && timeMs >= 4000 ? 1 : 0;
                     if (action instanceof Send s) {
                         int attempt = attempts.merge(s.id(), 0, (a, b) -> a + 1);
-                        double took = answerMs.applyAsLong(sent++);
-                        boolean late = took >= s.timeoutMs();
-                        double waits = late ? s.timeoutMs() : took;
-                        answers.add(new Answer(t + waits, s.id(), attempt, s.server(), waits, late ? Outcome.TIMED_OUT : Outcome.SERVED));
+                        double tookMs = answerMs.applyAsLong(sent++);
+                        boolean late = tookMs >= s.timeoutMs();
+                        double waitMs = late ? s.timeoutMs() : tookMs;
+                        answers.add(new Answer(timeMs + waitMs, s.id(), attempt, s.server(), waitMs, late ? Outcome.TIMED_OUT : Outcome.SERVED));
                     } else if (action instanceof Cancel c) {
-                        now.add(new Answer(t, c.id(), c.attempt(), 0, AIM_MS / 2, Outcome.CANCELLED));
+                        now.add(new Answer(timeMs, c.id(), c.attempt(), 0, AIM_MS / 2, Outcome.CANCELLED));
                     }
                 }
-                any = !now.isEmpty() || !g.actions.isEmpty();
+                repeat = !now.isEmpty() || !gateway.actions.isEmpty();
             }
         }
         return shed / (double) tries;
--- a/src/test/java/yardusher/PolicyTest.java
+++ b/src/test/java/yardusher/PolicyTest.java
@@ -168,18 +168,18 @@
 
     @Test
     void aSingleGatewayAdmitsTheWholeBurstAndNoMore() {
-        Gateway g = new Gateway(0, 1, 0, TWO_SERVERS);
-        assertEquals(10, g.admitted(15, QUOTA_PLAN, 1, 1));
+        Gateway gateway = new Gateway(0, 1, 0, TWO_SERVERS);
+        assertEquals(10, gateway.admitted(15, QUOTA_PLAN, 1, 1));
     }
 
     @Test
     void unitsAreRefilledAtTheRate() {
-        Gateway g = new Gateway(0, 1, 0, TWO_SERVERS);
-        g.admitted(10, QUOTA_PLAN, 1, 1);
-        g.runTo(90);
-        assertFalse(g.admits(QUOTA_PLAN, 1, 1));
-        g.runTo(110);
-        assertTrue(g.admits(QUOTA_PLAN, 1, 1));
+        Gateway gateway = new Gateway(0, 1, 0, TWO_SERVERS);
+        gateway.admitted(10, QUOTA_PLAN, 1, 1);
+        gateway.runTo(90);
+        assertFalse(gateway.admits(QUOTA_PLAN, 1, 1));
+        gateway.runTo(110);
+        assertTrue(gateway.admits(QUOTA_PLAN, 1, 1));
     }
 
     @Test
@@ -223,8 +223,8 @@
         int again = alone.admitted(30, QUOTA_PLAN, 1, 1);
         assertTrue(again >= 2 && again <= 4, "admitted " + again);
         int steady = 0;
-        for (double t = 3400; t <= 13_400; t += 100) {
-            alone.runTo(t);
+        for (double timeMs = 3400; timeMs <= 13_400; timeMs += 100) {
+            alone.runTo(timeMs);
             steady += alone.admitted(5, QUOTA_PLAN, 1, 1); // five times the rate
         }
         assertTrue(steady >= 90 && steady <= 105, "admitted " + steady);
@@ -232,54 +232,54 @@
 
     @Test
     void serversThatLoseSomeAnswersAreNotEjected() {
-        Gateway g = new Gateway(0, 4, 0, TWO_SERVERS);
+        Gateway gateway = new Gateway(0, 4, 0, TWO_SERVERS);
         int refused = 0;
         for (int i = 0; i < 400; i++) {              // every sixth answer is lost, at either server
-            g.runTo(2000 + 50 * i);
-            long id = g.ask(0, FREE_PLAN, 5000 + i, 1);
-            for (Send send; (send = g.sent(id)) != null && g.sends(id) <= 6;) {
-                int attempt = (int) g.sends(id) - 1;
+            gateway.runTo(2000 + 50 * i);
+            long id = gateway.ask(0, FREE_PLAN, 5000 + i, 1);
+            for (Send send; (send = gateway.sent(id)) != null && gateway.sends(id) <= 6;) {
+                int attempt = (int) gateway.sends(id) - 1;
                 boolean lost = i % 6 == 0 && attempt == 0;
-                g.now += 5;
-                g.on(new AttemptDone(id, attempt, send.server(), lost ? Outcome.CONNECTION_LOST : Outcome.SERVED, 5, !lost, 0, null));
-                if (!lost || g.sends(id) == attempt + 1) { break; }
+                gateway.now += 5;
+                gateway.on(new AttemptDone(id, attempt, send.server(), lost ? Outcome.CONNECTION_LOST : Outcome.SERVED, 5, !lost, 0, null));
+                if (!lost || gateway.sends(id) == attempt + 1) { break; }
             }
-            refused += g.actions.stream().anyMatch(x -> x instanceof Refuse r && r.id() == id) ? 1 : 0;
+            refused += gateway.actions.stream().anyMatch(x -> x instanceof Refuse r && r.id() == id) ? 1 : 0;
         }
         assertTrue(refused <= 4, "refused " + refused);
     }
 
     @Test
     void anAttemptThatHangsAloneIsCancelledIfOthersHungRecently() {
-        Gateway g = new Gateway(0, 1, 0, server(11, 0));
-        g.runTo(2000);
-        boolean over = false;
-        for (int i = 0; i < 20 && !over; i++) {
-            long hung = g.ask(0, FREE_PLAN, 7000 + i, 1);
-            double until = g.now + 490;
-            for (int n = 0; g.now < until; n++) {    // the server answers all others at once
-                g.runTo(Math.min(until, g.now + 25));
-                assertTrue(g.admits(FREE_PLAN, 8000 + 100 * i + n, 1));
+        Gateway gateway = new Gateway(0, 1, 0, server(11, 0));
+        gateway.runTo(2000);
+        boolean cancelled = false;
+        for (int i = 0; i < 20 && !cancelled; i++) {
+            long hung = gateway.ask(0, FREE_PLAN, 7000 + i, 1);
+            double until = gateway.now + 490;
+            for (int n = 0; gateway.now < until; n++) {    // the server answers all others at once
+                gateway.runTo(Math.min(until, gateway.now + 25));
+                assertTrue(gateway.admits(FREE_PLAN, 8000 + 100 * i + n, 1));
             }
-            g.runTo(until + 20);
-            over = g.actions.stream().anyMatch(x -> x instanceof Cancel c && c.id() == hung);
-            Send last = g.sent(hung);
-            g.on(new AttemptDone(hung, (int) g.sends(hung) - 1, last.server(), over ? Outcome.CANCELLED : Outcome.TIMED_OUT, 510, true, 0, null));
+            gateway.runTo(until + 20);
+            cancelled = gateway.actions.stream().anyMatch(x -> x instanceof Cancel c && c.id() == hung);
+            Send last = gateway.sent(hung);
+            gateway.on(new AttemptDone(hung, (int) gateway.sends(hung) - 1, last.server(), cancelled ? Outcome.CANCELLED : Outcome.TIMED_OUT, 510, true, 0, null));
         }
-        assertTrue(over, "never cancelled");
+        assertTrue(cancelled, "never cancelled");
     }
 
     @Test
     void customersSeenOnceAndRemovedServersAreForgotten() throws Exception {
-        Gateway g = new Gateway(0, 1, 0, TWO_SERVERS);
+        Gateway gateway = new Gateway(0, 1, 0, TWO_SERVERS);
         for (int i = 0; i < 600; i++) {
-            g.runTo(100 + 50 * i);
-            g.admitted(1, QUOTA_PLAN, 1000 + i, 1);
-            g.on(new ServerList(ListKind.DELTA, List.of(new Server(5000 + i, 0, 0, 1, 0, Readiness.READY))));
-            g.on(new ServerList(ListKind.DELTA, List.of(new Server(5000 + i, 0, 0, 1, 0, Readiness.GONE))));
+            gateway.runTo(100 + 50 * i);
+            gateway.admitted(1, QUOTA_PLAN, 1000 + i, 1);
+            gateway.on(new ServerList(ListKind.DELTA, List.of(new Server(5000 + i, 0, 0, 1, 0, Readiness.READY))));
+            gateway.on(new ServerList(ListKind.DELTA, List.of(new Server(5000 + i, 0, 0, 1, 0, Readiness.GONE))));
         }
-        assertTrue(g.policy.quotas.customers.size() < 300, "customers");
-        assertTrue(g.policy.servers.hosts.byId.size() < 300, "hosts");
+        assertTrue(gateway.policy.quotas.customers.size() < 300, "customers");
+        assertTrue(gateway.policy.servers.hosts.byId.size() < 300, "hosts");
     }
 
     @Test
@@ -311,11 +311,11 @@
         Gateway a = new Gateway(0, 3, 0, TWO_SERVERS);
         Gateway b = new Gateway(1, 3, 0, TWO_SERVERS);
         Gateway c = new Gateway(2, 3, 0, TWO_SERVERS);
-        for (double t = 20; t < 2000; t += 20) { // a and c hear b only, and b hears both
-            for (Gateway g : List.of(a, b, c)) {
-                g.runTo(t);
+        for (double timeMs = 20; timeMs < 2000; timeMs += 20) { // a and c hear b only, and b hears both
+            for (Gateway gateway : List.of(a, b, c)) {
+                gateway.runTo(timeMs);
             }
-            if (t % 200 == 0) {
+            if (timeMs % 200 == 0) {
                 a.admitted(4, QUOTA_PLAN, 1, 3); // twice its quota
                 b.admitted(1, QUOTA_PLAN, 1, 3);
             }
@@ -346,26 +346,26 @@
 
     @Test
     void aStallLongerThanAWindowExpiresAllSlotsAndLeavesNoBacklog() {
-        Gateway g = new Gateway(0, 2, 0, TWO_SERVERS);
-        g.admitted(10, QUOTA_PLAN, 1, 2);
-        g.actions.clear();
-        g.now = 60000;
-        List<SetTimer> due = new ArrayList<>(g.timers);
-        g.timers.clear();
-        due.forEach(timer -> g.on(new TimerFired(timer.token())));
-        assertTrue(g.tells().size() <= 1, "one message, however long the stall");
-        assertTrue(g.admitted(15, QUOTA_PLAN, 1, 2) >= 5);
+        Gateway gateway = new Gateway(0, 2, 0, TWO_SERVERS);
+        gateway.admitted(10, QUOTA_PLAN, 1, 2);
+        gateway.actions.clear();
+        gateway.now = 60000;
+        List<SetTimer> due = new ArrayList<>(gateway.timers);
+        gateway.timers.clear();
+        due.forEach(timer -> gateway.on(new TimerFired(timer.token())));
+        assertTrue(gateway.tells().size() <= 1, "one message, however long the stall");
+        assertTrue(gateway.admitted(15, QUOTA_PLAN, 1, 2) >= 5);
     }
 
     @Test
     void messagesStayWithinTheirSizeAndTheIntake() {
-        Gateway g = new Gateway(0, 2, 0, TWO_SERVERS);
+        Gateway gateway = new Gateway(0, 2, 0, TWO_SERVERS);
         for (int i = 0; i < 400; i++) {
-            g.admits(QUOTA_PLAN, 8_000_000_000L + i, 2);
+            gateway.admits(QUOTA_PLAN, 8_000_000_000L + i, 2);
         }
-        g.runTo(2000);
-        assertTrue(g.tells().stream().allMatch(tell -> tell.body().length() <= 256));
-        assertTrue(g.tells().size() > 10 && g.tells().size() <= 120, g.tells().size() + " messages in 2 s");
+        gateway.runTo(2000);
+        assertTrue(gateway.tells().stream().allMatch(tell -> tell.body().length() <= 256));
+        assertTrue(gateway.tells().size() > 10 && gateway.tells().size() <= 120, gateway.tells().size() + " messages in 2 s");
     }
 
     @Test
@@ -422,23 +422,23 @@
 
     @Test
     void anIdempotentRequestIsRetriedElsewhereAfterALostConnection() {
-        Gateway g = new Gateway(0, 1, 0, TWO_SERVERS);
-        long id = g.ask(0, FREE_PLAN, 1, 1);
-        long first = g.sent(id).server();
-        g.done(id, Outcome.CONNECTION_LOST);
-        assertEquals(2, g.sends(id));
-        assertTrue(g.sent(id).server() != first);
+        Gateway gateway = new Gateway(0, 1, 0, TWO_SERVERS);
+        long id = gateway.ask(0, FREE_PLAN, 1, 1);
+        long first = gateway.sent(id).server();
+        gateway.done(id, Outcome.CONNECTION_LOST);
+        assertEquals(2, gateway.sends(id));
+        assertTrue(gateway.sent(id).server() != first);
     }
 
     @Test
     void anAtMostOnceRequestIsRetriedOnlyIfItCannotHaveRun() {
         for (Outcome outcome : Outcome.values()) {
             if (outcome != Outcome.SERVED) {
-                Gateway g = new Gateway(0, 1, 0, TWO_SERVERS);
-                long id = g.ask(2, FREE_PLAN, 1, 1);
-                g.done(id, outcome);
-                assertTrue(outcome.neverRan() || g.sends(id) == 1 && g.failed(id) && !g.refused(id), "" + outcome);
-                assertTrue(g.sends(id) == 2 ^ g.failed(id) ^ g.refused(id), "exactly one of retry, failure and refusal, " + outcome);
+                Gateway gateway = new Gateway(0, 1, 0, TWO_SERVERS);
+                long id = gateway.ask(2, FREE_PLAN, 1, 1);
+                gateway.done(id, outcome);
+                assertTrue(outcome.neverRan() || gateway.sends(id) == 1 && gateway.failed(id) && !gateway.refused(id), "" + outcome);
+                assertTrue(gateway.sends(id) == 2 ^ gateway.failed(id) ^ gateway.refused(id), "exactly one of retry, failure and refusal, " + outcome);
             }
         }
     }
@@ -446,76 +446,76 @@
     @Test
     void aDeduplicatedRequestIsRetriedOnlyInItsCellAndWindow() {
         Server[] cells = {server(11, 0), server(12, 0), server(21, 1), server(22, 1)};
-        Gateway g = new Gateway(0, 1, 0, cells);
-        long id = g.ask(1, FREE_PLAN, 1, 1);
-        long cell = g.sent(id).server() / 10;
-        g.now = 100;
-        g.done(id, Outcome.CONNECTION_LOST);
-        assertEquals(2, g.sends(id));
-        assertEquals(cell, g.sent(id).server() / 10);
-        g.now = 1100; // past the window of 1000 ms, before the deadline
-        g.done(id, Outcome.CONNECTION_LOST);
-        assertTrue(g.sends(id) == 2 && g.failed(id) && !g.refused(id));
+        Gateway gateway = new Gateway(0, 1, 0, cells);
+        long id = gateway.ask(1, FREE_PLAN, 1, 1);
+        long cell = gateway.sent(id).server() / 10;
+        gateway.now = 100;
+        gateway.done(id, Outcome.CONNECTION_LOST);
+        assertEquals(2, gateway.sends(id));
+        assertEquals(cell, gateway.sent(id).server() / 10);
+        gateway.now = 1100; // past the window of 1000 ms, before the deadline
+        gateway.done(id, Outcome.CONNECTION_LOST);
+        assertTrue(gateway.sends(id) == 2 && gateway.failed(id) && !gateway.refused(id));
     }
 
     @Test
     void noAttemptOutlivesTheDeadlineAndATimeoutFailsAtOnce() {
-        Gateway g = new Gateway(0, 1, 0, TWO_SERVERS);
-        long id = g.ask(2, FREE_PLAN, 1, 1);
-        assertTrue(g.sent(id).timeoutMs() <= 2000);
-        g.now = 2000;
-        g.done(id, Outcome.TIMED_OUT);
-        assertTrue(g.failed(id));
+        Gateway gateway = new Gateway(0, 1, 0, TWO_SERVERS);
+        long id = gateway.ask(2, FREE_PLAN, 1, 1);
+        assertTrue(gateway.sent(id).timeoutMs() <= 2000);
+        gateway.now = 2000;
+        gateway.done(id, Outcome.TIMED_OUT);
+        assertTrue(gateway.failed(id));
     }
 
     @Test
     void lateOutcomesStaleTimersAndUnknownRequestsAreIgnored() {
-        Gateway g = new Gateway(0, 1, 0, TWO_SERVERS);
-        long id = g.ask(0, FREE_PLAN, 1, 1);
-        g.on(new ClientGone(id));
-        long sends = g.sends(id);
-        g.done(id, Outcome.CONNECTION_LOST);
-        g.on(new AttemptDone(id, 0, 11, Outcome.SERVED, 10, true, 0, null));
-        g.on(new AttemptDone(777, 0, 11, Outcome.SERVED, 10, true, 0, null));
-        g.on(new TimerFired(778));
-        g.on(new ClientGone(777));
-        g.on(new FirstByte(777, 0, 11));
-        assertTrue(g.sends(id) == sends && !g.refused(id) && !g.failed(id));
-        assertThrows(IllegalArgumentException.class, () -> g.policy.on(-1, new ClientGone(1)));
+        Gateway gateway = new Gateway(0, 1, 0, TWO_SERVERS);
+        long id = gateway.ask(0, FREE_PLAN, 1, 1);
+        gateway.on(new ClientGone(id));
+        long sends = gateway.sends(id);
+        gateway.done(id, Outcome.CONNECTION_LOST);
+        gateway.on(new AttemptDone(id, 0, 11, Outcome.SERVED, 10, true, 0, null));
+        gateway.on(new AttemptDone(777, 0, 11, Outcome.SERVED, 10, true, 0, null));
+        gateway.on(new TimerFired(778));
+        gateway.on(new ClientGone(777));
+        gateway.on(new FirstByte(777, 0, 11));
+        assertTrue(gateway.sends(id) == sends && !gateway.refused(id) && !gateway.failed(id));
+        assertThrows(IllegalArgumentException.class, () -> gateway.policy.on(-1, new ClientGone(1)));
     }
 
     // ---- draining and cold servers
 
     @Test
     void noAttemptGoesToADrainingOrRemovedServer() {
-        Gateway g = new Gateway(0, 1, 0, TWO_SERVERS);
-        g.on(new ServerList(ListKind.DELTA, List.of(new Server(11, 0, 0, 1, 0, Readiness.DRAINING))));
-        g.admitted(20, FREE_PLAN, 1, 1);
-        assertTrue(g.actions.stream().noneMatch(a -> a instanceof Send s && s.server() == 11));
-        g.on(new ServerList(ListKind.FULL, List.of()));
-        assertTrue(g.refused(g.ask(0, FREE_PLAN, 1, 1)), "an empty list means refusal, not silence");
+        Gateway gateway = new Gateway(0, 1, 0, TWO_SERVERS);
+        gateway.on(new ServerList(ListKind.DELTA, List.of(new Server(11, 0, 0, 1, 0, Readiness.DRAINING))));
+        gateway.admitted(20, FREE_PLAN, 1, 1);
+        assertTrue(gateway.actions.stream().noneMatch(a -> a instanceof Send s && s.server() == 11));
+        gateway.on(new ServerList(ListKind.FULL, List.of()));
+        assertTrue(gateway.refused(gateway.ask(0, FREE_PLAN, 1, 1)), "an empty list means refusal, not silence");
     }
 
     @Test
     void aColdServerGetsFewerRequestsAndAllColdServersStillServe() {
-        Gateway g = new Gateway(0, 1, 0, TWO_SERVERS);
-        g.on(new ServerList(ListKind.DELTA, List.of(new Server(12, 0, 0, 1, 1, Readiness.READY))));
-        for (int t = 10; t < 2000; t += 10) {
-            g.runTo(t);
-            g.ask(0, FREE_PLAN, 1, 1);
-            long old = g.requestCount - 5; // each takes 50 ms
-            if (old > 0 && g.sent(old) != null) {
-                g.done(old, Outcome.SERVED);
+        Gateway gateway = new Gateway(0, 1, 0, TWO_SERVERS);
+        gateway.on(new ServerList(ListKind.DELTA, List.of(new Server(12, 0, 0, 1, 1, Readiness.READY))));
+        for (int timeMs = 10; timeMs < 2000; timeMs += 10) {
+            gateway.runTo(timeMs);
+            gateway.ask(0, FREE_PLAN, 1, 1);
+            long earlier = gateway.requestCount - 5; // each takes 50 ms
+            if (earlier > 0 && gateway.sent(earlier) != null) {
+                gateway.done(earlier, Outcome.SERVED);
             }
         }
-        long cold = g.actions.stream().filter(a -> a instanceof Send s && s.server() == 12).count();
+        long cold = gateway.actions.stream().filter(a -> a instanceof Send s && s.server() == 12).count();
         assertTrue(cold > 5 && cold < 70, "cold server got " + cold + " of 199");
-        Gateway all = new Gateway(0, 1, 0, new Server(11, 0, 0, 1, 1, Readiness.READY),
+        Gateway coldGateway = new Gateway(0, 1, 0, new Server(11, 0, 0, 1, 1, Readiness.READY),
                 new Server(12, 0, 0, 1, 1, Readiness.READY));
         int served = 0;
-        for (int t = 10; t < 4000; t += 10) {
-            all.runTo(t);
-            served += all.admits(FREE_PLAN, 1, 1) ? 1 : 0;
+        for (int timeMs = 10; timeMs < 4000; timeMs += 10) {
+            coldGateway.runTo(timeMs);
+            served += coldGateway.admits(FREE_PLAN, 1, 1) ? 1 : 0;
         }
         assertTrue(served > 50, "served " + served + " while all are cold");
     }
@@ -524,21 +524,21 @@
 
     @Test
     void aSilentServerLosesItsTrafficAndAnIdempotentRequestIsRetried() {
-        Gateway g = new Gateway(0, 1, 0, TWO_SERVERS);
+        Gateway gateway = new Gateway(0, 1, 0, TWO_SERVERS);
         int silent = 0;
         long rescued = 0;
-        for (int t = 10; t < 4000; t += 10) {
-            g.runTo(t);
-            for (Action action : new ArrayList<>(g.actions)) {
+        for (int timeMs = 10; timeMs < 4000; timeMs += 10) {
+            gateway.runTo(timeMs);
+            for (Action action : new ArrayList<>(gateway.actions)) {
                 if (action instanceof Cancel cancel) {
-                    g.actions.remove(action);
-                    g.done(cancel.id(), Outcome.CANCELLED);
-                    rescued += g.sends(cancel.id()) == 2 ? 1 : 0;
+                    gateway.actions.remove(action);
+                    gateway.done(cancel.id(), Outcome.CANCELLED);
+                    rescued += gateway.sends(cancel.id()) == 2 ? 1 : 0;
                 }
             }
-            long id = g.ask(0, FREE_PLAN, 1, 1);
-            if (g.sent(id) != null && g.sent(id).server() == 12) {
-                g.done(id, Outcome.SERVED);
+            long id = gateway.ask(0, FREE_PLAN, 1, 1);
+            if (gateway.sent(id) != null && gateway.sent(id).server() == 12) {
+                gateway.done(id, Outcome.SERVED);
             } else {
                 silent++;
             }
@@ -549,28 +549,28 @@
 
     @Test
     void whenAllServersFailAtOnceTheyAreNotAllEjected() {
-        Gateway g = new Gateway(0, 1, 0, TWO_SERVERS);
-        for (int t = 10; t < 400; t += 10) {
-            g.runTo(t);
-            long id = g.ask(2, FREE_PLAN, 1, 1);
-            if (g.sent(id) != null) {
-                g.done(id, Outcome.TIMED_OUT);
+        Gateway gateway = new Gateway(0, 1, 0, TWO_SERVERS);
+        for (int timeMs = 10; timeMs < 400; timeMs += 10) {
+            gateway.runTo(timeMs);
+            long id = gateway.ask(2, FREE_PLAN, 1, 1);
+            if (gateway.sent(id) != null) {
+                gateway.done(id, Outcome.TIMED_OUT);
             }
         }
-        g.runTo(5000);
-        assertTrue(g.sent(g.ask(0, FREE_PLAN, 1, 1)) != null);
+        gateway.runTo(5000);
+        assertTrue(gateway.sent(gateway.ask(0, FREE_PLAN, 1, 1)) != null);
     }
 
     @Test
     void abandonedWorkCountsAgainstAServersLimit() {
-        Gateway g = new Gateway(0, 1, 0, server(11, 0));
+        Gateway gateway = new Gateway(0, 1, 0, server(11, 0));
         int sent = 0;
-        for (int t = 0; t < 1000; t += 5) {
-            g.now = t;
-            long id = g.ask(2, FREE_PLAN, 1, 1);
-            if (g.sent(id) != null) {
+        for (int timeMs = 0; timeMs < 1000; timeMs += 5) {
+            gateway.now = timeMs;
+            long id = gateway.ask(2, FREE_PLAN, 1, 1);
+            if (gateway.sent(id) != null) {
                 sent++;
-                g.done(id, Outcome.TIMED_OUT);
+                gateway.done(id, Outcome.TIMED_OUT);
             }
         }
         assertTrue(sent < 60, sent + " sent to a server that only times out");
@@ -579,10 +579,10 @@
     @Test
     void manyGatewaysTogetherKeepToTheLimitOfAServer() {
         for (int gateways : new int[] {1, 10}) {
-            Gateway g = new Gateway(0, gateways, 0, server(11, 0));
+            Gateway gateway = new Gateway(0, gateways, 0, server(11, 0));
             int sent = 0;
             for (int i = 0; i < 100; i++) {
-                sent += g.sent(g.ask(0, FREE_PLAN, 1, 1)) != null ? 1 : 0;
+                sent += gateway.sent(gateway.ask(0, FREE_PLAN, 1, 1)) != null ? 1 : 0;
             }
             assertTrue(sent >= 2 && sent * gateways <= 40, sent + " at once by each of " + gateways);
         }
@@ -591,16 +591,16 @@
     @Test
     void oneLongAnswerDoesNotCutAServersLimitButLongAnswersOfAllDo() {
         int[] room = new int[2];
-        for (int all = 0; all < 2; all++) {
-            Gateway g = new Gateway(0, 1, 0, server(11, 0));
-            for (int t = 0; t < 60; t++) {
-                g.now = 1000 * t;
-                long id = g.ask(0, FREE_PLAN, 1, 1);
-                g.now += all == 1 || t == 59 ? 400 : 50;
-                g.done(id, Outcome.SERVED);
+        for (int allLong = 0; allLong < 2; allLong++) {
+            Gateway gateway = new Gateway(0, 1, 0, server(11, 0));
+            for (int timeMs = 0; timeMs < 60; timeMs++) {
+                gateway.now = 1000 * timeMs;
+                long id = gateway.ask(0, FREE_PLAN, 1, 1);
+                gateway.now += allLong == 1 || timeMs == 59 ? 400 : 50;
+                gateway.done(id, Outcome.SERVED);
             }
             for (int i = 0; i < 100; i++) {
-                room[all] += g.sent(g.ask(0, FREE_PLAN, 1, 1)) != null ? 1 : 0;
+                room[allLong] += gateway.sent(gateway.ask(0, FREE_PLAN, 1, 1)) != null ? 1 : 0;
             }
         }
         assertTrue(room[0] > 10 && room[1] < 5, room[0] + " and " + room[1]);
@@ -611,8 +611,8 @@
         List<Action> actions = new ArrayList<>();
         Policy policy = new Policy(settings(0, 1, true), 1, 0, actions::add);
         policy.on(10, new ServerList(ListKind.FAILED, List.of()));
-        for (int t = 100; t < 3000; t += 100) {
-            policy.on(t, new TimerFired(0));
+        for (int timeMs = 100; timeMs < 3000; timeMs += 100) {
+            policy.on(timeMs, new TimerFired(0));
         }
         assertEquals(2, actions.stream().filter(a -> a instanceof Subscribe).count());
     }
@@ -621,12 +621,12 @@
     void theSameEventsGiveTheSameActions() {
         List<List<Action>> runs = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
-            Gateway g = new Gateway(0, 3, 0, TWO_SERVERS);
-            for (int t = 10; t < 1000; t += 10) {
-                g.runTo(t);
-                g.ask(t % 3, t % 4, t % 7, 3);
+            Gateway gateway = new Gateway(0, 3, 0, TWO_SERVERS);
+            for (int timeMs = 10; timeMs < 1000; timeMs += 10) {
+                gateway.runTo(timeMs);
+                gateway.ask(timeMs % 3, timeMs % 4, timeMs % 7, 3);
             }
-            runs.add(g.actions);
+            runs.add(gateway.actions);
         }
         assertEquals(runs.get(0), runs.get(1));
     }
--- a/src/test/java/yardusher/PressureTest.java
+++ b/src/test/java/yardusher/PressureTest.java
@@ -44,10 +44,10 @@
     void theShedFractionOfTheLeastWorthIsRefusedHoweverItsLatencyChanges() {
         runWithLatency(0.4, 20);
         assertThat(pressure.shedFraction).as("the part asked").isBetween(0.2, 0.5);
-        int asked = (int) (1000 * pressure.shedFraction);
+        int expected = (int) (1000 * pressure.shedFraction);
         for (double moved : new double[] {1, 1.02, 0.96, 1.1}) {
             servers.latencies.classLatencyMs[0] *= moved;
-            assertThat(refused(0, 1000)).as("of 1000, its usual latency moved by %s", moved).isBetween(asked - 5, asked + 5);
+            assertThat(refused(0, 1000)).as("of 1000, its usual latency moved by %s", moved).isBetween(expected - 5, expected + 5);
         }
     }
 
--- a/src/test/java/yardusher/QuotaStoreTest.java
+++ b/src/test/java/yardusher/QuotaStoreTest.java
@@ -31,14 +31,14 @@
         double window = burst / rate * 1000, start = window + 1, end = start + 20_000, admitted = 0;
         double every = 1000 * (1 + maxUnits) / 2.0 / (rate * demand);
         long id = 0;
-        for (double t = start; t < end; t += every * 2 * random.nextDouble()) {
+        for (double timeMs = start; timeMs < end; timeMs += every * 2 * random.nextDouble()) {
             int units = 1 + random.nextInt(maxUnits);
             actions.clear();
-            policy.on(t, new Request(++id, 0, 0, 7, t + 2000, units, 0, 1));
+            policy.on(timeMs, new Request(++id, 0, 0, 7, timeMs + 2000, units, 0, 1));
             for (Action action : List.copyOf(actions)) {
                 if (action instanceof Send s) {
                     admitted += units;
-                    policy.on(t, new AttemptDone(s.id(), 0, s.server(), Outcome.SERVED, 5, true, 0, null));
+                    policy.on(timeMs, new AttemptDone(s.id(), 0, s.server(), Outcome.SERVED, 5, true, 0, null));
                 }
             }
         }
--- a/src/test/java/yardusher/RepeatsTest.java
+++ b/src/test/java/yardusher/RepeatsTest.java
@@ -17,8 +17,8 @@
 
     /** Starts one ingress with two backends in different cells, and a class with half an aim of 250 ms. */
     private void start(Effect effect, Group group, double windowMs) {
-        RequestClass of = new RequestClass(500, 2000, 1, 0.1, effect, group, windowMs, false);
-        policy = new Policy(new Settings(0, 1, 0, 1, List.of(of), List.of(FREE), new Limits(4, true, false, 1000), new Rules(0.25, 10_000, 3, 1000, 1000),
+        RequestClass requestClass = new RequestClass(500, 2000, 1, 0.1, effect, group, windowMs, false);
+        policy = new Policy(new Settings(0, 1, 0, 1, List.of(requestClass), List.of(FREE), new Limits(4, true, false, 1000), new Rules(0.25, 10_000, 3, 1000, 1000),
                 List.of(), false, 60, 1, 0, 0.01), 7, 0, actions::add);
         policy.on(0, new ServerList(ListKind.CACHED, List.of(server(11, 0), server(12, 1))));
     }
