--- a/src/main/java/yardusher/QuotaStatusReader.java
+++ b/src/main/java/yardusher/QuotaStatusReader.java
@@ -21,7 +21,8 @@
             CeilingShare share = ceilings.copyOfShare(customer);
             double tokensLeft = share.tokens();
             room = Math.min(room, tokensLeft);
-            waitMs = Math.max(waitMs, (units - tokensLeft) / (Math.max(share.portion(), share.ownPortion()) * customer.plan.ceilingRatePerS()) * 1000);
+            waitMs = Math.max(waitMs,
+                    (units - tokensLeft) / (Math.max(share.portion(), share.ownPortion()) * customer.plan.ceilingRatePerS()) * 1000);
         }
         return new QuotaStatus(customer.plan.burst(), Math.max(0, room), Math.max(0, waitMs), resetMs);
     }
--- a/src/test/java/yardusher/BanAndUpgradeTest.java
+++ b/src/test/java/yardusher/BanAndUpgradeTest.java
@@ -13,9 +13,9 @@
 
     /** Delivers the pending messages of one process to the other. */
     private static void deliver(Gateway from, Gateway to) {
-        List<Tell> told = from.actions.stream().filter(a -> a instanceof Tell t && t.to() == from.self).map(a -> (Tell) a).toList();
+        List<Tell> messages = from.actions.stream().filter(a -> a instanceof Tell t && t.to() == from.self).map(a -> (Tell) a).toList();
         from.actions.clear();
-        for (Tell tell : told) { to.on(new PeerMessage(from.self, tell.body())); }
+        for (Tell tell : messages) { to.on(new PeerMessage(from.self, tell.body())); }
     }
 
     private static long sentTo(Gateway g, long server) {
--- a/src/test/java/yardusher/BurstRun.java
+++ b/src/test/java/yardusher/BurstRun.java
@@ -23,7 +23,8 @@
      * work during the burst.
      */
     record Scenario(int gateways, int servers, int cold, int joining, int hanging, double load, double burst,
-            double initialWarmth, double warmAfterMs, double workMs, double aimMs, double deadlineMs, int cores, int slotsPerCore, int queuePerCore, boolean dropsExpired, long seed) { }
+            double initialWarmth, double warmAfterMs, double workMs, double aimMs, double deadlineMs,
+            int cores, int slotsPerCore, int queuePerCore, boolean dropsExpired, long seed) { }
 
     static final double BURST_AT_MS = 8000, BURST_MS = 6000;
     static final double TICK_MS = 2;
--- a/src/test/java/yardusher/CeilingFlawsTest.java
+++ b/src/test/java/yardusher/CeilingFlawsTest.java
@@ -28,7 +28,7 @@
         TOKENS_MOVE_WITHOUT_ROOM("CeilingShare", "lent.add(new Lease(peer, portion, now + LEASE_MS + MARGIN_MS));", ""),
         LENDER_TAKES_BACK_WITH_THE_LEASE("CeilingShare", "now + LEASE_MS + MARGIN_MS));", "now + LEASE_MS / 2));"),
         RESTART_EARNS_WHAT_WAS_LENT("CeilingShare", "if (lentUntilMs > sinceMs) {", "if (false) {"),
-        RESTART_BEGINS_FULL("CeilingShare", "updatedAtMs = sinceMs;", "updatedAtMs = sinceMs;\n tokens = plan.ceilingSlack() / spread;"),
+        RESTART_BEGINS_FULL("CeilingShare", "updatedAtMs = sinceMs;", "updatedAtMs = sinceMs;\n tokens = plan.ceilingSlack() / gatewayCount;"),
         LEASE_COUNTS_FROM_THE_GRANT("CeilingLoans", "double requestedAtMs = request.sentAtMs();", "double requestedAtMs = clock.now;"),
         WAITING_REQUEST_LEAVES_ROOM("Attempts", "pending.ceilingShare.reserve(pending.request.units(), clock.now);", "pending.ceilingShare.reserve(0, clock.now);"),
         RETRY_TAKES_NO_UNITS("Attempts", "if (!ceilings.canSpend(customer, units)) { return false; }", "if (true) { return true; }"),
@@ -53,7 +53,7 @@
     void aSeededFlawIsDetected(Flaw flaw) throws Exception {
         try (URLClassLoader flawed = new ChildFirstLoader(compile(flaw))) {
             Object broken = flawed.loadClass("yardusher.CeilingRun").getMethod("countBroken", long.class, long.class).invoke(null, 0L, SEEDS);
-            System.out.println("ceiling: " + flaw + " seen in " + broken + " of " + SEEDS + " draws");
+            System.out.println("ceiling: " + flaw + " detected in " + broken + " of " + SEEDS + " seeds");
             assertThat((Integer) broken).isPositive();
         }
     }
--- a/src/test/java/yardusher/ColdAllowanceTest.java
+++ b/src/test/java/yardusher/ColdAllowanceTest.java
@@ -42,7 +42,9 @@
             for (double at = 0; at < startsAt; at += Clock.SWEEP_MS) {
                 clock.now = at;
                 double mean = part * WARM_SERVERS * ANSWERED_FRACTION * PER_MS * Clock.SWEEP_MS;
-                for (double n = -Math.log(1 - random.nextDouble()); n < mean; n -= Math.log(1 - random.nextDouble())) { allowance.warmThroughput.recordAnswer(warm.get(0)); }
+                for (double n = -Math.log(1 - random.nextDouble()); n < mean; n -= Math.log(1 - random.nextDouble())) {
+                    allowance.warmThroughput.recordAnswer(warm.get(0));
+                }
                 allowance.warmThroughput.sample(warm);
             }
             clock.now = startsAt;
--- a/src/test/java/yardusher/ColdSumTest.java
+++ b/src/test/java/yardusher/ColdSumTest.java
@@ -83,14 +83,16 @@
         System.out.println(describe(scenario, run));
         assertThat(run.highestLoad()).as("fraction of the overload bound").isLessThan(1);
         assertThat(run.attemptRange()[0]).as("attempts at the cold backend with the fewest").isPositive();
-        int minServedPercent = scenario.replaced() == 1 ? 95 : scenario.pace() == Pace.BY_WARMTH || scenario.rules() == DOUBLE ? 15 : scenario.replaced() < scenario.servers() && scenario.load() < 0.9 ? 55 : 35;
+        int minServedPercent = scenario.replaced() == 1 ? 95 : scenario.pace() == Pace.BY_WARMTH || scenario.rules() == DOUBLE ? 15
+                : scenario.replaced() < scenario.servers() && scenario.load() < 0.9 ? 55 : 35;
         assertThat(run.served).as("served of " + run.requested).isGreaterThan(run.requested * minServedPercent / 100);
     }
 
     private static String describe(Scenario scenario, ColdRun run) {
-        return String.format("cold: %d ingresses, %d of %d replaced, asked %.2f, multiple %.0f in %.0f ms, skew %.1f, hot %.2f, %s%s told over %.0f ms: "
-                + "at most %.2f of the overload bound; each sent %d to %d, %d of %d served", scenario.gateways(), scenario.replaced(), scenario.servers(), scenario.load(),
-                scenario.rules().overloadFactor(), scenario.rules().overloadWindowMs(), scenario.skew(), scenario.hotFraction(), scenario.pace(), scenario.restart() ? ", same ids," : ",",
+        return String.format("cold: %d ingresses, %d of %d replaced, load %.2f, multiple %.0f in %.0f ms, skew %.1f, hot %.2f, %s%s list known within %.0f ms: "
+                + "at most %.2f of the overload bound; each sent %d to %d, %d of %d served", scenario.gateways(), scenario.replaced(),
+                scenario.servers(), scenario.load(), scenario.rules().overloadFactor(), scenario.rules().overloadWindowMs(), scenario.skew(), scenario.hotFraction(), scenario.pace(),
+                scenario.restart() ? ", same ids," : ",",
                 scenario.listDelayMs(), run.highestLoad(), run.attemptRange()[0], run.attemptRange()[1], run.served, run.requested);
     }
 
@@ -103,7 +105,8 @@
     }
 
     private static ColdRun run(Scenario scenario, long seed) {
-        Scenario reseeded = new Scenario(scenario.gateways(), scenario.servers(), scenario.replaced(), scenario.rules(), scenario.cores(), scenario.load(), scenario.skew(), scenario.hotFraction(), scenario.pace(),
+        Scenario reseeded = new Scenario(scenario.gateways(), scenario.servers(), scenario.replaced(), scenario.rules(), scenario.cores(),
+                scenario.load(), scenario.skew(), scenario.hotFraction(), scenario.pace(),
                 scenario.restart(), scenario.listDelayMs(), scenario.retries(), seed);
         return new ColdRun(reseeded).run(2 * scenario.rules().overloadWindowMs());
     }
--- a/src/test/java/yardusher/ExcessRun.java
+++ b/src/test/java/yardusher/ExcessRun.java
@@ -200,7 +200,8 @@
             sent |= send.id() == current;
             int number = attempts.computeIfAbsent(send.id(), id -> new int[1])[0]++;
             double tookMs = 80 + 120 * random.nextDouble();
-            schedule(now + tookMs, () -> deliverEvent(gateway, incarnation, new AttemptDone(send.id(), number, send.server(), Outcome.SERVED, tookMs, true, 0, null)));
+            schedule(now + tookMs, () -> deliverEvent(gateway, incarnation,
+                    new AttemptDone(send.id(), number, send.server(), Outcome.SERVED, tookMs, true, 0, null)));
         }
     }
 
--- a/src/test/java/yardusher/ExternalDemandTest.java
+++ b/src/test/java/yardusher/ExternalDemandTest.java
@@ -46,11 +46,12 @@
         policy.on(0, new ExternalDemandThreshold(50));
         double now = 5000;
         for (int[] of : new int[][] {{100, 0}, {3, 0}, {100, 1}}) { // the second plan has a cap on requests open at once
-            int spread = of[0], plan = of[1];
+            int gatewayCount = of[0], plan = of[1];
             actions.clear();
-            policy.on(now += 1000, new Request(spread + plan, 0, plan, spread + plan, now + 2000, 2, 0, spread));
+            policy.on(now += 1000, new Request(gatewayCount + plan, 0, plan, gatewayCount + plan, now + 2000, 2, 0, gatewayCount));
             for (int i = 0; i < 5; i++) { policy.on(now += 500, new TimerFired(Clock.FLUSH_TOKEN)); }
-            assertThat(actions.stream().filter(Tell.class::isInstance).count() > 0).as("a set of %d, plan %d", spread, plan).isEqualTo(spread < 50 || plan == 1);
+            assertThat(actions.stream().filter(Tell.class::isInstance).count() > 0).as("a set of %d, plan %d", gatewayCount, plan)
+                    .isEqualTo(gatewayCount < 50 || plan == 1);
         }
     }
 }
--- a/src/test/java/yardusher/FleetTest.java
+++ b/src/test/java/yardusher/FleetTest.java
@@ -47,11 +47,11 @@
         Outcome outcome(long server, int classIndex) { return Outcome.SERVED; }
 
         /** Sends a request and answers it at once. Returns the server, or -1 if it was refused. */
-        long ask(int gateway, long customer, int classIndex, int spread) {
+        long ask(int gateway, long customer, int classIndex, int gatewayCount) {
             long id = ++requestCount;
             List<Action> list = actions.get(gateway);
             int from = list.size();
-            gateways.get(gateway).on(now, new Request(id, classIndex, 0, customer, now + 2000, 1, 0, spread));
+            gateways.get(gateway).on(now, new Request(id, classIndex, 0, customer, now + 2000, 1, 0, gatewayCount));
             for (Action action : List.copyOf(list.subList(from, list.size()))) {
                 if (action instanceof Send send) {
                     Outcome outcome = outcome(send.server(), classIndex);
@@ -125,11 +125,11 @@
             for (int i = 0; i < 4; i++) { fleet.ask(120 + (step * 4 + i) % 80, 9, 0, 200); }
         }
         for (int gateway = 0; gateway < GATEWAYS; gateway++) {
-            assertTrue(fleet.messagesSent[gateway] <= 5 * 60 * 0.75 * 3 + 70, gateway + " told " + fleet.messagesSent[gateway]);
+            assertTrue(fleet.messagesSent[gateway] <= 5 * 60 * 0.75 * 3 + 70, gateway + " sent " + fleet.messagesSent[gateway]);
         }
         int later = 0;
         for (int gateway = 0; gateway < 100; gateway++) { later += fleet.ask(gateway, 9, 0, 200) >= 0 ? 1 : 0; }
-        assertTrue(later < 30, later + " sent by gateways that carried nothing, of a full quota");
+        assertTrue(later < 30, later + " admitted by gateways without earlier requests, of a full quota");
     }
 
     @Test
--- a/src/test/java/yardusher/LargeFleetTest.java
+++ b/src/test/java/yardusher/LargeFleetTest.java
@@ -20,7 +20,7 @@
         for (int gateways = 2; gateways <= 16; gateways++) {
             FleetRun fleet = new FleetRun(gateways, SERVERS, CUSTOMERS, 0.05, gateways);
             fleet.run(6000);
-            assertThat(fleet.messagesSent).as("told by %d", gateways).isLessThanOrEqualTo((int) (gateways * 5 * FleetRun.INTAKE_PER_S));
+            assertThat(fleet.messagesSent).as("sent by %d", gateways).isLessThanOrEqualTo((int) (gateways * 5 * FleetRun.INTAKE_PER_S));
             assertThat(fleet.messagesDropped).as("lost at %d", gateways).isLessThanOrEqualTo(fleet.messagesSent / 50);
         }
     }
@@ -37,7 +37,8 @@
             assertThat(fleet.lowestCeiling).as("seed %d, least of the ceilings", seed).isGreaterThan(-5);
             for (int plan = 0; plan < 3; plan++) {
                 FleetRun.Tally tally = fleet.tallies[plan];
-                assertThat(tally.inside / tally.ideal).as("seed %d, plan %d, inside", seed, plan).isGreaterThan(FleetRun.PLANS.get(plan).ceilingRatePerS() > 0 ? 0.8 : 0.95);
+                assertThat(tally.inside / tally.ideal).as("seed %d, plan %d, inside", seed, plan)
+                        .isGreaterThan(FleetRun.PLANS.get(plan).ceilingRatePerS() > 0 ? 0.8 : 0.95);
                 assertThat(tally.beyond / tally.ideal).as("seed %d, plan %d, beyond", seed, plan).isLessThan(0.06);
             }
         }
--- a/src/test/java/yardusher/PolicyTest.java
+++ b/src/test/java/yardusher/PolicyTest.java
@@ -79,14 +79,14 @@
             now = until;
         }
 
-        long ask(int classIndex, int plan, long customer, int spread) {
+        long ask(int classIndex, int plan, long customer, int gatewayCount) {
             long id = 1000L * self + ++requestCount;
-            on(new Request(id, classIndex, plan, customer, now + 2000, 1, 0, spread));
+            on(new Request(id, classIndex, plan, customer, now + 2000, 1, 0, gatewayCount));
             return id;
         }
 
-        boolean admits(int plan, long customer, int spread) {
-            long id = ask(0, plan, customer, spread);
+        boolean admits(int plan, long customer, int gatewayCount) {
+            long id = ask(0, plan, customer, gatewayCount);
             Send send = sent(id);
             if (send != null) {
                 on(new AttemptDone(id, 0, send.server(), Outcome.SERVED, 10, true, 0, null));
@@ -94,10 +94,10 @@
             return send != null;
         }
 
-        int admitted(int tries, int plan, long customer, int spread) {
+        int admitted(int tries, int plan, long customer, int gatewayCount) {
             int count = 0;
             for (int i = 0; i < tries; i++) {
-                count += admits(plan, customer, spread) ? 1 : 0;
+                count += admits(plan, customer, gatewayCount) ? 1 : 0;
             }
             return count;
         }
