--- a/src/main/java/yardusher/Api.java
+++ b/src/main/java/yardusher/Api.java
@@ -58,7 +58,7 @@
             Effect effect, Group group, double windowMs, boolean streamed) { }
 
     /**
-     * A customer's plan. A rate, cap or ceiling of 0 means that the plan has none; {@code overCost} is the fraction of its worth that
+     * A customer's plan. A rate, cap or ceiling of 0 means that the plan has none; {@code overQuotaCost} is the fraction of its worth that
      * a request beyond the quota costs.
      */
     public record Plan(double ratePerS, double burst, int openCap, double value, double ceilingRatePerS,
@@ -70,7 +70,7 @@
         }
     }
 
-    /** What the site allows the gateways to do; {@code peers} is whether they may send messages to each other. */
+    /** What the site allows the gateways to do; {@code mayMessagePeers} is whether they may send messages to each other. */
     public record Limits(int maxAttempts, boolean mayCancel, boolean mayMessagePeers,
             double maxRetryAfterMs) { }
 
--- a/src/main/java/yardusher/CeilingShare.java
+++ b/src/main/java/yardusher/CeilingShare.java
@@ -181,7 +181,7 @@
     }
 
     /**
-     * Lends a portion with at most {@code mostTokens} tokens, but at least those that no longer fit here. Returns how many.
+     * Lends a portion with at most {@code maxTokens} tokens, but at least those that no longer fit here. Returns how many.
      * Tokens move only together with capacity, so a renewal carries none: otherwise the lender would earn them again while the
      * borrower still holds them.
      */
@@ -204,7 +204,7 @@
         return reserved <= capacity();
     }
 
-    /** Adds a granted loan; {@code askedAt} is when it was requested. */
+    /** Adds a granted loan; {@code requestedAtMs} is when it was requested. */
     void borrow(int peer, double portion, double moreTokens, double requestedAtMs) {
         if (requestedAtMs + LEASE_MS <= updatedAtMs) { return; }
         borrowed.add(new Lease(peer, portion, requestedAtMs + LEASE_MS));
--- a/src/test/java/yardusher/BurstRun.java
+++ b/src/test/java/yardusher/BurstRun.java
@@ -19,7 +19,7 @@
 final class BurstRun {
     /**
      * A scenario. {@code load} and {@code burst}: demand before and during the burst, as a fraction of the capacity of all warm
-     * backends. {@code cold}: backends that restart as the burst begins; {@code joining}: new ones; {@code hung}: ones that do no
+     * backends. {@code cold}: backends that restart as the burst begins; {@code joining}: new ones; {@code hanging}: ones that do no
      * work during the burst.
      */
     record Scenario(int gateways, int servers, int cold, int joining, int hanging, double load, double burst,
--- a/src/test/java/yardusher/ColdRun.java
+++ b/src/test/java/yardusher/ColdRun.java
@@ -22,9 +22,9 @@
 
     /**
      * A scenario. {@code load}: demand as a fraction of the capacity of all warm backends. {@code skew}: the exponent by which
-     * the ingresses' parts of the traffic decrease, 0 for equal ones. {@code hot}: the extra fraction that comes through one ingress.
-     * {@code restart}: the backends keep their ids. {@code toldOverMs}: the time over which the ingresses get the list.
-     * {@code comeAgain}: how often a client retries.
+     * the ingresses' parts of the traffic decrease, 0 for equal ones. {@code hotFraction}: the extra fraction that comes through one ingress.
+     * {@code restart}: the backends keep their ids. {@code listDelayMs}: the time over which the ingresses get the list.
+     * {@code retries}: how often a client retries.
      */
     record Scenario(int gateways, int servers, int replaced, Rules rules, int cores, double load, double skew, double hotFraction, Pace pace,
             boolean restart, double listDelayMs, int retries, long seed) {
