--- a/src/main/java/yardusher/Attempts.java
+++ b/src/main/java/yardusher/Attempts.java
@@ -6,8 +6,8 @@
 
 /** Admits requests, starts their attempts, learns from the outcomes, and retries or ends the requests. */
 final class Attempts {
-    private static final double RETRY_TOKENS_PER_REQUEST = 0.2; // retry tokens earned by each admitted request
-    private static final double MAX_RETRY_TOKENS = 10; // retry tokens saved up at most
+    private static final double RETRY_TOKENS_PER_REQUEST = 0.2; // a retry costs one token, or none after a failed connect
+    private static final double MAX_RETRY_TOKENS = 10;
     private static final double MIN_RERUN_SUCCESS_RATE = 0.5; // fraction of reruns that must be answered quickly
     private static final int RERUN_PROBE_INTERVAL = 8; // below that, one in this many hanging attempts is still rerun
     private static final double MIN_SERVER_LIMIT = 0.2; // lower bound of a server's limit: one attempt, then a pause
--- a/src/main/java/yardusher/Pressure.java
+++ b/src/main/java/yardusher/Pressure.java
@@ -15,7 +15,7 @@
     private final double[] requestedWork; // requested work by class and plan, decaying
     private final double[] refuseFraction; // fraction of it to refuse until the next sweep
     double shedFraction; // fraction of all work to refuse
-    private double refusalsDue; // refusals that are due, below 1
+    private double refusalsDue; // fraction of a refusal carried over to the next request
 
     Pressure(Settings settings, Servers servers) {
         this.settings = settings; this.servers = servers;
--- a/src/main/java/yardusher/RowMessage.java
+++ b/src/main/java/yardusher/RowMessage.java
@@ -6,7 +6,7 @@
 record RowMessage(int tag, long customer, int firstGateway, int gatewayCount, double requestedUnits, int openAttempts, long[] counts) {
     static final int OWN = 0, SUM = 1, FAULT = 2, EJECTION = 3, KINDS = 4; // kinds in a tag, which also holds the plan
     private static final double REQUESTED_STEP = 0.1; // requested units are sent as a logarithm, as floods reach high values
-    static final int MAX_MESSAGE_BYTES = 256; // of one message
+    static final int MAX_MESSAGE_BYTES = 256;
     static final int CUSTOMER_DIGITS = 5;
     private static final int MAX_COUNT_BYTES = 230; // of a row at most, so that it fits a message
     private static final int MAX_DIGIT_UNITS = 11; // units in one digit; more take several digits
