--- a/lab/src/yardusher/lab/Group.java
+++ b/lab/src/yardusher/lab/Group.java
@@ -14,7 +14,7 @@
 import java.util.function.IntFunction;
 import yardusher.cli.Asking;
 import yardusher.error.WireError;
-import yardusher.resp.Malformed;
+import yardusher.resp.MalformedRespException;
 import yardusher.resp.Value;
 
 /**
@@ -237,8 +237,8 @@
 
     private boolean isReady(int i) {
         try (Terminals.Connection connection = terminals.connect(i)) {
-            return connection.ask(1000, "PING") instanceof Value.Simple;
-        } catch (IOException | Malformed e) {
+            return connection.ask(1000, "PING") instanceof Value.SimpleString;
+        } catch (IOException | MalformedRespException e) {
             return false;
         }
     }
@@ -247,7 +247,7 @@
     public String ask(int i, int withinMs, String... words) {
         try {
             Value answer = Asking.ask(Programs.text(admins[i]), withinMs, words);
-            return answer instanceof Value.Bulk bulk ? bulk.text() : answer instanceof Value.Failure no ? "-" + no.text() : String.valueOf(answer);
+            return answer instanceof Value.BulkString bulk ? bulk.text() : answer instanceof Value.ErrorReply no ? "-" + no.text() : String.valueOf(answer);
         } catch (WireError e) {
             return null;
         }
--- a/lab/src/yardusher/lab/Region.java
+++ b/lab/src/yardusher/lab/Region.java
@@ -26,7 +26,7 @@
 import java.util.function.Function;
 import yardusher.resp.Decoder;
 import yardusher.resp.Encoder;
-import yardusher.resp.Malformed;
+import yardusher.resp.MalformedRespException;
 
 /**
  * A stand-in region: answers as the protocol says, after a service time, in order on each connection. It counts its
@@ -132,7 +132,7 @@
     }
 
     /** {@code ERR failed} or {@code BUSY}, say. */
-    public static byte[] says(String error) { return new Encoder(32).failure(error).toBytes(); }
+    public static byte[] says(String error) { return new Encoder(32).error(error).toBytes(); }
 
     public String name() { return name; }
 
@@ -263,15 +263,15 @@
         try {
             if (guest.key.isWritable()) { flush(guest); }
             if (!guest.key.isValid() || !guest.key.isReadable()) { return; }
-            ByteBuffer room = guest.decoder.room();
+            ByteBuffer room = guest.decoder.readBuffer();
             int before = room.position();
             if (guest.channel.read(room) < 0) {
                 leave(guest);
                 return;
             }
-            guest.decoder.filled(room.position() - before);
-            for (byte[][] words; (words = guest.decoder.command()) != null;) { begin(guest, words); }
-        } catch (IOException | Malformed e) {
+            guest.decoder.advance(room.position() - before);
+            for (byte[][] words; (words = guest.decoder.nextCommand()) != null;) { begin(guest, words); }
+        } catch (IOException | MalformedRespException e) {
             leave(guest);
         }
     }
@@ -292,8 +292,8 @@
             note(guest.number, what.equals("busy") ? "refuse" : "begin", String.join(" ", texts));
         } else {
             answer = switch (verb) {
-                case "PING" -> new Encoder(16).simple("PONG").toBytes();
-                case "CLIENT", "SELECT" -> new Encoder(16).simple("OK").toBytes();
+                case "PING" -> new Encoder(16).simpleString("PONG").toBytes();
+                case "CLIENT", "SELECT" -> new Encoder(16).simpleString("OK").toBytes();
                 case "INFO" -> new Encoder(64).bulk("cpu_share=0.1,pending=" + running.get() + ",served_ps=0").toBytes();
                 default -> says("ERR unknown");
             };
--- a/lab/src/yardusher/lab/Terminals.java
+++ b/lab/src/yardusher/lab/Terminals.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import yardusher.resp.Decoder;
 import yardusher.resp.Encoder;
-import yardusher.resp.Malformed;
+import yardusher.resp.MalformedRespException;
 import yardusher.resp.Value;
 
 /**
@@ -182,11 +182,11 @@
             try {
                 Value value = ask(command.waitMs() + LOST_MS, command.words());
                 answer = text(value);
-                end = Chronicle.now() > sent + command.waitMs() + SLACK_MS ? End.LATE : value instanceof Value.Failure failure ? (failure.text().startsWith("BUSY") ? End.REFUSED : End.FAILED)
-                        : value instanceof Value.Bulk || value instanceof Value.Many ? End.SERVED : End.FAILED;
+                end = Chronicle.now() > sent + command.waitMs() + SLACK_MS ? End.LATE : value instanceof Value.ErrorReply failure ? (failure.text().startsWith("BUSY") ? End.REFUSED : End.FAILED)
+                        : value instanceof Value.BulkString || value instanceof Value.ArrayValue ? End.SERVED : End.FAILED;
             } catch (SocketTimeoutException e) {
                 end = End.SILENT;
-            } catch (IOException | Malformed e) {
+            } catch (IOException | MalformedRespException e) {
                 end = End.LOST;
             }
             Try one = new Try(command.id(), first, ingress, number, sent, Chronicle.now(), end, answer, String.join(" ", command.words()));
@@ -195,18 +195,18 @@
         }
 
         /** Any command, past the history; its answer. */
-        public Value ask(int withinMs, String... words) throws IOException, Malformed {
+        public Value ask(int withinMs, String... words) throws IOException, MalformedRespException {
             Encoder out = new Encoder(128).array(words.length);
             for (String word : words) { out.bulk(word); }
             double until = Chronicle.now() + withinMs;
             socket.getOutputStream().write(out.toBytes());
             for (Value value;;) {
-                if ((value = decoder.value()) != null) { return value; }
-                ByteBuffer room = decoder.room();
+                if ((value = decoder.nextValue()) != null) { return value; }
+                ByteBuffer room = decoder.readBuffer();
                 socket.setSoTimeout((int) Math.max(1, until - Chronicle.now()));
                 int count = socket.getInputStream().read(room.array(), room.arrayOffset() + room.position(), room.remaining());
                 if (count < 0) { throw new IOException("ended"); }
-                decoder.filled(count);
+                decoder.advance(count);
             }
         }
 
@@ -220,8 +220,8 @@
     }
 
     private static String text(Value value) {
-        return value instanceof Value.Bulk bulk ? bulk.text() : value instanceof Value.Failure no ? "-" + no.text()
-                : value instanceof Value.Many many && many.items() != null && !many.items().isEmpty() ? text(many.items().get(0)) : String.valueOf(value);
+        return value instanceof Value.BulkString bulk ? bulk.text() : value instanceof Value.ErrorReply no ? "-" + no.text()
+                : value instanceof Value.ArrayValue many && many.items() != null && !many.items().isEmpty() ? text(many.items().get(0)) : String.valueOf(value);
     }
 
     /** Terminals that send one transaction after another until they are told to stop. */
--- a/lab/src/yardusher/lab/fleet/Installation.java
+++ b/lab/src/yardusher/lab/fleet/Installation.java
@@ -222,8 +222,8 @@
     public String ask(int agent, int withinMs, String... words) {
         try {
             Value answer = Asking.ask(text(controls[agent]), withinMs, words);
-            return answer instanceof Value.Bulk bulk ? bulk.text() : answer instanceof Value.Failure no ? "-" + no.text()
-                    : answer instanceof Value.Many many ? many.items().stream().map(one -> ((Value.Bulk) one).text())
+            return answer instanceof Value.BulkString bulk ? bulk.text() : answer instanceof Value.ErrorReply no ? "-" + no.text()
+                    : answer instanceof Value.ArrayValue many ? many.items().stream().map(one -> ((Value.BulkString) one).text())
                             .reduce("", (a, b) -> a + b + "\n") : answer.toString();
         } catch (WireError e) {
             return null;
--- a/lab/src/yardusher/lab/parts/PartsCases.java
+++ b/lab/src/yardusher/lab/parts/PartsCases.java
@@ -20,7 +20,7 @@
     public enum Case { STOPPED, LOWERED, COLD, ROLL, UPGRADE, CUT, MANY, KILLED, FROZEN }
 
     private static final String REGION = "00000000";
-    private static final int LOWERED_MS = 5000;      // by then a lowered number holds, where all are told and nobody is away
+    private static final int LOWERED_LIMIT_MS = 5000;      // by then a lowered number holds, where all are told and nobody is away
 
     private PartsCases() { }
 
@@ -35,87 +35,87 @@
     }
 
     /** Plays a case whose trouble lasts so long. */
-    public static List<String> play(Path folder, Case what, int processes, int number, long ms, StringBuilder note) throws Exception {
+    public static List<String> play(Path folder, Case scenario, int processes, int limit, long durationMs, StringBuilder note) throws Exception {
         List<String> found = new ArrayList<>();
         try (Group group = new Group(folder, processes, 11)) {
             Region region = group.region(REGION, "hall-a").takes(15, 25);
-            String more = what == Case.COLD ? "cold_percent = 50\n" : "";
-            group.settings(i -> PartsRun.settings(group, i, number, more));
+            String extra = scenario == Case.COLD ? "cold_percent = 50\n" : "";
+            group.settings(i -> PartsRun.settings(group, i, limit, extra));
             group.start();
-            settled(group);
-            switch (what) {
+            awaitSettled(group);
+            switch (scenario) {
                 case STOPPED -> {
-                    try (Crowd hot = new Crowd(group, 2 * number, 30, 0)) { await(() -> may(group, 0) >= number - processes, 8000); }
-                    int kept = may(group, 0);
+                    try (TerminalLoad hot = new TerminalLoad(group, 2 * limit, 30, 0)) { await(() -> allowance(group, 0) >= limit - processes, 8000); }
+                    int keptUnits = allowance(group, 0);
                     group.pause(0);
-                    try (Crowd others = new Crowd(group, 2 * number, 30, 1)) {
-                        Thread.sleep(ms);
-                        note.append("stopped with ").append(kept).append(" of ").append(number).append(", the other had ").append(may(group, 1)).append(" after ").append(ms).append(" ms, ");
+                    try (TerminalLoad others = new TerminalLoad(group, 2 * limit, 30, 1)) {
+                        Thread.sleep(durationMs);
+                        note.append("stopped with ").append(keptUnits).append(" of ").append(limit).append(", the other had ").append(allowance(group, 1)).append(" after ").append(durationMs).append(" ms, ");
                         group.resume(0);
-                        double from = Chronicle.now();
-                        await(() -> may(group, 1) >= number - processes, 8000);
-                        note.append(may(group, 1)).append(" ").append(Math.round(Chronicle.now() - from)).append(" ms after it woke");
+                        double startedAtMs = Chronicle.now();
+                        await(() -> allowance(group, 1) >= limit - processes, 8000);
+                        note.append(allowance(group, 1)).append(" ").append(Math.round(Chronicle.now() - startedAtMs)).append(" ms after it woke");
                     }
                 }
                 case LOWERED -> {
-                    try (Crowd all = new Crowd(group, 2 * number, 30, -1)) {
-                        await(() -> region.open() > number / 2, 8000);
-                        double from = Chronicle.now();
+                    try (TerminalLoad all = new TerminalLoad(group, 2 * limit, 30, -1)) {
+                        await(() -> region.open() > limit / 2, 8000);
+                        double startedAtMs = Chronicle.now();
                         for (int i = 0; i < processes; i++) {
-                            Files.writeString(folder.resolve("n" + i + ".toml"), PartsRun.settings(group, i, number / 2, more));
+                            Files.writeString(folder.resolve("n" + i + ".toml"), PartsRun.settings(group, i, limit / 2, extra));
                             group.signal(i, "-HUP");
                         }
-                        Thread.sleep(LOWERED_MS);
-                        double by = Chronicle.now();
-                        double last = group.regionHistory().stream().filter(one -> one.open() > number / 2).mapToDouble(Region.Event::atMs).max().orElse(from);
-                        note.append("from ").append(number).append(" to ").append(number / 2).append(" in ").append(Math.round(last - from)).append(" ms under load");
-                        Thread.sleep(ms);
-                        group.regionHistory().stream().filter(one -> one.what().equals("open") && one.atMs() > by && one.open() > number / 2).limit(3)
+                        Thread.sleep(LOWERED_LIMIT_MS);
+                        double loweredByMs = Chronicle.now();
+                        double lastAboveAtMs = group.regionHistory().stream().filter(one -> one.open() > limit / 2).mapToDouble(Region.Event::atMs).max().orElse(startedAtMs);
+                        note.append("from ").append(limit).append(" to ").append(limit / 2).append(" in ").append(Math.round(lastAboveAtMs - startedAtMs)).append(" ms under load");
+                        Thread.sleep(durationMs);
+                        group.regionHistory().stream().filter(one -> one.what().equals("open") && one.atMs() > loweredByMs && one.open() > limit / 2).limit(3)
                                 .forEach(one -> found.add("above the lowered number: " + one));
                     }
                 }
                 case COLD -> {
-                    try (Crowd all = new Crowd(group, 2 * number, 30, -1)) {
-                        await(() -> region.open() > number / 2, 8000);
+                    try (TerminalLoad all = new TerminalLoad(group, 2 * limit, 30, -1)) {
+                        await(() -> region.open() > limit / 2, 8000);
                         group.crash(region);
                         Thread.sleep(300);
                         group.restart(region);
-                        double from = Chronicle.now() + 3000; // by then the list has been told
-                        Thread.sleep(3000 + ms);
-                        note.append("most open while cold ").append(group.regionHistory().stream().filter(one -> one.atMs() > from).mapToInt(Region.Event::open).max().orElse(0));
-                        group.regionHistory().stream().filter(one -> one.what().equals("open") && one.atMs() > from && one.open() > number / 2).limit(3)
+                        double startedAtMs = Chronicle.now() + 3000; // by then the list has been told
+                        Thread.sleep(3000 + durationMs);
+                        note.append("most open while cold ").append(group.regionHistory().stream().filter(one -> one.atMs() > startedAtMs).mapToInt(Region.Event::open).max().orElse(0));
+                        group.regionHistory().stream().filter(one -> one.what().equals("open") && one.atMs() > startedAtMs && one.open() > limit / 2).limit(3)
                                 .forEach(one -> found.add("above the cold number: " + one));
                     }
                 }
                 case ROLL -> {
-                    double longest = 0;
-                    try (Crowd all = new Crowd(group, number, 30, -1)) {
+                    double longestMs = 0;
+                    try (TerminalLoad all = new TerminalLoad(group, limit, 30, -1)) {
                         for (int i = 0; i < processes; i++) {
                             int one = i;
                             group.terminate(i, 10_000);
-                            double from = Chronicle.now();
+                            double startedAtMs = Chronicle.now();
                             group.launch(i);
                             group.awaitReady(i, 30_000);
-                            await(() -> may(group, one) > 0, 10_000);
-                            longest = Math.max(longest, Chronicle.now() - from);
+                            await(() -> allowance(group, one) > 0, 10_000);
+                            longestMs = Math.max(longestMs, Chronicle.now() - startedAtMs);
                         }
                     }
-                    note.append("longest from start to a part ").append(Math.round(longest)).append(" ms");
+                    note.append("longest from start to a part ").append(Math.round(longestMs)).append(" ms");
                 }
-                case UPGRADE -> upgrade(group, number, ms, note, found);
+                case UPGRADE -> upgrade(group, limit, durationMs, note, found);
                 case CUT -> {
-                    cut(group, true);
-                    try (Crowd left = new Crowd(group, number, 30, 0); Crowd right = new Crowd(group, number, 30, processes - 1)) {
-                        Thread.sleep(ms);
-                        note.append("cut: ").append(may(group, 0)).append(" and ").append(may(group, processes - 1));
-                        cut(group, false);
-                        double from = Chronicle.now();
-                        await(() -> may(group, 0) + may(group, processes - 1) >= number - processes, 8000);
-                        note.append(", healed: ").append(may(group, 0)).append(" and ").append(may(group, processes - 1)).append(" after ").append(Math.round(Chronicle.now() - from)).append(" ms");
+                    setPartitioned(group, true);
+                    try (TerminalLoad left = new TerminalLoad(group, limit, 30, 0); TerminalLoad right = new TerminalLoad(group, limit, 30, processes - 1)) {
+                        Thread.sleep(durationMs);
+                        note.append("cut: ").append(allowance(group, 0)).append(" and ").append(allowance(group, processes - 1));
+                        setPartitioned(group, false);
+                        double startedAtMs = Chronicle.now();
+                        await(() -> allowance(group, 0) + allowance(group, processes - 1) >= limit - processes, 8000);
+                        note.append(", healed: ").append(allowance(group, 0)).append(" and ").append(allowance(group, processes - 1)).append(" after ").append(Math.round(Chronicle.now() - startedAtMs)).append(" ms");
                     }
                 }
                 case MANY -> {
-                    try (Crowd all = new Crowd(group, 2 * processes, 30, -1)) { Thread.sleep(ms); }
+                    try (TerminalLoad all = new TerminalLoad(group, 2 * processes, 30, -1)) { Thread.sleep(durationMs); }
                     long served = java.util.stream.IntStream.range(0, processes).filter(i -> group.terminalHistory().stream()
                             .anyMatch(one -> one.ingress() == i && one.end() == Terminals.End.SERVED)).count();
                     note.append(served).append(" of ").append(processes).append(" ingresses served something");
@@ -123,16 +123,16 @@
                 }
                 case KILLED -> {
                     int kills = 0;
-                    double until = Chronicle.now() + ms;
-                    try (Crowd all = new Crowd(group, 2 * number, 40, -1)) {
-                        for (Random random = new Random(3); Chronicle.now() < until; kills++) {
+                    double untilMs = Chronicle.now() + durationMs;
+                    try (TerminalLoad all = new TerminalLoad(group, 2 * limit, 40, -1)) {
+                        for (Random random = new Random(3); Chronicle.now() < untilMs; kills++) {
                             int hot = kills % processes;
-                            try (Crowd stroke = new Crowd(group, 2 * number, 20, (hot + 1) % processes)) {
+                            try (TerminalLoad stroke = new TerminalLoad(group, 2 * limit, 20, (hot + 1) % processes)) {
                                 Thread.sleep(100 + random.nextInt(300));
                                 group.kill(hot);     // while it gives
                                 Thread.sleep(50);
                             }
-                            if (random.nextBoolean()) { Files.deleteIfExists(PartsRun.claim(group, hot)); }
+                            if (random.nextBoolean()) { Files.deleteIfExists(PartsRun.claimFile(group, hot)); }
                             group.launch(hot);
                             group.awaitReady(hot, 30_000);
                         }
@@ -140,27 +140,27 @@
                     note.append(kills).append(" givers killed");
                 }
                 case FROZEN -> {                     // what is given up there is not free until it has closed
-                    try (Crowd all = new Crowd(group, 2 * number, 30, -1)) {
+                    try (TerminalLoad all = new TerminalLoad(group, 2 * limit, 30, -1)) {
                         for (int i = 0; i < 3; i++) {
                             Thread.sleep(500);
                             region.freeze(true);
-                            Thread.sleep(ms);
+                            Thread.sleep(durationMs);
                             region.freeze(false);
                         }
                         Thread.sleep(500);
                     }
-                    note.append("3 times frozen for ").append(ms).append(" ms");
+                    note.append("3 times frozen for ").append(durationMs).append(" ms");
                 }
                 default -> { }
             }
             note.append(", ");
-            found.addAll(PartsRun.check(group, number, note));
+            found.addAll(PartsRun.check(group, limit, note));
         }
         return found;
     }
 
     /** The next version of one takes over from it under load. The environment of this program has to name a TMPDIR, by which they find each other. */
-    private static void upgrade(Group group, int number, long ms, StringBuilder note, List<String> found) throws Exception {
+    private static void upgrade(Group group, int limit, long durationMs, StringBuilder note, List<String> found) throws Exception {
         if (System.getenv("TMPDIR") == null) { throw new IllegalStateException("no TMPDIR in the environment"); }
         Path log = group.folder().resolve("next.log");
         List<String> command = Programs.command(24);
@@ -169,17 +169,17 @@
         java.net.InetSocketAddress admin = Programs.free(Programs.place(Programs.nextGroup(), 1));
         builder.environment().put("RELAY_ADMIN_ADDR", Programs.text(admin));
         Process next = null;
-        try (Crowd all = new Crowd(group, 2 * number, 30, -1)) {
+        try (TerminalLoad all = new TerminalLoad(group, 2 * limit, 30, -1)) {
             Thread.sleep(1000);
-            double from = Chronicle.now();
+            double startedAtMs = Chronicle.now();
             next = builder.start();
             await(() -> Files.readString(log).contains(" serves at"), 15_000);
-            Thread.sleep(ms);
-            double until = Chronicle.now();
-            note.append("both: ").append(served(group, from, until)).append(", ");
+            Thread.sleep(durationMs);
+            double terminatedAtMs = Chronicle.now();
+            note.append("both: ").append(describeServed(group, startedAtMs, terminatedAtMs)).append(", ");
             group.terminate(0, 12_000);
-            Thread.sleep(1500 + ms);
-            note.append("old one ended: ").append(served(group, until, Chronicle.now())).append(", ");
+            Thread.sleep(1500 + durationMs);
+            note.append("old one ended: ").append(describeServed(group, terminatedAtMs, Chronicle.now())).append(", ");
             if (!Files.readString(log).contains(" serves at")) { found.add("the next version does not serve"); }
         } finally {
             if (next != null) {
@@ -192,62 +192,62 @@
     }
 
     /** Of what was sent to the first ingress in a time: served of all. */
-    private static String served(Group group, double from, double until) {
-        List<Terminals.Try> there = group.terminalHistory().stream().filter(one -> one.ingress() == 0 && one.sentMs() > from && one.sentMs() < until).toList();
-        return there.stream().filter(one -> one.end() == Terminals.End.SERVED).count() + " served and " + there.stream().filter(one -> one.end() == Terminals.End.LOST
-                || one.end() == Terminals.End.SILENT || one.end() == Terminals.End.UNSENT).count() + " lost of " + there.size() + " at n0";
+    private static String describeServed(Group group, double fromMs, double untilMs) {
+        List<Terminals.Try> attempts = group.terminalHistory().stream().filter(one -> one.ingress() == 0 && one.sentMs() > fromMs && one.sentMs() < untilMs).toList();
+        return attempts.stream().filter(one -> one.end() == Terminals.End.SERVED).count() + " served and " + attempts.stream().filter(one -> one.end() == Terminals.End.LOST
+                || one.end() == Terminals.End.SILENT || one.end() == Terminals.End.UNSENT).count() + " lost of " + attempts.size() + " at n0";
     }
 
-    private static void cut(Group group, boolean cut) {
+    private static void setPartitioned(Group group, boolean isCut) {
         DatagramRelay relay = group.datagrams("mesh");
         for (int i = 0; i < group.size(); i++) {
             for (int j = 0; j < group.size(); j++) {
-                if (i < group.size() / 2 != j < group.size() / 2) { relay.way(i, j).cut(cut); }
+                if (i < group.size() / 2 != j < group.size() / 2) { relay.way(i, j).cut(isCut); }
             }
         }
     }
 
     /** Waits until each knows what its earlier lives lent. */
-    static void settled(Group group) throws InterruptedException {
+    static void awaitSettled(Group group) throws InterruptedException {
         for (int i = 0; i < group.size(); i++) {
-            int one = i;
-            await(() -> String.valueOf(PartsRun.call(group, one, "parts", 1000)).contains("unsettled=0"), 30_000);
+            int index = i;
+            await(() -> String.valueOf(PartsRun.call(group, index, "parts", 1000)).contains("unsettled=0"), 30_000);
         }
     }
 
     /** How many connections a process may have open now. */
-    static int may(Group group, int i) {
+    static int allowance(Group group, int i) {
         String report = PartsRun.call(group, i, "parts", 1000);
-        int may = 0;
-        for (String cell : report == null ? new String[0] : report.split("[\t\n]")) { may += cell.startsWith("may=") ? Integer.parseInt(cell.substring(4)) : 0; }
-        return may;
+        int allowance = 0;
+        for (String cell : report == null ? new String[0] : report.split("[\t\n]")) { allowance += cell.startsWith("may=") ? Integer.parseInt(cell.substring(4)) : 0; }
+        return allowance;
     }
 
-    private interface Held {
-        boolean holds() throws IOException;
+    private interface Condition {
+        boolean isMet() throws IOException;
     }
 
-    private static void await(Held held, long ms) throws InterruptedException {
-        for (double until = Chronicle.now() + ms; Chronicle.now() < until;) {
+    private static void await(Condition condition, long timeoutMs) throws InterruptedException {
+        for (double untilMs = Chronicle.now() + timeoutMs; Chronicle.now() < untilMs;) {
             try {
-                if (held.holds()) { return; }
+                if (condition.isMet()) { return; }
             } catch (IOException e) { /* not yet */ }
             Thread.sleep(20);
         }
     }
 
     /** Terminals that each have one transaction out after another, at one ingress or, with -1, at any. */
-    static final class Crowd implements AutoCloseable {
+    static final class TerminalLoad implements AutoCloseable {
         private final List<Thread> threads = new ArrayList<>();
-        private volatile boolean over;
+        private volatile boolean isClosed;
 
-        Crowd(Group group, int terminals, int pauseMs, int at) {
+        TerminalLoad(Group group, int terminals, int pauseMs, int target) {
             for (int i = 0; i < terminals; i++) {
                 int me = i;
                 Thread thread = new Thread(() -> {
                     Random random = new Random(me);
-                    for (long number = 0; !over; number++) {
-                        int to = at >= 0 ? at : random.nextInt(group.size());
+                    for (long number = 0; !isClosed; number++) {
+                        int to = target >= 0 ? target : random.nextInt(group.size());
                         Terminals.Try got = group.terminals().send(to, group.terminals().get(1000 + me * 200L + number % 200, 1000, to, 1));
                         try {
                             Thread.sleep(got.end() == Terminals.End.SERVED ? random.nextInt(pauseMs) : pauseMs + random.nextInt(pauseMs));
@@ -264,7 +264,7 @@
 
         @Override
         public void close() throws InterruptedException {
-            over = true;
+            isClosed = true;
             for (Thread thread : threads) { thread.join(); }
         }
     }
--- a/lab/src/yardusher/lab/scale/HollowBackends.java
+++ b/lab/src/yardusher/lab/scale/HollowBackends.java
@@ -80,7 +80,7 @@
         retireMs = idleMs * RETIRED_PART;
         mostConnections = (world.sizes.sockets() - OWN_DESCRIPTORS) * POOL_FIFTHS / 5;
         random = new SplittableRandom(seed);
-        loop.deadlines().at(loop.now() + UPKEEP_MS, this::upkeep);
+        loop.deadlines().schedule(loop.now() + UPKEEP_MS, this::upkeep);
     }
 
     void serve(Ingress ingress) { core = ingress; }
@@ -108,10 +108,10 @@
     }
 
     @Override
-    public boolean knows(long backend) { return open.get(Listing.index(backend)); }
+    public boolean isAvailable(long backend) { return open.get(Listing.index(backend)); }
 
     @Override
-    public void begin(Attempt attempt, ByteBuffer... cargo) {
+    public void start(Attempt attempt, ByteBuffer... cargo) {
         int backend = Listing.index(attempt.backend);
         Place place = places.computeIfAbsent(backend, none -> new Place());
         double now = loop.now();
@@ -122,16 +122,16 @@
             return;
         }
         if (connections >= mostConnections && !closeOneIdle()) {
-            loop.afterwards(() -> core.ended(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED)));
+            loop.defer(() -> core.attemptEnded(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED)));
             return;
         }
         counters.connectionsOpened++;
         Connection fresh = new Connection();
         connections++;
         world.most[backend] = Math.max(world.most[backend], ++world.connections[backend]);
-        attempt.giveUp = () -> end(backend, fresh);
+        attempt.abort = () -> end(backend, fresh);
         boolean comesUp = !world.dead.get(backend);
-        loop.deadlines().at(now + (comesUp ? world.sizes.handshakeUs() / 1000.0 : dialMs), () -> {
+        loop.deadlines().schedule(now + (comesUp ? world.sizes.handshakeUs() / 1000.0 : dialMs), () -> {
             if (fresh.over) { return; }
             if (comesUp && !world.dead.get(backend)) {
                 carry(backend, place, fresh, attempt);
@@ -139,7 +139,7 @@
             }
             counters.connectionsFailed++;
             end(backend, fresh);
-            core.ended(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED));
+            core.attemptEnded(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED));
         });
     }
 
@@ -167,20 +167,20 @@
 
     private void carry(int backend, Place place, Connection on, Attempt attempt) {
         double now = loop.now();
-        if (!attempt.hand(now)) {
+        if (!attempt.handToSocket(now)) {
             end(backend, on);
-            loop.afterwards(() -> core.ended(attempt, Attempt.Result.of(Api.Outcome.NOT_SENT)));
+            loop.defer(() -> core.attemptEnded(attempt, Attempt.Result.of(Api.Outcome.NOT_SENT)));
             return;
         }
-        attempt.giveUp = () -> end(backend, on);
+        attempt.abort = () -> end(backend, on);
         if (attempt.number == 0) { sent.sent(attempt); }
-        core.written(attempt);
-        loop.deadlines().at(now + serviceMs(backend, now), () -> {
+        core.attemptWritten(attempt);
+        loop.deadlines().schedule(now + serviceMs(backend, now), () -> {
             if (on.over || attempt.isOver() || world.dead.get(backend)) { return; } // who is dead says nothing
-            attempt.giveUp = () -> { };
+            attempt.abort = () -> { };
             on.idleSince = loop.now();
             if (open.get(backend)) { place.idle.addLast(on); } else { end(backend, on); }
-            core.ended(attempt, new Attempt.Result(Api.Outcome.SERVED, VALUE, null));
+            core.attemptEnded(attempt, new Attempt.Result(Api.Outcome.SERVED, VALUE, null));
         });
     }
 
@@ -197,7 +197,7 @@
 
     private void upkeep() {
         double now = loop.now();
-        loop.deadlines().at(now + UPKEEP_MS, this::upkeep);
+        loop.deadlines().schedule(now + UPKEEP_MS, this::upkeep);
         places.forEach((backend, place) -> {
             for (Connection one; (one = place.idle.peekFirst()) != null && now - one.idleSince >= retireMs;) {
                 place.idle.pollFirst();
--- a/lab/src/yardusher/lab/scale/HollowHost.java
+++ b/lab/src/yardusher/lab/scale/HollowHost.java
@@ -92,7 +92,7 @@
         BackendPool pool = new BackendPool(sockets, new Counters(), config.settings().reportedMetrics(), config.dialMs(), config.idleMs(), 1000, 16);
         decoder = new DiscoveredBackends(config.zones(), pool);
         Api.ServerList[] known = new Api.ServerList[1];
-        loop.turn(() -> known[0] = decoder.take(config.known(), Api.ListKind.CACHED));
+        loop.execute(() -> known[0] = decoder.take(config.known(), Api.ListKind.CACHED));
         for (int i = 0; i < sizes.ingresses(); i++) { numbers.put(block.ingress(i, Block.PEERS), i); }
         System.gc();
         baseHeap = used();
@@ -100,7 +100,7 @@
         ByteBuffer out = ByteBuffer.allocateDirect(2048);
         for (int i = from; i < to; i++) {
             int number = i;
-            loop.turn(() -> {
+            loop.execute(() -> {
                 HollowIngress one = new HollowIngress(number, HollowIngress.settings(config.settings(), number, listing.zoneOf(number)), sizes, block, listing, loop, world, seed, config.dialMs(),
                         config.idleMs(), traffic, tries, out);
                 ingresses[number - from] = one;
@@ -115,7 +115,7 @@
             if (ingresses[number - from] == null || faults > 0) { throw new IOException("ingress " + number + " cannot be opened"); }
         }
         loop.startTimer();
-        loop.turn(() -> lateness(loop.now() + LATE_EVERY_MS));
+        loop.execute(() -> lateness(loop.now() + LATE_EVERY_MS));
     }
 
     private static void fault(Throwable e) {
@@ -152,7 +152,7 @@
         try (BufferedReader orders = new BufferedReader(new InputStreamReader(System.in))) {
             for (String line; (line = orders.readLine()) != null;) {
                 String[] words = line.split(" ");
-                loop.turn(() -> obey(words));
+                loop.execute(() -> obey(words));
             }
         } catch (IOException e) { /* as its end */ }
         try {
@@ -166,9 +166,9 @@
             case "go" -> {
                 beganMs = Double.parseDouble(words[1]);
                 arrivals.next();
-                loop.deadlines().at(beganMs, this::tick);
+                loop.deadlines().schedule(beganMs, this::tick);
                 double measured = Double.parseDouble(words[2]);
-                loop.deadlines().at(measured, () -> {
+                loop.deadlines().schedule(measured, () -> {
                     late.reset();
                     inForce.reset();
                     reached.clear();
@@ -193,7 +193,7 @@
     }
 
     private void vanish(int ingress) {
-        loop.deadlines().at(loop.now() + NOTICED_MS, () -> passedOver.set(ingress));
+        loop.deadlines().schedule(loop.now() + NOTICED_MS, () -> passedOver.set(ingress));
         if (ingress < from || ingress >= to) { return; }
         try {
             ingresses[ingress - from].vanish();
@@ -222,13 +222,13 @@
             }
             arrivals.next();
         }
-        loop.deadlines().at(Math.max(loop.now(), now + TICK_MS), this::tick);
+        loop.deadlines().schedule(Math.max(loop.now(), now + TICK_MS), this::tick);
     }
 
     private void lateness(double due) {
         late.recordValue(Math.min(MOST_LATE_US, Math.max(0, (long) ((loop.now() - due) * 1000))));
         double next = loop.now() + LATE_EVERY_MS;
-        loop.deadlines().at(next, () -> lateness(next));
+        loop.deadlines().schedule(next, () -> lateness(next));
     }
 
     /** An object of the list has come on one ingress's watch. */
@@ -255,7 +255,7 @@
             selector.selectedKeys().clear();
             for (int i = 0; i < ready.size(); i += MOST_A_TURN) {
                 List<SelectionKey> some = ready.subList(i, Math.min(ready.size(), i + MOST_A_TURN));
-                loop.turn(() -> some.forEach(this::read));
+                loop.execute(() -> some.forEach(this::read));
             }
             ready.clear();
         }
@@ -291,7 +291,7 @@
 
     /** Once a second: all counts since the start, and the times since the measuring began. */
     private void sample(double due) {
-        loop.deadlines().at(due + 1000, () -> sample(due + 1000));
+        loop.deadlines().schedule(due + 1000, () -> sample(due + 1000));
         for (var all = reached.entrySet().iterator(); all.hasNext();) {
             Map.Entry<Long, List<Double>> one = all.next();
             Double changed = changedAt.get(one.getKey());
@@ -302,10 +302,10 @@
         long taken = 0, served = 0, refused = 0, quota = 0, failed = 0, attempts = 0, opened = 0, reused = 0, connections = 0, there = 0, seen = 0, least = Long.MAX_VALUE;
         for (HollowIngress one : ingresses) {
             Counters c = one.counters;
-            taken += c.takenIn;
+            taken += c.accepted;
             served += sum(c.served);
             refused += sum(c.refused);
-            quota += c.reasons[Api.Reason.QUOTA.ordinal()];
+            quota += c.refusalsByReason[Api.Reason.QUOTA.ordinal()];
             failed += sum(c.failed);
             attempts += c.attempts;
             opened += c.connectionsOpened;
--- a/lab/src/yardusher/lab/scale/HollowIngress.java
+++ b/lab/src/yardusher/lab/scale/HollowIngress.java
@@ -18,14 +18,14 @@
 import yardusher.Api;
 import yardusher.GossipRows;
 import yardusher.core.Attempt;
-import yardusher.core.Cargo;
+import yardusher.core.BackendCommand;
 import yardusher.core.Counters;
 import yardusher.core.Deadlines;
 import yardusher.core.EventLoop;
 import yardusher.core.Ingress;
-import yardusher.core.Neighbours;
-import yardusher.core.Order;
-import yardusher.core.OrderLog;
+import yardusher.core.PeerSender;
+import yardusher.core.IncomingRequest;
+import yardusher.core.RequestLog;
 import yardusher.core.Terminal;
 import yardusher.error.ViewError;
 import yardusher.mesh.Mesh;
@@ -38,7 +38,7 @@
  * An ingress without clients' and backends' sockets: the program's own core with its decision module, its own view, and both
  * their messages over datagrams at an address of its own. docs/lab.md lists what it leaves out. In turns of its process's loop only.
  */
-final class HollowIngress implements Neighbours, Membership.World, Rates.World {
+final class HollowIngress implements PeerSender, Membership.Environment, Rates.Transport {
     /** Bytes of IP's and UDP's heads, counted with each datagram. */
     static final int HEADS = 28;
     private static final int MOST_PEER_BYTES = 256;
@@ -52,7 +52,7 @@
     private static final long INSTALLATION = LongHashFunction.xx3().hashChars("scale");
     private static final double RATES_HORIZON_MS = 20_000; // as where the settings leave it out
     private static final int LOOKS = 8;              // rows are counted in one message of so many, and told times as many
-    private static final Cargo CARGO = new Cargo() {
+    private static final BackendCommand CARGO = new BackendCommand() {
         @Override
         public ByteBuffer[] encoded(long waitMs) { return new ByteBuffer[0]; }
 
@@ -63,7 +63,7 @@
         public String key() { return null; }
 
         @Override
-        public long print() { return 0; }
+        public long fingerprint() { return 0; }
     };
 
     /** What the ingresses of a process send, from the start. */
@@ -114,7 +114,7 @@
         this.out = out;
         long own = (seed * 1_000_003 + number) * 0x9e3779b97f4a7c15L;
         backends = new HollowBackends(world, loop, counters, own + 1, dialMs, idleMs, this::sent);
-        core = new Ingress(settings, own, loop, backends, this, counters, OrderLog.NONE);
+        core = new Ingress(settings, own, loop, backends, this, counters, RequestLog.NONE);
         backends.serve(core);
         if (sizes.view()) {
             List<InetSocketAddress> seeds = java.util.stream.IntStream.range(0, Math.min(Configs.SEEDS, sizes.ingresses())).mapToObj(i -> block.ingress(i, Block.VIEW)).toList();
@@ -125,9 +125,9 @@
         }
         if (sizes.ratesBytesPerS() > 0) {
             double[] quotas = settings.plans().stream().mapToDouble(Api.Plan::ratePerS).toArray();
-            rates = new Rates(new Rates.Terms(sizes.ratesBytesPerS(), HEADS + FRAME, Mesh.MOST_BODY, quotas, RATES_HORIZON_MS), id(Configs.name(number)), own + 2, loop.now(), this);
-            membership.follow(change -> members(change.now()));
-            core.tell(new Api.ExternalDemandThreshold(Configs.RATES_FROM));
+            rates = new Rates(new Rates.Parameters(sizes.ratesBytesPerS(), HEADS + FRAME, Mesh.MAX_BODY_BYTES, quotas, RATES_HORIZON_MS), id(Configs.name(number)), own + 2, loop.now(), this);
+            membership.subscribe(change -> members(change.snapshot()));
+            core.deliver(new Api.ExternalDemandThreshold(Configs.RATES_FROM));
         } else {
             rates = null;
         }
@@ -135,16 +135,16 @@
 
     private static long id(String name) { return LongHashFunction.xx3().hashChars(name); }
 
-    private void members(View.Picture picture) {
+    private void members(View.Snapshot picture) {
         addresses.clear();
-        picture.members().forEach(one -> addresses.put(id(one.name()), one.at()));
-        rates.members(addresses.keySet().stream().mapToLong(Long::longValue).toArray());
+        picture.members().forEach(one -> addresses.put(id(one.name()), one.address()));
+        rates.updateMembers(addresses.keySet().stream().mapToLong(Long::longValue).toArray());
     }
 
     private void tickRates() {
         if (vanished) { return; }
         rates.tick(loop.now());
-        loop.deadlines().at(loop.now() + Rates.TICK_MS, this::tickRates);
+        loop.deadlines().schedule(loop.now() + Rates.TICK_INTERVAL_MS, this::tickRates);
     }
 
     /** Its settings, as those that were decoded for another of the same run. */
@@ -157,13 +157,13 @@
         peers = opened(selector, Block.PEERS);
         if (membership == null) { return; }
         mesh = opened(selector, Block.VIEW);
-        loop.deadlines().at(loop.now() + number * JOIN_EVERY_MS, () -> {
+        loop.deadlines().schedule(loop.now() + number * JOIN_EVERY_MS, () -> {
             if (vanished) { return; }
             membership.start(loop.now(), block.ingress(number, Block.VIEW));
             joined = true;
             arm();
         });
-        if (rates != null) { loop.deadlines().at(loop.now() + number % Rates.TICK_MS, this::tickRates); }
+        if (rates != null) { loop.deadlines().schedule(loop.now() + number % Rates.TICK_INTERVAL_MS, this::tickRates); }
     }
 
     private DatagramChannel opened(Selector selector, int port) throws IOException {
@@ -195,23 +195,23 @@
     void news(Api.ServerList list) {
         if (vanished) { return; }
         for (Api.Server server : list.servers()) { backends.listed(Listing.index(server.id()), server.readiness()); }
-        core.tell(list);
+        core.deliver(list);
     }
 
     /** A client's request has come. */
     void take(int tenant, int plan, int first, int spread, int units, double waitMs, Api.Binding only) {
         if (rates != null && spread >= Configs.RATES_FROM) {
-            rates.asked(loop.now(), Demand.customer(tenant), plan, units);
-            double perS = rates.askedPerS(loop.now(), Demand.customer(tenant), plan);
-            if (perS > 0) { core.tell(new Api.ExternalDemand(Demand.customer(tenant), plan, perS)); }
+            rates.recordDemand(loop.now(), Demand.customer(tenant), plan, units);
+            double perS = rates.overQuotaDemandPerS(loop.now(), Demand.customer(tenant), plan);
+            if (perS > 0) { core.deliver(new Api.ExternalDemand(Demand.customer(tenant), plan, perS)); }
         }
-        core.take(new Order(0, plan, Demand.customer(tenant), units, first, spread, waitMs, CARGO, new Terminal() {
+        core.accept(new IncomingRequest(0, plan, Demand.customer(tenant), units, first, spread, waitMs, CARGO, new Terminal() {
             @Override
             public void served(byte[] value) { }
 
             @Override
             public void reject(long retryAfterMs, boolean mayHaveRun) {
-                long refused = counters.reasons[Api.Reason.QUOTA.ordinal()];
+                long refused = counters.refusalsByReason[Api.Reason.QUOTA.ordinal()];
                 if (refused > refusedByQuota) { tries.refused(loop.now(), tenant, units); }
                 refusedByQuota = refused;
             }
@@ -221,10 +221,10 @@
         }, only));
     }
 
-    private void sent(Attempt attempt) { tries.sent(loop.now(), (int) (attempt.request.order.customer() - Demand.customer(0)), (int) attempt.request.order.units()); }
+    private void sent(Attempt attempt) { tries.sent(loop.now(), (int) (attempt.request.incoming.customer() - Demand.customer(0)), (int) attempt.request.incoming.units()); }
 
     @Override
-    public void tell(int to, String body) {
+    public void send(int to, String body) {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         if (vanished || peers == null || bytes.length > MOST_PEER_BYTES) { return; }
         traffic.gossip++;
@@ -275,7 +275,7 @@
 
     /** A peer's message. */
     void heard(int from, ByteBuffer in) {
-        if (!vanished) { core.tell(new Api.PeerMessage(from, StandardCharsets.UTF_8.decode(in).toString())); }
+        if (!vanished) { core.deliver(new Api.PeerMessage(from, StandardCharsets.UTF_8.decode(in).toString())); }
     }
 
     /** A datagram of the mesh; those of others are passed over, as the program does. */
@@ -288,19 +288,19 @@
         in.get(body);
         if (!joined || !ours || sum != sum(kind, body)) { return; }
         if (kind == Mesh.Kind.RATES.ordinal() && rates != null) {
-            rates.heard(loop.now(), addresses.entrySet().stream().filter(one -> one.getValue().equals(from)).mapToLong(Map.Entry::getKey).findFirst().orElse(0), body);
+            rates.receive(loop.now(), addresses.entrySet().stream().filter(one -> one.getValue().equals(from)).mapToLong(Map.Entry::getKey).findFirst().orElse(0), body);
         }
         if (kind != Mesh.Kind.VIEW.ordinal()) { return; }
-        membership.heard(loop.now(), body);
+        membership.receive(loop.now(), body);
         arm();
     }
 
     private void arm() {
-        double at = membership.next();
+        double at = membership.nextTickMs();
         if (at == timerAt) { return; }
         loop.deadlines().cancel(timer);
         timerAt = at;
-        timer = at == Double.POSITIVE_INFINITY ? null : loop.deadlines().at(at, () -> {
+        timer = at == Double.POSITIVE_INFINITY ? null : loop.deadlines().schedule(at, () -> {
             timerAt = Double.POSITIVE_INFINITY;
             if (vanished) { return; }
             membership.tick(loop.now());
@@ -309,5 +309,5 @@
     }
 
     @Override
-    public void wrong(ViewError error) { }
+    public void reportError(ViewError error) { }
 }
--- a/lab/src/yardusher/lab/scale/RealClients.java
+++ b/lab/src/yardusher/lab/scale/RealClients.java
@@ -13,7 +13,7 @@
 import org.HdrHistogram.Histogram;
 import yardusher.resp.Decoder;
 import yardusher.resp.Encoder;
-import yardusher.resp.Malformed;
+import yardusher.resp.MalformedRespException;
 import yardusher.resp.Value;
 
 /** The clients' front of the real ingresses: takes their requests out of the common sequence, over kept connections, one command out on each. */
@@ -113,13 +113,13 @@
 
     private void read(Connection one) {
         try {
-            ByteBuffer room = one.decoder.room();
+            ByteBuffer room = one.decoder.readBuffer();
             int before = room.position();
             if (one.channel.read(room) < 0) { throw new IOException("ended"); }
-            one.decoder.filled(room.position() - before);
-            Value value = one.decoder.value();
+            one.decoder.advance(room.position() - before);
+            Value value = one.decoder.nextValue();
             if (value == null) { return; }
-            if (value instanceof Value.Failure no) {
+            if (value instanceof Value.ErrorReply no) {
                 if (no.text().startsWith("BUSY")) {
                     refused++;
                     tries.refused(one.sentAt, one.tenant, one.units);
@@ -133,7 +133,7 @@
                 synchronized (this) { added.recordValue(Math.min(MOST_US, Math.max(0, tookUs))); }
             }
             idle.get(one.ingress - sizes.hollow()).addLast(one);
-        } catch (IOException | Malformed e) {
+        } catch (IOException | MalformedRespException e) {
             failed += one.sentAt > 0 && !idle.get(one.ingress - sizes.hollow()).remove(one) ? 1 : 0;
             try {
                 one.channel.close();
@@ -142,8 +142,8 @@
     }
 
     private static long serviceUs(Value value) {
-        Value first = value instanceof Value.Many many && many.items() != null && !many.items().isEmpty() ? many.items().get(0) : value;
-        return first instanceof Value.Bulk bulk && bulk.text().matches("[0-9]{1,9}") ? Long.parseLong(bulk.text()) : 0;
+        Value first = value instanceof Value.ArrayValue many && many.items() != null && !many.items().isEmpty() ? many.items().get(0) : value;
+        return first instanceof Value.BulkString bulk && bulk.text().matches("[0-9]{1,9}") ? Long.parseLong(bulk.text()) : 0;
     }
 
     @Override
--- a/lab/src/yardusher/lab/scale/TcpBackends.java
+++ b/lab/src/yardusher/lab/scale/TcpBackends.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import yardusher.resp.Decoder;
 import yardusher.resp.Encoder;
-import yardusher.resp.Malformed;
+import yardusher.resp.MalformedRespException;
 
 /**
  * The backends of the real ingresses: an address and a door for each, all on one thread. Each command is answered after a time of the same
@@ -122,15 +122,15 @@
 
     private void serve(Guest guest) {
         try {
-            ByteBuffer room = guest.decoder.room();
+            ByteBuffer room = guest.decoder.readBuffer();
             int before = room.position();
             if (guest.channel.read(room) < 0) {
                 leave(guest);
                 return;
             }
-            guest.decoder.filled(room.position() - before);
-            for (byte[][] words; (words = guest.decoder.command()) != null;) { begin(guest, words); }
-        } catch (IOException | Malformed e) {
+            guest.decoder.advance(room.position() - before);
+            for (byte[][] words; (words = guest.decoder.nextCommand()) != null;) { begin(guest, words); }
+        } catch (IOException | MalformedRespException e) {
             leave(guest);
         }
     }
@@ -139,8 +139,8 @@
         String verb = new String(words[0], StandardCharsets.US_ASCII);
         double now = Moment.now();
         if (!verb.startsWith("CALL.") || words.length < 4) {
-            byte[] answer = verb.equals("PING") ? new Encoder(16).simple("PONG").toBytes() : verb.equals("CLIENT") || verb.equals("SELECT") ? new Encoder(16).simple("OK").toBytes()
-                    : new Encoder(32).failure("ERR unknown").toBytes();
+            byte[] answer = verb.equals("PING") ? new Encoder(16).simpleString("PONG").toBytes() : verb.equals("CLIENT") || verb.equals("SELECT") ? new Encoder(16).simpleString("OK").toBytes()
+                    : new Encoder(32).error("ERR unknown").toBytes();
             due.add(new Due(now, numbers++, guest, answer));
             return;
         }
--- a/lab/src/yardusher/lab/units/UnitsChecker.java
+++ b/lab/src/yardusher/lab/units/UnitsChecker.java
@@ -14,140 +14,140 @@
  */
 public final class UnitsChecker {
     /** A home's word on a unit: "opened" with its mode, "ended" with its state, "granted" a part under a number, "moved" on. */
-    public record Said(double atMs, String home, String what, String unit, String detail, int part, int grant) { }
+    public record HomeEvent(double atMs, String home, String what, String unit, String detail, int part, int grantNumber) { }
 
     /** A holder's word: the request with this id runs as a part, under a grant. */
-    public record Begun(double atMs, String holder, String unit, int part, int grant, String id) { }
+    public record PartStart(double atMs, String holder, String unit, int part, int grantNumber, String id) { }
 
     /** A region's: it ran from one moment to the other; it was out until its answer was written or its connection ended. */
-    public record Ran(String region, String hall, String id, double fromMs, double toMs, double outMs) { }
+    public record Execution(String region, String zone, String id, double fromMs, double toMs, double detachedMs) { }
 
     /** A terminal's: {@code excused} where its ingress was killed or stopped meanwhile. */
-    public record Tried(String id, String line, String customer, double sentMs, double waitMs, double answeredMs, int answers, boolean served,
+    public record ClientRequest(String id, String fields, String customer, double sentMs, double waitMs, double answeredMs, int answerCount, boolean served,
             boolean excused) { }
 
     /**
      * All of a run. {@code lost}: homes' lives that were cut off, as their units' names begin with, "home.life."; {@code calm}:
      * nothing failed at its end, for long enough; {@code slackMs}: how far the clocks of processes may be apart.
      */
-    public record Run(List<Said> said, List<Begun> begun, List<Ran> ran, List<Tried> tried, List<String> lost, boolean calm, double slackMs) { }
+    public record History(List<HomeEvent> homeEvents, List<PartStart> partStarts, List<Execution> executions, List<ClientRequest> clientRequests, List<String> lostIncarnations, boolean endedCalmly, double clockSkewMs) { }
 
-    private static final int SLACK_MS = 50;          // an answer may come so long after its time
-    private static final int LOST_MS = 500;          // and so long, earning nothing, where the machine gave a process no time: one in MOST_LATE
-    private static final int MOST_LATE = 50;
+    private static final int ANSWER_SLACK_MS = 50;          // an answer may come so long after its time
+    private static final int MAX_LATE_MS = 500;          // and so long, earning nothing, where the machine gave a process no time: one in MOST_LATE
+    private static final int REQUESTS_PER_LATE_ANSWER = 50;
 
-    private final Run run;
-    private final List<String> found = new ArrayList<>();
-    private final Map<String, String> modes = new HashMap<>();
-    private final Map<String, Begun> byId = new HashMap<>();
-    private final Map<String, List<Ran>> byUnit = new LinkedHashMap<>();
-    private final Map<String, Double> ended = new HashMap<>();
+    private final History history;
+    private final List<String> breaches = new ArrayList<>();
+    private final Map<String, String> modeByUnit = new HashMap<>();
+    private final Map<String, PartStart> partById = new HashMap<>();
+    private final Map<String, List<Execution>> executionsByUnit = new LinkedHashMap<>();
+    private final Map<String, Double> endedAtMs = new HashMap<>();
 
-    private UnitsChecker(Run run) { this.run = run; }
+    private UnitsChecker(History history) { this.history = history; }
 
     /** Holds a run against all rules. */
-    public static List<String> check(Run run) {
-        UnitsChecker checker = new UnitsChecker(run);
-        checker.read();
-        checker.ends();
-        checker.byUnit.forEach(checker::unit);
-        checker.answers();
-        return checker.found;
+    public static List<String> check(History history) {
+        UnitsChecker checker = new UnitsChecker(history);
+        checker.index();
+        checker.checkEnds();
+        checker.executionsByUnit.forEach(checker::checkUnit);
+        checker.checkAnswers();
+        return checker.breaches;
     }
 
-    private void read() {
-        for (Said one : run.said) {
-            if (one.what.equals("opened")) { modes.put(one.unit, one.detail); }
+    private void index() {
+        for (HomeEvent event : history.homeEvents) {
+            if (event.what.equals("opened")) { modeByUnit.put(event.unit, event.detail); }
         }
-        for (Begun one : run.begun) {
-            Begun before = byId.put(one.id, one);
-            if (before != null && !before.unit.equals(one.unit)) { found.add("one request is a part of two units: " + before + " and " + one); }
+        for (PartStart event : history.partStarts) {
+            PartStart before = partById.put(event.id, event);
+            if (before != null && !before.unit.equals(event.unit)) { breaches.add("one request is a part of two units: " + before + " and " + event); }
         }
-        for (Ran one : run.ran) {
-            Begun part = byId.get(one.id);
-            if (part != null) { byUnit.computeIfAbsent(part.unit, none -> new ArrayList<>()).add(one); }
+        for (Execution event : history.executions) {
+            PartStart start = partById.get(event.id);
+            if (start != null) { executionsByUnit.computeIfAbsent(start.unit, none -> new ArrayList<>()).add(event); }
         }
     }
 
     /** Each unit ends exactly once, and where nothing failed after it, it does end. */
-    private void ends() {
-        Map<String, Integer> count = new HashMap<>();
-        for (Said one : run.said) {
-            if (!one.what.equals("ended")) { continue; }
-            if (count.merge(one.unit, 1, Integer::sum) > 1) { found.add("a unit ended twice: " + one); }
-            ended.merge(one.unit, one.atMs + run.slackMs, Math::min);
+    private void checkEnds() {
+        Map<String, Integer> endCounts = new HashMap<>();
+        for (HomeEvent event : history.homeEvents) {
+            if (!event.what.equals("ended")) { continue; }
+            if (endCounts.merge(event.unit, 1, Integer::sum) > 1) { breaches.add("a unit ended twice: " + event); }
+            endedAtMs.merge(event.unit, event.atMs + history.clockSkewMs, Math::min);
         }
-        if (!run.calm) { return; }
-        for (Said one : run.said) {
-            boolean gone = run.lost.stream().anyMatch(one.unit::startsWith)
-                    || run.said.stream().anyMatch(other -> other.what.equals("moved") && other.unit.equals(one.unit));
-            if (one.what.equals("opened") && !gone && !count.containsKey(one.unit)) { found.add("a unit never ended: " + one); }
+        if (!history.endedCalmly) { return; }
+        for (HomeEvent event : history.homeEvents) {
+            boolean movedOrLost = history.lostIncarnations.stream().anyMatch(event.unit::startsWith)
+                    || history.homeEvents.stream().anyMatch(other -> other.what.equals("moved") && other.unit.equals(event.unit));
+            if (event.what.equals("opened") && !movedOrLost && !endCounts.containsKey(event.unit)) { breaches.add("a unit never ended: " + event); }
         }
     }
 
-    private void unit(String unit, List<Ran> runs) {
-        runs.sort(Comparator.comparingDouble(Ran::fromMs));
-        binding(unit, runs);
-        order(unit, runs);
-        Double end = ended.get(unit);
-        for (Ran one : runs) {
-            if (end == null) { continue; }
-            if (one.fromMs > end) { found.add("a part was begun after its unit ended at " + end + ": " + one); }
-            if (one.fromMs <= end && one.toMs > end) { found.add("the binding was freed at " + end + " while a part ran: " + one); }
+    private void checkUnit(String unit, List<Execution> executions) {
+        executions.sort(Comparator.comparingDouble(Execution::fromMs));
+        checkBinding(unit, executions);
+        checkOrder(unit, executions);
+        Double endMs = endedAtMs.get(unit);
+        for (Execution execution : executions) {
+            if (endMs == null) { continue; }
+            if (execution.fromMs > endMs) { breaches.add("a part was begun after its unit ended at " + endMs + ": " + execution); }
+            if (execution.fromMs <= endMs && execution.toMs > endMs) { breaches.add("the binding was freed at " + endMs + " while a part ran: " + execution); }
         }
     }
 
     /** The parts run in one hall, those of a session at one region. */
-    private void binding(String unit, List<Ran> runs) {
-        boolean session = "session".equals(modes.get(unit));
-        Ran first = runs.get(0);
-        for (Ran one : runs) {
-            if (session ? !one.region.equals(first.region) : !one.hall.equals(first.hall)) {
-                found.add("a unit ran at two " + (session ? "regions" : "halls") + ": " + first + " and " + one);
+    private void checkBinding(String unit, List<Execution> executions) {
+        boolean session = "session".equals(modeByUnit.get(unit));
+        Execution first = executions.get(0);
+        for (Execution execution : executions) {
+            if (session ? !execution.region.equals(first.region) : !execution.zone.equals(first.zone)) {
+                breaches.add("a unit ran at two " + (session ? "regions" : "halls") + ": " + first + " and " + execution);
             }
         }
     }
 
-    private void order(String unit, List<Ran> runs) {
-        for (int i = 0; i < runs.size(); i++) {
-            Begun a = byId.get(runs.get(i).id);
-            for (int j = i + 1; j < runs.size(); j++) {
-                Begun b = byId.get(runs.get(j).id);
-                boolean same = a.id.equals(b.id) || a.part > 0 && a.part == b.part;
-                if (same && runs.get(j).fromMs < runs.get(i).outMs) { found.add("a part was out twice at once in " + unit + ": " + runs.get(i) + " and " + runs.get(j)); }
-                if (!same && runs.get(j).fromMs < runs.get(i).toMs) {
-                    found.add("a part was out while one that it follows may still run, in " + unit + ": " + runs.get(i) + " and " + runs.get(j));
+    private void checkOrder(String unit, List<Execution> executions) {
+        for (int i = 0; i < executions.size(); i++) {
+            PartStart a = partById.get(executions.get(i).id);
+            for (int j = i + 1; j < executions.size(); j++) {
+                PartStart b = partById.get(executions.get(j).id);
+                boolean samePart = a.id.equals(b.id) || a.part > 0 && a.part == b.part;
+                if (samePart && executions.get(j).fromMs < executions.get(i).detachedMs) { breaches.add("a part was out twice at once in " + unit + ": " + executions.get(i) + " and " + executions.get(j)); }
+                if (!samePart && executions.get(j).fromMs < executions.get(i).toMs) {
+                    breaches.add("a part was out while one that it follows may still run, in " + unit + ": " + executions.get(i) + " and " + executions.get(j));
                 }
-                if (a.part > 0 && b.part > 0 && b.part < a.part) { found.add("parts ran out of order in " + unit + ": " + a + " before " + b); }
+                if (a.part > 0 && b.part > 0 && b.part < a.part) { breaches.add("parts ran out of order in " + unit + ": " + a + " before " + b); }
             }
         }
     }
 
     /** Every transaction has one answer before its client gives up, and what was served ran. Each counts once. */
-    private void answers() {
-        Map<String, List<Ran>> ran = new TreeMap<>();
-        for (Ran one : run.ran) { ran.computeIfAbsent(one.id, none -> new ArrayList<>()).add(one); }
-        Map<String, Integer> begun = new HashMap<>();
-        for (Begun one : run.begun) { begun.merge(one.id, 1, Integer::sum); }
-        begun.forEach((id, times) -> {
-            if (times > 1) { found.add("a request was let in " + times + " times, and counted so often: " + id); }
+    private void checkAnswers() {
+        Map<String, List<Execution>> executionsById = new TreeMap<>();
+        for (Execution one : history.executions) { executionsById.computeIfAbsent(one.id, none -> new ArrayList<>()).add(one); }
+        Map<String, Integer> startCounts = new HashMap<>();
+        for (PartStart one : history.partStarts) { startCounts.merge(one.id, 1, Integer::sum); }
+        startCounts.forEach((id, times) -> {
+            if (times > 1) { breaches.add("a request was let in " + times + " times, and counted so often: " + id); }
         });
         int late = 0;
         int counted = 0;
-        for (Tried one : run.tried) {
-            if (one.answers > 1) { found.add("answered " + one.answers + " times: " + one); }
+        for (ClientRequest one : history.clientRequests) {
+            if (one.answerCount > 1) { breaches.add("answered " + one.answerCount + " times: " + one); }
             if (one.excused) { continue; }
-            if (one.answers == 0) {
-                found.add("never answered: " + one);
-            } else if (one.answeredMs > one.sentMs + one.waitMs + LOST_MS) {
-                found.add("answered when it was lost: " + one);
+            if (one.answerCount == 0) {
+                breaches.add("never answered: " + one);
+            } else if (one.answeredMs > one.sentMs + one.waitMs + MAX_LATE_MS) {
+                breaches.add("answered when it was lost: " + one);
             }
             counted++;
-            late += one.answers > 0 && one.answeredMs > one.sentMs + one.waitMs + SLACK_MS ? 1 : 0;
-            boolean boundary = one.line.contains(",b=open") || one.line.contains(",b=abandon") || one.line.contains(",b=end") && !one.line.contains(",p=");
-            if (boundary && ran.containsKey(one.id)) { found.add("a boundary alone reached a region: " + one); }
-            if (!boundary && one.served && !ran.containsKey(one.id)) { found.add("served, and no region ran it: " + one); }
+            late += one.answerCount > 0 && one.answeredMs > one.sentMs + one.waitMs + ANSWER_SLACK_MS ? 1 : 0;
+            boolean boundaryOnly = one.fields.contains(",b=open") || one.fields.contains(",b=abandon") || one.fields.contains(",b=end") && !one.fields.contains(",p=");
+            if (boundaryOnly && executionsById.containsKey(one.id)) { breaches.add("a boundary alone reached a region: " + one); }
+            if (!boundaryOnly && one.served && !executionsById.containsKey(one.id)) { breaches.add("served, and no region ran it: " + one); }
         }
-        if (late * MOST_LATE > counted) { found.add(late + " of " + counted + " answered late"); }
+        if (late * REQUESTS_PER_LATE_ANSWER > counted) { breaches.add(late + " of " + counted + " answered late"); }
     }
 }
--- a/lab/src/yardusher/lab/units/UnitsCosts.java
+++ b/lab/src/yardusher/lab/units/UnitsCosts.java
@@ -31,14 +31,14 @@
             group.heap(48);
             group.start();
             Thread.sleep(1500);
-            try (Terminals.Connection at = group.terminals().connect(0)) { costs(group, at, pairs); }
-            told(group, kills);
+            try (Terminals.Connection at = group.terminals().connect(0)) { measureCosts(group, at, pairs); }
+            measureHomeLoss(group, kills);
         }
     }
 
     private static final int BLOCK = 150;
 
-    private static void costs(Group group, Terminals.Connection at, int pairs) throws Exception {
+    private static void measureCosts(Group group, Terminals.Connection at, int pairs) throws Exception {
         String[] names = {"alone", "at home", "elsewhere"};
         List<List<Double>> took = List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
         double[][] cpu = new double[3][pairs];
@@ -47,7 +47,7 @@
             for (int kind = 0; kind < 3; kind++) {
                 Terminals.Connection opener = kind == 2 ? home1 : at;
                 String unit = kind == 0 ? null : opener.send(group.terminals().get(50 + kind, 1000, 0, 3).with("b", "open")).answer();
-                double before = cpu(group);
+                double before = totalCpuMs(group);
                 for (int i = 1; i <= BLOCK; i++) {
                     Terminals.Command command = group.terminals().get(50 + kind, 1000, 0, 3);
                     if (unit != null) { command = command.with("u", unit).with("p", "" + i); }
@@ -55,7 +55,7 @@
                     if (one.end() != Terminals.End.SERVED) { throw new IllegalStateException(one.toString()); }
                     if (pair >= 0) { took.get(kind).add(one.answeredMs() - one.sentMs()); }
                 }
-                if (pair >= 0) { cpu[kind][pair] = (cpu(group) - before) / BLOCK; }
+                if (pair >= 0) { cpu[kind][pair] = (totalCpuMs(group) - before) / BLOCK; }
                 if (unit != null) { at.send(group.terminals().get(50 + kind, 1000, 0, 3).with("u", unit).with("b", "end")); }
             }
         }
@@ -73,14 +73,14 @@
         }
     }
 
-    private static double cpu(Group group) {
+    private static double totalCpuMs(Group group) {
         double all = 0;
         for (int i = 0; i < group.size(); i++) { all += group.process(i).info().totalCpuDuration().orElse(Duration.ZERO).toNanos() / 1e6; }
         return all;
     }
 
     /** From the kill of a home until a part of its unit hears that nobody knows it, and until anything is refused. */
-    private static void told(Group group, int kills) throws Exception {
+    private static void measureHomeLoss(Group group, int kills) throws Exception {
         List<Double> unknown = new ArrayList<>();
         List<Double> refused = new ArrayList<>();
         for (int kill = 0; kill < kills; kill++) {
--- a/lab/src/yardusher/lab/units/UnitsRun.java
+++ b/lab/src/yardusher/lab/units/UnitsRun.java
@@ -28,17 +28,17 @@
  * against {@link UnitsChecker}.
  */
 public final class UnitsRun {
-    private static final double SLACK_MS = 8;        // clocks of processes of one machine, and a log line's way
-    private static final double STALL_MS = 45;
+    private static final double CLOCK_SKEW_MS = 8;        // clocks of processes of one machine, and a log line's way
+    private static final double MIN_STALL_MS = 45;
     private static final String[] MODES = {"session", "unit", "single"};
-    private static final Pattern PAIR = Pattern.compile("([a-z]+)=(\\S+)");
+    private static final Pattern KEY_VALUE = Pattern.compile("([a-z]+)=(\\S+)");
 
     private final Group group;
     private final long seed;
-    private final AtomicInteger whole = new AtomicInteger();
-    private final AtomicInteger begun = new AtomicInteger();
+    private final AtomicInteger completedUnits = new AtomicInteger();
+    private final AtomicInteger startedUnits = new AtomicInteger();
     private final List<double[]> stalls = java.util.Collections.synchronizedList(new ArrayList<>()); // when the machine had no time for this program
-    private volatile boolean over;
+    private volatile boolean stopped;
 
     private UnitsRun(Group group, long seed) {
         this.group = group;
@@ -54,11 +54,11 @@
     }
 
     /** The settings of one ingress. */
-    static String settings(Group group, int i, String mode, String more) {
+    static String settings(Group group, int i, String mode, String moreUnitSettings) {
         StringBuilder seeds = new StringBuilder();
         for (int j = 0; j < Math.min(3, group.size()); j++) { seeds.append(j == 0 ? "" : ", ").append('"').append(Programs.text(group.relayed(j, "view"))).append('"'); }
         return "[view]\nlisten = \"" + Programs.text(group.port(i, "view")) + "\"\nadvertise = \"" + Programs.text(group.relayed(i, "view"))
-                + "\"\ninstallation = \"lab\"\nseeds = [" + seeds + "]\n[units]\n" + more + "[[units.mode]]\nplan = \"groot\"\nmode = \"" + mode + "\"\n";
+                + "\"\ninstallation = \"lab\"\nseeds = [" + seeds + "]\n[units]\n" + moreUnitSettings + "[[units.mode]]\nplan = \"groot\"\nmode = \"" + mode + "\"\n";
     }
 
     public static List<String> play(Path folder, long seed, int processes, long ms, boolean kills, StringBuilder note) throws Exception {
@@ -68,14 +68,14 @@
             group.heap(48);
             group.start();
             UnitsRun run = new UnitsRun(group, seed);
-            Set<Integer> troubled = new HashSet<>();
+            Set<Integer> disturbed = new HashSet<>();
             List<Thread> threads = new ArrayList<>();
-            threads.add(new Thread(run::watch, "watch"));
+            threads.add(new Thread(run::recordStalls, "watch"));
             threads.get(0).start();
             Thread.sleep(600);                       // the view settles
             for (int i = 0; i < 8; i++) {
                 int me = i;
-                Thread thread = new Thread(() -> run.terminal(me), "terminal " + i);
+                Thread thread = new Thread(() -> run.runTerminal(me), "terminal " + i);
                 thread.setDaemon(true);
                 thread.start();
                 threads.add(thread);
@@ -84,7 +84,7 @@
                 Random random = new Random(seed);
                 for (double until = Chronicle.now() + ms; Chronicle.now() < until;) {
                     int one = random.nextInt(processes);
-                    troubled.add(one);
+                    disturbed.add(one);
                     Thread.sleep(5000);
                     group.kill(one);
                     Thread.sleep(200);
@@ -95,7 +95,7 @@
                 Faults faults = new Faults(group, seed, EnumSet.of(Faults.Kind.KILL, Faults.Kind.TERM, Faults.Kind.PAUSE, Faults.Kind.REGION, Faults.Kind.CUT_ONE,
                         Faults.Kind.CUT_ONE_WAY, Faults.Kind.SPLIT, Faults.Kind.LOSS, Faults.Kind.MESS), 3 + processes, ms, ms / 20, ms / 4);
                 for (Faults.Fault fault : faults.schedule()) {
-                    if (Set.of(Faults.Kind.KILL, Faults.Kind.TERM, Faults.Kind.PAUSE).contains(fault.kind())) { troubled.addAll(fault.at()); }
+                    if (Set.of(Faults.Kind.KILL, Faults.Kind.TERM, Faults.Kind.PAUSE).contains(fault.kind())) { disturbed.addAll(fault.at()); }
                 }
                 try {
                     faults.play();
@@ -109,20 +109,20 @@
                     throw e;
                 }
             }
-            run.over = true;
+            run.stopped = true;
             for (Thread thread : threads) { thread.join(); }
             Thread.sleep(4500);                      // longer than idle_ms and settle_ms
-            return run.check(troubled, note);
+            return run.check(disturbed, note);
         }
     }
 
     /** Sees when a thread that asks for little gets nothing: what is late then says nothing of an ingress. */
-    private void watch() {
+    private void recordStalls() {
         try {
-            for (double before = Chronicle.now(); !over;) {
+            for (double before = Chronicle.now(); !stopped;) {
                 Thread.sleep(5);
                 double now = Chronicle.now();
-                if (now - before > STALL_MS) { stalls.add(new double[] {before, now}); }
+                if (now - before > MIN_STALL_MS) { stalls.add(new double[] {before, now}); }
                 before = now;
             }
         } catch (InterruptedException e) { /* told to stop */ }
@@ -134,16 +134,16 @@
         }
     }
 
-    private int any(Random random) { return random.nextInt(group.size()); }
+    private int randomIngress(Random random) { return random.nextInt(group.size()); }
 
     /** Units of one terminal, one after another, each for a customer of its own. */
-    private void terminal(int me) {
-        Random random = new Random(seed * 31 + me);
-        for (long number = 0; !over; number++) {
-            long customer = 10_000 + me * 1000L + number % 900;
+    private void runTerminal(int index) {
+        Random random = new Random(seed * 31 + index);
+        for (long number = 0; !stopped; number++) {
+            long customer = 10_000 + index * 1000L + number % 900;
             try {
-                int at = any(random);
-                if (MODES[(int) ((at + seed) % 3)].equals("session")) { session(random, at, customer); } else { unit(random, at, customer, number); }
+                int at = randomIngress(random);
+                if (MODES[(int) ((at + seed) % 3)].equals("session")) { runSession(random, at, customer); } else { runUnit(random, at, customer, number); }
                 Thread.sleep(random.nextInt(30));
             } catch (IOException e) { /* it is not there now */
             } catch (InterruptedException e) {
@@ -157,7 +157,7 @@
                 : group.terminals().get(customer, waitMs, 0, group.size());
     }
 
-    private void session(Random random, int at, long customer) throws IOException {
+    private void runSession(Random random, int at, long customer) throws IOException {
         try (Terminals.Connection connection = group.terminals().connect(at)) {
             String unit = null;
             if (random.nextInt(3) == 0) {
@@ -166,21 +166,21 @@
             }
             for (int part = 1, count = 1 + random.nextInt(4); part <= count; part++) {
                 if (unit != null && random.nextBoolean()) {
-                    group.terminals().send(any(random), command(random, customer, 600).with("u", unit).with("p", "" + part));
+                    group.terminals().send(randomIngress(random), command(random, customer, 600).with("u", unit).with("p", "" + part));
                 } else {
                     Terminals.Command plain = command(random, customer, 800);
                     Terminals.Try got = connection.send(unit == null ? plain : plain.with("u", unit).with("p", "" + part));
                     if (got.end() == Terminals.End.LOST || got.end() == Terminals.End.SILENT || got.end() == Terminals.End.LATE) { return; }
                 }
             }
-            if (unit != null && random.nextInt(3) == 0) { group.terminals().send(any(random), command(random, customer, 800).with("u", unit).with("b", "end")); }
+            if (unit != null && random.nextInt(3) == 0) { group.terminals().send(randomIngress(random), command(random, customer, 800).with("u", unit).with("b", "end")); }
         }
     }
 
-    private void unit(Random random, int at, long customer, long number) throws InterruptedException {
+    private void runUnit(Random random, int at, long customer, long number) throws InterruptedException {
         Terminals.Try opened = group.terminals().send(at, command(random, customer, 800).with("b", "open"));
         if (opened.end() != Terminals.End.SERVED) { return; }
-        begun.incrementAndGet();
+        startedUnits.incrementAndGet();
         String unit = opened.answer();
         int count = 1 + random.nextInt(4);
         for (int part = 1; part <= count; part++) {
@@ -194,7 +194,7 @@
             }
             Terminals.Try got = null;
             for (int i = 0; i < 8; i++) {
-                got = group.terminals().send(any(random), i == 0 ? command : command.again(group.terminals().newId()));
+                got = group.terminals().send(randomIngress(random), i == 0 ? command : command.again(group.terminals().newId()));
                 // "part N came where N+1 is due": it ran at an earlier try, whose answer was lost.
                 if (got.end() == Terminals.End.SERVED || got.answer().contains("UNIT_ENDED") || got.answer().contains("UNIT_UNKNOWN")
                         || got.answer().contains("where " + (part + 1) + " is due")) { break; }
@@ -204,26 +204,26 @@
         }
         if (number % 3 != 0) {
             if (random.nextInt(10) == 0) {           // never said: not one that could be whole
-                begun.decrementAndGet();
+                startedUnits.decrementAndGet();
                 return;
             }
             for (int i = 0; i < 4; i++) {
-                Terminals.Try ended = group.terminals().send(any(random), command(random, customer, 800).with("u", unit).with("b", "end"));
+                Terminals.Try ended = group.terminals().send(randomIngress(random), command(random, customer, 800).with("u", unit).with("b", "end"));
                 if (ended.end() == Terminals.End.SERVED) { break; }
                 Thread.sleep(150);
             }
         }
-        whole.incrementAndGet();
+        completedUnits.incrementAndGet();
     }
 
-    private List<String> check(Set<Integer> troubled, StringBuilder note) throws IOException {
-        List<UnitsChecker.Said> said = new ArrayList<>();
-        List<UnitsChecker.Begun> parts = new ArrayList<>();
-        List<String> found = new ArrayList<>();
+    private List<String> check(Set<Integer> disturbed, StringBuilder note) throws IOException {
+        List<UnitsChecker.HomeEvent> homeEvents = new ArrayList<>();
+        List<UnitsChecker.PartStart> partStarts = new ArrayList<>();
+        List<String> breaches = new ArrayList<>();
         for (int i = 0; i < group.size(); i++) {
-            for (String line : Files.readAllLines(group.log(i))) { read("n" + i, line, said, parts, found); }
+            for (String line : Files.readAllLines(group.log(i))) { readLogLine("n" + i, line, homeEvents, partStarts, breaches); }
         }
-        List<UnitsChecker.Ran> ran = new ArrayList<>();
+        List<UnitsChecker.Execution> executions = new ArrayList<>();
         Map<String, Region.Event> open = new HashMap<>();
         for (Region.Event event : group.regionHistory()) {
             String key = event.region() + " " + event.connection() + " " + event.word(2);
@@ -231,45 +231,45 @@
                 open.put(key, event);
             } else if (Set.of("served", "error", "busy", "dropped").contains(event.what()) && open.containsKey(key)) {
                 Region.Event from = open.remove(key);
-                ran.add(new UnitsChecker.Ran(from.region(), "hall-" + (from.region().charAt(1) - '0') / 2, from.word(2), from.atMs(), event.atMs(), event.atMs()));
+                executions.add(new UnitsChecker.Execution(from.region(), "hall-" + (from.region().charAt(1) - '0') / 2, from.word(2), from.atMs(), event.atMs(), event.atMs()));
             }
         }
-        List<UnitsChecker.Tried> tried = new ArrayList<>();
+        List<UnitsChecker.ClientRequest> clientRequests = new ArrayList<>();
         for (Terminals.Try one : group.terminalHistory()) {
             boolean lost = Set.of(Terminals.End.LOST, Terminals.End.SILENT, Terminals.End.UNSENT).contains(one.end());
             // A connection may end between two requests: what crossed that was never read.
-            boolean excused = troubled.contains(one.ingress()) || one.end() == Terminals.End.LOST || one.end() == Terminals.End.UNSENT
+            boolean excused = disturbed.contains(one.ingress()) || one.end() == Terminals.End.LOST || one.end() == Terminals.End.UNSENT
                     || stalled(one);
-            tried.add(new UnitsChecker.Tried(one.id(), "," + one.words().split(" ")[3], one.words().split(" ")[1], one.sentMs(),
+            clientRequests.add(new UnitsChecker.ClientRequest(one.id(), "," + one.words().split(" ")[3], one.words().split(" ")[1], one.sentMs(),
                     Integer.parseInt(one.words().replaceAll(".*,d=([0-9]+).*", "$1")), one.answeredMs(), lost ? 0 : 1, one.end() == Terminals.End.SERVED, excused));
         }
-        List<String> lost = troubled.stream().map(i -> "n" + i + ".").toList();
-        found.addAll(UnitsChecker.check(new UnitsChecker.Run(said, parts, ran, tried, lost, true, SLACK_MS)));
-        long ended = said.stream().filter(one -> one.what().equals("ended")).count();
-        long done = said.stream().filter(one -> one.what().equals("ended") && one.detail().equals("done")).count();
-        note.append(tried.size()).append(" tries, ").append(tried.stream().filter(UnitsChecker.Tried::served).count()).append(" served, ")
-                .append(said.stream().filter(one -> one.what().equals("opened")).count()).append(" units, ").append(ended).append(" ended, ").append(done)
-                .append(" done, ").append(parts.size()).append(" parts; ").append(whole).append(" of ").append(begun).append(" said ones whole, ")
+        List<String> lost = disturbed.stream().map(i -> "n" + i + ".").toList();
+        breaches.addAll(UnitsChecker.check(new UnitsChecker.History(homeEvents, partStarts, executions, clientRequests, lost, true, CLOCK_SKEW_MS)));
+        long ended = homeEvents.stream().filter(one -> one.what().equals("ended")).count();
+        long done = homeEvents.stream().filter(one -> one.what().equals("ended") && one.detail().equals("done")).count();
+        note.append(clientRequests.size()).append(" tries, ").append(clientRequests.stream().filter(UnitsChecker.ClientRequest::served).count()).append(" served, ")
+                .append(homeEvents.stream().filter(one -> one.what().equals("opened")).count()).append(" units, ").append(ended).append(" ended, ").append(done)
+                .append(" done, ").append(partStarts.size()).append(" parts; ").append(completedUnits).append(" of ").append(startedUnits).append(" said ones whole, ")
                 .append(stalls.size()).append(" stalls of the machine");
-        if (parts.isEmpty()) { found.add("no part ran"); }
-        return found;
+        if (partStarts.isEmpty()) { breaches.add("no part ran"); }
+        return breaches;
     }
 
-    private static void read(String name, String line, List<UnitsChecker.Said> said, List<UnitsChecker.Begun> parts, List<String> found) {
-        if (line.contains("Exception") || line.contains("\tat ")) { found.add(name + ": " + line); }
+    private static void readLogLine(String name, String line, List<UnitsChecker.HomeEvent> homeEvents, List<UnitsChecker.PartStart> partStarts, List<String> breaches) {
+        if (line.contains("Exception") || line.contains("\tat ")) { breaches.add(name + ": " + line); }
         if (!line.startsWith(name + " unit ") && !line.startsWith(name + " part ")) { return; }
         Map<String, String> values = new HashMap<>();
-        Matcher pairs = PAIR.matcher(line);
+        Matcher pairs = KEY_VALUE.matcher(line);
         while (pairs.find()) { values.put(pairs.group(1), pairs.group(2)); }
         String unit = values.get("unit");
         double at = Double.parseDouble(values.getOrDefault("at", "0"));
         int part = Integer.parseInt(values.getOrDefault("part", "0"));
-        int grant = Integer.parseInt(values.getOrDefault("grant", "0"));
+        int grantNumber = Integer.parseInt(values.getOrDefault("grant", "0"));
         if (line.startsWith(name + " part begins")) {
-            parts.add(new UnitsChecker.Begun(at, name, unit, part, grant, values.get("id")));
+            partStarts.add(new UnitsChecker.PartStart(at, name, unit, part, grantNumber, values.get("id")));
         } else if (line.startsWith(name + " unit ")) {
             String what = line.startsWith(name + " unit handed over") ? "moved" : line.split(" ")[2];
-            said.add(new UnitsChecker.Said(at, name, what, unit, values.getOrDefault("mode", values.getOrDefault("state", "")), part, grant));
+            homeEvents.add(new UnitsChecker.HomeEvent(at, name, what, unit, values.getOrDefault("mode", values.getOrDefault("state", "")), part, grantNumber));
         }
     }
 }
--- a/lab/src/yardusher/lab/view/ViewFleet.java
+++ b/lab/src/yardusher/lab/view/ViewFleet.java
@@ -16,50 +16,50 @@
 /** Members of one view on a {@link ViewNet}: they start, die, leave, come again. What each comes to hold goes to a checker. */
 final class ViewFleet {
     /** One life of one process. */
-    final class Life implements ViewNet.Process, Membership.World {
+    final class Instance implements ViewNet.Process, Membership.Environment {
         final int number;                            // of this life, over all
-        final int place;
+        final int node;
         final String name;
-        final double beganMs;
-        private final double clockMs;                // what its clock is off by
+        final double startedAtMs;
+        private final double clockOffsetMs;                // what its clock is off by
         final Membership membership;
-        final List<String> told = new ArrayList<>();
-        final List<View.Change> batches = new ArrayList<>();
-        boolean over;
+        final List<String> errorCodes = new ArrayList<>();
+        final List<View.Change> changes = new ArrayList<>();
+        boolean ended;
 
-        private Life(int number, int place, String name, String hall, double clockMs, Membership.Flaw flaw) {
+        private Instance(int number, int node, String name, String hall, double clockOffsetMs, Membership.Flaw flaw) {
             this.number = number;
-            this.place = place;
+            this.node = node;
             this.name = name;
-            this.clockMs = clockMs;
-            if (checker != null) { checker.observer(number, name); }
-            beganMs = net.now();
-            membership = Membership.flawed(settings, name, hall, ViewNet.address(place), seed * 7919 + number, time(net.now()), this, known, flaw);
-            membership.follow(batches::add);
-            membership.start(time(net.now()), ViewNet.address(place));
+            this.clockOffsetMs = clockOffsetMs;
+            if (checker != null) { checker.setObserverName(number, name); }
+            startedAtMs = net.now();
+            membership = Membership.withFlaw(settings, name, hall, ViewNet.address(node), seed * 7919 + number, localTime(net.now()), this, interner, flaw);
+            membership.subscribe(changes::add);
+            membership.start(localTime(net.now()), ViewNet.address(node));
         }
 
-        private double time(double now) { return now + clockMs; }
+        private double localTime(double now) { return now + clockOffsetMs; }
 
         @Override
-        public void heard(double now, byte[] body) { membership.heard(time(now), body); }
+        public void receive(double now, byte[] body) { membership.receive(localTime(now), body); }
 
         @Override
-        public void tick(double now) { membership.tick(time(now)); }
+        public void tick(double now) { membership.tick(localTime(now)); }
 
         @Override
-        public double next() { return membership.next() - clockMs; }
+        public double nextTickMs() { return membership.nextTickMs() - clockOffsetMs; }
 
         @Override
-        public void send(InetSocketAddress to, byte[] body) { net.send(place, to, body); }
+        public void send(InetSocketAddress to, byte[] body) { net.send(node, to, body); }
 
         @Override
-        public void wrong(ViewError error) { told.add(error.code()); }
+        public void reportError(ViewError error) { errorCodes.add(error.code()); }
 
         @Override
-        public void held(String of, long life, long incarnation, View.State state) {
-            if (checker != null && !(of.equals(name) && membership != null && membership.phase() != Membership.Phase.IN)) {
-                checker.held(net.now(), number, of, life, incarnation, state);
+        public void memberChanged(String memberName, long instanceId, long incarnation, View.State state) {
+            if (checker != null && !(memberName.equals(name) && membership != null && membership.phase() != Membership.Phase.IN)) {
+                checker.recordChange(net.now(), number, memberName, instanceId, incarnation, state);
             }
         }
     }
@@ -69,13 +69,13 @@
     private final long seed;
     private final ViewChecker checker;               // null where nothing is checked
     private final Membership.Flaw flaw;
-    private final Map<Integer, Life> running = new LinkedHashMap<>();  // by place
-    private final Map<Object, Object> whos = new HashMap<>();
-    private final UnaryOperator<Object> known = who -> {
-        Object before = whos.putIfAbsent(who, who);
+    private final Map<Integer, Instance> running = new LinkedHashMap<>();  // by place
+    private final Map<Object, Object> identities = new HashMap<>();
+    private final UnaryOperator<Object> interner = who -> {
+        Object before = identities.putIfAbsent(who, who);
         return before == null ? who : before;
     };
-    private int lives;
+    private int instanceCount;
 
     /** {@code seeds}: the first so many places. */
     ViewFleet(ViewNet net, long seed, int seeds, ViewChecker checker, Membership.Flaw flaw) {
@@ -83,96 +83,96 @@
         this.seed = seed;
         this.checker = checker;
         this.flaw = flaw;
-        List<InetSocketAddress> at = new ArrayList<>();
-        for (int i = 0; i < seeds; i++) { at.add(ViewNet.address(i)); }
-        settings = new ViewSettings(ViewNet.address(0), "lab", at);
+        List<InetSocketAddress> addresses = new ArrayList<>();
+        for (int i = 0; i < seeds; i++) { addresses.add(ViewNet.address(i)); }
+        settings = new ViewSettings(ViewNet.address(0), "lab", addresses);
     }
 
-    static String name(int place) { return "n" + place; }
+    static String nameOf(int node) { return "n" + node; }
 
-    Life start(int place) { return start(place, name(place), 0); }
+    Instance start(int node) { return start(node, nameOf(node), 0); }
 
     /** Under another name than the place's, or with a clock that is off. */
-    Life start(int place, String name, double clockMs) {
-        Life life = new Life(lives++, place, name, "hall-" + (char) ('a' + place % 3), clockMs, flaw);
-        running.put(place, life);
-        net.put(place, life);
-        return life;
+    Instance start(int node, String name, double clockOffsetMs) {
+        Instance instance = new Instance(instanceCount++, node, name, "hall-" + (char) ('a' + node % 3), clockOffsetMs, flaw);
+        running.put(node, instance);
+        net.setProcess(node, instance);
+        return instance;
     }
 
-    void kill(int place) {
-        Life life = running.remove(place);
-        if (life == null) { return; }
-        life.over = true;
-        net.put(place, null);
-        if (checker != null) { checker.ended(net.now(), life.membership.life()); }
+    void kill(int node) {
+        Instance instance = running.remove(node);
+        if (instance == null) { return; }
+        instance.ended = true;
+        net.setProcess(node, null);
+        if (checker != null) { checker.recordEnd(net.now(), instance.membership.instanceId()); }
     }
 
-    void leave(int place) {
-        Life life = running.get(place);
-        if (life == null) { return; }
-        if (checker != null) { checker.ended(net.now(), life.membership.life()); }
-        life.membership.leave(net.now() + life.clockMs);
-        kill(place);
+    void leave(int node) {
+        Instance instance = running.get(node);
+        if (instance == null) { return; }
+        if (checker != null) { checker.recordEnd(net.now(), instance.membership.instanceId()); }
+        instance.membership.leave(net.now() + instance.clockOffsetMs);
+        kill(node);
     }
 
-    Life at(int place) { return running.get(place); }
+    Instance instanceAt(int node) { return running.get(node); }
 
-    List<Life> running() { return List.copyOf(running.values()); }
+    List<Instance> running() { return List.copyOf(running.values()); }
 
-    List<Life> taking() { return running().stream().filter(life -> life.membership.phase() == Membership.Phase.IN).toList(); }
+    List<Instance> participants() { return running().stream().filter(life -> life.membership.phase() == Membership.Phase.IN).toList(); }
 
     /** Whether all who run and take part hold the same picture of so many. */
     boolean isSettled(int size) {
         long digest = 0;
         boolean first = true;
-        for (Life life : running.values()) {
-            if (net.isStopped(life.place)) { continue; }
-            if (life.membership.phase() != Membership.Phase.IN || life.membership.size() != size || !first && life.membership.digest() != digest) { return false; }
-            digest = life.membership.digest();
+        for (Instance instance : running.values()) {
+            if (net.isPaused(instance.node)) { continue; }
+            if (instance.membership.phase() != Membership.Phase.IN || instance.membership.size() != size || !first && instance.membership.digest() != digest) { return false; }
+            digest = instance.membership.digest();
             first = false;
         }
         return true;
     }
 
     /** Goes on until exactly one process of each of these names takes part and all of those hold the same picture of so many. */
-    double awaitSettledOf(java.util.Set<String> names, double mostMs) {
-        double from = net.now();
+    double awaitSettledNames(java.util.Set<String> names, double timeoutMs) {
+        double startMs = net.now();
         for (;;) {
-            List<Life> taking = taking();
-            if (taking.size() == names.size() && taking.stream().allMatch(life -> life.membership.size() == names.size()
-                    && life.membership.digest() == taking.get(0).membership.digest())) { return net.now() - from; }
-            if (net.now() - from > mostMs) { return -1; }
-            net.until(net.now() + 10);
+            List<Instance> participants = participants();
+            if (participants.size() == names.size() && participants.stream().allMatch(life -> life.membership.size() == names.size()
+                    && life.membership.digest() == participants.get(0).membership.digest())) { return net.now() - startMs; }
+            if (net.now() - startMs > timeoutMs) { return -1; }
+            net.runUntil(net.now() + 10);
         }
     }
 
     /** Goes on until all are settled on so many, looking each 10 ms; the time it took, or -1 after {@code mostMs}. */
-    double awaitSettled(int size, double mostMs) {
-        double from = net.now();
+    double awaitSettled(int size, double timeoutMs) {
+        double startMs = net.now();
         while (!isSettled(size)) {
-            if (net.now() - from > mostMs) { return -1; }
-            net.until(net.now() + 10);
+            if (net.now() - startMs > timeoutMs) { return -1; }
+            net.runUntil(net.now() + 10);
         }
-        return net.now() - from;
+        return net.now() - startMs;
     }
 
     /** Asks the checker to compare what is with what is held. */
-    void calm() {
+    void checkAgreement() {
         Map<String, Long> truth = new HashMap<>();
         Map<Integer, Long> digests = new HashMap<>();
-        for (Life life : taking()) {
-            truth.put(life.name, life.membership.life());
-            digests.put(life.number, life.membership.digest());
+        for (Instance instance : participants()) {
+            truth.put(instance.name, instance.membership.instanceId());
+            digests.put(instance.number, instance.membership.digest());
         }
-        checker.calm(net.now(), truth, digests, digests.keySet());
+        checker.checkAgreement(net.now(), truth, digests, digests.keySet());
     }
 
     /** Starts so many at one moment and waits until all know all; the time it took, or -1. */
-    double begin(int size, double mostMs) {
-        for (int i = 0; i < size; i++) { net.place(); }
+    double startAll(int size, double timeoutMs) {
+        for (int i = 0; i < size; i++) { net.addNode(); }
         for (int i = 0; i < size; i++) { start(i); }
-        return awaitSettled(size, mostMs);
+        return awaitSettled(size, timeoutMs);
     }
 
     static double percentile(double[] values, double share) {
--- a/lab/src/yardusher/lab/view/ViewGroup.java
+++ b/lab/src/yardusher/lab/view/ViewGroup.java
@@ -29,15 +29,15 @@
  */
 final class ViewGroup implements AutoCloseable {
     static final String PORT = "view";
-    private static final int ASK_MS = 4000;
-    private static final int ASKERS = 8;
+    private static final int CALL_TIMEOUT_MS = 4000;
+    private static final int POLL_THREADS = 8;
 
     /** What one process holds. {@code changedMs}: Unix time at which its picture last changed. */
-    record Held(int by, String phase, int there, String digest, double changedMs, int same, int asked, int health, Map<String, String> states,
+    record ProcessView(int process, String phase, int activeCount, String digest, double changedAtMs, int agreeing, int polled, int health, Map<String, String> states,
             Map<String, Long> incarnations, String text) { }
 
     final Group group;
-    private final ExecutorService askers = Executors.newFixedThreadPool(ASKERS, work -> {
+    private final ExecutorService pollers = Executors.newFixedThreadPool(POLL_THREADS, work -> {
         Thread thread = new Thread(work, "asker");
         thread.setDaemon(true);
         return thread;
@@ -51,16 +51,16 @@
     ViewGroup(Path folder, int size, long seed, int seeds, boolean relayed, IntFunction<String> names) throws IOException {
         this.names = names;
         group = new Group(folder, size, seed);
-        List<String> at = new ArrayList<>();
-        for (int i = 0; i < seeds; i++) { at.add('"' + text(known(i, relayed)) + '"'); }
-        group.settings(i -> "[view]\nlisten = \"" + text(group.port(i, PORT)) + "\"\nadvertise = \"" + text(known(i, relayed)) + "\"\ninstallation = \"lab\"\nseeds = "
-                + at + "\nhall = \"hall-" + (char) ('a' + i % 3) + "\"\n");
+        List<String> seedAddresses = new ArrayList<>();
+        for (int i = 0; i < seeds; i++) { seedAddresses.add('"' + format(meshAddress(i, relayed)) + '"'); }
+        group.settings(i -> "[view]\nlisten = \"" + format(group.port(i, PORT)) + "\"\nadvertise = \"" + format(meshAddress(i, relayed)) + "\"\ninstallation = \"lab\"\nseeds = "
+                + seedAddresses + "\nhall = \"hall-" + (char) ('a' + i % 3) + "\"\n");
         group.configuration((i, json) -> json.replace("\"name\": \"n" + i + "\"", "\"name\": \"" + names.apply(i) + "\""));
     }
 
-    private InetSocketAddress known(int i, boolean relayed) { return relayed ? group.relayed(i, PORT) : group.port(i, PORT); }
+    private InetSocketAddress meshAddress(int i, boolean relayed) { return relayed ? group.relayed(i, PORT) : group.port(i, PORT); }
 
-    private static String text(InetSocketAddress at) { return at.getAddress().getHostAddress() + ":" + at.getPort(); }
+    private static String format(InetSocketAddress at) { return at.getAddress().getHostAddress() + ":" + at.getPort(); }
 
     DatagramRelay relay() { return group.datagrams(PORT); }
 
@@ -69,24 +69,24 @@
     Set<Integer> all() { return Set.copyOf(IntStream.range(0, group.size()).boxed().toList()); }
 
     /** Starts some, so many at one moment, and waits for each to take clients. */
-    void start(Collection<Integer> some, int atOnce) throws IOException, InterruptedException {
+    void start(Collection<Integer> processes, int atOnce) throws IOException, InterruptedException {
         List<Integer> waiting = new ArrayList<>();
-        for (int i : some) {
+        for (int i : processes) {
             group.launch(i);
             waiting.add(i);
             if (waiting.size() == atOnce) {
-                for (int one : waiting) { group.awaitReady(one, 120_000); }
+                for (int process : waiting) { group.awaitReady(process, 120_000); }
                 waiting.clear();
             }
         }
-        for (int one : waiting) { group.awaitReady(one, 120_000); }
+        for (int process : waiting) { group.awaitReady(process, 120_000); }
     }
 
     /** What a call at a process's second address answers; null where it does not. */
     String call(int i, String word) {
         try (Socket socket = new Socket()) {
-            socket.connect(group.admin(i), ASK_MS);
-            socket.setSoTimeout(ASK_MS);
+            socket.connect(group.admin(i), CALL_TIMEOUT_MS);
+            socket.setSoTimeout(CALL_TIMEOUT_MS);
             socket.getOutputStream().write((word + "\n").getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         } catch (IOException e) {
@@ -95,84 +95,84 @@
     }
 
     /** What a process holds; null where it does not answer. */
-    Held held(int i) {
+    ProcessView observe(int i) {
         double before = Group.now();
         String text = call(i, "members");
         double after = Group.now();
         if (text == null || !text.startsWith("view ") || !text.endsWith("EOF\n")) { return null; }
-        Map<String, String> head = cells(text.lines().findFirst().orElse(""));
+        Map<String, String> header = parseFields(text.lines().findFirst().orElse(""));
         Map<String, String> states = new TreeMap<>();
         Map<String, Long> incarnations = new HashMap<>();
-        text.lines().filter(line -> line.startsWith("member ")).map(ViewGroup::cells).forEach(one -> {
+        text.lines().filter(line -> line.startsWith("member ")).map(ViewGroup::parseFields).forEach(one -> {
             states.put(one.get("name"), one.get("state"));
             incarnations.put(one.get("name"), Long.parseLong(one.get("incarnation")));
         });
-        return new Held(i, head.get("phase"), Integer.parseInt(head.get("there")), head.get("digest"),
-                (before + after) / 2 - Double.parseDouble(head.get("still_ms")), Integer.parseInt(head.get("same")), Integer.parseInt(head.get("asked")),
-                Integer.parseInt(head.get("health")), states, incarnations, text);
+        return new ProcessView(i, header.get("phase"), Integer.parseInt(header.get("there")), header.get("digest"),
+                (before + after) / 2 - Double.parseDouble(header.get("still_ms")), Integer.parseInt(header.get("same")), Integer.parseInt(header.get("asked")),
+                Integer.parseInt(header.get("health")), states, incarnations, text);
     }
 
-    private static Map<String, String> cells(String line) {
-        Map<String, String> cells = new HashMap<>();
-        for (String cell : line.split(" ")) {
-            int is = cell.indexOf('=');
-            if (is > 0) { cells.put(cell.substring(0, is), cell.substring(is + 1)); }
+    private static Map<String, String> parseFields(String line) {
+        Map<String, String> fields = new HashMap<>();
+        for (String field : line.split(" ")) {
+            int separator = field.indexOf('=');
+            if (separator > 0) { fields.put(field.substring(0, separator), field.substring(separator + 1)); }
         }
-        return cells;
+        return fields;
     }
 
     /** What each of these holds; null for those that do not answer. */
-    List<Held> look(Collection<Integer> some) throws InterruptedException {
-        List<Future<Held>> asked = new ArrayList<>();
-        for (int i : some) { asked.add(askers.submit(() -> held(i))); }
-        List<Held> held = new ArrayList<>();
-        for (Future<Held> one : asked) {
+    List<ProcessView> observeAll(Collection<Integer> processes) throws InterruptedException {
+        List<Future<ProcessView>> pending = new ArrayList<>();
+        for (int i : processes) { pending.add(pollers.submit(() -> observe(i))); }
+        List<ProcessView> views = new ArrayList<>();
+        for (Future<ProcessView> view : pending) {
             try {
-                held.add(one.get());
+                views.add(view.get());
             } catch (java.util.concurrent.ExecutionException e) {
                 throw new IllegalStateException(e.getCause());
             }
         }
-        return held;
+        return views;
     }
 
     /** Whether all of these take part and hold the same picture of so many. */
-    static boolean isSettled(List<Held> held, int size) {
-        return held.stream().allMatch(one -> one != null && one.phase().equals("in") && one.there() == size && one.digest().equals(held.get(0).digest()));
+    static boolean isSettled(List<ProcessView> views, int size) {
+        return views.stream().allMatch(one -> one != null && one.phase().equals("in") && one.activeCount() == size && one.digest().equals(views.get(0).digest()));
     }
 
     /** Waits until all of these hold the same picture of so many, and gives what they hold; null after {@code mostMs}. */
-    List<Held> awaitSettled(Collection<Integer> some, int size, double mostMs) throws InterruptedException {
-        double until = Group.now() + mostMs;
+    List<ProcessView> awaitSettled(Collection<Integer> processes, int size, double timeoutMs) throws InterruptedException {
+        double until = Group.now() + timeoutMs;
         for (;;) {
-            List<Held> held = look(some);
-            if (isSettled(held, size)) { return held; }
+            List<ProcessView> views = observeAll(processes);
+            if (isSettled(views, size)) { return views; }
             if (Group.now() > until) { return null; }
             Thread.sleep(50);
         }
     }
 
     /** When the last of them came to hold what it holds, after a moment. */
-    static double last(List<Held> held, double from) { return held == null ? -1 : held.stream().mapToDouble(Held::changedMs).max().orElse(from) - from; }
+    static double lastChangeAfter(List<ProcessView> views, double startMs) { return views == null ? -1 : views.stream().mapToDouble(ProcessView::changedAtMs).max().orElse(startMs) - startMs; }
 
-    static double first(List<Held> held, double from) { return held == null ? -1 : held.stream().mapToDouble(Held::changedMs).min().orElse(from) - from; }
+    static double firstChangeAfter(List<ProcessView> views, double startMs) { return views == null ? -1 : views.stream().mapToDouble(ProcessView::changedAtMs).min().orElse(startMs) - startMs; }
 
     /** The counters of a process; empty where it does not answer. */
     Map<String, Long> counters(int i) {
         Map<String, Long> counters = new HashMap<>();
         String line;
         try {
-            line = Asking.ask(text(group.listen(i)), ASK_MS, "INFO") instanceof Value.Bulk info ? info.text() : "";
+            line = Asking.ask(format(group.listen(i)), CALL_TIMEOUT_MS, "INFO") instanceof Value.BulkString info ? info.text() : "";
         } catch (yardusher.error.YardusherError e) {
             return counters;
         }
-        cells(line.strip()).forEach((name, value) -> {
+        parseFields(line.strip()).forEach((name, value) -> {
             if (value.matches("-?[0-9]{1,18}")) { counters.put(name, Long.parseLong(value)); }
         });
         return counters;
     }
 
-    long sum(Collection<Integer> some, String name) { return some.stream().mapToLong(i -> counters(i).getOrDefault(name, 0L)).sum(); }
+    long sumOfCounter(Collection<Integer> processes, String name) { return processes.stream().mapToLong(i -> counters(i).getOrDefault(name, 0L)).sum(); }
 
     /** CPU time of a process so far, in ms. */
     double cpuMs(int i) { return group.process(i).info().totalCpuDuration().map(one -> one.toNanos() / 1e6).orElse(0.0); }
@@ -187,7 +187,7 @@
 
     @Override
     public void close() throws IOException {
-        askers.shutdownNow();
+        pollers.shutdownNow();
         group.close();
     }
 }
--- a/lab/src/yardusher/lab/view/ViewHeartbeats.java
+++ b/lab/src/yardusher/lab/view/ViewHeartbeats.java
@@ -8,57 +8,57 @@
  * whoever was silent for a fixed time to be gone until it is heard again. No helpers, no news, no incarnations.
  */
 final class ViewHeartbeats implements ViewNet.Process {
-    static final double EVERY_MS = 300;
-    static final double SILENT_MS = 1500;
+    static final double INTERVAL_MS = 300;
+    static final double TIMEOUT_MS = 1500;
 
     private final ViewNet net;
     private final int self;
-    private final List<Integer> all;
-    private final double[] heardAt;
-    final double[] goneAt;                           // infinity for who is there
-    private double nextBeat;
-    private double nextLook;
-    long lost;
+    private final List<Integer> nodes;
+    private final double[] lastHeardMs;
+    final double[] goneAtMs;                           // infinity for who is there
+    private double nextHeartbeatMs;
+    private double nextCheckMs;
+    long goneDeclarations;
 
-    ViewHeartbeats(ViewNet net, int self, List<Integer> all) {
+    ViewHeartbeats(ViewNet net, int self, List<Integer> nodes) {
         this.net = net;
         this.self = self;
-        this.all = all;
-        heardAt = new double[all.size()];
-        goneAt = new double[all.size()];
-        java.util.Arrays.fill(heardAt, net.now());
-        java.util.Arrays.fill(goneAt, Double.POSITIVE_INFINITY);
-        nextBeat = net.now() + net.random().nextDouble() * EVERY_MS;
-        nextLook = net.now() + SILENT_MS;
+        this.nodes = nodes;
+        lastHeardMs = new double[nodes.size()];
+        goneAtMs = new double[nodes.size()];
+        java.util.Arrays.fill(lastHeardMs, net.now());
+        java.util.Arrays.fill(goneAtMs, Double.POSITIVE_INFINITY);
+        nextHeartbeatMs = net.now() + net.random().nextDouble() * INTERVAL_MS;
+        nextCheckMs = net.now() + TIMEOUT_MS;
     }
 
     @Override
-    public void heard(double now, byte[] body) {
+    public void receive(double now, byte[] body) {
         int from = ByteBuffer.wrap(body).getInt();
-        heardAt[from] = now;
-        goneAt[from] = Double.POSITIVE_INFINITY;
+        lastHeardMs[from] = now;
+        goneAtMs[from] = Double.POSITIVE_INFINITY;
     }
 
     @Override
     public void tick(double now) {
-        if (nextBeat <= now) {
-            nextBeat = now + EVERY_MS;
-            byte[] beat = ByteBuffer.allocate(28).putInt(self).array();
-            for (int other : all) {
-                if (other != self) { net.send(self, ViewNet.address(other), beat); }
+        if (nextHeartbeatMs <= now) {
+            nextHeartbeatMs = now + INTERVAL_MS;
+            byte[] heartbeat = ByteBuffer.allocate(28).putInt(self).array();
+            for (int other : nodes) {
+                if (other != self) { net.send(self, ViewNet.address(other), heartbeat); }
             }
         }
-        if (nextLook <= now) {
-            nextLook = now + EVERY_MS / 3;
-            for (int other : all) {
-                if (other != self && goneAt[other] == Double.POSITIVE_INFINITY && now - heardAt[other] > SILENT_MS) {
-                    goneAt[other] = now;
-                    lost++;
+        if (nextCheckMs <= now) {
+            nextCheckMs = now + INTERVAL_MS / 3;
+            for (int other : nodes) {
+                if (other != self && goneAtMs[other] == Double.POSITIVE_INFINITY && now - lastHeardMs[other] > TIMEOUT_MS) {
+                    goneAtMs[other] = now;
+                    goneDeclarations++;
                 }
             }
         }
     }
 
     @Override
-    public double next() { return Math.min(nextBeat, nextLook); }
+    public double nextTickMs() { return Math.min(nextHeartbeatMs, nextCheckMs); }
 }
--- a/lab/src/yardusher/lab/view/ViewNet.java
+++ b/lab/src/yardusher/lab/view/ViewNet.java
@@ -20,69 +20,69 @@
 final class ViewNet {
     /** A process of any kind. */
     interface Process {
-        void heard(double now, byte[] body);
+        void receive(double now, byte[] body);
 
         void tick(double now);
 
-        double next();
+        double nextTickMs();
     }
 
     private static final class Event implements Comparable<Event> {
-        final double at;
-        final long order;
-        final int to;
+        final double atMs;
+        final long sequence;
+        final int node;
         final byte[] body;                           // null for a timer or a deed
-        final Consumer<Double> deed;
+        final Consumer<Double> action;
 
-        Event(double at, long order, int to, byte[] body, Consumer<Double> deed) {
-            this.at = at;
-            this.order = order;
-            this.to = to;
+        Event(double atMs, long sequence, int node, byte[] body, Consumer<Double> action) {
+            this.atMs = atMs;
+            this.sequence = sequence;
+            this.node = node;
             this.body = body;
-            this.deed = deed;
+            this.action = action;
         }
 
         @Override
         public int compareTo(Event other) {
-            int byTime = Double.compare(at, other.at);
-            return byTime != 0 ? byTime : Long.compare(order, other.order);
+            int byTime = Double.compare(atMs, other.atMs);
+            return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
         }
     }
 
     /** What a place has to bear. */
-    private static final class Place {
+    private static final class Node {
         Process process;
-        double timerAt = Double.POSITIVE_INFINITY;
-        boolean stopped;
-        double share = 1;                            // of each 100 ms that it runs
-        List<byte[]> waiting = new ArrayList<>();
-        boolean queued;
-        int side;
+        double timerAtMs = Double.POSITIVE_INFINITY;
+        boolean paused;
+        double cpuShare = 1;                            // of each 100 ms that it runs
+        List<byte[]> receiveQueue = new ArrayList<>();
+        boolean resumeScheduled;
+        int partition;
         long sent;
         long sentBytes;
-        long heard;
+        long received;
     }
 
-    private static final int MOST_WAITING = 2000;    // a socket's buffer
+    private static final int MAX_QUEUED = 2000;    // a socket's buffer
     private static final double SLICE_MS = 100;
 
     private final Random random;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
-    private final List<Place> places = new ArrayList<>();
-    private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
-    private final java.util.Set<Long> cutWays = new java.util.HashSet<>();
+    private final List<Node> nodes = new ArrayList<>();
+    private final Map<InetSocketAddress, Integer> nodesByAddress = new HashMap<>();
+    private final java.util.Set<Long> cutLinks = new java.util.HashSet<>();
     private double now;
-    private long order;
-    private double loss;
-    private double twice;
-    private double lateShare;
-    private double lateMs;
-    private double leastMs = 0.2;
-    private double spreadMs = 1;
-
-    ViewNet(long seed, double from) {
+    private long lastSequence;
+    private double lossShare;
+    private double duplicateShare;
+    private double delayedShare;
+    private double extraDelayMs;
+    private double minDelayMs = 0.2;
+    private double delayRangeMs = 1;
+
+    ViewNet(long seed, double startMs) {
         random = new Random(seed);
-        now = from;
+        now = startMs;
     }
 
     double now() { return now; }
@@ -90,162 +90,162 @@
     Random random() { return random; }
 
     /** One more place, with nobody there yet. */
-    int place() {
-        int number = places.size();
-        places.add(new Place());
-        numbers.put(address(number), number);
+    int addNode() {
+        int number = nodes.size();
+        nodes.add(new Node());
+        nodesByAddress.put(address(number), number);
         return number;
     }
 
-    static InetSocketAddress address(int place) {
+    static InetSocketAddress address(int node) {
         try {
-            return new InetSocketAddress(InetAddress.getByAddress(new byte[] {10, (byte) (place >> 16), (byte) (place >> 8), (byte) place}), 7946);
+            return new InetSocketAddress(InetAddress.getByAddress(new byte[] {10, (byte) (node >> 16), (byte) (node >> 8), (byte) node}), 7946);
         } catch (UnknownHostException e) {
             throw new IllegalStateException(e);
         }
     }
 
     /** From now on this process is there; null for none: what comes is lost. */
-    void put(int place, Process process) {
-        Place at = places.get(place);
-        at.process = process;
-        at.stopped = false;
-        at.waiting.clear();
-        at.timerAt = Double.POSITIVE_INFINITY;
-        if (process != null) { arm(place); }
+    void setProcess(int nodeNumber, Process process) {
+        Node node = nodes.get(nodeNumber);
+        node.process = process;
+        node.paused = false;
+        node.receiveQueue.clear();
+        node.timerAtMs = Double.POSITIVE_INFINITY;
+        if (process != null) { scheduleTimer(nodeNumber); }
     }
 
-    Process at(int place) { return places.get(place).process; }
+    Process processAt(int node) { return nodes.get(node).process; }
 
-    void lose(double share) { loss = share; }
+    void setLoss(double share) { lossShare = share; }
 
-    void twice(double share) { twice = share; }
+    void setDuplication(double share) { duplicateShare = share; }
 
-    void delay(double least, double spread) {
-        leastMs = least;
-        spreadMs = spread;
+    void setDelay(double minMs, double rangeMs) {
+        minDelayMs = minMs;
+        delayRangeMs = rangeMs;
     }
 
     /** So many come this much later than the rest. */
-    void late(double share, double ms) {
-        lateShare = share;
-        lateMs = ms;
+    void setExtraDelay(double share, double ms) {
+        delayedShare = share;
+        extraDelayMs = ms;
     }
 
-    void side(int place, int side) { places.get(place).side = side; }
+    void setPartition(int node, int side) { nodes.get(node).partition = side; }
 
-    void cut(int from, int to, boolean nothingComes) {
-        long way = (long) from << 32 | to;
-        if (nothingComes) { cutWays.add(way); } else { cutWays.remove(way); }
+    void setCut(int from, int to, boolean isCut) {
+        long link = (long) from << 32 | to;
+        if (isCut) { cutLinks.add(link); } else { cutLinks.remove(link); }
     }
 
     void heal() {
-        loss = twice = lateShare = 0;
-        cutWays.clear();
-        places.forEach(place -> place.side = 0);
+        lossShare = duplicateShare = delayedShare = 0;
+        cutLinks.clear();
+        nodes.forEach(place -> place.partition = 0);
     }
 
-    void stop(int place) { places.get(place).stopped = true; }
+    void pause(int node) { nodes.get(node).paused = true; }
 
-    void wake(int place) {
-        Place at = places.get(place);
-        if (!at.stopped) { return; }
-        at.stopped = false;
-        run(place);
+    void resume(int nodeNumber) {
+        Node node = nodes.get(nodeNumber);
+        if (!node.paused) { return; }
+        node.paused = false;
+        run(nodeNumber);
     }
 
     /** It runs for this share of each 100 ms alone. */
-    void starve(int place, double share) { places.get(place).share = share; }
+    void starve(int node, double share) { nodes.get(node).cpuShare = share; }
 
-    boolean isStopped(int place) { return places.get(place).stopped; }
+    boolean isPaused(int node) { return nodes.get(node).paused; }
 
-    long sent(int place) { return places.get(place).sent; }
+    long sent(int node) { return nodes.get(node).sent; }
 
-    long sentBytes(int place) { return places.get(place).sentBytes; }
+    long sentBytes(int node) { return nodes.get(node).sentBytes; }
 
-    void forgetFigures() { places.forEach(place -> place.sent = place.sentBytes = place.heard = 0); }
+    void resetCounters() { nodes.forEach(place -> place.sent = place.sentBytes = place.received = 0); }
 
     void send(int from, InetSocketAddress to, byte[] body) {
-        Place source = places.get(from);
+        Node source = nodes.get(from);
         source.sent++;
         source.sentBytes += body.length + 43;        // the mesh's head, UDP and IP
-        Integer number = numbers.get(to);
-        if (number == null || random.nextDouble() < loss || cutWays.contains((long) from << 32 | number)
-                || source.side != places.get(number).side) { return; }
-        int copies = twice > 0 && random.nextDouble() < twice ? 2 : 1;
+        Integer number = nodesByAddress.get(to);
+        if (number == null || random.nextDouble() < lossShare || cutLinks.contains((long) from << 32 | number)
+                || source.partition != nodes.get(number).partition) { return; }
+        int copies = duplicateShare > 0 && random.nextDouble() < duplicateShare ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            double late = leastMs + spreadMs * random.nextDouble() + (lateShare > 0 && random.nextDouble() < lateShare ? lateMs : 0);
-            events.add(new Event(now + late, order++, number, body, null));
+            double delayMs = minDelayMs + delayRangeMs * random.nextDouble() + (delayedShare > 0 && random.nextDouble() < delayedShare ? extraDelayMs : 0);
+            events.add(new Event(now + delayMs, lastSequence++, number, body, null));
         }
     }
 
     /** Delivers what nobody sent. */
-    void inject(int to, byte[] body) { events.add(new Event(now, order++, to, body, null)); }
+    void inject(int to, byte[] body) { events.add(new Event(now, lastSequence++, to, body, null)); }
 
     /** Does something at a time. */
-    void at(double time, Runnable deed) { events.add(new Event(time, order++, -1, null, at -> deed.run())); }
+    void schedule(double timeMs, Runnable action) { events.add(new Event(timeMs, lastSequence++, -1, null, at -> action.run())); }
 
-    private void arm(int place) {
-        Place at = places.get(place);
-        double next = Math.max(at.process.next(), now);
-        if (next >= at.timerAt) { return; }
-        at.timerAt = next;
-        if (next < Double.POSITIVE_INFINITY) { events.add(new Event(next, order++, place, null, null)); }
+    private void scheduleTimer(int nodeNumber) {
+        Node node = nodes.get(nodeNumber);
+        double next = Math.max(node.process.nextTickMs(), now);
+        if (next >= node.timerAtMs) { return; }
+        node.timerAtMs = next;
+        if (next < Double.POSITIVE_INFINITY) { events.add(new Event(next, lastSequence++, nodeNumber, null, null)); }
     }
 
     /** When a starved process runs next. */
-    private double slice(Place at, int place) {
-        if (at.share >= 1) { return now; }
-        double phase = (now + place * 17) % SLICE_MS;
-        return phase < at.share * SLICE_MS ? now : now + SLICE_MS - phase;
-    }
-
-    private void run(int place) {
-        Place at = places.get(place);
-        if (at.stopped || at.process == null) { return; }
-        double when = slice(at, place);
-        if (when > now) {
-            if (!at.queued) {
-                at.queued = true;
-                events.add(new Event(when, order++, -1, null, then -> {
-                    at.queued = false;
-                    run(place);
+    private double nextRunTime(Node node, int nodeNumber) {
+        if (node.cpuShare >= 1) { return now; }
+        double phase = (now + nodeNumber * 17) % SLICE_MS;
+        return phase < node.cpuShare * SLICE_MS ? now : now + SLICE_MS - phase;
+    }
+
+    private void run(int nodeNumber) {
+        Node node = nodes.get(nodeNumber);
+        if (node.paused || node.process == null) { return; }
+        double runAtMs = nextRunTime(node, nodeNumber);
+        if (runAtMs > now) {
+            if (!node.resumeScheduled) {
+                node.resumeScheduled = true;
+                events.add(new Event(runAtMs, lastSequence++, -1, null, then -> {
+                    node.resumeScheduled = false;
+                    run(nodeNumber);
                 }));
             }
             return;
         }
-        Process process = at.process;
+        Process process = node.process;
         process.tick(now);
-        List<byte[]> all = at.waiting;
-        if (!all.isEmpty()) {
-            at.waiting = new ArrayList<>();
-            for (byte[] body : all) { process.heard(now, body); }
+        List<byte[]> datagrams = node.receiveQueue;
+        if (!datagrams.isEmpty()) {
+            node.receiveQueue = new ArrayList<>();
+            for (byte[] body : datagrams) { process.receive(now, body); }
         }
-        if (at.process == process) {
-            at.timerAt = Double.POSITIVE_INFINITY;
-            arm(place);
+        if (node.process == process) {
+            node.timerAtMs = Double.POSITIVE_INFINITY;
+            scheduleTimer(nodeNumber);
         }
     }
 
     /** Goes on until then. */
-    void until(double time) {
-        while (!events.isEmpty() && events.peek().at <= time) {
+    void runUntil(double timeMs) {
+        while (!events.isEmpty() && events.peek().atMs <= timeMs) {
             Event event = events.poll();
-            now = Math.max(now, event.at);
-            if (event.deed != null) {
-                event.deed.accept(now);
+            now = Math.max(now, event.atMs);
+            if (event.action != null) {
+                event.action.accept(now);
                 continue;
             }
-            Place at = places.get(event.to);
-            if (at.process == null) { continue; }
+            Node node = nodes.get(event.node);
+            if (node.process == null) { continue; }
             if (event.body != null) {
-                at.heard++;
-                if (at.waiting.size() < MOST_WAITING) { at.waiting.add(event.body); }
-                run(event.to);
-            } else if (event.at == at.timerAt) {
-                run(event.to);
+                node.received++;
+                if (node.receiveQueue.size() < MAX_QUEUED) { node.receiveQueue.add(event.body); }
+                run(event.node);
+            } else if (event.atMs == node.timerAtMs) {
+                run(event.node);
             }
         }
-        now = time;
+        now = timeMs;
     }
 }
--- a/lab/src/yardusher/lab/view/ViewReal.java
+++ b/lab/src/yardusher/lab/view/ViewReal.java
@@ -21,48 +21,48 @@
  * tells a line for each: breaches of its rules, and the times that were measured. Without a case, all but the long ones.
  */
 public final class ViewReal {
-    private static final double JOIN_MS = 60_000;
-    private static final double SETTLE_MS = 30_000;
+    private static final double JOIN_TIMEOUT_MS = 60_000;
+    private static final double SETTLE_TIMEOUT_MS = 30_000;
     /** Longer than any suspicion. */
-    private static final long PAST_MS = 8000;
+    private static final long BEYOND_SUSPICION_MS = 8000;
     private static final int SEEDS = 3;
 
     /** A case: breaches go to {@code found}, figures to {@code note}. */
-    private interface Case {
-        void play(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception;
+    private interface Scenario {
+        void run(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception;
     }
 
-    private static final Map<String, Case> CASES = new LinkedHashMap<>();
-    private static final Map<String, Case> LONG = new LinkedHashMap<>();
+    private static final Map<String, Scenario> SCENARIOS = new LinkedHashMap<>();
+    private static final Map<String, Scenario> LONG_SCENARIOS = new LinkedHashMap<>();
 
     static {
-        CASES.put("one-killed", (folder, size, seed, found, note) -> crash(folder, size, seed, Set.of(size / 2), found, note));
-        CASES.put("three-at-once", (folder, size, seed, found, note) -> crash(folder, size, seed, Set.of(1, size / 2, size - 1), found, note));
-        CASES.put("hall", (folder, size, seed, found, note) -> crash(folder, size, seed, hall(size), found, note));
-        CASES.put("short-stop", ViewReal::shortStop);
-        CASES.put("long-stop", ViewReal::longStop);
-        CASES.put("starved", ViewReal::starved);
-        CASES.put("one-way", ViewReal::oneWay);
-        CASES.put("flapping", ViewReal::flapping);
-        CASES.put("halves", (folder, size, seed, found, note) -> split(folder, size, seed, 2, 10_000, found, note));
-        CASES.put("thirds", (folder, size, seed, found, note) -> split(folder, size, seed, 3, 10_000, found, note));
-        CASES.put("name-twice", ViewReal::nameTwice);
-        CASES.put("quick-restart", ViewReal::quickRestart);
-        CASES.put("leaves", ViewReal::leaves);
-        CASES.put("roll", ViewReal::roll);
-        CASES.put("join", ViewReal::join);
-        CASES.put("bad-datagrams", ViewReal::badDatagrams);
-        CASES.put("no-seed", ViewReal::noSeed);
-        LONG.put("cost", ViewReal::cost);
-        LONG.put("halves-60", (folder, size, seed, found, note) -> split(folder, size, seed, 2, 60_000, found, note));
-        LONG.put("thirds-60", (folder, size, seed, found, note) -> split(folder, size, seed, 3, 60_000, found, note));
+        SCENARIOS.put("one-killed", (folder, size, seed, found, note) -> crash(folder, size, seed, Set.of(size / 2), found, note));
+        SCENARIOS.put("three-at-once", (folder, size, seed, found, note) -> crash(folder, size, seed, Set.of(1, size / 2, size - 1), found, note));
+        SCENARIOS.put("hall", (folder, size, seed, found, note) -> crash(folder, size, seed, hallMembers(size), found, note));
+        SCENARIOS.put("short-stop", ViewReal::shortPause);
+        SCENARIOS.put("long-stop", ViewReal::longPause);
+        SCENARIOS.put("starved", ViewReal::starved);
+        SCENARIOS.put("one-way", ViewReal::oneWay);
+        SCENARIOS.put("flapping", ViewReal::flapping);
+        SCENARIOS.put("halves", (folder, size, seed, found, note) -> partition(folder, size, seed, 2, 10_000, found, note));
+        SCENARIOS.put("thirds", (folder, size, seed, found, note) -> partition(folder, size, seed, 3, 10_000, found, note));
+        SCENARIOS.put("name-twice", ViewReal::duplicateName);
+        SCENARIOS.put("quick-restart", ViewReal::quickRestart);
+        SCENARIOS.put("leaves", ViewReal::leave);
+        SCENARIOS.put("roll", ViewReal::rollingRestart);
+        SCENARIOS.put("join", ViewReal::join);
+        SCENARIOS.put("bad-datagrams", ViewReal::badDatagrams);
+        SCENARIOS.put("no-seed", ViewReal::noSeed);
+        LONG_SCENARIOS.put("cost", ViewReal::cost);
+        LONG_SCENARIOS.put("halves-60", (folder, size, seed, found, note) -> partition(folder, size, seed, 2, 60_000, found, note));
+        LONG_SCENARIOS.put("thirds-60", (folder, size, seed, found, note) -> partition(folder, size, seed, 3, 60_000, found, note));
     }
 
     private ViewReal() { }
 
     public static void main(String[] args) throws Exception {
         int size = Integer.parseInt(args[3]);
-        List<String> chosen = args.length > 4 ? List.of(args).subList(4, args.length) : List.copyOf(CASES.keySet());
+        List<String> chosen = args.length > 4 ? List.of(args).subList(4, args.length) : List.copyOf(SCENARIOS.keySet());
         int broken = 0;
         for (String name : chosen) {
             broken += Seeds.run(ViewReal.class, new String[] {args[0] + "/" + name, args[1], args[2], args[3], name},
@@ -74,29 +74,29 @@
     /** Plays a case; the breaches. */
     public static List<String> play(Path folder, String name, int size, long seed, StringBuilder note) throws Exception {
         List<String> found = new ArrayList<>();
-        Case one = CASES.containsKey(name) ? CASES.get(name) : LONG.get(name);
-        if (one == null) { throw new IllegalArgumentException("no case " + name + "; there are " + CASES.keySet() + " " + LONG.keySet()); }
-        one.play(folder, size, seed, found, note);
+        Scenario scenario = SCENARIOS.containsKey(name) ? SCENARIOS.get(name) : LONG_SCENARIOS.get(name);
+        if (scenario == null) { throw new IllegalArgumentException("no case " + name + "; there are " + SCENARIOS.keySet() + " " + LONG_SCENARIOS.keySet()); }
+        scenario.run(folder, size, seed, found, note);
         return found;
     }
 
-    private static Set<Integer> hall(int size) {
+    private static Set<Integer> hallMembers(int size) {
         Set<Integer> hall = new TreeSet<>();
         for (int i = 1; i < size; i += 3) { hall.add(i); }
         return hall;
     }
 
-    private static Set<Integer> but(Set<Integer> all, Collection<Integer> some) {
+    private static Set<Integer> without(Set<Integer> all, Collection<Integer> excluded) {
         Set<Integer> rest = new TreeSet<>(all);
-        rest.removeAll(some);
+        rest.removeAll(excluded);
         return rest;
     }
 
-    private static ViewGroup started(Path folder, int size, long seed, StringBuilder note) throws IOException, InterruptedException {
+    private static ViewGroup startSettled(Path folder, int size, long seed, StringBuilder note) throws IOException, InterruptedException {
         ViewGroup view = new ViewGroup(folder, size, seed, Math.min(SEEDS, size), true);
         try {
             view.start(view.all(), 10);
-            if (view.awaitSettled(view.all(), size, JOIN_MS) == null) { throw new IllegalStateException("did not settle at the start; see " + folder); }
+            if (view.awaitSettled(view.all(), size, JOIN_TIMEOUT_MS) == null) { throw new IllegalStateException("did not settle at the start; see " + folder); }
             return view;
         } catch (IOException | RuntimeException | InterruptedException e) {
             view.close();
@@ -105,99 +105,99 @@
     }
 
     /** Whoever runs is there, and those who do not are not. */
-    private static List<ViewGroup.Held> settles(ViewGroup view, Set<Integer> run, double from, String what, List<String> found, StringBuilder note)
+    private static List<ViewGroup.ProcessView> checkSettled(ViewGroup view, Set<Integer> running, double startMs, String what, List<String> found, StringBuilder note)
             throws InterruptedException {
-        List<ViewGroup.Held> held = view.awaitSettled(run, run.size(), SETTLE_MS);
-        if (held == null) {
-            found.add(what + ": not settled after " + SETTLE_MS + " ms: " + view.look(run).stream().map(one -> one == null ? "silent" : one.by() + ":" + one.there()).toList());
+        List<ViewGroup.ProcessView> views = view.awaitSettled(running, running.size(), SETTLE_TIMEOUT_MS);
+        if (views == null) {
+            found.add(what + ": not settled after " + SETTLE_TIMEOUT_MS + " ms: " + view.observeAll(running).stream().map(processView -> processView == null ? "silent" : processView.process() + ":" + processView.activeCount()).toList());
             return null;
         }
-        Set<String> names = run.stream().map(view::name).collect(Collectors.toSet());
-        for (ViewGroup.Held one : held) {
-            Set<String> there = one.states().entrySet().stream().filter(state -> state.getValue().equals("alive") || state.getValue().equals("suspect"))
+        Set<String> names = running.stream().map(view::name).collect(Collectors.toSet());
+        for (ViewGroup.ProcessView processView : views) {
+            Set<String> active = processView.states().entrySet().stream().filter(state -> state.getValue().equals("alive") || state.getValue().equals("suspect"))
                     .map(Map.Entry::getKey).collect(Collectors.toSet());
-            if (!there.equals(names)) { found.add(what + ": n" + one.by() + " holds " + there.size() + " to be there"); }
+            if (!active.equals(names)) { found.add(what + ": n" + processView.process() + " holds " + active.size() + " to be there"); }
         }
-        note.append(String.format(java.util.Locale.ROOT, "%s first %.0f all %.0f ms; ", what, ViewGroup.first(held, from), ViewGroup.last(held, from)));
-        return held;
+        note.append(String.format(java.util.Locale.ROOT, "%s first %.0f all %.0f ms; ", what, ViewGroup.firstChangeAfter(views, startMs), ViewGroup.lastChangeAfter(views, startMs)));
+        return views;
     }
 
-    private static long lost(ViewGroup view, Collection<Integer> run) { return view.sum(run, "view_lost"); }
+    private static long goneDeclarations(ViewGroup view, Collection<Integer> processes) { return view.sumOfCounter(processes, "view_lost"); }
 
-    private static void crash(Path folder, int size, long seed, Set<Integer> whom, List<String> found, StringBuilder note) throws Exception {
-        try (ViewGroup view = started(folder, size, seed, note)) {
-            Set<Integer> rest = but(view.all(), whom);
-            double from = Group.now();
-            for (int i : whom) { view.group.signal(i, "-KILL"); }
-            settles(view, rest, from, "killed " + whom.size(), found, note);
+    private static void crash(Path folder, int size, long seed, Set<Integer> victims, List<String> found, StringBuilder note) throws Exception {
+        try (ViewGroup view = startSettled(folder, size, seed, note)) {
+            Set<Integer> rest = without(view.all(), victims);
+            double startMs = Group.now();
+            for (int i : victims) { view.group.signal(i, "-KILL"); }
+            checkSettled(view, rest, startMs, "killed " + victims.size(), found, note);
             Thread.sleep(1500);
             // A hall that dies is one change to who follows.
             for (int i : rest) {
-                long told = Files.readAllLines(view.group.log(i)).stream().filter(line -> line.contains("view: settled") && !line.contains("gone=-")).count();
-                if (told > 1 && whom.size() > 1) { note.append("n").append(i).append(" was told in ").append(told).append(" batches; "); }
+                long changes = Files.readAllLines(view.group.log(i)).stream().filter(line -> line.contains("view: settled") && !line.contains("gone=-")).count();
+                if (changes > 1 && victims.size() > 1) { note.append("n").append(i).append(" was told in ").append(changes).append(" batches; "); }
             }
         }
     }
 
-    private static void shortStop(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
-        try (ViewGroup view = started(folder, size, seed, note)) {
+    private static void shortPause(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
+        try (ViewGroup view = startSettled(folder, size, seed, note)) {
             for (int i : List.of(0, size / 2, size - 1)) {
                 view.group.pause(i);
                 Thread.sleep(700);
                 view.group.resume(i);
                 Thread.sleep(1500);
             }
-            if (lost(view, view.all()) != 0) { found.add("a stop of 700 ms was taken for an end"); }
-            settles(view, view.all(), Group.now(), "awake", found, new StringBuilder());
-            note.append("suspected ").append(view.sum(view.all(), "view_accused")).append(" times; ");
+            if (goneDeclarations(view, view.all()) != 0) { found.add("a stop of 700 ms was taken for an end"); }
+            checkSettled(view, view.all(), Group.now(), "awake", found, new StringBuilder());
+            note.append("suspected ").append(view.sumOfCounter(view.all(), "view_accused")).append(" times; ");
         }
     }
 
-    private static void longStop(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
-        try (ViewGroup view = started(folder, size, seed, note)) {
+    private static void longPause(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
+        try (ViewGroup view = startSettled(folder, size, seed, note)) {
             int one = size / 2;
             double from = Group.now();
             view.group.pause(one);
-            settles(view, but(view.all(), Set.of(one)), from, "stopped", found, note);
-            Thread.sleep(PAST_MS);
+            checkSettled(view, without(view.all(), Set.of(one)), from, "stopped", found, note);
+            Thread.sleep(BEYOND_SUSPICION_MS);
             from = Group.now();
             view.group.resume(one);
-            settles(view, view.all(), from, "woken", found, note);
-            if (lost(view, List.of(one)) != 0) { found.add("the woken one took others to be gone"); }
+            checkSettled(view, view.all(), from, "woken", found, note);
+            if (goneDeclarations(view, List.of(one)) != 0) { found.add("the woken one took others to be gone"); }
         }
     }
 
     private static void starved(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
-        try (ViewGroup view = started(folder, size, seed, note)) {
-            Set<Integer> hungry = new TreeSet<>();
-            for (int i = 0; i < Math.max(1, size / 10); i++) { hungry.add((i * 10 + 4) % size); }
-            for (int i : hungry) { view.group.starve(i, 0.2); }
+        try (ViewGroup view = startSettled(folder, size, seed, note)) {
+            Set<Integer> starved = new TreeSet<>();
+            for (int i = 0; i < Math.max(1, size / 10); i++) { starved.add((i * 10 + 4) % size); }
+            for (int i : starved) { view.group.starve(i, 0.2); }
             Thread.sleep(10_000);
-            for (int i : hungry) { view.group.feed(i); }
-            long accused = view.sum(hungry, "view_accused");
-            if (lost(view, view.all()) != 0) { found.add("under starvation " + lost(view, view.all()) + " times a member that runs was taken to be gone"); }
-            note.append("the starved accused ").append(accused).append(", the others ").append(view.sum(but(view.all(), hungry), "view_accused")).append("; ");
-            settles(view, view.all(), Group.now(), "fed", found, new StringBuilder());
+            for (int i : starved) { view.group.feed(i); }
+            long accused = view.sumOfCounter(starved, "view_accused");
+            if (goneDeclarations(view, view.all()) != 0) { found.add("under starvation " + goneDeclarations(view, view.all()) + " times a member that runs was taken to be gone"); }
+            note.append("the starved accused ").append(accused).append(", the others ").append(view.sumOfCounter(without(view.all(), starved), "view_accused")).append("; ");
+            checkSettled(view, view.all(), Group.now(), "fed", found, new StringBuilder());
         }
     }
 
     private static void oneWay(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
-        try (ViewGroup view = started(folder, size, seed, note)) {
+        try (ViewGroup view = startSettled(folder, size, seed, note)) {
             Random random = new Random(seed);
             for (int n = 0; n < size; n++) {         // each hears one other no more
                 int to = random.nextInt(size);
                 if (to != n) { view.relay().way(n, to).cut(true); }
             }
             Thread.sleep(8000);
-            if (lost(view, view.all()) != 0) { found.add("a way cut in one direction made a member gone"); }
-            note.append("suspected ").append(view.sum(view.all(), "view_accused")).append("; ");
+            if (goneDeclarations(view, view.all()) != 0) { found.add("a way cut in one direction made a member gone"); }
+            note.append("suspected ").append(view.sumOfCounter(view.all(), "view_accused")).append("; ");
             view.relay().heal();
-            settles(view, view.all(), Group.now(), "healed", found, new StringBuilder());
+            checkSettled(view, view.all(), Group.now(), "healed", found, new StringBuilder());
         }
     }
 
     private static void flapping(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
-        try (ViewGroup view = started(folder, size, seed, note)) {
+        try (ViewGroup view = startSettled(folder, size, seed, note)) {
             for (int second = 0; second < 10; second++) {
                 for (int i = 1; i < size; i++) {
                     view.relay().way(0, i).cut(second % 2 == 0);
@@ -206,19 +206,19 @@
                 Thread.sleep(1000);
             }
             view.relay().heal();
-            settles(view, view.all(), Group.now(), "still", found, note);
-            note.append("lost ").append(lost(view, view.all())).append(", refuted ").append(view.sum(view.all(), "view_refuted")).append("; ");
+            checkSettled(view, view.all(), Group.now(), "still", found, note);
+            note.append("lost ").append(goneDeclarations(view, view.all())).append(", refuted ").append(view.sumOfCounter(view.all(), "view_refuted")).append("; ");
         }
     }
 
-    private static void split(Path folder, int size, long seed, int sides, long ms, List<String> found, StringBuilder note) throws Exception {
+    private static void partition(Path folder, int size, long seed, int sides, long ms, List<String> found, StringBuilder note) throws Exception {
         // One process comes on the first side, one is killed on the last.
         int late = size - 1;
         ViewGroup view = new ViewGroup(folder, size, seed, Math.min(SEEDS, size), true);
         try (view) {
-            Set<Integer> begun = but(view.all(), Set.of(late));
+            Set<Integer> begun = without(view.all(), Set.of(late));
             view.start(begun, 10);
-            if (view.awaitSettled(begun, begun.size(), JOIN_MS) == null) { throw new IllegalStateException("did not settle at the start"); }
+            if (view.awaitSettled(begun, begun.size(), JOIN_TIMEOUT_MS) == null) { throw new IllegalStateException("did not settle at the start"); }
             List<List<Integer>> parts = new ArrayList<>();
             for (int side = 0; side < sides; side++) { parts.add(new ArrayList<>()); }
             for (int i = 0; i < size; i++) { parts.get(i % sides).add(i); }
@@ -232,76 +232,76 @@
             view.start(List.of(late), 1);
             Thread.sleep(Math.max(0, (long) (from + ms - Group.now())));
             for (List<Integer> part : parts) {
-                Set<Integer> there = but(Set.copyOf(part), Set.of(dead));
+                Set<Integer> there = without(Set.copyOf(part), Set.of(dead));
                 if (view.awaitSettled(there, there.size(), 5000) == null) { found.add("a side did not settle by itself"); }
             }
             from = Group.now();
             view.relay().heal();
-            settles(view, but(view.all(), Set.of(dead)), from, "healed", found, note);
+            checkSettled(view, without(view.all(), Set.of(dead)), from, "healed", found, note);
         }
     }
 
-    private static void nameTwice(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
+    private static void duplicateName(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
         int other = size - 1;
         try (ViewGroup view = new ViewGroup(folder, size, seed, Math.min(SEEDS, size - 1), true, i -> "n" + (i == other ? 1 : i))) {
-            Set<Integer> right = but(view.all(), Set.of(other));
+            Set<Integer> right = without(view.all(), Set.of(other));
             view.start(right, 10);
-            if (view.awaitSettled(right, right.size(), JOIN_MS) == null) { throw new IllegalStateException("did not settle at the start"); }
+            if (view.awaitSettled(right, right.size(), JOIN_TIMEOUT_MS) == null) { throw new IllegalStateException("did not settle at the start"); }
             view.start(List.of(other), 1);
             Thread.sleep(4000);
-            settles(view, right, Group.now(), "claimed", found, new StringBuilder());
-            if (lost(view, right) != 0) { found.add("the first holder of the name was taken to be gone"); }
-            ViewGroup.Held held = view.held(other);
+            checkSettled(view, right, Group.now(), "claimed", found, new StringBuilder());
+            if (goneDeclarations(view, right) != 0) { found.add("the first holder of the name was taken to be gone"); }
+            ViewGroup.ProcessView held = view.observe(other);
             if (held == null || !held.phase().equals("taken")) { found.add("the second claimant is " + (held == null ? "silent" : held.phase())); }
-            if (!said(view, other, "VIEW_NAME_TAKEN")) { found.add("the second claimant does not say so"); }
-            if (!said(view, 1, "VIEW_NAME_TAKEN")) { found.add("the first claimant does not say so"); }
+            if (!hasLogged(view, other, "VIEW_NAME_TAKEN")) { found.add("the second claimant does not say so"); }
+            if (!hasLogged(view, 1, "VIEW_NAME_TAKEN")) { found.add("the first claimant does not say so"); }
             view.group.kill(1);                      // now the name is free
             double from = Group.now();
-            settles(view, but(view.all(), Set.of(1)), from, "taken over", found, note);
+            checkSettled(view, without(view.all(), Set.of(1)), from, "taken over", found, note);
         }
     }
 
-    private static boolean said(ViewGroup view, int i, String what) throws IOException {
+    private static boolean hasLogged(ViewGroup view, int i, String what) throws IOException {
         return Files.readString(view.group.log(i)).contains(what);
     }
 
     private static void quickRestart(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
-        try (ViewGroup view = started(folder, size, seed, note)) {
+        try (ViewGroup view = startSettled(folder, size, seed, note)) {
             int one = size / 2;
-            long before = view.held(0).incarnations().get(view.name(one));
+            long before = view.observe(0).incarnations().get(view.name(one));
             double from = Group.now();
             view.group.kill(one);
             view.group.launch(one);
             view.group.awaitReady(one, 60_000);
             note.append(String.format(java.util.Locale.ROOT, "serves after %.0f; ", Group.now() - from));
-            List<ViewGroup.Held> held = settles(view, view.all(), from, "restarted", found, note);
+            List<ViewGroup.ProcessView> held = checkSettled(view, view.all(), from, "restarted", found, note);
             if (held != null && held.stream().anyMatch(each -> each.incarnations().get(view.name(one)) <= before)) { found.add("the new life is not above the old"); }
         }
     }
 
-    private static void leaves(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
-        try (ViewGroup view = started(folder, size, seed, note)) {
+    private static void leave(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
+        try (ViewGroup view = startSettled(folder, size, seed, note)) {
             int one = size / 2;
             view.group.terminate(one, 20_000);
             double from = Group.now();
-            List<ViewGroup.Held> held = settles(view, but(view.all(), Set.of(one)), from, "left", found, note);
+            List<ViewGroup.ProcessView> held = checkSettled(view, without(view.all(), Set.of(one)), from, "left", found, note);
             if (held != null && held.stream().anyMatch(each -> !"left".equals(each.states().get(view.name(one))))) { found.add("who left is not held to have left"); }
-            if (lost(view, but(view.all(), Set.of(one))) != 0) { found.add("who left was taken to be gone"); }
+            if (goneDeclarations(view, without(view.all(), Set.of(one))) != 0) { found.add("who left was taken to be gone"); }
         }
     }
 
-    private static void roll(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
-        try (ViewGroup view = started(folder, size, seed, note)) {
-            Map<String, Long> before = view.held(0).incarnations();
+    private static void rollingRestart(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
+        try (ViewGroup view = startSettled(folder, size, seed, note)) {
+            Map<String, Long> before = view.observe(0).incarnations();
             for (int i = 0; i < size; i++) {
                 view.group.terminate(i, 20_000);
                 view.group.restart(i);
             }
-            List<ViewGroup.Held> held = settles(view, view.all(), Group.now(), "rolled", found, note);
+            List<ViewGroup.ProcessView> held = checkSettled(view, view.all(), Group.now(), "rolled", found, note);
             if (held != null && held.stream().anyMatch(each -> before.entrySet().stream().anyMatch(old -> each.incarnations().get(old.getKey()) <= old.getValue()))) {
                 found.add("an incarnation did not grow");
             }
-            if (lost(view, view.all()) != 0) { found.add("somebody was taken to be gone in a roll"); }
+            if (goneDeclarations(view, view.all()) != 0) { found.add("somebody was taken to be gone in a roll"); }
         }
     }
 
@@ -310,7 +310,7 @@
         try (ViewGroup view = new ViewGroup(folder, size, seed, Math.min(SEEDS, size), true)) {
             Set<Integer> seeds = Set.of(0, 1, 2);
             view.start(seeds, 3);
-            Set<Integer> others = but(view.all(), seeds);
+            Set<Integer> others = without(view.all(), seeds);
             for (int i : others) { view.relay().way(i, 1).cut(true); } // of the three one is heard, until it dies
             for (int i : others) { view.relay().way(i, 2).cut(true); }
             double from = Group.now();
@@ -320,13 +320,13 @@
             view.relay().heal();
             for (int i : others) { view.group.awaitReady(i, 120_000); }
             double up = Group.now();
-            List<ViewGroup.Held> held = settles(view, but(view.all(), Set.of(0)), from, "joined", found, note);
-            note.append(String.format(java.util.Locale.ROOT, "all serve after %.0f ms, settled %.0f ms after that; ", up - from, held == null ? -1 : ViewGroup.last(held, up)));
+            List<ViewGroup.ProcessView> held = checkSettled(view, without(view.all(), Set.of(0)), from, "joined", found, note);
+            note.append(String.format(java.util.Locale.ROOT, "all serve after %.0f ms, settled %.0f ms after that; ", up - from, held == null ? -1 : ViewGroup.lastChangeAfter(held, up)));
         }
     }
 
     private static void badDatagrams(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
-        try (ViewGroup view = started(folder, size, seed, note)) {
+        try (ViewGroup view = startSettled(folder, size, seed, note)) {
             Random random = new Random(seed);
             for (int i = 0; i < size; i++) {
                 for (int j = 0; j < size; j++) {
@@ -352,10 +352,10 @@
                 Thread.sleep(50);
             }
             view.relay().heal();
-            settles(view, view.all(), Group.now(), "healed", found, new StringBuilder());
-            note.append("lost ").append(lost(view, view.all())).append(", foreign ").append(view.sum(view.all(), "mesh_foreign")).append(", spoilt ")
-                    .append(view.sum(view.all(), "mesh_spoilt")).append(", suspected ").append(view.sum(view.all(), "view_accused")).append("; ");
-            if (lost(view, view.all()) != 0) { found.add("a member that runs was taken to be gone under loss of 20%"); }
+            checkSettled(view, view.all(), Group.now(), "healed", found, new StringBuilder());
+            note.append("lost ").append(goneDeclarations(view, view.all())).append(", foreign ").append(view.sumOfCounter(view.all(), "mesh_foreign")).append(", spoilt ")
+                    .append(view.sumOfCounter(view.all(), "mesh_spoilt")).append(", suspected ").append(view.sumOfCounter(view.all(), "view_accused")).append("; ");
+            if (goneDeclarations(view, view.all()) != 0) { found.add("a member that runs was taken to be gone under loss of 20%"); }
             for (int i = 0; i < size; i++) {
                 if (Files.readString(view.group.log(i)).contains("Exception")) { found.add("n" + i + " threw an exception"); }
             }
@@ -368,17 +368,17 @@
             try (ViewGroup view = new ViewGroup(folder.resolve(on ? "on" : "off"), size, seed, Math.min(SEEDS, size), false)) {
                 if (!on) { view.group.settings(i -> null); }
                 view.start(view.all(), 10);
-                if (on && view.awaitSettled(view.all(), size, JOIN_MS) == null) { found.add("did not settle"); }
+                if (on && view.awaitSettled(view.all(), size, JOIN_TIMEOUT_MS) == null) { found.add("did not settle"); }
                 Thread.sleep(5000);
                 double from = Group.now();
                 double cpu = view.all().stream().mapToDouble(view::cpuMs).sum();
-                long sent = on ? view.sum(view.all(), "mesh_sent") : 0;
-                long bytes = on ? view.sum(view.all(), "mesh_sent_bytes") : 0;
+                long sent = on ? view.sumOfCounter(view.all(), "mesh_sent") : 0;
+                long bytes = on ? view.sumOfCounter(view.all(), "mesh_sent_bytes") : 0;
                 Thread.sleep(15_000);
                 double ms = Group.now() - from;
                 cpu = view.all().stream().mapToDouble(view::cpuMs).sum() - cpu;
-                sent = on ? view.sum(view.all(), "mesh_sent") - sent : 0;
-                bytes = on ? view.sum(view.all(), "mesh_sent_bytes") - bytes : 0;
+                sent = on ? view.sumOfCounter(view.all(), "mesh_sent") - sent : 0;
+                bytes = on ? view.sumOfCounter(view.all(), "mesh_sent_bytes") - bytes : 0;
                 double kb = 0;
                 for (int i = 0; i < size; i++) { kb += (double) view.residentKb(i) / size; }
                 note.append(String.format(java.util.Locale.ROOT, "%s: %.2f%% of a core, %.1f MB resident, %.1f datagrams and %.0f bytes a second and process; ",
@@ -390,12 +390,12 @@
     /** No seed is there: all serve, and find one another once it comes. */
     private static void noSeed(Path folder, int size, long seed, List<String> found, StringBuilder note) throws Exception {
         try (ViewGroup view = new ViewGroup(folder, size, seed, 1, true)) {
-            Set<Integer> others = but(view.all(), Set.of(0));
+            Set<Integer> others = without(view.all(), Set.of(0));
             view.start(others, 10);
-            if (view.look(others).stream().anyMatch(one -> one == null || one.there() != 1)) { found.add("somebody is not alone without a seed"); }
+            if (view.observeAll(others).stream().anyMatch(one -> one == null || one.activeCount() != 1)) { found.add("somebody is not alone without a seed"); }
             double from = Group.now();
             view.start(List.of(0), 1);
-            settles(view, view.all(), from, "seed back", found, note);
+            checkSettled(view, view.all(), from, "seed back", found, note);
         }
     }
 }
--- a/lab/src/yardusher/lab/view/ViewRun.java
+++ b/lab/src/yardusher/lab/view/ViewRun.java
@@ -16,35 +16,35 @@
  */
 public final class ViewRun {
     /** The longest pause after which nobody is held to be gone, at the defaults and with up to 10% of datagrams lost. */
-    public static final int PAUSE_MS = Integer.getInteger("lab.pause", 1000);
+    public static final int MAX_TOLERATED_PAUSE_MS = Integer.getInteger("lab.pause", 1000);
     /** Of all datagrams. */
-    public static final double LOSS = 0.10;
+    public static final double MAX_LOSS = 0.10;
     /** Of each 100 ms, what a starved process runs. */
-    public static final double SHARE = 0.3;
-    private static final double PLAY_MS = 40_000;
-    private static final double HEAL_MS = 20_000;
+    public static final double STARVED_CPU_SHARE = 0.3;
+    private static final double FAULT_PHASE_MS = 40_000;
+    private static final double HEAL_TIMEOUT_MS = 20_000;
     private static final double GRACE_MS = 6000;
-    private static final int SEEDS = 3;
-    private static final boolean SAYS = Boolean.getBoolean("lab.say");
+    private static final int SEED_MEMBERS = 3;
+    private static final boolean VERBOSE = Boolean.getBoolean("lab.say");
 
     /** What came of a seed. */
-    public record Outcome(List<String> breaches, double healedMs, int members, int accused, int falselyLost, long changes) { }
+    public record Outcome(List<String> breaches, double healedMs, int members, int falseSuspicions, int falseGone, long changes) { }
 
     private final Random random;
     private final ViewNet net;
     private final ViewChecker checker = new ViewChecker(GRACE_MS);
     private final ViewFleet fleet;
-    private final Set<Integer> strangers = new HashSet<>(); // places of processes under a name of others
-    private final Map<ViewFleet.Life, ViewFleet.Life> doubles = new HashMap<>();
-    private final double from;
+    private final Set<Integer> duplicateNodes = new HashSet<>(); // places of processes under a name of others
+    private final Map<ViewFleet.Instance, ViewFleet.Instance> duplicates = new HashMap<>();
+    private final double startMs;
     private final int members;
-    private boolean over;
+    private boolean faultsEnded;
 
     private ViewRun(long seed, int members, Membership.Flaw flaw) {
         random = new Random(seed * 0x9e3779b97f4a7c15L + 5);
         net = new ViewNet(seed, 1.7e12);
-        fleet = new ViewFleet(net, seed, SEEDS, checker, flaw);
-        from = net.now();
+        fleet = new ViewFleet(net, seed, SEED_MEMBERS, checker, flaw);
+        startMs = net.now();
         this.members = members > 0 ? members : 5 + random.nextInt(36);
     }
 
@@ -63,7 +63,7 @@
             Outcome outcome = play(first + i, hard, members, flaw);
             healed[i] = outcome.healedMs();
             slowest = healed[i] > healed[slowest] ? i : slowest;
-            accused += outcome.accused();
+            accused += outcome.falseSuspicions();
             changes += outcome.changes();
             if (!outcome.breaches().isEmpty()) {
                 broken.add(first + i);
@@ -81,167 +81,167 @@
         return new ViewRun(seed, members, flaw).play(hard);
     }
 
-    private void say(String what) {
-        if (SAYS) { System.out.printf("%8.0f %s%n", net.now() - from, what); }
+    private void log(String message) {
+        if (VERBOSE) { System.out.printf("%8.0f %s%n", net.now() - startMs, message); }
     }
 
     private Outcome play(boolean hard) {
-        double loss = random.nextDouble() * LOSS;
-        net.lose(loss);
-        net.twice(0.05);
-        net.late(0.01, 2000);
-        double joined = fleet.begin(members, 15_000);
-        if (joined < 0) { say("not joined"); }
+        double loss = random.nextDouble() * MAX_LOSS;
+        net.setLoss(loss);
+        net.setDuplication(0.05);
+        net.setExtraDelay(0.01, 2000);
+        double joined = fleet.startAll(members, 15_000);
+        if (joined < 0) { log("not joined"); }
         for (int i = 0; i < members; i++) {
-            if (random.nextInt(10) == 0) { net.starve(i, SHARE); }
+            if (random.nextInt(10) == 0) { net.starve(i, STARVED_CPU_SHARE); }
         }
-        double until = net.now() + PLAY_MS;
-        say(members + " members, loss " + loss);
+        double until = net.now() + FAULT_PHASE_MS;
+        log(members + " members, loss " + loss);
         while (net.now() < until) {
-            net.until(net.now() + 200 + random.nextDouble() * 2000);
+            net.runUntil(net.now() + 200 + random.nextDouble() * 2000);
             int place = random.nextInt(members);
-            if (hard && random.nextInt(2) == 0) { hard(place); } else { mild(place); }
+            if (hard && random.nextInt(2) == 0) { injectSevere(place); } else { injectTolerated(place); }
         }
-        net.until(net.now() + 1);
-        over = true;
+        net.runUntil(net.now() + 1);
+        faultsEnded = true;
         net.heal();
         for (int i = 0; i < members; i++) {
             net.starve(i, 1);
-            net.wake(i);
+            net.resume(i);
         }
         // Whoever began while no seed was there finds the others once one is back.
-        if (fleet.at(0) == null && fleet.at(1) == null && fleet.at(2) == null) { back(0, 0); }
-        say("calm");
+        if (fleet.instanceAt(0) == null && fleet.instanceAt(1) == null && fleet.instanceAt(2) == null) { restart(0, 0); }
+        log("calm");
         Set<String> names = new HashSet<>();
-        for (ViewFleet.Life life : fleet.running()) { names.add(life.name); }
-        double healed = fleet.awaitSettledOf(names, HEAL_MS);
-        net.until(net.now() + 5000);
+        for (ViewFleet.Instance life : fleet.running()) { names.add(life.name); }
+        double healed = fleet.awaitSettledNames(names, HEAL_TIMEOUT_MS);
+        net.runUntil(net.now() + 5000);
         List<String> breaches = new ArrayList<>();
         if (healed < 0) {
-            breaches.add("not settled " + HEAL_MS + " ms after all was healed: " + fleet.running().stream().map(life -> life.place + " " + life.name + " "
+            breaches.add("not settled " + HEAL_TIMEOUT_MS + " ms after all was healed: " + fleet.running().stream().map(life -> life.node + " " + life.name + " "
                     + life.membership.phase() + " " + life.membership.size()).toList());
         }
-        fleet.calm();
+        fleet.checkAgreement();
         breaches.addAll(checker.breaches());
-        doubles.forEach((first, second) -> {
-            if (!first.over && !second.over && !first.told.contains("VIEW_NAME_TAKEN") && !second.told.contains("VIEW_NAME_TAKEN")
-                    && !first.told.contains("VIEW_REPLACED") && !second.told.contains("VIEW_REPLACED")) {
+        duplicates.forEach((first, second) -> {
+            if (!first.ended && !second.ended && !first.errorCodes.contains("VIEW_NAME_TAKEN") && !second.errorCodes.contains("VIEW_NAME_TAKEN")
+                    && !first.errorCodes.contains("VIEW_REPLACED") && !second.errorCodes.contains("VIEW_REPLACED")) {
                 breaches.add("nobody was told that " + first.name + " is taken twice");
             }
         });
-        return new Outcome(breaches, healed, members, checker.falselyAccused().size(), checker.falselyLost().size(), checker.changes());
+        return new Outcome(breaches, healed, members, checker.falseSuspicions().size(), checker.falseGone().size(), checker.changeCount());
     }
 
     /** What is borne without a false word. */
-    private void mild(int place) {
-        ViewFleet.Life life = fleet.at(place);
+    private void injectTolerated(int node) {
+        ViewFleet.Instance instance = fleet.instanceAt(node);
         switch (random.nextInt(5)) {
             case 0 -> {
-                if (life == null) { back(place, 0); } else if (fleet.running().size() > members / 2 && !net.isStopped(place)) {
-                    say("kill " + place);
-                    fleet.kill(place);
-                    if (random.nextBoolean()) { back(place, 0); } // within the same probe
+                if (instance == null) { restart(node, 0); } else if (fleet.running().size() > members / 2 && !net.isPaused(node)) {
+                    log("kill " + node);
+                    fleet.kill(node);
+                    if (random.nextBoolean()) { restart(node, 0); } // within the same probe
                 }
             }
             case 1 -> {
-                if (life != null && fleet.running().size() > members / 2 && !net.isStopped(place)) {
-                    say("leave " + place);
-                    fleet.leave(place);
+                if (instance != null && fleet.running().size() > members / 2 && !net.isPaused(node)) {
+                    log("leave " + node);
+                    fleet.leave(node);
                 }
             }
-            case 2, 3 -> pause(place, random.nextDouble() * PAUSE_MS);
+            case 2, 3 -> pause(node, random.nextDouble() * MAX_TOLERATED_PAUSE_MS);
             default -> {
-                if (life == null) { back(place, 0); }
+                if (instance == null) { restart(node, 0); }
             }
         }
     }
 
-    private void back(int place, double clockMs) {
-        say("start " + place + (clockMs == 0 ? "" : " with its clock off by " + clockMs));
-        fleet.start(place, ViewFleet.name(place), clockMs);
+    private void restart(int node, double clockOffsetMs) {
+        log("start " + node + (clockOffsetMs == 0 ? "" : " with its clock off by " + clockOffsetMs));
+        fleet.start(node, ViewFleet.nameOf(node), clockOffsetMs);
     }
 
-    private void pause(int place, double ms) {
-        if (fleet.at(place) == null || net.isStopped(place)) { return; }
-        say("pause " + place + " for " + ms);
-        net.stop(place);
-        if (ms > PAUSE_MS) { checker.trouble(ViewFleet.name(place), net.now(), net.now() + ms); }
-        net.at(net.now() + ms, () -> net.wake(place));
+    private void pause(int node, double ms) {
+        if (fleet.instanceAt(node) == null || net.isPaused(node)) { return; }
+        log("pause " + node + " for " + ms);
+        net.pause(node);
+        if (ms > MAX_TOLERATED_PAUSE_MS) { checker.recordFault(ViewFleet.nameOf(node), net.now(), net.now() + ms); }
+        net.schedule(net.now() + ms, () -> net.resume(node));
     }
 
     /** What is healed from. */
-    private void hard(int place) {
+    private void injectSevere(int node) {
         double now = net.now();
         double ms = 1000 + random.nextDouble() * 9000;
         switch (random.nextInt(8)) {
             case 0 -> {
                 int sides = 2 + random.nextInt(2);
-                say("split in " + sides + " for " + ms);
+                log("split in " + sides + " for " + ms);
                 for (int i = 0; i < members; i++) {
-                    net.side(i, random.nextInt(sides));
-                    checker.trouble(ViewFleet.name(i), now, now + ms);
+                    net.setPartition(i, random.nextInt(sides));
+                    checker.recordFault(ViewFleet.nameOf(i), now, now + ms);
                 }
-                net.at(now + ms, () -> {
-                    for (int i = 0; i < members; i++) { net.side(i, 0); }
+                net.schedule(now + ms, () -> {
+                    for (int i = 0; i < members; i++) { net.setPartition(i, 0); }
                 });
             }
             case 1 -> {
                 int other = random.nextInt(members);
-                say("cut " + place + " to " + other + " for " + ms);
-                net.cut(place, other, true);
-                net.at(now + ms, () -> net.cut(place, other, false));
+                log("cut " + node + " to " + other + " for " + ms);
+                net.setCut(node, other, true);
+                net.schedule(now + ms, () -> net.setCut(node, other, false));
             }
             case 2 -> {
-                say("deaf " + place + " for " + ms);
-                checker.trouble(ViewFleet.name(place), now, now + ms);
+                log("deaf " + node + " for " + ms);
+                checker.recordFault(ViewFleet.nameOf(node), now, now + ms);
                 for (int i = 0; i < members; i++) {
                     int other = i;
-                    net.cut(other, place, true);
-                    net.at(now + ms, () -> net.cut(other, place, false));
+                    net.setCut(other, node, true);
+                    net.schedule(now + ms, () -> net.setCut(other, node, false));
                 }
                 // Who hears nobody takes all others to be gone, and that is what it has to think.
-                for (int i = 0; i < members; i++) { checker.trouble(ViewFleet.name(i), now, now + ms); }
+                for (int i = 0; i < members; i++) { checker.recordFault(ViewFleet.nameOf(i), now, now + ms); }
             }
             case 3 -> {
-                say("flapping " + place);
-                checker.trouble(ViewFleet.name(place), now, now + 10_000);
-                for (int i = 0; i < members; i++) { checker.trouble(ViewFleet.name(i), now, now + 10_000); }
+                log("flapping " + node);
+                checker.recordFault(ViewFleet.nameOf(node), now, now + 10_000);
+                for (int i = 0; i < members; i++) { checker.recordFault(ViewFleet.nameOf(i), now, now + 10_000); }
                 for (int second = 0; second < 10; second++) {
                     boolean cut = second % 2 == 0;
-                    net.at(now + second * 1000, () -> {
-                        if (over) { return; }
+                    net.schedule(now + second * 1000, () -> {
+                        if (faultsEnded) { return; }
                         for (int i = 0; i < members; i++) {
-                            net.cut(place, i, cut);
-                            net.cut(i, place, cut);
+                            net.setCut(node, i, cut);
+                            net.setCut(i, node, cut);
                         }
                     });
                 }
             }
-            case 4 -> pause(place, ms);
+            case 4 -> pause(node, ms);
             case 5 -> {
-                if (fleet.at(place) != null && fleet.running().size() > 3 && !net.isStopped(place)) {
-                    say("kill " + place);
-                    fleet.kill(place);
-                    back(place, -1e9 * random.nextInt(2));
+                if (fleet.instanceAt(node) != null && fleet.running().size() > 3 && !net.isPaused(node)) {
+                    log("kill " + node);
+                    fleet.kill(node);
+                    restart(node, -1e9 * random.nextInt(2));
                 }
             }
             case 6 -> {
-                ViewFleet.Life life = fleet.at(place);
-                if (life != null && strangers.isEmpty()) {
-                    int stranger = net.place();
-                    strangers.add(stranger);
-                    say(stranger + " takes the name of " + place);
-                    doubles.put(life, fleet.start(stranger, life.name, random.nextBoolean() ? -1e9 : 0));
-                    checker.trouble(life.name, now, Double.POSITIVE_INFINITY); // one of the two, and the other
+                ViewFleet.Instance instance = fleet.instanceAt(node);
+                if (instance != null && duplicateNodes.isEmpty()) {
+                    int duplicate = net.addNode();
+                    duplicateNodes.add(duplicate);
+                    log(duplicate + " takes the name of " + node);
+                    duplicates.put(instance, fleet.start(duplicate, instance.name, random.nextBoolean() ? -1e9 : 0));
+                    checker.recordFault(instance.name, now, Double.POSITIVE_INFINITY); // one of the two, and the other
                 }
             }
             default -> {
-                say("made-up bytes for " + place);
+                log("made-up bytes for " + node);
                 for (int i = 0; i < 50; i++) {
                     byte[] body = new byte[random.nextInt(1200)];
                     random.nextBytes(body);
                     if (body.length > 0) { body[0] = (byte) random.nextInt(11); }
-                    net.inject(place, body);
+                    net.inject(node, body);
                 }
             }
         }
