--- a/lab/src/yardusher/units/UnitsModel.java
+++ b/lab/src/yardusher/units/UnitsModel.java
@@ -17,7 +17,7 @@
  */
 final class UnitsModel {
     /** What is left out, to see that the rules notice. */
-    enum Without {
+    enum Omission {
         NOTHING,
         /** A word counts whoever's and of whatever grant it is. */
         NAMES_AND_TOKENS,
@@ -34,35 +34,35 @@
     }
 
     /** The one large fault that may come at any moment, or not. */
-    enum Fault { NONE, OTHER_DIES, HOME_DIES, HANDS_OVER }
+    enum Fault { NONE, OTHER_RESTARTS, HOME_CRASHES, HOME_TRANSFERS }
 
     /** What was found: how many states there are, and the way to the first that breaks a rule, or null. */
-    record Found(int states, List<String> breach) { }
+    record Result(int states, List<String> breachPath) { }
 
     private static final int PARTS = 3;
     private static final String[] NAMES = {"n0", "n1"};
     private static final Unit.Rules RULES = new Unit.Rules(8, 1);
-    private static final int NONE = 0, WAITS = 1, RUNS = 2, OUT = 3, OVER = 4;
+    private static final int NOT_REQUESTED = 0, WAITING = 1, GRANTED = 2, STARTED = 3, FINISHED = 4;
 
     /** A terminal's request for a part at one ingress, and what became of it in that ingress's hands. */
-    private static final class Slot implements Cloneable {
-        int at;                                      // the ingress
+    private static final class PartRequest implements Cloneable {
+        int ingress;                                      // the ingress
         int part;
-        int life;                                    // of the ingress when it asked
+        int incarnation;                                    // of the ingress when it asked
         int stage;
-        int asks;                                    // how often its question has arrived
-        int grant;
-        int bound = -1;                              // where it may run
-        int hall = -1;                               // where it ran
-        boolean open;                                // its connection to the region
-        boolean going;                               // at the region
-        boolean gaveUp;
+        int arrivals;                                    // how often its question has arrived
+        int grantNumber;
+        int boundZone = -1;                              // where it may run
+        int ranInZone = -1;                               // where it ran
+        boolean connected;                                // its connection to the region
+        boolean running;                               // at the region
+        boolean cancelled;
         boolean withdrawn;
 
         @Override
-        public Slot clone() {
+        public PartRequest clone() {
             try {
-                return (Slot) super.clone();
+                return (PartRequest) super.clone();
             } catch (CloneNotSupportedException e) {
                 throw new IllegalStateException(e);
             }
@@ -70,236 +70,236 @@
 
     }
 
-    private final class World {
+    private final class ModelState {
         Unit home;                                   // null where it died
-        Unit old;                                    // an old home that was not sealed
-        int homeAt;
-        int now;
-        Slot[] slots;
-        TreeSet<String> grants = new TreeSet<>();    // "slot grant bound"
-        TreeSet<String> words = new TreeSet<>();     // "at life grant result loose hall"
-        int life1;                                   // of the other ingress
-        boolean told1;                               // and the home knows
-        boolean crashed;
-        boolean handed;
-        int ends;                                    // boundaries used, a bit each
-        int ended;                                   // how often its end was told
-        int hall = -1;                               // where its parts ran
-        boolean repeated;                            // a part was asked for at both ingresses
-        boolean doubled;                             // a question has arrived twice
-        int most;                                    // the latest part that was begun
-
-        World copy() {
-            World w = new World();
+        Unit unsealedHome;                                    // an old home that was not sealed
+        int homeIngress;
+        int time;
+        PartRequest[] requests;
+        TreeSet<String> grantMessages = new TreeSet<>();    // "slot grant bound"
+        TreeSet<String> reports = new TreeSet<>();     // "at life grant result loose hall"
+        int otherRestarts;                                   // of the other ingress
+        boolean homeKnowsRestart;                               // and the home knows
+        boolean homeCrashed;
+        boolean transferred;
+        int usedBoundaries;                                    // boundaries used, a bit each
+        int endCount;                                   // how often its end was told
+        int zone = -1;                               // where its parts ran
+        boolean partRepeated;                            // a part was asked for at both ingresses
+        boolean requestDuplicated;                             // a question has arrived twice
+        int latestPart;                                    // the latest part that was begun
+
+        ModelState copy() {
+            ModelState w = new ModelState();
             w.home = home == null ? null : home.copy();
-            w.old = old == null ? null : old.copy();
-            w.homeAt = homeAt;
-            w.now = now;
-            w.slots = new Slot[slots.length];
-            for (int i = 0; i < slots.length; i++) { w.slots[i] = slots[i].clone(); }
-            w.grants = new TreeSet<>(grants);
-            w.words = new TreeSet<>(words);
-            w.life1 = life1;
-            w.told1 = told1;
-            w.crashed = crashed;
-            w.handed = handed;
-            w.ends = ends;
-            w.ended = ended;
-            w.hall = hall;
-            w.most = most;
-            w.repeated = repeated;
-            w.doubled = doubled;
+            w.unsealedHome = unsealedHome == null ? null : unsealedHome.copy();
+            w.homeIngress = homeIngress;
+            w.time = time;
+            w.requests = new PartRequest[requests.length];
+            for (int i = 0; i < requests.length; i++) { w.requests[i] = requests[i].clone(); }
+            w.grantMessages = new TreeSet<>(grantMessages);
+            w.reports = new TreeSet<>(reports);
+            w.otherRestarts = otherRestarts;
+            w.homeKnowsRestart = homeKnowsRestart;
+            w.homeCrashed = homeCrashed;
+            w.transferred = transferred;
+            w.usedBoundaries = usedBoundaries;
+            w.endCount = endCount;
+            w.zone = zone;
+            w.latestPart = latestPart;
+            w.partRepeated = partRepeated;
+            w.requestDuplicated = requestDuplicated;
             return w;
         }
 
         /** Drops what can have no effect any more, so that states that differ in nothing else are one. */
-        void tidy() {
-            if (without != Without.NOTHING) { return; }
-            words.removeIf(word -> {
+        void normalize() {
+            if (omission != Omission.NOTHING) { return; }
+            reports.removeIf(word -> {
                 String[] m = word.split(" ");
-                return home == null || home.out() == null || home.grants() != Integer.parseInt(m[2]) || !home.out().holder().equals(NAMES[Integer.parseInt(m[0])])
-                        || home.out().life() != Integer.parseInt(m[1]);
+                return home == null || home.granted() == null || home.grantCount() != Integer.parseInt(m[2]) || !home.granted().holder().equals(NAMES[Integer.parseInt(m[0])])
+                        || home.granted().incarnation() != Integer.parseInt(m[1]);
             });
-            grants.removeIf(message -> {
+            grantMessages.removeIf(message -> {
                 String[] m = message.split(" ");
-                Slot slot = slots[Integer.parseInt(m[0])];
+                PartRequest slot = requests[Integer.parseInt(m[0])];
                 int grant = Integer.parseInt(m[1]);
-                boolean waits = slot.stage == WAITS && slot.life == life(slot.at);
-                boolean owes = slot.life == life(slot.at) && slot.grant != grant && home != null && home.out() != null && home.grants() == grant;
-                return !waits && !owes;
+                boolean waiting = slot.stage == WAITING && slot.incarnation == incarnationOf(slot.ingress);
+                boolean owes = slot.incarnation == incarnationOf(slot.ingress) && slot.grantNumber != grant && home != null && home.granted() != null && home.grantCount() == grant;
+                return !waiting && !owes;
             });
             boolean over = home == null || home.state().isOver();
-            for (int i = 0; i < slots.length; i++) {
-                Slot slot = slots[i];
-                if (slot.stage == OVER) {
-                    slot.bound = slot.hall = -1;
-                    slot.gaveUp = false;
-                    boolean named = home != null && home.out() != null && home.out().ask() == i && home.grants() == slot.grant;
-                    if (!named) { slot.grant = 0; }
+            for (int i = 0; i < requests.length; i++) {
+                PartRequest slot = requests[i];
+                if (slot.stage == FINISHED) {
+                    slot.boundZone = slot.ranInZone = -1;
+                    slot.cancelled = false;
+                    boolean named = home != null && home.granted() != null && home.granted().requestId() == i && home.grantCount() == slot.grantNumber;
+                    if (!named) { slot.grantNumber = 0; }
                 }
                 if (over) {
-                    slot.asks = 2;
+                    slot.arrivals = 2;
                     slot.withdrawn = false;
                 }
-                if (slot.at == homeAt) { slot.withdrawn = false; }
+                if (slot.ingress == homeIngress) { slot.withdrawn = false; }
             }
         }
 
-        String key() {
-            int base = home == null ? 0 : home.grants();
-            StringBuilder text = new StringBuilder(200).append(home == null ? "-" : home.shape(now)).append(old == null ? "" : old.shape(now)).append(homeAt);
-            for (Slot slot : slots) {
-                text.append(' ').append(slot.stage).append(slot.life).append(slot.asks).append(slot.grant == 0 ? 99 : base - slot.grant).append(slot.bound).append(slot.hall)
-                        .append(slot.open ? 'o' : '-').append(slot.going ? 'r' : '-').append(slot.gaveUp ? 'u' : '-').append(slot.withdrawn ? 'w' : '-');
+        String stateKey() {
+            int grantCount = home == null ? 0 : home.grantCount();
+            StringBuilder text = new StringBuilder(200).append(home == null ? "-" : home.stateKey(time)).append(unsealedHome == null ? "" : unsealedHome.stateKey(time)).append(homeIngress);
+            for (PartRequest slot : requests) {
+                text.append(' ').append(slot.stage).append(slot.incarnation).append(slot.arrivals).append(slot.grantNumber == 0 ? 99 : grantCount - slot.grantNumber).append(slot.boundZone).append(slot.ranInZone)
+                        .append(slot.connected ? 'o' : '-').append(slot.running ? 'r' : '-').append(slot.cancelled ? 'u' : '-').append(slot.withdrawn ? 'w' : '-');
             }
-            for (String grant : grants) {
+            for (String grant : grantMessages) {
                 String[] m = grant.split(" ");
-                text.append(" g").append(m[0]).append(',').append(base - Integer.parseInt(m[1])).append(',').append(m[2]);
+                text.append(" g").append(m[0]).append(',').append(grantCount - Integer.parseInt(m[1])).append(',').append(m[2]);
             }
-            for (String word : words) {
+            for (String word : reports) {
                 String[] m = word.split(" ");
-                text.append(" d").append(m[0]).append(m[1]).append(',').append(base - Integer.parseInt(m[2])).append(',').append(m[3]).append(m[4]).append(m[5]);
+                text.append(" d").append(m[0]).append(m[1]).append(',').append(grantCount - Integer.parseInt(m[2])).append(',').append(m[3]).append(m[4]).append(m[5]);
             }
-            return text.append(life1).append(told1).append(crashed).append(handed).append(ends).append(Math.min(ended, 2)).append(hall).append(most).append(repeated).append(doubled).toString();
+            return text.append(otherRestarts).append(homeKnowsRestart).append(homeCrashed).append(transferred).append(usedBoundaries).append(Math.min(endCount, 2)).append(zone).append(latestPart).append(partRepeated).append(requestDuplicated).toString();
         }
 
         /** What the home tells, into the world's messages. */
-        Unit.Sink sink() {
-            return new Unit.Sink() {
+        Unit.Listener listener() {
+            return new Unit.Listener() {
                 @Override
-                public void grant(Unit unit, Ticket t, int grant) {
-                    String message = t.ask() + " " + grant + " " + (unit.mode == Mode.SESSION ? unit.server() : unit.zone());
-                    if (t.holder().equals(NAMES[homeAt])) { afterwards.add(() -> granted(message)); } else { grants.add(message); }
+                public void onGrant(Unit unit, Ticket t, int grant) {
+                    String message = t.requestId() + " " + grant + " " + (unit.mode == Mode.SESSION ? unit.region() : unit.zone());
+                    if (t.holder().equals(NAMES[homeIngress])) { deferred.add(() -> deliverGrant(message)); } else { grantMessages.add(message); }
                 }
 
                 @Override
-                public void refuse(Unit unit, Ticket t, Refusal why, long figure) {
-                    Slot slot = slots[(int) t.ask()];
-                    if (why != Refusal.MOVED && slot.stage == WAITS && slot.life == t.life()) { slot.stage = OVER; }
+                public void onRefuse(Unit unit, Ticket t, Refusal why, long figure) {
+                    PartRequest slot = requests[(int) t.requestId()];
+                    if (why != Refusal.MOVED && slot.stage == WAITING && slot.incarnation == t.incarnation()) { slot.stage = FINISHED; }
                 }
 
                 @Override
-                public void waits(Unit unit, Ticket t) { }
+                public void onQueued(Unit unit, Ticket t) { }
 
                 @Override
-                public void told(Unit unit, Ticket t) { }
+                public void handleOutcome(Unit unit, Ticket t) { }
 
                 @Override
-                public void ended(Unit unit) {
-                    ended++;
-                    for (Slot one : slots) {
-                        if (one.going) { breach("the unit ended and its binding is free, while part " + one.part + " runs"); }
+                public void onEnded(Unit unit) {
+                    endCount++;
+                    for (PartRequest one : requests) {
+                        if (one.running) { recordBreach("the unit ended and its binding is free, while part " + one.part + " runs"); }
                     }
                 }
             };
         }
 
-        final List<Runnable> afterwards = new ArrayList<>();
+        final List<Runnable> deferred = new ArrayList<>();
 
-        void settleDown() {
-            while (!afterwards.isEmpty()) { afterwards.remove(0).run(); }
+        void runDeferred() {
+            while (!deferred.isEmpty()) { deferred.remove(0).run(); }
         }
 
-        void granted(String message) {
-            String[] words = message.split(" ");
-            Slot slot = slots[Integer.parseInt(words[0])];
-            int grant = Integer.parseInt(words[1]);
-            boolean here = slot.stage == WAITS && slot.life == life(slot.at) || without == Without.LATE_GRANT && slot.stage == OVER && slot.gaveUp;
-            if (here) {
-                slot.stage = RUNS;
-                slot.grant = grant;
-                slot.bound = Integer.parseInt(words[2]);
-                slot.gaveUp = false;
-            } else if (slot.grant != grant && slot.life == life(slot.at)) {
-                word(slot, grant, Unit.Result.NEVER_RAN, false, -1);
+        void deliverGrant(String message) {
+            String[] fields = message.split(" ");
+            PartRequest slot = requests[Integer.parseInt(fields[0])];
+            int grantNumber = Integer.parseInt(fields[1]);
+            boolean accepted = slot.stage == WAITING && slot.incarnation == incarnationOf(slot.ingress) || omission == Omission.LATE_GRANT && slot.stage == FINISHED && slot.cancelled;
+            if (accepted) {
+                slot.stage = GRANTED;
+                slot.grantNumber = grantNumber;
+                slot.boundZone = Integer.parseInt(fields[2]);
+                slot.cancelled = false;
+            } else if (slot.grantNumber != grantNumber && slot.incarnation == incarnationOf(slot.ingress)) {
+                report(slot, grantNumber, Unit.Result.NEVER_RAN, false, -1);
             }
         }
 
-        int life(int ingress) { return ingress == 0 ? 1 : 1 + life1; }
+        int incarnationOf(int ingress) { return ingress == 0 ? 1 : 1 + otherRestarts; }
 
-        void word(Slot slot, int grant, Unit.Result result, boolean loose, int hall) {
-            String message = slot.at + " " + slot.life + " " + grant + " " + result.ordinal() + " " + (loose ? 1 : 0) + " " + hall;
-            if (slot.at == homeAt && home != null) { heard(message); } else { words.add(message); }
+        void report(PartRequest slot, int grantNumber, Unit.Result result, boolean mayRunOn, int ranInZone) {
+            String message = slot.ingress + " " + slot.incarnation + " " + grantNumber + " " + result.ordinal() + " " + (mayRunOn ? 1 : 0) + " " + ranInZone;
+            if (slot.ingress == homeIngress && home != null) { deliverReport(message); } else { reports.add(message); }
         }
 
-        void heard(String message) {
+        void deliverReport(String message) {
             String[] m = message.split(" ");
-            for (Unit unit : old == null ? List.of(home) : List.of(home, old)) {
-                boolean any = without == Without.NAMES_AND_TOKENS && unit.out() != null;
-                unit.done(now, any ? unit.out().holder() : NAMES[Integer.parseInt(m[0])], any ? unit.out().life() : Integer.parseInt(m[1]),
-                        any ? unit.grants() : Integer.parseInt(m[2]), Unit.Result.values()[Integer.parseInt(m[3])],
-                        without == Without.SETTLING ? 0 : Integer.parseInt(m[4]), Integer.parseInt(m[5]), Integer.parseInt(m[5]), sink());
+            for (Unit unit : unsealedHome == null ? List.of(home) : List.of(home, unsealedHome)) {
+                boolean acceptAny = omission == Omission.NAMES_AND_TOKENS && unit.granted() != null;
+                unit.partDone(time, acceptAny ? unit.granted().holder() : NAMES[Integer.parseInt(m[0])], acceptAny ? unit.granted().incarnation() : Integer.parseInt(m[1]),
+                        acceptAny ? unit.grantCount() : Integer.parseInt(m[2]), Unit.Result.values()[Integer.parseInt(m[3])],
+                        omission == Omission.SETTLING ? 0 : Integer.parseInt(m[4]), Integer.parseInt(m[5]), Integer.parseInt(m[5]), listener());
             }
-            settleDown();
+            runDeferred();
         }
     }
 
-    private final Mode opener;
-    private final Mode other;
-    private final Without without;
-    private final int mostStates;
+    private final Mode openerMode;
+    private final Mode otherMode;
+    private final Omission omission;
+    private final int maxStates;
     private final Fault fault;
-    private final int mostEnds;
-    private final Set<Long> seen = new HashSet<>();
+    private final int maxBoundaries;
+    private final Set<Long> visited = new HashSet<>();
     private final List<int[]> parents = new ArrayList<>();
-    private final List<String> acts = new ArrayList<>();
-    private final ArrayDeque<World> next = new ArrayDeque<>();
-    private final ArrayDeque<Integer> nextNumbers = new ArrayDeque<>();
-    private World now;
-    private int nowNumber;
-    private String broken;
-
-    private UnitsModel(Mode opener, Mode other, Fault fault, int mostEnds, Without without, int mostStates) {
+    private final List<String> actions = new ArrayList<>();
+    private final ArrayDeque<ModelState> queue = new ArrayDeque<>();
+    private final ArrayDeque<Integer> queueIndexes = new ArrayDeque<>();
+    private ModelState current;
+    private int currentIndex;
+    private String firstBreach;
+
+    private UnitsModel(Mode openerMode, Mode otherMode, Fault fault, int maxBoundaries, Omission omission, int maxStates) {
         this.fault = fault;
-        this.mostEnds = mostEnds;
-        this.opener = opener;
-        this.other = other;
-        this.without = without;
-        this.mostStates = mostStates;
+        this.maxBoundaries = maxBoundaries;
+        this.openerMode = openerMode;
+        this.otherMode = otherMode;
+        this.omission = omission;
+        this.maxStates = maxStates;
     }
 
     /** Visits all states of a pair of modes; the first is the opener's. A pair with more states than that is a breach of its own. */
-    static Found explore(Mode opener, Mode other, Fault fault, int mostEnds, Without without, int mostStates) {
-        return new UnitsModel(opener, other, fault, mostEnds, without, mostStates).run();
+    static Result explore(Mode openerMode, Mode otherMode, Fault fault, int maxBoundaries, Omission omission, int maxStates) {
+        return new UnitsModel(openerMode, otherMode, fault, maxBoundaries, omission, maxStates).run();
     }
 
-    private void breach(String what) {
-        if (broken == null) { broken = what; }
+    private void recordBreach(String what) {
+        if (firstBreach == null) { firstBreach = what; }
     }
 
-    private Found run() {
-        World first = new World();
-        first.home = new Unit(new UnitName(NAMES[0], 1, 1), 5, opener, 0);
-        first.slots = new Slot[2 * PARTS];
-        for (int i = 0; i < first.slots.length; i++) {
-            first.slots[i] = new Slot();
-            first.slots[i].at = i / PARTS;
+    private Result run() {
+        ModelState first = new ModelState();
+        first.home = new Unit(new UnitName(NAMES[0], 1, 1), 5, openerMode, 0);
+        first.requests = new PartRequest[2 * PARTS];
+        for (int i = 0; i < first.requests.length; i++) {
+            first.requests[i] = new PartRequest();
+            first.requests[i].ingress = i / PARTS;
             // What a session brings has no number: its home gives it one.
-            first.slots[i].part = i / PARTS == 0 && opener == Mode.SESSION ? 0 : 1 + i % PARTS;
+            first.requests[i].part = i / PARTS == 0 && openerMode == Mode.SESSION ? 0 : 1 + i % PARTS;
         }
-        reach(first, "begins", -1);
-        while (!next.isEmpty()) {
-            now = next.poll();
-            nowNumber = nextNumbers.poll();
-            terminals();
-            messages();
-            holders();
-            faults();
-            if (broken != null) { return new Found(seen.size(), way()); }
-            if (seen.size() > mostStates) {
-                broken = "more than " + mostStates + " states";
-                return new Found(seen.size(), way());
+        addState(first, "begins", -1);
+        while (!queue.isEmpty()) {
+            current = queue.poll();
+            currentIndex = queueIndexes.poll();
+            exploreTerminals();
+            exploreMessages();
+            exploreHolders();
+            exploreFaults();
+            if (firstBreach != null) { return new Result(visited.size(), pathToBreach()); }
+            if (visited.size() > maxStates) {
+                firstBreach = "more than " + maxStates + " states";
+                return new Result(visited.size(), pathToBreach());
             }
         }
-        return new Found(seen.size(), null);
+        return new Result(visited.size(), null);
     }
 
-    private List<String> way() {
-        List<String> way = new ArrayList<>();
-        for (int at = parents.size() - 1; at >= 0; at = parents.get(at)[0]) { way.add(acts.get(at)); }
-        Collections.reverse(way);
-        way.add("BREACH: " + broken);
-        return way;
+    private List<String> pathToBreach() {
+        List<String> path = new ArrayList<>();
+        for (int index = parents.size() - 1; index >= 0; index = parents.get(index)[0]) { path.add(actions.get(index)); }
+        Collections.reverse(path);
+        path.add("BREACH: " + firstBreach);
+        return path;
     }
 
     private static long hash(String text) {
@@ -310,230 +310,230 @@
     }
 
     /** A state that was reached; what it breaks is told with the way there. */
-    private void reach(World w, String by, int from) {
-        w.tidy();
-        if (broken == null && w.ended > 1) { breach("the unit ended twice"); }
-        if (!seen.add(hash(w.key()))) {
-            if (broken == null) { return; }
+    private void addState(ModelState w, String action, int from) {
+        w.normalize();
+        if (firstBreach == null && w.endCount > 1) { recordBreach("the unit ended twice"); }
+        if (!visited.add(hash(w.stateKey()))) {
+            if (firstBreach == null) { return; }
         }
         parents.add(new int[] {from});
-        acts.add(by);
-        next.add(w);
-        nextNumbers.add(parents.size() - 1);
+        actions.add(action);
+        queue.add(w);
+        queueIndexes.add(parents.size() - 1);
     }
 
-    private interface Act {
-        void on(World w);
+    private interface Action {
+        void applyTo(ModelState w);
     }
 
-    private void act(String by, Act act) {
-        if (broken != null) { return; }
-        World w = now.copy();
-        act.on(w);
-        w.settleDown();
-        reach(w, by, nowNumber);
+    private void apply(String description, Action action) {
+        if (firstBreach != null) { return; }
+        ModelState w = current.copy();
+        action.applyTo(w);
+        w.runDeferred();
+        addState(w, description, currentIndex);
     }
 
-    private boolean isOver() { return now.home != null && now.home.state().isOver(); }
+    private boolean isOver() { return current.home != null && current.home.state().isOver(); }
 
     /** Parts are asked for in any order, each once at each ingress; boundaries once each. */
-    private void terminals() {
-        for (int i = 0; i < now.slots.length; i++) {
-            Slot slot = now.slots[i];
-            if (slot.stage != NONE) { continue; }
+    private void exploreTerminals() {
+        for (int i = 0; i < current.requests.length; i++) {
+            PartRequest slot = current.requests[i];
+            if (slot.stage != NOT_REQUESTED) { continue; }
                 int index = i;
-            Slot twin = now.slots[(i + PARTS) % now.slots.length];
-            boolean before = i % PARTS == 0 || now.slots[i - 1].stage != NONE || now.slots[(i + PARTS - 1) % now.slots.length].stage != NONE;
-            int open = 0;
-            for (Slot one : now.slots) { open += one.stage != NONE && one.stage != OVER && one.life == now.life(one.at) ? 1 : 0; }
-            if (!before || open > 1 || twin.stage != NONE && now.repeated) { continue; }
-            if (slot.at != now.homeAt || now.home != null) {
-                act("n" + slot.at + " is asked for part " + slot.part, w -> {
-                    w.repeated |= twin.stage != NONE;
-                    w.slots[index].stage = WAITS;
-                    w.slots[index].life = w.life(w.slots[index].at);
-                    if (w.slots[index].at == w.homeAt) { ask(w, index); }
+            PartRequest twin = current.requests[(i + PARTS) % current.requests.length];
+            boolean mayCome = i % PARTS == 0 || current.requests[i - 1].stage != NOT_REQUESTED || current.requests[(i + PARTS - 1) % current.requests.length].stage != NOT_REQUESTED;
+            int openRequests = 0;
+            for (PartRequest one : current.requests) { openRequests += one.stage != NOT_REQUESTED && one.stage != FINISHED && one.incarnation == current.incarnationOf(one.ingress) ? 1 : 0; }
+            if (!mayCome || openRequests > 1 || twin.stage != NOT_REQUESTED && current.partRepeated) { continue; }
+            if (slot.ingress != current.homeIngress || current.home != null) {
+                apply("n" + slot.ingress + " is asked for part " + slot.part, w -> {
+                    w.partRepeated |= twin.stage != NOT_REQUESTED;
+                    w.requests[index].stage = WAITING;
+                    w.requests[index].incarnation = w.incarnationOf(w.requests[index].ingress);
+                    if (w.requests[index].ingress == w.homeIngress) { submit(w, index); }
                 });
-                if (slot.at == 1 && Translation.CROSSING.at(other) == Translation.Then.REFUSES) {
-                    act("part " + slot.part + " crosses a unit of its connection at n1", w -> {
-                        w.slots[index].stage = OVER;
-                        w.slots[index].asks = 3;     // and its home hears nothing of it
+                if (slot.ingress == 1 && BoundaryRule.CROSSING_PART.actionIn(otherMode) == BoundaryRule.Action.REFUSES) {
+                    apply("part " + slot.part + " crosses a unit of its connection at n1", w -> {
+                        w.requests[index].stage = FINISHED;
+                        w.requests[index].arrivals = 3;     // and its home hears nothing of it
                     });
                 }
             }
         }
-        if (now.home == null || isOver()) { return; }
+        if (current.home == null || isOver()) { return; }
         String[] boundaries = {"an end is said at n0", "an end is said at n1", "the terminal closes", "nothing is heard for long"};
-        if (Integer.bitCount(now.ends) == mostEnds) { return; } // two that cross, or one that is doubled
-        for (int e = 0; e < boundaries.length; e++) {
-            if ((now.ends & 1 << e) != 0 || e == 2 && (opener != Mode.SESSION || now.homeAt == 1)
-                    || e == 3 && (now.home.out() != null || now.home.waitingCount() > 0)) { continue; }
-            int bit = e;
-            act(boundaries[e], w -> {
-                w.ends |= 1 << bit;
-                Unit.Boundary by = bit < 2 ? Unit.Boundary.SAID : bit == 2 ? Unit.Boundary.CLOSED : Unit.Boundary.SILENT;
-                if (without == Without.ONE_END && w.home.state() != Unit.State.OPEN) { w.ended++; }
-                w.home.end(w.now, by, null, w.sink());
-                if (w.old != null) { w.old.end(w.now, by, null, w.sink()); }
+        if (Integer.bitCount(current.usedBoundaries) == maxBoundaries) { return; } // two that cross, or one that is doubled
+        for (int boundary = 0; boundary < boundaries.length; boundary++) {
+            if ((current.usedBoundaries & 1 << boundary) != 0 || boundary == 2 && (openerMode != Mode.SESSION || current.homeIngress == 1)
+                    || boundary == 3 && (current.home.granted() != null || current.home.waitingCount() > 0)) { continue; }
+            int boundaryIndex = boundary;
+            apply(boundaries[boundary], w -> {
+                w.usedBoundaries |= 1 << boundaryIndex;
+                Unit.Boundary cause = boundaryIndex < 2 ? Unit.Boundary.SAID : boundaryIndex == 2 ? Unit.Boundary.CLOSED : Unit.Boundary.SILENT;
+                if (omission == Omission.ONE_END && w.home.state() != Unit.State.OPEN) { w.endCount++; }
+                w.home.end(w.time, cause, null, w.listener());
+                if (w.unsealedHome != null) { w.unsealedHome.end(w.time, cause, null, w.listener()); }
             });
         }
     }
 
-    private void ask(World w, int index) {
-        Slot slot = w.slots[index];
-        Ticket ticket = new Ticket(index, NAMES[slot.at], slot.life, 5, slot.part, Ticket.Kind.PART, 1e9, slot.part == 2 ? 0 : Double.POSITIVE_INFINITY);
-        if (without == Without.LATE_PART && w.home.state() != Unit.State.OPEN) {
-            w.sink().grant(w.home, ticket, 50 + index);
+    private void submit(ModelState w, int index) {
+        PartRequest slot = w.requests[index];
+        Ticket ticket = new Ticket(index, NAMES[slot.ingress], slot.incarnation, 5, slot.part, Ticket.Kind.PART, 1e9, slot.part == 2 ? 0 : Double.POSITIVE_INFINITY);
+        if (omission == Omission.LATE_PART && w.home.state() != Unit.State.OPEN) {
+            w.listener().onGrant(w.home, ticket, 50 + index);
         } else {
-            w.home.ask(w.now, ticket, RULES, w.sink());
+            w.home.submit(w.time, ticket, RULES, w.listener());
         }
-        if (w.old != null) { w.old.ask(w.now, ticket, RULES, w.sink()); }
+        if (w.unsealedHome != null) { w.unsealedHome.submit(w.time, ticket, RULES, w.listener()); }
     }
 
     /** What was sent arrives, unless the way is cut. */
-    private void messages() {
-        for (int i = 0; i < now.slots.length; i++) {
-            Slot slot = now.slots[i];
+    private void exploreMessages() {
+        for (int i = 0; i < current.requests.length; i++) {
+            PartRequest slot = current.requests[i];
             int index = i;
-            if (now.home == null || slot.at == now.homeAt) { continue; }
-            boolean void0 = now.told1 && slot.at == 1 && slot.life != now.life(1); // of a life that the home knows to be over
-            if (slot.stage >= WAITS && slot.asks < (now.doubled ? 1 : 2) && !void0) {
-                act("n" + slot.at + "'s question for part " + slot.part + " arrives", w -> {
-                    w.doubled |= ++w.slots[index].asks > 1;
-                    ask(w, index);
+            if (current.home == null || slot.ingress == current.homeIngress) { continue; }
+            boolean void0 = current.homeKnowsRestart && slot.ingress == 1 && slot.incarnation != current.incarnationOf(1); // of a life that the home knows to be over
+            if (slot.stage >= WAITING && slot.arrivals < (current.requestDuplicated ? 1 : 2) && !void0) {
+                apply("n" + slot.ingress + "'s question for part " + slot.part + " arrives", w -> {
+                    w.requestDuplicated |= ++w.requests[index].arrivals > 1;
+                    submit(w, index);
                 });
             }
             if (slot.withdrawn && !void0) {
-                act("n" + slot.at + "'s withdrawal of part " + slot.part + " arrives", w -> {
-                    for (Unit unit : w.old == null ? List.of(w.home) : List.of(w.home, w.old)) {
-                        unit.withdraw(w.now, NAMES[w.slots[index].at], w.slots[index].life, index, w.sink());
+                apply("n" + slot.ingress + "'s withdrawal of part " + slot.part + " arrives", w -> {
+                    for (Unit unit : w.unsealedHome == null ? List.of(w.home) : List.of(w.home, w.unsealedHome)) {
+                        unit.withdraw(w.time, NAMES[w.requests[index].ingress], w.requests[index].incarnation, index, w.listener());
                     }
                 });
             }
         }
-        for (String grant : now.grants) { act("grant " + grant + " arrives", w -> w.granted(grant)); }
-        if (now.home == null) { return; }
-        for (String word : now.words) { act("word " + word + " arrives", w -> w.heard(word)); }
+        for (String grant : current.grantMessages) { apply("grant " + grant + " arrives", w -> w.deliverGrant(grant)); }
+        if (current.home == null) { return; }
+        for (String word : current.reports) { apply("word " + word + " arrives", w -> w.deliverReport(word)); }
     }
 
     /** What holders and regions do with a part that is granted. */
-    private void holders() {
-        for (int i = 0; i < now.slots.length; i++) {
-            Slot slot = now.slots[i];
+    private void exploreHolders() {
+        for (int i = 0; i < current.requests.length; i++) {
+            PartRequest slot = current.requests[i];
             int index = i;
-            boolean alive = slot.life == now.life(slot.at) && !(slot.at == 0 && now.home == null && now.crashed);
-            if (slot.stage == WAITS && alive) {
-                act("n" + slot.at + " gives up waiting for part " + slot.part, w -> {
-                    w.slots[index].stage = OVER;
-                    w.slots[index].gaveUp = true;
-                    w.slots[index].withdrawn = true;
-                    if (w.slots[index].at == w.homeAt && w.home != null) { w.home.withdraw(w.now, NAMES[w.slots[index].at], w.slots[index].life, index, w.sink()); }
+            boolean alive = slot.incarnation == current.incarnationOf(slot.ingress) && !(slot.ingress == 0 && current.home == null && current.homeCrashed);
+            if (slot.stage == WAITING && alive) {
+                apply("n" + slot.ingress + " gives up waiting for part " + slot.part, w -> {
+                    w.requests[index].stage = FINISHED;
+                    w.requests[index].cancelled = true;
+                    w.requests[index].withdrawn = true;
+                    if (w.requests[index].ingress == w.homeIngress && w.home != null) { w.home.withdraw(w.time, NAMES[w.requests[index].ingress], w.requests[index].incarnation, index, w.listener()); }
                 });
             }
-            if (slot.stage == RUNS && alive) {
-                act("part " + slot.part + " is refused at n" + slot.at, w -> {
-                    w.slots[index].stage = OVER;
-                    w.word(w.slots[index], w.slots[index].grant, Unit.Result.NEVER_RAN, false, -1);
+            if (slot.stage == GRANTED && alive) {
+                apply("part " + slot.part + " is refused at n" + slot.ingress, w -> {
+                    w.requests[index].stage = FINISHED;
+                    w.report(w.requests[index], w.requests[index].grantNumber, Unit.Result.NEVER_RAN, false, -1);
                 });
-                for (int hall = 0; hall < 2; hall++) {
+                for (int zone = 0; zone < 2; zone++) {
                     // Before the first part the halls are the same.
-                    if (slot.bound >= 0 && slot.bound != hall || now.hall < 0 && slot.bound < 0 && hall > 0) { continue; }
-                    int in = hall;
-                    act("part " + slot.part + " begins in hall " + hall + " for n" + slot.at, w -> begins(w, index, in));
+                    if (slot.boundZone >= 0 && slot.boundZone != zone || current.zone < 0 && slot.boundZone < 0 && zone > 0) { continue; }
+                    int chosenZone = zone;
+                    apply("part " + slot.part + " begins in hall " + zone + " for n" + slot.ingress, w -> startPart(w, index, chosenZone));
                 }
             }
-            if (slot.stage == OUT && alive && slot.going) {
-                act("part " + slot.part + " is served for n" + slot.at, w -> {
-                    Slot s = w.slots[index];
-                    s.stage = OVER;
-                    s.going = s.open = false;
-                    w.word(s, s.grant, Unit.Result.SERVED, false, s.hall);
+            if (slot.stage == STARTED && alive && slot.running) {
+                apply("part " + slot.part + " is served for n" + slot.ingress, w -> {
+                    PartRequest s = w.requests[index];
+                    s.stage = FINISHED;
+                    s.running = s.connected = false;
+                    w.report(s, s.grantNumber, Unit.Result.SERVED, false, s.ranInZone);
                 });
-                act("n" + slot.at + " gives part " + slot.part + " up, and it runs on", w -> {
-                    Slot s = w.slots[index];
-                    s.stage = OVER;
-                    s.open = false;
-                    w.word(s, s.grant, Unit.Result.MAY_HAVE_RUN, true, s.hall);
+                apply("n" + slot.ingress + " gives part " + slot.part + " up, and it runs on", w -> {
+                    PartRequest s = w.requests[index];
+                    s.stage = FINISHED;
+                    s.connected = false;
+                    w.report(s, s.grantNumber, Unit.Result.MAY_HAVE_RUN, true, s.ranInZone);
                 });
             }
-            if (slot.going && !slot.open) {
-                act("the region ends part " + slot.part + ", which nobody waits for", w -> w.slots[index].going = false);
+            if (slot.running && !slot.connected) {
+                apply("the region ends part " + slot.part + ", which nobody waits for", w -> w.requests[index].running = false);
             }
         }
     }
 
-    private void begins(World w, int index, int hall) {
-        Slot s = w.slots[index];
-        boolean over = w.home != null && w.home.state().isOver() || w.ended > 0;
-        if (over) { breach("part " + s.part + " is begun after the end"); }
-        for (Slot one : w.slots) {
+    private void startPart(ModelState w, int index, int zone) {
+        PartRequest s = w.requests[index];
+        boolean over = w.home != null && w.home.state().isOver() || w.endCount > 0;
+        if (over) { recordBreach("part " + s.part + " is begun after the end"); }
+        for (PartRequest one : w.requests) {
             if (one == s) { continue; }
-            boolean same = one.part == s.part && s.part > 0;
-            if (same && one.open) { breach("part " + s.part + " is out twice at once"); }
-            if (!same && one.going) { breach("part " + s.part + " is out while part " + one.part + ", which it follows, runs"); }
+            boolean samePart = one.part == s.part && s.part > 0;
+            if (samePart && one.connected) { recordBreach("part " + s.part + " is out twice at once"); }
+            if (!samePart && one.running) { recordBreach("part " + s.part + " is out while part " + one.part + ", which it follows, runs"); }
         }
-        if (w.hall >= 0 && w.hall != hall) { breach("its parts run in two halls"); }
-        if (s.part > 0 && w.most > s.part) { breach("part " + s.part + " is begun after part " + w.most); }
-        w.hall = hall;
-        w.most = Math.max(w.most, s.part);
-        s.stage = OUT;
-        s.hall = hall;
-        s.open = s.going = true;
+        if (w.zone >= 0 && w.zone != zone) { recordBreach("its parts run in two halls"); }
+        if (s.part > 0 && w.latestPart > s.part) { recordBreach("part " + s.part + " is begun after part " + w.latestPart); }
+        w.zone = zone;
+        w.latestPart = Math.max(w.latestPart, s.part);
+        s.stage = STARTED;
+        s.ranInZone = zone;
+        s.connected = s.running = true;
     }
 
-    private void faults() {
-        boolean loose = false;
-        for (Slot slot : now.slots) { loose |= slot.going && !slot.open; }
-        if (!loose && now.home != null && now.now < now.home.looseUntil()) {
-            act("the settling time is over", w -> {
-                w.now++;
-                w.home.advance(w.now, w.sink());
-                if (w.old != null) { w.old.advance(w.now, w.sink()); }
+    private void exploreFaults() {
+        boolean runsOn = false;
+        for (PartRequest slot : current.requests) { runsOn |= slot.running && !slot.connected; }
+        if (!runsOn && current.home != null && current.time < current.home.mayRunUntilMs()) {
+            apply("the settling time is over", w -> {
+                w.time++;
+                w.home.advance(w.time, w.listener());
+                if (w.unsealedHome != null) { w.unsealedHome.advance(w.time, w.listener()); }
             });
         }
-        if (fault == Fault.OTHER_DIES && now.life1 == 0 && now.homeAt == 0 && !now.crashed && !now.handed) {
-            act("n1 dies and comes back", w -> {
-                w.life1 = 1;
-                for (Slot one : w.slots) {
-                    if (one.at == 1) { one.open = false; }
+        if (fault == Fault.OTHER_RESTARTS && current.otherRestarts == 0 && current.homeIngress == 0 && !current.homeCrashed && !current.transferred) {
+            apply("n1 dies and comes back", w -> {
+                w.otherRestarts = 1;
+                for (PartRequest request : w.requests) {
+                    if (request.ingress == 1) { request.connected = false; }
                 }
             });
         }
-        if (now.life1 == 1 && !now.told1 && now.home != null && now.homeAt == 0) {
-            act("n0 hears of n1's new life", w -> {
-                w.told1 = true;
-                w.home.died(w.now, NAMES[1], 2, RULES, w.sink());
+        if (current.otherRestarts == 1 && !current.homeKnowsRestart && current.home != null && current.homeIngress == 0) {
+            apply("n0 hears of n1's new life", w -> {
+                w.homeKnowsRestart = true;
+                w.home.holderLost(w.time, NAMES[1], 2, RULES, w.listener());
             });
         }
-        if (fault == Fault.HOME_DIES && !now.crashed && now.home != null) {
-            act("the home dies", w -> {
-                w.crashed = true;
+        if (fault == Fault.HOME_CRASHES && !current.homeCrashed && current.home != null) {
+            apply("the home dies", w -> {
+                w.homeCrashed = true;
                 w.home = null;
-                for (Slot one : w.slots) {
-                    if (one.at == 0) {
-                        one.open = false;
-                        if (one.stage < OVER) { one.stage = OVER; }
+                for (PartRequest request : w.requests) {
+                    if (request.ingress == 0) {
+                        request.connected = false;
+                        if (request.stage < FINISHED) { request.stage = FINISHED; }
                     }
                 }
             });
         }
-        if (fault == Fault.HANDS_OVER && !now.handed && opener == Mode.UNIT && now.home != null && now.home.state() == Unit.State.OPEN) {
-            act("n0 hands the unit over to n1", w -> {
-                w.handed = true;
-                if (without == Without.SEALING) { w.old = w.home.copy(); }
-                UnitRecord record = w.home.handOver(w.now, w.sink());
-                w.home = Unit.of(record, w.now);
-                w.homeAt = 1;
-                w.home.advance(w.now, w.sink());
+        if (fault == Fault.HOME_TRANSFERS && !current.transferred && openerMode == Mode.UNIT && current.home != null && current.home.state() == Unit.State.OPEN) {
+            apply("n0 hands the unit over to n1", w -> {
+                w.transferred = true;
+                if (omission == Omission.SEALING) { w.unsealedHome = w.home.copy(); }
+                UnitRecord record = w.home.handOver(w.time, w.listener());
+                w.home = Unit.fromRecord(record, w.time);
+                w.homeIngress = 1;
+                w.home.advance(w.time, w.listener());
             });
         }
-        if (now.home != null && now.homeAt == 1) {   // who waits there is asked anew
-            for (int i = 0; i < now.slots.length; i++) {
+        if (current.home != null && current.homeIngress == 1) {   // who waits there is asked anew
+            for (int i = 0; i < current.requests.length; i++) {
                 int index = i;
-                if (now.slots[i].at == 1 && now.slots[i].stage == WAITS && now.slots[i].asks < 3) {
-                    act("n1 asks itself for part " + now.slots[i].part, w -> {
-                        w.slots[index].asks = 3;
-                        ask(w, index);
+                if (current.requests[i].ingress == 1 && current.requests[i].stage == WAITING && current.requests[i].arrivals < 3) {
+                    apply("n1 asks itself for part " + current.requests[i].part, w -> {
+                        w.requests[index].arrivals = 3;
+                        submit(w, index);
                     });
                 }
             }
@@ -542,20 +542,20 @@
 
     /** All pairs of modes; {@code [WITHOUT]}. */
     public static void main(String[] args) {
-        Without without = args.length > 0 ? Without.valueOf(args[0]) : Without.NOTHING;
-        long all = 0;
+        Omission omission = args.length > 0 ? Omission.valueOf(args[0]) : Omission.NOTHING;
+        long totalStates = 0;
         for (Mode opener : List.of(Mode.SESSION, Mode.UNIT)) {
             for (Mode other : Mode.values()) {
                 for (Fault fault : Fault.values()) {
-                    if (fault == Fault.HANDS_OVER && opener == Mode.SESSION) { continue; } // a connection is not handed over
+                    if (fault == Fault.HOME_TRANSFERS && opener == Mode.SESSION) { continue; } // a connection is not handed over
                     long from = System.nanoTime();
-                    Found found = explore(opener, other, fault, fault == Fault.NONE ? 2 : 1, without, 12_000_000);
-                    all += found.states();
-                    System.out.printf("%s with %s, %s: %d states, %.1f s%n", opener, other, fault, found.states(), (System.nanoTime() - from) / 1e9);
-                    if (found.breach() != null) { found.breach().forEach(line -> System.out.println("    " + line)); }
+                    Result result = explore(opener, other, fault, fault == Fault.NONE ? 2 : 1, omission, 12_000_000);
+                    totalStates += result.states();
+                    System.out.printf("%s with %s, %s: %d states, %.1f s%n", opener, other, fault, result.states(), (System.nanoTime() - from) / 1e9);
+                    if (result.breachPath() != null) { result.breachPath().forEach(line -> System.out.println("    " + line)); }
                 }
             }
         }
-        System.out.println(all + " states");
+        System.out.println(totalStates + " states");
     }
 }
--- a/src/main/java/yardusher/admin/AdminFront.java
+++ b/src/main/java/yardusher/admin/AdminFront.java
@@ -10,8 +10,8 @@
 import yardusher.core.EventLoop;
 import yardusher.error.CommandError;
 import yardusher.error.YardusherError;
-import yardusher.net.Lines;
-import yardusher.net.Link;
+import yardusher.net.LineReader;
+import yardusher.net.Connection;
 import yardusher.net.Sockets;
 
 /**
@@ -28,7 +28,7 @@
 
     private final Operator operator;
     private final EventLoop loop;
-    private final Sockets.Door door;
+    private final Sockets.Listener door;
     /** Callers without an answer, and those that get theirs; the longest so first. */
     private final Set<Caller> asking = new LinkedHashSet<>();
     private final Set<Caller> answered = new LinkedHashSet<>();
@@ -41,7 +41,7 @@
 
     public InetSocketAddress address() throws IOException { return door.address(); }
 
-    public void open() { door.open(); }
+    public void open() { door.accept(); }
 
     /** Nobody is heard any more. */
     public void close() {
@@ -81,10 +81,10 @@
         }
     }
 
-    private final class Caller implements Link.Owner {
-        private final Lines lines = new Lines(MOST_LINE);
-        private Link.Owner heir;                     // whose connection this has become: the next version's
-        private final Link link;
+    private final class Caller implements Connection.Owner {
+        private final LineReader lines = new LineReader(MOST_LINE);
+        private Connection.Owner heir;                     // whose connection this has become: the next version's
+        private final Connection link;
         private final Deadlines.Entry lineBy;
 
         Caller(AsynchronousSocketChannel channel) {
@@ -92,23 +92,23 @@
             if (asking.size() + answered.size() >= MOST_CALLERS) {
                 (answered.isEmpty() ? asking : answered).iterator().next().end();
             }
-            link = new Link(channel, loop, this, lines);
-            lineBy = loop.deadlines().at(loop.now() + CALL_MS, this::end);
+            link = new Connection(channel, loop, this, lines);
+            lineBy = loop.deadlines().schedule(loop.now() + CALL_MS, this::end);
             asking.add(this);
             link.readMore();
         }
 
         @Override
-        public boolean readable(Link from) {
-            if (heir != null) { return heir.readable(from); }
+        public boolean onReadable(Connection from) {
+            if (heir != null) { return heir.onReadable(from); }
             try {
-                String line = lines.next();
+                String line = lines.nextLine();
                 if (line == null) { return true; }
                 if (line.startsWith(HANDOVER)) {
                     heir = operator.succeed(line, lines, link);
                     loop.deadlines().cancel(lineBy);
                     asking.remove(this);
-                    return heir.readable(from);
+                    return heir.onReadable(from);
                 }
                 if (!lines.isEmpty()) { throw new CommandError.Argument("one line to a connection"); }
                 follow(operator.isFenced() ? AdminCall.ofFleet(line) : AdminCall.of(line), this);
@@ -129,18 +129,18 @@
         }
 
         private void end() {
-            ended(link);
+            onClosed(link);
             link.close();
         }
 
         @Override
-        public void written(Link from) {
-            if (heir != null) { heir.written(from); }
+        public void onFlushed(Connection from) {
+            if (heir != null) { heir.onFlushed(from); }
         }
 
         @Override
-        public void ended(Link from) {
-            if (heir != null) { heir.ended(from); }
+        public void onClosed(Connection from) {
+            if (heir != null) { heir.onClosed(from); }
             loop.deadlines().cancel(lineBy);
             asking.remove(this);
             answered.remove(this);
--- a/src/main/java/yardusher/admin/Operator.java
+++ b/src/main/java/yardusher/admin/Operator.java
@@ -1,8 +1,8 @@
 package yardusher.admin;
 
 import yardusher.fence.InstanceFence;
-import yardusher.net.Lines;
-import yardusher.net.Link;
+import yardusher.net.LineReader;
+import yardusher.net.Connection;
 
 /**
  * What an ingress does at the calls of its second address. In turns only. A call that cannot be followed is an
@@ -31,5 +31,5 @@
     void drain(boolean away);
 
     /** The next version of this program speaks, with this line; what it says afterwards is the result's to hear. */
-    Link.Owner succeed(String line, Lines lines, Link link);
+    Connection.Owner succeed(String line, LineReader lines, Connection link);
 }
--- a/src/main/java/yardusher/agent/Agent.java
+++ b/src/main/java/yardusher/agent/Agent.java
@@ -16,7 +16,7 @@
 import yardusher.core.EventLoop;
 import yardusher.fleet.FleetAgent;
 import yardusher.fleet.FleetSettings;
-import yardusher.net.Answers;
+import yardusher.net.RespServer;
 import yardusher.net.Sockets;
 import yardusher.resp.Encoder;
 
@@ -25,12 +25,12 @@
  * AGENT.START, AGENT.STOP, AGENT.RESTART and AGENT.RELOAD, each for one name or for all. Restarting all goes one at a time,
  * the next once the one before answers again.
  */
-public final class Agent implements Answers.Commands {
+public final class Agent implements RespServer.CommandHandler {
     private final EventLoop loop;
     private final Sockets sockets;
     private final Map<String, Instance> instances = new LinkedHashMap<>();
     private final ArrayDeque<Instance> rolling = new ArrayDeque<>();
-    private final Answers answers;
+    private final RespServer answers;
     private final long stopMs;
     private final CountDownLatch over = new CountDownLatch(1);
     private boolean ending;
@@ -53,23 +53,23 @@
         for (AgentConfig.Entry entry : config.instances()) {
             instances.put(entry.name(), new Instance(entry, config, sockets, fleet == null ? null : fleet.memory(), this::changed));
         }
-        answers = new Answers(sockets, Sockets.address(config.control()), part == null ? 16 : 16 + 8 * part.members().size(), this);
+        answers = new RespServer(sockets, Sockets.parseAddress(config.control()), part == null ? 16 : 16 + 8 * part.members().size(), this);
     }
 
     public InetSocketAddress address() throws IOException { return answers.address(); }
 
     public void start() {
         loop.startTimer();
-        loop.turn(() -> {
+        loop.execute(() -> {
             instances.values().forEach(Instance::adoptOrStart);
-            answers.open();
+            answers.startAccepting();
             if (fleet != null) { fleet.start(); }
         });
     }
 
     /** Stops all instances and waits for their ends; where the file says so, they go on and the next agent adopts them. */
     public void close() throws InterruptedException {
-        loop.turn(() -> {
+        loop.execute(() -> {
             ending = true;
             rolling.clear();
             answers.close();
@@ -94,7 +94,7 @@
         Instance now = rolling.peek();
         if (now != null && now.state() == Instance.State.READY) {
             rolling.poll();
-            loop.afterwards(this::roll);
+            loop.defer(this::roll);
         }
         if (targets != null) { targets.changed(); }
     }
@@ -104,21 +104,21 @@
     }
 
     @Override
-    public void command(byte[][] words, Answers.Slot slot) {
+    public void handle(byte[][] words, RespServer.Slot slot) {
         String name = new String(words[0], StandardCharsets.ISO_8859_1).toUpperCase(Locale.ROOT);
         if (fleet != null && name.startsWith("FLEET.")) {
             fleet.command(words, slot);
             return;
         }
         if (!name.startsWith("AGENT.")) {
-            Answers.common(words, () -> String.join("\n", statuses()), slot);
+            RespServer.handleCommon(words, () -> String.join("\n", statuses()), slot);
             return;
         }
         List<Instance> chosen = new ArrayList<>();
         for (int i = 1; i < words.length; i++) {
             Instance instance = instances.get(new String(words[i], StandardCharsets.UTF_8));
             if (instance == null) {
-                slot.answer(new Encoder(48).failure("ERR no such instance").toBytes());
+                slot.answer(new Encoder(48).error("ERR no such instance").toBytes());
                 return;
             }
             chosen.add(instance);
@@ -146,15 +146,15 @@
                 if (idle) { roll(); }
             }
             default -> {
-                slot.answer(new Encoder(48).failure("ERR unknown command").toBytes());
+                slot.answer(new Encoder(48).error("ERR unknown command").toBytes());
                 return;
             }
         }
-        slot.answer(new Encoder(16).simple("OK").toBytes());
+        slot.answer(new Encoder(16).simpleString("OK").toBytes());
     }
 
     @Override
-    public void gone(Answers.Slot slot) { /* nothing is under way for it */ }
+    public void onTerminalLeft(RespServer.Slot slot) { /* nothing is under way for it */ }
 
     private Collection<String> statuses() { return instances.values().stream().map(Instance::status).toList(); }
 }
--- a/src/main/java/yardusher/agent/AgentConfig.java
+++ b/src/main/java/yardusher/agent/AgentConfig.java
@@ -27,7 +27,7 @@
             one.only(INSTANCE_KEYS);
             Entry entry = new Entry(one.text("name"), one.text("address"), one.text("config"), one.text("limits", "none"),
                     one.text("settings", "none"));
-            Sockets.address(entry.address());
+            Sockets.parseAddress(entry.address());
             if (!entry.name().matches("[A-Za-z0-9._-]{1,64}")) { throw new ConfigError.Value(null, "instance.name", "1 to 64 letters, digits, '.', '_' and '-'"); }
             if (entries.stream().anyMatch(other -> other.name().equals(entry.name()))) {
                 throw new ConfigError.Conflict(null, "instance.name", "instance " + entry.name() + " stands twice");
@@ -38,7 +38,7 @@
         // An agent without instances may still help the others to agree.
         if (entries.isEmpty() && fleet == null) { throw new ConfigError.Missing(null, "instance", "an instance or a table fleet"); }
         String control = toml.text("control");
-        Sockets.address(control);
+        Sockets.parseAddress(control);
         List<String> command = toml.texts("command");
         return new AgentConfig(control, command.isEmpty() ? ownCommand() : command,
                 toml.whole("stop_ms", 10_000, 1, 600_000), entries, fleet);
--- a/src/main/java/yardusher/agent/Fleet.java
+++ b/src/main/java/yardusher/agent/Fleet.java
@@ -13,8 +13,8 @@
 import yardusher.error.WireError;
 import yardusher.fleet.Targets;
 import yardusher.fleet.Undertaking;
-import yardusher.net.Lines;
-import yardusher.net.Link;
+import yardusher.net.LineReader;
+import yardusher.net.Connection;
 import yardusher.net.Sockets;
 
 /** This agent's instances as the fleet's work sees them. In loop. */
@@ -82,12 +82,12 @@
 
     private void await(Instance instance, long starts, Consumer<Boolean> then) {
         Waiting one = new Waiting(instance, starts, then);
-        one.limit = loop.deadlines().at(loop.now() + withinMs, () -> {
+        one.limit = loop.deadlines().schedule(loop.now() + withinMs, () -> {
             waiting.remove(one);
             then.accept(false);
         });
         waiting.add(one);
-        loop.afterwards(this::changed);
+        loop.defer(this::changed);
     }
 
     /** An instance's state has changed. */
@@ -97,7 +97,7 @@
             if (one.instance.state() != Instance.State.READY || one.instance.starts() <= one.starts) { continue; }
             all.remove();
             loop.deadlines().cancel(one.limit);
-            loop.afterwards(() -> one.then.accept(true));
+            loop.defer(() -> one.then.accept(true));
         }
     }
 
@@ -108,7 +108,7 @@
     public void call(String instance, String line, Consumer<String> then) {
         InetSocketAddress at = admins.apply(instances.get(instance).entry);
         if (at == null) {
-            loop.afterwards(() -> then.accept("400 no second address is configured"));
+            loop.defer(() -> then.accept("400 no second address is configured"));
             return;
         }
         boolean[] over = new boolean[1];
@@ -118,13 +118,13 @@
             then.accept(answer);
         };
         sockets.connect(at, CALL_MS, channel -> {
-            Lines lines = new Lines(512);
-            Link link = new Link(channel, loop, new Link.Owner() {
+            LineReader lines = new LineReader(512);
+            Connection link = new Connection(channel, loop, new Connection.Owner() {
                 @Override
-                public boolean readable(Link from) {
+                public boolean onReadable(Connection from) {
                     String answer;
                     try {
-                        answer = lines.next();
+                        answer = lines.nextLine();
                     } catch (WireError e) {
                         answer = "400 " + e.getMessage();
                     }
@@ -135,11 +135,11 @@
                 }
 
                 @Override
-                public void ended(Link from) { once.accept(null); }
+                public void onClosed(Connection from) { once.accept(null); }
             }, lines);
             link.write((line + "\n").getBytes(StandardCharsets.US_ASCII));
             link.readMore();
-            loop.deadlines().at(loop.now() + CALL_MS, () -> {
+            loop.deadlines().schedule(loop.now() + CALL_MS, () -> {
                 link.close();
                 once.accept(null);
             });
--- a/src/main/java/yardusher/agent/Instance.java
+++ b/src/main/java/yardusher/agent/Instance.java
@@ -8,10 +8,10 @@
 import yardusher.core.Deadlines;
 import yardusher.core.EventLoop;
 import yardusher.fence.Memory;
-import yardusher.net.Link;
+import yardusher.net.Connection;
 import yardusher.net.Sockets;
 import yardusher.resp.Encoder;
-import yardusher.resp.Malformed;
+import yardusher.resp.MalformedRespException;
 import yardusher.resp.Value;
 
 /** One managed instance: started, watched until it answers PING, started again with backoff when it crashes. */
@@ -47,7 +47,7 @@
         this.sockets = sockets;
         this.loop = sockets.loop();
         this.changed = changed;
-        this.address = Sockets.address(entry.address());
+        this.address = Sockets.parseAddress(entry.address());
     }
 
     State state() { return state; }
@@ -86,7 +86,7 @@
             note("started pid=" + handle.pid());
         }
         become(State.STARTING);
-        begun.onExit().thenRun(() -> loop.turn(() -> exited(handle, " with " + begun.exitValue())));
+        begun.onExit().thenRun(() -> loop.execute(() -> exited(handle, " with " + begun.exitValue())));
         ping(handle);
     }
 
@@ -109,7 +109,7 @@
         process = found;
         startedAt = loop.now();
         become(State.STARTING);
-        found.onExit().thenRun(() -> loop.turn(() -> exited(found, "")));
+        found.onExit().thenRun(() -> loop.execute(() -> exited(found, "")));
         ping(found);
     }
 
@@ -129,7 +129,7 @@
         become(State.STOPPING);
         ProcessHandle ending = process;
         ending.destroy();
-        pending = loop.deadlines().at(loop.now() + config.stopMs(), ending::destroyForcibly);
+        pending = loop.deadlines().schedule(loop.now() + config.stopMs(), ending::destroyForcibly);
     }
 
     /**
@@ -170,7 +170,7 @@
     /** Guards against a crash loop that takes the machine: each crash soon after a start doubles the wait. */
     private void backOff() {
         become(State.BACKOFF);
-        pending = loop.deadlines().at(loop.now() + backoffMs, () -> {
+        pending = loop.deadlines().schedule(loop.now() + backoffMs, () -> {
             restarts++;
             start();
         });
@@ -186,18 +186,18 @@
 
     private void ping(ProcessHandle of) {
         if (of != process || state != State.STARTING) { return; }
-        Runnable again = () -> loop.deadlines().at(loop.now() + PING_MS, () -> ping(of));
+        Runnable again = () -> loop.deadlines().schedule(loop.now() + PING_MS, () -> ping(of));
         sockets.connect(address, 1000, channel -> {
-            Link link = new Link(channel, loop, new Link.Owner() {
+            Connection link = new Connection(channel, loop, new Connection.Owner() {
                 @Override
-                public boolean readable(Link from) {
+                public boolean onReadable(Connection from) {
                     try {
-                        Value answer = from.decoder().value();
+                        Value answer = from.decoder().nextValue();
                         if (answer == null) { return true; }
                         from.close();
-                        boolean pong = answer instanceof Value.Simple simple && simple.text().equals("PONG");
+                        boolean pong = answer instanceof Value.SimpleString simple && simple.text().equals("PONG");
                         if (pong && of == process && state == State.STARTING) { become(State.READY); } else { again.run(); }
-                    } catch (Malformed e) {
+                    } catch (MalformedRespException e) {
                         from.close();
                         again.run();
                     }
@@ -205,7 +205,7 @@
                 }
 
                 @Override
-                public void ended(Link from) { again.run(); }
+                public void onClosed(Connection from) { again.run(); }
             });
             link.write(new Encoder(16).array(1).bulk("PING").toBytes());
             link.readMore();
--- a/src/main/java/yardusher/cli/AdminCommand.java
+++ b/src/main/java/yardusher/cli/AdminCommand.java
@@ -25,7 +25,7 @@
             throw new CommandError.Usage("usage: yardusher admin HOST:PORT CALL [ID]; calls are " + AdminCall.words());
         }
         AdminCall call = call(words.subList(1, words.size()));
-        String answer = ask(Sockets.address(words.get(0)), call);
+        String answer = ask(Sockets.parseAddress(words.get(0)), call);
         System.out.print(answer);
         return answer.startsWith("400") ? 1 : 0;
     }
@@ -57,7 +57,7 @@
     }
 
     private static String ask(InetSocketAddress at, AdminCall call) {
-        String where = Sockets.text(at);
+        String where = Sockets.formatAddress(at);
         try (Socket socket = new Socket()) {
             socket.connect(at, PATIENCE_MS);
             socket.setSoTimeout(PATIENCE_MS);
--- a/src/main/java/yardusher/cli/AgentCommand.java
+++ b/src/main/java/yardusher/cli/AgentCommand.java
@@ -35,8 +35,8 @@
         List<String> command = new ArrayList<>(List.of("AGENT." + words.get(0).toUpperCase(Locale.ROOT)));
         command.addAll(names);
         Value answer = Asking.ask(config.control(), PATIENCE_MS, command.toArray(new String[0]));
-        if (answer instanceof Value.Failure failure) { throw new WireError.Refused(config.control(), failure.text()); }
-        if (answer instanceof Value.Many many && many.items() != null) { return status(config, many.items()); }
+        if (answer instanceof Value.ErrorReply failure) { throw new WireError.Refused(config.control(), failure.text()); }
+        if (answer instanceof Value.ArrayValue many && many.items() != null) { return status(config, many.items()); }
         System.out.println("ok");
         return 0;
     }
@@ -45,13 +45,13 @@
     private static int status(AgentConfig config, List<Value> lines) {
         int status = 0;
         for (Value line : lines) {
-            String text = line instanceof Value.Bulk bulk ? bulk.text() : "?";
+            String text = line instanceof Value.BulkString bulk ? bulk.text() : "?";
             String[] words = text.split(" ");
             boolean ready = words.length > 2 && words[1].equals("ready");
             if (!ready) { status = 1; }
             System.out.println(text);
             try {
-                if (ready && Asking.ask(words[2].substring("address=".length()), PATIENCE_MS, "INFO") instanceof Value.Bulk info) {
+                if (ready && Asking.ask(words[2].substring("address=".length()), PATIENCE_MS, "INFO") instanceof Value.BulkString info) {
                     System.out.println("  " + info.text());
                 }
             } catch (WireError e) {
--- a/src/main/java/yardusher/cli/Config.java
+++ b/src/main/java/yardusher/cli/Config.java
@@ -15,11 +15,11 @@
 import yardusher.error.ConfigError;
 import yardusher.net.Sockets;
 import yardusher.wire.Codec;
-import yardusher.wire.SettingsNotes;
+import yardusher.wire.SettingsValidator;
 
 /** What an ingress is told at its start: the JSON file that RELAY_CONFIG names. {@code admin} may be null. */
 public record Config(String name, InetSocketAddress listen, InetSocketAddress admin, InetSocketAddress discovery, long seed, int sockets,
-        InetSocketAddress peerListen, List<InetSocketAddress> peers, Codec.Fields known, Api.Settings settings,
+        InetSocketAddress peerListen, List<InetSocketAddress> peers, Codec.JsonObject known, Api.Settings settings,
         List<String> classes, List<String> plans, List<String> zones, double idleMs, double dialMs, List<String> unused) {
     private static final long MOST_BYTES = 4 << 20;  // 10,000 backends and as many peers fit
     private static final int LEAST_SOCKETS = 32;     // of which the JVM, the listeners and the watch need half
@@ -30,7 +30,7 @@
     /** Reads the file; a {@link ConfigError} names it and says in one line what is wrong. */
     public static Config read(String file) {
         try (JsonParser parser = new JsonFactory().createParser(text(Path.of(file)))) {
-            if (parser.nextToken() == null || !(Codec.read(parser) instanceof Codec.Fields json)) {
+            if (parser.nextToken() == null || !(Codec.readValue(parser) instanceof Codec.JsonObject json)) {
                 throw new ConfigError.Syntax(file, "not a JSON object");
             }
             // Guards against half of a new file over an old one: what would be read is not what was meant.
@@ -53,30 +53,30 @@
         return Files.readString(file);
     }
 
-    static Config of(Codec.Fields json) {
-        Codec.Fields settings = json.object("settings");
-        Codec.Fields limits = settings.object("limits");
+    static Config of(Codec.JsonObject json) {
+        Codec.JsonObject settings = json.object("settings");
+        Codec.JsonObject limits = settings.object("limits");
         List<InetSocketAddress> peers = new ArrayList<>();
-        for (String peer : json.texts("peers")) { peers.add(Sockets.address(peer)); }
+        for (String peer : json.texts("peers")) { peers.add(Sockets.parseAddress(peer)); }
         List<String> zones = settings.texts("zones");
-        Api.Settings decoded = SettingsNotes.verified(Codec.settings(settings), zones.size());
+        Api.Settings decoded = SettingsValidator.validate(Codec.parseSettings(settings), zones.size());
         String name = json.text("name");
-        if (name.isEmpty() || SettingsNotes.hasControl(name)) {
+        if (name.isEmpty() || SettingsValidator.hasControlCharacter(name)) {
             throw new ConfigError.Value(null, "name", "a text that is not empty, without control characters");
         }
-        Codec.Fields machine = json.objectOrNone("limits");
+        Codec.JsonObject machine = json.objectOrEmpty("limits");
         return new Config(name, address(json, "listen"), json.has("admin_addr") ? address(json, "admin_addr") : null,
                 address(json, "discovery"), seed(json.text("seed")),
-                (int) SettingsNotes.within("limits.sockets", machine.number("sockets", 1024), LEAST_SOCKETS, 1 << 24),
+                (int) SettingsValidator.requireRange("limits.sockets", machine.number("sockets", 1024), LEAST_SOCKETS, 1 << 24),
                 json.has("peer_listen") ? address(json, "peer_listen") : null, peers,
-                known(json.objectOrNone("known")), decoded, SettingsNotes.names(settings, "classes"), SettingsNotes.names(settings, "contracts"),
-                zones, SettingsNotes.within("settings.limits.conn_idle_ms", limits.number("conn_idle_ms", 30_000), 1, 86_400_000),
-                SettingsNotes.within("settings.limits.dial_timeout_ms", limits.number("dial_timeout_ms", 250), 1, 600_000), unused(json, settings));
+                known(json.objectOrEmpty("known")), decoded, SettingsValidator.readNames(settings, "classes"), SettingsValidator.readNames(settings, "contracts"),
+                zones, SettingsValidator.requireRange("settings.limits.conn_idle_ms", limits.number("conn_idle_ms", 30_000), 1, 86_400_000),
+                SettingsValidator.requireRange("settings.limits.dial_timeout_ms", limits.number("dial_timeout_ms", 250), 1, 600_000), unused(json, settings));
     }
 
     /** What of the whole file is not used, in a few words each. */
-    private static List<String> unused(Codec.Fields json, Codec.Fields settings) {
-        List<String> notes = SettingsNotes.unused(settings);
+    private static List<String> unused(Codec.JsonObject json, Codec.JsonObject settings) {
+        List<String> notes = SettingsValidator.listUnused(settings);
         int peers = json.has("peers") ? json.list("peers").size() : 0;
         if (settings.object("limits").flag("peers") && peers != settings.number("peers_total")) {
             notes.add("peers (" + peers + " addresses for " + (long) settings.number("peers_total") + " ingresses: who has none is not told)");
@@ -85,25 +85,25 @@
         for (String key : json.keys()) {
             if (!KEYS.contains(key)) { notes.add(key + " (not known here)"); }
         }
-        for (String key : json.objectOrNone("limits").keys()) {
+        for (String key : json.objectOrEmpty("limits").keys()) {
             if (!MACHINE_KEYS.contains(key)) { notes.add("limits." + key + " (of the machine; not known here)"); }
         }
         return notes;
     }
 
-    private static InetSocketAddress address(Codec.Fields json, String key) {
+    private static InetSocketAddress address(Codec.JsonObject json, String key) {
         try {
-            return Sockets.address(json.text(key));
+            return Sockets.parseAddress(json.text(key));
         } catch (ConfigError.Address e) {
             throw new ConfigError.Value(null, key, "digits and a port, as 127.0.0.4:19000, not \"" + json.text(key) + "\"");
         }
     }
 
     /** The list as it was last held; where none is told, nothing is known and the watch asks for all there is. */
-    private static Codec.Fields known(Codec.Fields known) {
+    private static Codec.JsonObject known(Codec.JsonObject known) {
         known.number("revision", 0);
         known.flag("complete");
-        for (Codec.Fields member : known.objectsOrNone("members")) { DiscoveredBackends.checked(member); }
+        for (Codec.JsonObject member : known.objectsOrEmpty("members")) { DiscoveredBackends.checked(member); }
         return known;
     }
 
@@ -116,7 +116,7 @@
     }
 
     /** How many backends the configuration knows. */
-    int members() { return known.objectsOrNone("members").size(); }
+    int members() { return known.objectsOrEmpty("members").size(); }
 
     private static long seed(String hex) {
         try {
--- a/src/main/java/yardusher/cli/FleetCommand.java
+++ b/src/main/java/yardusher/cli/FleetCommand.java
@@ -92,11 +92,11 @@
             System.err.println("yardusher: " + e.getMessage() + "; ask again with --id " + id);
             return UNKNOWN;
         }
-        if (answer instanceof Value.Failure failure) {
+        if (answer instanceof Value.ErrorReply failure) {
             System.err.println("yardusher: " + failure.text());
             return failure.text().startsWith("TRYAGAIN") ? UNKNOWN : failure.text().startsWith("ERR") ? 2 : 1;
         }
-        System.out.println(answer instanceof Value.Bulk told ? told.text() : "ok");
+        System.out.println(answer instanceof Value.BulkString told ? told.text() : "ok");
         return line.hasOption("wait") ? await(config, verb.equals("roll") ? "roll" : "bans") : 0;
     }
 
@@ -124,7 +124,7 @@
     /** The agent's report: a map a line, the line's kind under the empty name. */
     private static List<Map<String, String>> table(AgentConfig config) {
         Value answer = Asking.ask(config.control(), PATIENCE_MS, "FLEET.READ", config.fleet().installation());
-        if (!(answer instanceof Value.Bulk told)) { throw new WireError.Refused(config.control(), answer instanceof Value.Failure no ? no.text() : "no report"); }
+        if (!(answer instanceof Value.BulkString told)) { throw new WireError.Refused(config.control(), answer instanceof Value.ErrorReply no ? no.text() : "no report"); }
         List<Map<String, String>> table = new ArrayList<>();
         for (String line : told.text().split("\n")) {
             Map<String, String> one = new LinkedHashMap<>();
--- a/src/main/java/yardusher/cli/Main.java
+++ b/src/main/java/yardusher/cli/Main.java
@@ -15,11 +15,11 @@
 import yardusher.error.WireError;
 import yardusher.error.YardusherError;
 import yardusher.limits.LimitsConfig;
-import yardusher.limits.LimitsFront;
+import yardusher.limits.LimitsFrontend;
 import yardusher.nginx.Importer;
 import yardusher.resp.Value;
 import yardusher.settings.Settings;
-import yardusher.wire.WireHost;
+import yardusher.wire.SimulatorHost;
 
 /** The command line. Bad arguments and configurations: one plain line on standard error, exit 2. */
 public final class Main {
@@ -87,7 +87,7 @@
             }
             case "simhost" -> {
                 atMost(rest, 0, 0);
-                return WireHost.run(System.in, System.out, System.err);
+                return SimulatorHost.run(System.in, System.out, System.err);
             }
             case "version" -> {
                 atMost(rest, 0, 0);
@@ -138,7 +138,7 @@
         if (there) {
             LimitsConfig front = LimitsConfig.read(limits);
             // As serve does: a front that is off need not fit the classes and plans of these settings.
-            if (front.listen() != null) { LimitsFront.check(front, config.settings(), config.classes(), config.plans()); }
+            if (front.listen() != null) { LimitsFrontend.validate(front, config.settings(), config.classes(), config.plans()); }
         }
         Settings own = Settings.read(settingsFile);
         if (own.units() != null) { own.units().check(config.plans()); }
@@ -181,8 +181,8 @@
             throw new CommandError.Usage("usage: yardusher keys stats HOST:PORT | show HOST:PORT KEY");
         }
         Value answer = stats ? Asking.ask(words.get(1), 10_000, "KEYS.STATS") : Asking.ask(words.get(1), 10_000, "KEYS.SHOW", words.get(2));
-        if (!(answer instanceof Value.Bulk told)) {
-            throw new WireError.Refused(words.get(1), answer instanceof Value.Failure failure ? failure.text() + "; are keys on there?" : "not an answer about keys");
+        if (!(answer instanceof Value.BulkString told)) {
+            throw new WireError.Refused(words.get(1), answer instanceof Value.ErrorReply failure ? failure.text() + "; are keys on there?" : "not an answer about keys");
         }
         System.out.println(stats ? told.text().replace(' ', '\n') : told.text());
         return 0;
@@ -193,13 +193,13 @@
         String[] command = words.toArray(new String[0]);
         command[0] = "CL.THROTTLE";
         Value answer = Asking.ask(words.get(0), 10_000, command);
-        if (answer instanceof Value.Many many && many.items() != null && many.items().size() == 5) {
+        if (answer instanceof Value.ArrayValue many && many.items() != null && many.items().size() == 5) {
             String[] names = {"limited", "limit", "remaining", "retry_after_s", "reset_after_s"};
             for (int i = 0; i < names.length; i++) {
-                System.out.println(names[i] + "=" + (many.items().get(i) instanceof Value.Whole w ? w.number() : "?"));
+                System.out.println(names[i] + "=" + (many.items().get(i) instanceof Value.IntegerValue w ? w.number() : "?"));
             }
             return 0;
         }
-        throw new WireError.Refused(words.get(0), answer instanceof Value.Failure failure ? failure.text() : "not an answer to CL.THROTTLE");
+        throw new WireError.Refused(words.get(0), answer instanceof Value.ErrorReply failure ? failure.text() : "not an answer to CL.THROTTLE");
     }
 }
--- a/src/main/java/yardusher/cli/Serve.java
+++ b/src/main/java/yardusher/cli/Serve.java
@@ -20,10 +20,10 @@
 import yardusher.admin.Figures;
 import yardusher.admin.Operator;
 import yardusher.agent.Hangup;
-import yardusher.clients.PlatformFront;
+import yardusher.clients.PlatformFrontend;
 import yardusher.core.Counters;
 import yardusher.core.Ingress;
-import yardusher.core.Intake;
+import yardusher.core.RequestAcceptor;
 import yardusher.core.EventLoop;
 import yardusher.error.CommandError;
 import yardusher.error.ConfigError;
@@ -31,14 +31,14 @@
 import yardusher.fence.InstanceFence;
 import yardusher.handover.Handover;
 import yardusher.limits.LimitsConfig;
-import yardusher.limits.LimitsFront;
+import yardusher.limits.LimitsFrontend;
 import yardusher.discovery.DiscoveredBackends;
 import yardusher.discovery.Watch;
 import yardusher.log.Events;
 import yardusher.log.Logs;
-import yardusher.net.Budget;
-import yardusher.net.Lines;
-import yardusher.net.Link;
+import yardusher.net.BodyBudget;
+import yardusher.net.LineReader;
+import yardusher.net.Connection;
 import yardusher.net.Sockets;
 import yardusher.peers.PeerSocket;
 import yardusher.resp.Decoder;
@@ -66,13 +66,13 @@
     private static final int BODIES_PART = 8;        // of the heap, for large bodies, but one always fits
 
     private final EventLoop loop;
-    private final Budget bodies = new Budget(Math.max(Decoder.MOST_LARGE, Runtime.getRuntime().maxMemory() / BODIES_PART));
+    private final BodyBudget bodies = new BodyBudget(Math.max(Decoder.MAX_LARGE_BYTES, Runtime.getRuntime().maxMemory() / BODIES_PART));
     private final Sockets sockets;
     private final Counters counters = new Counters();
     private final BackendPool pool;
     private final Ingress ingress;
-    private final PlatformFront front;
-    private final LimitsFront limitsFront;
+    private final PlatformFrontend front;
+    private final LimitsFrontend limitsFront;
     private final Watch watch;
     private final DiscoveredBackends table;
     private final AdminFront admin;                  // null where no second address is named
@@ -124,20 +124,20 @@
         parts = Subsystems.of(own, config, loop);
         Object[] made = new Object[6];
         Exception[] problem = new Exception[1];
-        loop.turn(() -> {
+        loop.execute(() -> {
             try {
                 Ingress core = new Ingress(settings, config.seed(), bornMs, loop, pool, handover, counters, parts.orders());
                 pool.serve(core);
                 DiscoveredBackends table = new DiscoveredBackends(config.zones(), pool);
-                core.tell(table.take(config.known(), Api.ListKind.CACHED));
+                core.deliver(table.take(config.known(), Api.ListKind.CACHED));
                 made[0] = core;
                 made[5] = table;
                 made[1] = new Watch(sockets, config.discovery(), table, core, config.seed());
-                Intake intake = parts.intake(site(core, table, null), core);
-                PlatformFront clients = new PlatformFront(sockets, config.listen(), core, intake, config.classes(), config.plans(), 1, bodies);
+                RequestAcceptor intake = parts.intake(site(core, table, null), core);
+                PlatformFrontend clients = new PlatformFrontend(sockets, config.listen(), core, intake, config.classes(), config.plans(), 1, bodies);
                 made[2] = clients;
                 made[3] = limits == null ? null
-                        : new LimitsFront(sockets, core, limits, config.classes(), config.plans());
+                        : new LimitsFrontend(sockets, core, limits, config.classes(), config.plans());
                 made[4] = adminAt == null ? null : new AdminFront(sockets, adminAt, new Calls());
                 parts.join(site(core, table, clients));
             } catch (IOException | RuntimeException e) {
@@ -148,15 +148,15 @@
         if (problem[0] instanceof RuntimeException e) { throw e; }
         ingress = (Ingress) made[0];
         watch = (Watch) made[1];
-        front = (PlatformFront) made[2];
-        limitsFront = (LimitsFront) made[3];
+        front = (PlatformFrontend) made[2];
+        limitsFront = (LimitsFrontend) made[3];
         share(false);
-        counters.more = () -> " " + bodies.line() + parts.line();
+        counters.extraCounters = () -> " " + bodies.countersLine() + parts.line();
         table = (DiscoveredBackends) made[5];
         admin = (AdminFront) made[4];
     }
 
-    private Site site(Ingress core, DiscoveredBackends table, PlatformFront clients) {
+    private Site site(Ingress core, DiscoveredBackends table, PlatformFrontend clients) {
         return new Site(config.name(), config.seed(), loop, sockets, config.settings(), config.classes(), config.plans(), config.zones(), core,
                 pool, table, clients, events, parts.mesh(), parts.view());
     }
@@ -164,11 +164,11 @@
     /** What the calls at the second address do. */
     private final class Calls implements Operator {
         @Override
-        public boolean takesClients() { return serving && !front.answers().isAway(); }
+        public boolean takesClients() { return serving && !front.server().isDraining(); }
 
         @Override
         public String figures() {
-            return Figures.lines(counters, config.classes(), ingress.openCount(), table.size(), ingress.avoided());
+            return Figures.lines(counters, config.classes(), ingress.openCount(), table.size(), ingress.avoidedBackends());
         }
 
         @Override
@@ -194,7 +194,7 @@
         }
 
         @Override
-        public Link.Owner succeed(String line, Lines lines, Link link) { return handover.succeed(line, lines, link); }
+        public Connection.Owner succeed(String line, LineReader lines, Connection link) { return handover.succeed(line, lines, link); }
     }
 
     /** This process's part where another version of it takes over. */
@@ -209,14 +209,14 @@
         public void drain(boolean away) { drainHere(away); }
 
         @Override
-        public boolean isAway() { return front.answers().isAway(); }
+        public boolean isAway() { return front.server().isDraining(); }
 
         @Override
-        public void hear(int from, String body) { ingress.tell(new Api.PeerMessage(from, body)); }
+        public void hear(int from, String body) { ingress.deliver(new Api.PeerMessage(from, body)); }
 
         @Override
         public void shares(boolean other, boolean owns) {
-            ingress.tell(new Api.SiblingProcess(other, owns));
+            ingress.deliver(new Api.SiblingProcess(other, owns));
             share(other);
         }
 
@@ -224,7 +224,7 @@
         public void takePort() throws IOException {
             if (peers == null) { return; }
             peers.open((from, body) -> {
-                counters.peerIn++;
+                counters.peerMessagesReceived++;
                 handover.datagram(from, body);
             });
         }
@@ -236,7 +236,7 @@
 
         @Override
         public void send(int to, String body) {
-            if (peers != null) { peers.tell(to, body); }
+            if (peers != null) { peers.send(to, body); }
         }
 
         @Override
@@ -256,25 +256,25 @@
     }
 
     private void openFronts() throws IOException {
-        front.answers().bind();
+        front.server().bind();
         if (limitsFront != null) {
-            limitsFront.answers().bind();
-            limitsFront.answers().open();
+            limitsFront.server().bind();
+            limitsFront.server().startAccepting();
         }
-        front.answers().open();                      // last: a PING is answered once all else is ready
+        front.server().startAccepting();                      // last: a PING is answered once all else is ready
         serving = true;
     }
 
     private void banHere(String region, boolean out) {
         long id = DiscoveredBackends.id(region);
         if (out) { banned.add(region); } else { banned.remove(region); }
-        ingress.tell(new Api.Ban(id, out));          // the module first: it places anew what the pool gives up
+        ingress.deliver(new Api.Ban(id, out));          // the module first: it places anew what the pool gives up
         pool.ban(id, out);
     }
 
     private void drainHere(boolean away) {
-        front.answers().away(away);
-        if (limitsFront != null) { limitsFront.answers().away(away); }
+        front.server().setDraining(away);
+        if (limitsFront != null) { limitsFront.server().setDraining(away); }
     }
 
     /** How many of so many descriptors are for clients and backends. */
@@ -283,7 +283,7 @@
     /** Takes the descriptors, or the half of them that the other process of this ingress leaves. */
     private void share(boolean other) {
         int mine = other ? budget / 2 : budget;
-        front.answers().limit(mine * 3 / 5 - (limitsFront == null ? 0 : LimitsFront.MOST_TERMINALS));
+        front.server().setMaxConnections(mine * 3 / 5 - (limitsFront == null ? 0 : LimitsFrontend.MAX_TERMINALS));
         pool.limit(mine * 2 / 5);
     }
 
@@ -294,9 +294,9 @@
 
     public EventLoop loop() { return loop; }
 
-    public PlatformFront front() { return front; }
+    public PlatformFrontend front() { return front; }
 
-    public LimitsFront limitsFront() { return limitsFront; }
+    public LimitsFrontend limitsFront() { return limitsFront; }
 
     /** Milliseconds of Unix time that go on evenly: slots of all ingresses turn together, and nothing goes back. */
     private static DoubleSupplier clock() {
@@ -323,7 +323,7 @@
     /** The same, with the time in milliseconds that the first word of discovery is waited for at the most, 0 for not at all. */
     public void start(double waitMs) throws IOException {
         loop.startTimer();
-        loop.turn(() -> {
+        loop.execute(() -> {
             firstListMs = waitMs;
             watch.start();
             if (admin != null) { admin.open(); }
@@ -338,7 +338,7 @@
         });
         try {
             // Guards a start that is short of processor time: what it waits for in time it goes without.
-            if (!ready.await(START_MS, TimeUnit.MILLISECONDS)) { loop.turn(watch::awaitNoLonger); }
+            if (!ready.await(START_MS, TimeUnit.MILLISECONDS)) { loop.execute(watch::awaitNoLonger); }
             if (ready.getCount() > 0 || unready != null) {
                 if (unready instanceof YardusherError why) { throw why; }
                 throw unready instanceof IOException why ? why : new IOException("no clients could be taken");
@@ -367,7 +367,7 @@
             return "keeps its configuration: " + file + ": too deep or too long";
         }
         String[] done = new String[1];
-        loop.turn(() -> {
+        loop.execute(() -> {
             watch.move(next.discovery());
             boolean more = !config.sameBut(next);
             config = next;
@@ -384,18 +384,18 @@
      */
     public void drain() throws InterruptedException {
         double mostMs = ACCEPT_ON_MS + READ_ON_MS + Math.max(longestMs, LEAST_END_MS) + LAST_MS;
-        loop.turn(() -> {
-            loop.deadlines().at(loop.now() + ACCEPT_ON_MS, () -> {
+        loop.execute(() -> {
+            loop.deadlines().schedule(loop.now() + ACCEPT_ON_MS, () -> {
                 if (handover.hasHeir()) { serving = false; } else { closeFronts(); }
-                loop.deadlines().at(loop.now() + READ_ON_MS, () -> {
+                loop.deadlines().schedule(loop.now() + READ_ON_MS, () -> {
                     if (!handover.hasHeir()) { closeFronts(); } // whoever came at the last moment and has said nothing
                     waitForOpen();
                 });
             });
-            loop.deadlines().at(loop.now() + mostMs, drained::countDown);
+            loop.deadlines().schedule(loop.now() + mostMs, drained::countDown);
             if (handover.hasHeir()) {
-                front.answers().leave();
-                if (limitsFront != null) { limitsFront.answers().leave(); }
+                front.server().startHandover();
+                if (limitsFront != null) { limitsFront.server().startHandover(); }
             }
             parts.drain();
         });
@@ -408,31 +408,31 @@
         // Guards who waits at the door of a full process: they are let in before it closes, with half of what the backends leave.
         int spare = Math.max(0, budget * 2 / 5 - pool.held()) / 2;
         pool.limit(budget * 2 / 5 - spare);
-        front.answers().limit(budget * 3 / 5 + spare - (limitsFront == null ? 0 : LimitsFront.MOST_TERMINALS));
-        front.answers().close();
-        if (limitsFront != null) { limitsFront.answers().close(); }
+        front.server().setMaxConnections(budget * 3 / 5 + spare - (limitsFront == null ? 0 : LimitsFrontend.MAX_TERMINALS));
+        front.server().close();
+        if (limitsFront != null) { limitsFront.server().close(); }
     }
 
     private void waitForOpen() {
         // Guards answers that the system has not taken, or that a close over unread bytes would destroy: a connection is over
         // once its client has ended it too, or has had its time for that. Guards who comes between that and the halt: while a door
         // is open, the next client is let in, sent on, and cut off with its answer on the way.
-        if (ingress.openCount() == 0 && !parts.isBusy() && front.answers().isOver()
-                && (limitsFront == null || limitsFront.answers().isOver())) {
+        if (ingress.openCount() == 0 && !parts.isBusy() && front.server().isFinished()
+                && (limitsFront == null || limitsFront.server().isFinished())) {
             drained.countDown();
         } else {
-            loop.deadlines().at(loop.now() + 20, this::waitForOpen);
+            loop.deadlines().schedule(loop.now() + 20, this::waitForOpen);
         }
     }
 
     public String countersLine() {
         String[] line = new String[1];
-        loop.turn(() -> line[0] = ingress.countersLine());
+        loop.execute(() -> line[0] = ingress.countersLine());
         return line[0];
     }
 
     public void close() {
-        loop.turn(() -> {
+        loop.execute(() -> {
             watch.stop();
             handover.end();
             if (peers != null) { peers.close(); }
@@ -447,7 +447,7 @@
 
     private static InetSocketAddress address(String fromEnvironment) {
         try {
-            return yardusher.net.Sockets.address(fromEnvironment);
+            return yardusher.net.Sockets.parseAddress(fromEnvironment);
         } catch (ConfigError e) {
             throw e.in("RELAY_ADMIN_ADDR");
         }
@@ -490,7 +490,7 @@
                 serve.drain();
             } catch (InterruptedException e) { /* the process ends all the same */ }
             try {
-                serve.loop.turn(() -> {
+                serve.loop.execute(() -> {
                     serve.handover.end();
                     serve.parts.close();
                 });
@@ -513,8 +513,8 @@
             serve.close();
             throw e;
         }
-        System.err.println(config.name() + " serves at " + serve.front.answers().address()
-                + (serve.limitsFront == null ? "" : ", limits at " + serve.limitsFront.answers().address()));
+        System.err.println(config.name() + " serves at " + serve.front.server().address()
+                + (serve.limitsFront == null ? "" : ", limits at " + serve.limitsFront.server().address()));
         if (!config.unused().isEmpty()) { System.err.println(config.name() + " not used: " + String.join(", ", config.unused())); }
         try {
             new CountDownLatch(1).await();
--- a/src/main/java/yardusher/cli/Subsystems.java
+++ b/src/main/java/yardusher/cli/Subsystems.java
@@ -5,14 +5,14 @@
 import java.util.List;
 import java.util.Objects;
 import java.util.stream.Collectors;
-import yardusher.core.Intake;
-import yardusher.core.OrderLog;
+import yardusher.core.RequestAcceptor;
+import yardusher.core.RequestLog;
 import yardusher.core.EventLoop;
 import yardusher.journal.JournalSubsystem;
 import yardusher.keys.KeysSubsystem;
 import yardusher.log.Logs;
 import yardusher.mesh.Mesh;
-import yardusher.parts.PartsSubsystem;
+import yardusher.connectionquota.ConnectionQuotaSubsystem;
 import yardusher.rates.RatesSubsystem;
 import yardusher.settings.Settings;
 import yardusher.subsystem.Site;
@@ -41,19 +41,19 @@
                     config.plans(), loop, Logs.of(own.log(), config.name())));
         }
         if (own.keys() != null) { all.add(new KeysSubsystem(own.keys(), own.journal())); }
-        if (own.parts() != null) { all.add(new PartsSubsystem(own.parts())); }
+        if (own.parts() != null) { all.add(new ConnectionQuotaSubsystem(own.parts())); }
         if (own.units() != null) { all.add(new UnitsSubsystem(own.units())); } // outermost: what belongs together, then each key
         return new Subsystems(all, view == null ? null : view.mesh(), view == null ? null : view.view());
     }
 
-    OrderLog orders() {
-        OrderLog log = OrderLog.NONE;
+    RequestLog orders() {
+        RequestLog log = RequestLog.NONE;
         for (Subsystem one : all) { log = one.orders(log); }
         return log;
     }
 
-    Intake intake(Site site, Intake core) throws IOException {
-        Intake intake = core;
+    RequestAcceptor intake(Site site, RequestAcceptor core) throws IOException {
+        RequestAcceptor intake = core;
         for (Subsystem one : all) { intake = one.intake(site, intake); }
         return intake;
     }
--- /dev/null
+++ b/src/main/java/yardusher/clients/PlatformFrontend.java
@@ -0,0 +1,189 @@
+package yardusher.clients;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.LongFunction;
+import java.util.function.Supplier;
+import yardusher.Api;
+import yardusher.core.ResponseStream;
+import yardusher.core.Ingress;
+import yardusher.core.RequestAcceptor;
+import yardusher.core.IncomingRequest;
+import yardusher.core.Session;
+import yardusher.core.Terminal;
+import yardusher.error.CommandError;
+import yardusher.error.YardusherError;
+import yardusher.net.RespServer;
+import yardusher.net.BodyBudget;
+import yardusher.net.Sockets;
+import yardusher.resp.Call;
+import yardusher.resp.Encoder;
+
+/** The front for the platform's protocol: CALL.GET, CALL.POST and PING. */
+public final class PlatformFrontend implements RespServer.CommandHandler {
+    private static final byte[] DRAINING_REPLY = new Encoder(32).error("ERR clients are sent away").toBytes();
+    private static final byte[] BUSY_REPLY = new Encoder(16).error("BUSY").toBytes();
+
+    private final Ingress ingress;
+    private final RequestAcceptor requestAcceptor;
+    private final Map<String, Integer> classIndexes = new HashMap<>();
+    private final Map<String, Integer> planIndexes = new HashMap<>();
+    private final RespServer server;
+    private boolean readsUnits;                         // names of units are read in the list
+    private boolean forwardsUnits;
+    private LongFunction<String> describeKey;           // null where keys are off
+    private Supplier<String> keyCounters;
+    /** The ids of transactions without their final answer: a second one under such an id is somebody else's. */
+    private final Set<Long> openIds = new HashSet<>();
+
+    public PlatformFrontend(Sockets sockets, InetSocketAddress address, Ingress ingress, RequestAcceptor requestAcceptor,
+            List<String> classNames, List<String> planNames, int maxTerminals, BodyBudget bodyBudget) throws IOException {
+        this.ingress = ingress;
+        this.requestAcceptor = requestAcceptor;
+        for (String name : classNames) { classIndexes.put(name, classIndexes.size()); }
+        for (String name : planNames) { planIndexes.put(name, planIndexes.size()); }
+        server = new RespServer(sockets, address, true, maxTerminals, bodyBudget, this);
+    }
+
+    public RespServer server() { return server; }
+
+    @Override
+    public void handle(byte[][] words, RespServer.Slot slot) {
+        if (Call.isCall(words)) {
+            handleCall(words, slot);
+        } else if (keyCounters != null && handleKeyCommand(words, slot)) {
+            return;                                  // answered
+        } else if (server.isDraining() && RespServer.isPing(words)) {
+            slot.answer(DRAINING_REPLY);
+        } else {
+            RespServer.handleCommon(words, ingress::countersLine, slot);
+        }
+    }
+
+    @Override
+    public void onTerminalLeft(RespServer.Slot slot) {
+        if (slot.request == null) { return; }
+        openIds.remove(slot.request.incoming().command().id());
+        slot.request.terminalLeft();
+    }
+
+    @Override
+    public void onInvalidCommand() { ingress.counters().invalidCommands++; }
+
+    /** From now on KEYS.SHOW and KEYS.STATS are answered, to callers on this machine. */
+    public void enableKeyCommands(LongFunction<String> describe, Supplier<String> counters) {
+        describeKey = describe;
+        keyCounters = counters;
+    }
+
+    /** From now on the names u, p and b are read in lists, and regions are told of them or not. */
+    public void enableUnits(boolean forward) {
+        readsUnits = true;
+        forwardsUnits = forward;
+    }
+
+    private boolean handleKeyCommand(byte[][] words, RespServer.Slot slot) {
+        String name = new String(words[0], StandardCharsets.ISO_8859_1).toUpperCase(Locale.ROOT);
+        if (!name.startsWith("KEYS.") || !slot.isLocal()) { return false; }
+        String key = words.length > 1 ? new String(words[1], StandardCharsets.ISO_8859_1) : "";
+        if (name.equals("KEYS.STATS") && words.length == 1) {
+            slot.answer(new Encoder(256).bulk(keyCounters.get()).toBytes());
+        } else if (name.equals("KEYS.SHOW") && words.length == 2 && key.matches("[0-9a-f]{1,16}")) {
+            slot.answer(new Encoder(128).bulk(describeKey.apply(Long.parseUnsignedLong(key, 16))).toBytes());
+        } else {
+            slot.reject("KEYS.STATS, or KEYS.SHOW and 1 to 16 hex digits");
+        }
+        return true;
+    }
+
+    private void handleCall(byte[][] words, RespServer.Slot slot) {
+        Call call;
+        int classIndex;
+        int plan;
+        try {
+            call = readsUnits ? Call.parseWithUnit(words, forwardsUnits) : Call.parse(words);
+            classIndex = indexOf(classIndexes, call.className);
+            plan = indexOf(planIndexes, call.plan);
+            validate(call, classIndex);
+        } catch (YardusherError e) {
+            slot.reject(e.getMessage());
+            return;
+        }
+        slot.request = requestAcceptor.accept(new IncomingRequest(classIndex, plan, call.customer, call.units, call.first, call.spread,
+                call.waitMs, call, new CallTerminal(this, slot, call.id)));
+        if (slot.isAnswered()) { slot.request = null; }
+    }
+
+    private static int indexOf(Map<String, Integer> indexes, String name) {
+        Integer index = indexes.get(name);
+        if (index == null) { throw new CommandError.Argument("unknown class or plan"); }
+        return index;
+    }
+
+    /** Whether a command that can be read is also one that a client of these settings sends; its id is then held. */
+    private void validate(Call call, int classIndex) {
+        Api.Settings settings = ingress.settings();
+        Api.Effect effect = settings.classes().get(classIndex).effect();
+        if (call.isGet() != (effect == Api.Effect.IDEMPOTENT) || call.hasBody() == call.isGet()) {
+            throw new CommandError.Argument("not the command of this class");
+        }
+        if ((call.key != null) != (effect == Api.Effect.DEDUPLICATED)) {
+            throw new CommandError.Argument("a keyed class needs k, and no other has it");
+        }
+        if (settings.maxUnits() > 0 && call.units > settings.maxUnits()) { throw new CommandError.Argument("bad units"); }
+        if (call.spread < 1 || call.spread > settings.gateways() || call.first >= settings.gateways()) {
+            throw new CommandError.Argument("bad set of ingresses");
+        }
+        if (!openIds.add(call.id)) { throw new CommandError.Refused("a request with this id is open"); }
+    }
+
+    private record CallTerminal(PlatformFrontend frontend, RespServer.Slot slot, long id) implements Terminal {
+        @Override
+        public Session session() { return slot.session(); }
+
+        @Override
+        public void served(byte[] value) { answer(new Encoder(value.length + 16).bulk(value).toBytes()); }
+
+        @Override
+        public ResponseStream beginStream(long length) {
+            ResponseStream flow = slot.startStream(new Encoder(24).bulkHead(length).toBytes());
+            return new ResponseStream() {
+                @Override
+                public void write(ByteBuffer bytes, Runnable taken) { flow.write(bytes, taken); }
+
+                @Override
+                public void end() {
+                    frontend.openIds.remove(id);
+                    flow.end();
+                }
+
+                @Override
+                public void fail() {
+                    frontend.openIds.remove(id);
+                    flow.fail();
+                }
+            };
+        }
+
+        @Override
+        public void reject(long retryAfterMs, boolean mayHaveRun) {
+            answer(retryAfterMs <= 0 ? BUSY_REPLY : new Encoder(24).error("BUSY " + retryAfterMs).toBytes());
+        }
+
+        @Override
+        public void failed(String why, boolean mayHaveRun) { answer(new Encoder(64).error("ERR " + why).toBytes()); }
+
+        private void answer(byte[] answer) {
+            frontend.openIds.remove(id);
+            slot.answer(answer);
+        }
+    }
+}
--- a/src/main/java/yardusher/core/Attempt.java
+++ b/src/main/java/yardusher/core/Attempt.java
@@ -2,65 +2,65 @@
 
 import yardusher.Api;
 
-/** One sending of a request to a backend. It ends once, by {@link Ingress#ended}. */
+/** One sending of a request to a backend. It ends once, by {@link Ingress#attemptEnded}. */
 public final class Attempt {
-    private static final int WRITTEN_AT_ONCE = 16 * 1024;
+    private static final int MAX_IMMEDIATE_WRITE_BYTES = 16 * 1024;
 
     public final Request request;
     public final int number;
     public final long backend;
-    public final double sentAt;
+    public final double sentAtMs;
     public final long waitMs;
     /** For the order log alone: whether its intent is told. */
-    public boolean noted;
-    Deadlines.Entry timeOut;
+    public boolean intentLogged;
+    Deadlines.Entry timeoutEntry;
     /** How long its answer's first byte took, in milliseconds; negative where it is measured at its end. */
-    double beganMs = -1;
+    double firstByteMs = -1;
     /** Set by the backend's connection: gives the attempt up. */
-    public Runnable giveUp = () -> { };
+    public Runnable abort = () -> { };
     /** Whether its bytes were handed to a socket; outlives its end, for the record. */
-    private boolean handed;
+    private boolean handedToSocket;
     /** Whether it stands in the count of those written whole. */
-    boolean forwarded;
+    boolean countedAsForwarded;
     /** Whether the module was told that it waits to be written. */
-    boolean delayed;
+    boolean delayReported;
     /** The bytes that were handed to the backends' side. */
-    int bytes;
+    int commandBytes;
 
-    Attempt(Request request, int number, long backend, double sentAt, long waitMs) {
+    Attempt(Request request, int number, long backend, double sentAtMs, long waitMs) {
         this.request = request;
         this.number = number;
         this.backend = backend;
-        this.sentAt = sentAt;
+        this.sentAtMs = sentAtMs;
         this.waitMs = waitMs;
     }
 
-    public boolean isOver() { return !request.course.isOut(number); }
+    public boolean isOver() { return !request.state.isActive(number); }
 
     /** Whether bytes of it may have gone out. */
-    public boolean mayHaveGone() { return handed; }
+    public boolean mayHaveBeenSent() { return handedToSocket; }
 
     /**
      * Asked by the backend's connection in the instant in which it hands the bytes to the socket; from then on it may have run.
      * False where nothing of it may be sent any more, or twice: it is over, its request is answered, gone or past its deadline, or
      * a repeat would begin outside its window. {@code now} in milliseconds of the loop's clock.
      */
-    public boolean hand(double now) {
-        boolean may = !isLate(now) && request.course.hand(number, now);
-        handed |= may;
-        return may;
+    public boolean handToSocket(double nowMs) {
+        boolean allowed = !isTooLateToWrite(nowMs) && request.state.handToSocket(number, nowMs);
+        handedToSocket |= allowed;
+        return allowed;
     }
 
     /** Whether it has waited for longer than the units that it takes of a ceiling are held for it. */
-    public boolean isLate(double now) { return request.hasCeiling && now - sentAt > Api.MAX_WRITE_DELAY_MS; }
+    public boolean isTooLateToWrite(double nowMs) { return request.hasCeiling && nowMs - sentAtMs > Api.MAX_WRITE_DELAY_MS; }
 
     /** Whether its bytes are with a socket, and so few that they don't wait there for room. */
-    boolean isWrittenAtOnce() { return handed && bytes <= WRITTEN_AT_ONCE; }
+    boolean isWrittenImmediately() { return handedToSocket && commandBytes <= MAX_IMMEDIATE_WRITE_BYTES; }
 
     /** The write failed: the system never took its last byte. */
-    public void unwritten() {
-        request.course.unwritten(number);
-        handed = false;
+    public void writeFailed() {
+        request.state.writeFailed(number);
+        handedToSocket = false;
     }
 
     /** How an attempt ended; the value is there when it was served. */
--- a/src/main/java/yardusher/core/Cargo.java
+++ b/src/main/java/yardusher/core/BackendCommand.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 
 /** What a backend is handed for a request. The core never looks inside, but for what names it. */
-public interface Cargo {
+public interface BackendCommand {
     /** The cargo's bytes, telling the backend how long its answer is waited for: parts to be written one behind another. */
     ByteBuffer[] encoded(long waitMs);
 
@@ -14,8 +14,8 @@
     String key();
 
     /** A fingerprint of what is asked for: the same for the same request, whatever its id and its time. */
-    long print();
+    long fingerprint();
 
     /** What it says of a unit of work; null for nothing. */
-    default UnitWord unit() { return null; }
+    default UnitDirective unit() { return null; }
 }
--- a/src/main/java/yardusher/core/Counters.java
+++ b/src/main/java/yardusher/core/Counters.java
@@ -4,45 +4,45 @@
 
 /** What was taken in, sent and answered. Written in turns only. */
 public final class Counters {
-    public long takenIn;
-    public long invalid;
+    public long accepted;
+    public long invalidCommands;
     /** Final answers, by class; a request whose terminal has left stands under clientsGone alone. */
     public long[] served = new long[0];
     public long[] refused = new long[0];
     public long[] failed = new long[0];
     /** Large values passed on as they come: begun, under way, and the most of those so far. */
-    public long large;
-    public int largeOpen;
-    public int largeMost;
+    public long largeValues;
+    public int largeValuesOpen;
+    public int maxLargeValuesOpen;
     /** Attempts that the sockets have taken whole. */
     public long forwards;
     public long clientsGone;
     public long attempts;
-    public long lookups;
+    public long limitQueries;
     public long connectionsOpened;
-    public long peerOut;
-    public long peerIn;
+    public long peerMessagesSent;
+    public long peerMessagesReceived;
     /** Watches asked for, whole lists told, lines of a list that could not be read. */
-    public long listAsks;
-    public long listWhole;
-    public long listBad;
+    public long listWatches;
+    public long completeLists;
+    public long malformedListLines;
     public long listChanges;
     /** Attempts after the first of a request. */
-    public long further;
+    public long repeatAttempts;
     public long connectionsReused;
     public long connectionsFailed;
     public long reloads;
     public long faults;
     /** Final answers after a request's first one: never sent. */
-    public long answersSecond;
+    public long duplicateAnswers;
     /** What else the line tells; empty for nothing. */
-    public java.util.function.Supplier<String> more = () -> "";
+    public java.util.function.Supplier<String> extraCounters = () -> "";
     /** Short-on-capacity replies of the module, by reason. */
-    public final long[] reasons = new long[Api.Reason.values().length];
-    public final long[] outcomes = new long[Api.Outcome.values().length];
+    public final long[] refusalsByReason = new long[Api.Reason.values().length];
+    public final long[] attemptsByOutcome = new long[Api.Outcome.values().length];
 
     /** Makes room for the counts of so many classes. */
-    public void classes(int count) {
+    public void setClassCount(int count) {
         served = new long[count];
         refused = new long[count];
         failed = new long[count];
@@ -51,28 +51,28 @@
     private static long sum(long[] counts) { return java.util.Arrays.stream(counts).sum(); }
 
     /** One line of names and values. */
-    public String line(int open) {
+    public String line(int openRequests) {
         StringBuilder text = new StringBuilder(256);
-        text.append("taken_in=").append(takenIn).append(" served=").append(sum(served)).append(" refused=").append(sum(refused))
-                .append(" failed=").append(sum(failed)).append(" gone=").append(clientsGone).append(" open=").append(open)
-                .append(" invalid=").append(invalid).append(" limit_queries=").append(lookups)
+        text.append("taken_in=").append(accepted).append(" served=").append(sum(served)).append(" refused=").append(sum(refused))
+                .append(" failed=").append(sum(failed)).append(" gone=").append(clientsGone).append(" open=").append(openRequests)
+                .append(" invalid=").append(invalidCommands).append(" limit_queries=").append(limitQueries)
                 .append(" attempts=").append(attempts).append(" forwards=").append(forwards)
-                .append(" attempts_further=").append(further);
+                .append(" attempts_further=").append(repeatAttempts);
         for (Api.Outcome outcome : Api.Outcome.values()) {
             text.append(" attempts_").append(outcome.name().toLowerCase(java.util.Locale.ROOT)).append('=')
-                    .append(outcomes[outcome.ordinal()]);
+                    .append(attemptsByOutcome[outcome.ordinal()]);
         }
         for (Api.Reason reason : Api.Reason.values()) {
             text.append(" refused_").append(reason.name().toLowerCase(java.util.Locale.ROOT)).append('=')
-                    .append(reasons[reason.ordinal()]);
+                    .append(refusalsByReason[reason.ordinal()]);
         }
         return text.append(" connections=").append(connectionsOpened).append(" connections_reused=")
-                .append(connectionsReused).append(" connections_failed=").append(connectionsFailed).append(" peer_out=").append(peerOut)
-                .append(" peer_in=").append(peerIn).append(" list_asks=").append(listAsks)
-                .append(" list_whole=").append(listWhole).append(" list_bad=").append(listBad)
+                .append(connectionsReused).append(" connections_failed=").append(connectionsFailed).append(" peer_out=").append(peerMessagesSent)
+                .append(" peer_in=").append(peerMessagesReceived).append(" list_asks=").append(listWatches)
+                .append(" list_whole=").append(completeLists).append(" list_bad=").append(malformedListLines)
                 .append(" list_changes=").append(listChanges)
-                .append(" large=").append(large).append(" large_open=").append(largeOpen).append(" large_most=").append(largeMost)
-                .append(" reloads=").append(reloads).append(" answers_second=").append(answersSecond)
-                .append(" faults=").append(faults).append(more.get()).toString();
+                .append(" large=").append(largeValues).append(" large_open=").append(largeValuesOpen).append(" large_most=").append(maxLargeValuesOpen)
+                .append(" reloads=").append(reloads).append(" answers_second=").append(duplicateAnswers)
+                .append(" faults=").append(faults).append(extraCounters.get()).toString();
     }
 }
--- a/src/main/java/yardusher/core/Deadlines.java
+++ b/src/main/java/yardusher/core/Deadlines.java
@@ -6,28 +6,28 @@
 public final class Deadlines {
     /** One deadline; cancelled by {@link #cancel}. */
     public static final class Entry implements Comparable<Entry> {
-        final double at;
-        private final long order;
-        private final Runnable due;
-
-        private Entry(double at, long order, Runnable due) {
-            this.at = at;
-            this.order = order;
-            this.due = due;
+        final double timeMs;
+        private final long sequence;
+        private final Runnable task;
+
+        private Entry(double timeMs, long sequence, Runnable task) {
+            this.timeMs = timeMs;
+            this.sequence = sequence;
+            this.task = task;
         }
 
         @Override
         public int compareTo(Entry other) {
-            int byTime = Double.compare(at, other.at);
-            return byTime != 0 ? byTime : Long.compare(order, other.order);
+            int byTime = Double.compare(timeMs, other.timeMs);
+            return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
         }
     }
 
     private final TreeSet<Entry> entries = new TreeSet<>();
-    private long added;
+    private long nextSequence;
 
-    public Entry at(double time, Runnable due) {
-        Entry entry = new Entry(time, added++, due);
+    public Entry schedule(double timeMs, Runnable task) {
+        Entry entry = new Entry(timeMs, nextSequence++, task);
         entries.add(entry);
         return entry;
     }
@@ -39,11 +39,11 @@
     public int size() { return entries.size(); }
 
     /** When the next one falls due; infinity for none. */
-    double next() { return entries.isEmpty() ? Double.POSITIVE_INFINITY : entries.first().at; }
+    double nextAtMs() { return entries.isEmpty() ? Double.POSITIVE_INFINITY : entries.first().timeMs; }
 
     /** Takes out the next one that is due, or null. */
-    Runnable due(double now) {
-        if (entries.isEmpty() || entries.first().at > now) { return null; }
-        return entries.pollFirst().due;
+    Runnable pollDue(double nowMs) {
+        if (entries.isEmpty() || entries.first().timeMs > nowMs) { return null; }
+        return entries.pollFirst().task;
     }
 }
--- a/src/main/java/yardusher/core/EventLoop.java
+++ b/src/main/java/yardusher/core/EventLoop.java
@@ -12,18 +12,18 @@
  */
 public final class EventLoop {
     private final ReentrantLock lock = new ReentrantLock();
-    private final Condition sooner = lock.newCondition();
-    private final ArrayDeque<Runnable> later = new ArrayDeque<>();
+    private final Condition timerWakeup = lock.newCondition();
+    private final ArrayDeque<Runnable> deferred = new ArrayDeque<>();
     private final DoubleSupplier clock;
-    private final Consumer<Throwable> faults;
+    private final Consumer<Throwable> faultHandler;
     private final Deadlines deadlines = new Deadlines();
-    private double wakeAt = Double.POSITIVE_INFINITY;
+    private double wakeAtMs = Double.POSITIVE_INFINITY;
     private boolean stopped;
 
     /** The clock is in milliseconds and never goes back. */
-    public EventLoop(DoubleSupplier clock, Consumer<Throwable> faults) {
+    public EventLoop(DoubleSupplier clock, Consumer<Throwable> faultHandler) {
         this.clock = clock;
-        this.faults = faults;
+        this.faultHandler = faultHandler;
     }
 
     public double now() { return clock.getAsDouble(); }
@@ -31,49 +31,49 @@
     public Deadlines deadlines() { return deadlines; }
 
     /** Does work as one turn. Asked for within a turn (a completion that came at once), it follows that turn. */
-    public void turn(Runnable work) {
+    public void execute(Runnable work) {
         lock.lock();
         try {
             if (lock.getHoldCount() > 1) {
-                later.add(work);
+                deferred.add(work);
                 return;
             }
-            sweep();
+            runDueTasks();
             run(work);
-            sweep();
-            if (deadlines.next() < wakeAt) { sooner.signal(); }
+            runDueTasks();
+            if (deadlines.nextAtMs() < wakeAtMs) { timerWakeup.signal(); }
         } finally {
             lock.unlock();
         }
     }
 
     /** Within a turn: work that follows what is being done, before the turn ends. */
-    public void afterwards(Runnable work) { later.add(work); }
+    public void defer(Runnable work) { deferred.add(work); }
 
-    private void sweep() {
-        for (Runnable due; (due = deadlines.due(now())) != null;) { run(due); }
+    private void runDueTasks() {
+        for (Runnable due; (due = deadlines.pollDue(now())) != null;) { run(due); }
     }
 
     private void run(Runnable work) {
-        for (Runnable next = work; next != null; next = later.poll()) {
+        for (Runnable next = work; next != null; next = deferred.poll()) {
             try {
                 next.run();
             } catch (Throwable e) {
-                tell(e);                             // one broken message must not take the ingress down
+                reportFault(e);                             // one broken message must not take the ingress down
             }
         }
     }
 
     /** Guards the work that follows, and the thread of the deadlines, against a word that cannot be said, as where no memory is left. */
-    private void tell(Throwable e) {
+    private void reportFault(Throwable e) {
         try {
-            faults.accept(e);
+            faultHandler.accept(e);
         } catch (Throwable unsaid) { /* whoever is told has counted it or cannot */ }
     }
 
     /** Starts the thread that gives a turn to deadlines when nothing else happens. */
     public Thread startTimer() {
-        Thread thread = new Thread(this::keepTime, "deadlines");
+        Thread thread = new Thread(this::runTimer, "deadlines");
         thread.setDaemon(true);
         thread.start();
         return thread;
@@ -83,26 +83,26 @@
         lock.lock();
         try {
             stopped = true;
-            sooner.signal();
+            timerWakeup.signal();
         } finally {
             lock.unlock();
         }
     }
 
-    private void keepTime() {
+    private void runTimer() {
         lock.lock();
         try {
             while (!stopped) {
-                wakeAt = deadlines.next();
-                double wait = wakeAt - now();
-                if (wait <= 0) {
-                    sweep();
-                } else if (wakeAt == Double.POSITIVE_INFINITY) {
-                    sooner.await();
+                wakeAtMs = deadlines.nextAtMs();
+                double waitMs = wakeAtMs - now();
+                if (waitMs <= 0) {
+                    runDueTasks();
+                } else if (wakeAtMs == Double.POSITIVE_INFINITY) {
+                    timerWakeup.await();
                 } else {
-                    sooner.awaitNanos((long) (Math.min(wait, 60_000) * 1e6) + 1);
+                    timerWakeup.awaitNanos((long) (Math.min(waitMs, 60_000) * 1e6) + 1);
                 }
-                wakeAt = Double.NEGATIVE_INFINITY;
+                wakeAtMs = Double.NEGATIVE_INFINITY;
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/yardusher/core/Neighbours.java
+++ b/src/main/java/yardusher/core/PeerSender.java
@@ -1,6 +1,6 @@
 package yardusher.core;
 
 /** The other ingresses as the core sees them. */
-public interface Neighbours {
-    void tell(int to, String body);
+public interface PeerSender {
+    void send(int to, String body);
 }
--- a/src/main/java/yardusher/core/Request.java
+++ b/src/main/java/yardusher/core/Request.java
@@ -4,43 +4,43 @@
 import yardusher.Api;
 
 /** One request from its taking in to its final answer. Written in turns only. */
-public final class Request implements Stay {
+public final class Request implements RequestHandle {
     public final long number;
-    public final Order order;
-    public final double arrivedAt;
-    public final double deadline;
+    public final IncomingRequest incoming;
+    public final double arrivedAtMs;
+    public final double deadlineMs;
     /** Whether its plan has a ceiling. */
     boolean hasCeiling;
-    int attempts;
-    Attempt attempt;
+    int attemptCount;
+    Attempt newestAttempt;
     /** Where it stands. */
-    final Course course;
+    final RequestState state;
     /** A large value that is being passed on, or null. */
-    Flow flow;
+    ResponseStream stream;
     /** Whether the order log records it; all it is told after the taking in goes by this. */
     boolean recorded;
     /** For the order log alone: whether it has told of this request yet. */
-    public boolean noted;
-    Deadlines.Entry lastCall;
+    public boolean logged;
+    Deadlines.Entry deadlineEntry;
 
     /** What is done when the terminal leaves. */
-    private final Consumer<Request> leaves;
+    private final Consumer<Request> onTerminalLeft;
 
-    Request(long number, Order order, Api.RequestClass of, double arrivedAt, Consumer<Request> leaves) {
-        this.leaves = leaves;
+    Request(long number, IncomingRequest incoming, Api.RequestClass requestClass, double arrivedAtMs, Consumer<Request> onTerminalLeft) {
+        this.onTerminalLeft = onTerminalLeft;
         this.number = number;
-        this.order = order;
-        this.arrivedAt = arrivedAt;
-        this.deadline = arrivedAt + order.waitMs();
-        course = new Course(of, deadline);
+        this.incoming = incoming;
+        this.arrivedAtMs = arrivedAtMs;
+        this.deadlineMs = arrivedAtMs + incoming.waitMs();
+        state = new RequestState(requestClass, deadlineMs);
     }
 
     @Override
-    public Order order() { return order; }
+    public IncomingRequest incoming() { return incoming; }
 
     @Override
-    public boolean mayHaveRun() { return course.mayHaveRun(); }
+    public boolean mayHaveRun() { return state.mayHaveRun(); }
 
     @Override
-    public void gone() { leaves.accept(this); }
+    public void terminalLeft() { onTerminalLeft.accept(this); }
 }
--- a/src/main/java/yardusher/core/Intake.java
+++ b/src/main/java/yardusher/core/RequestAcceptor.java
@@ -1,6 +1,6 @@
 package yardusher.core;
 
 /** Takes requests of fronts in. Each gets exactly one final answer at its terminal, at once or later. In turns only. */
-public interface Intake {
-    Stay take(Order order);
+public interface RequestAcceptor {
+    RequestHandle accept(IncomingRequest incoming);
 }
--- a/src/main/java/yardusher/core/OrderLog.java
+++ b/src/main/java/yardusher/core/RequestLog.java
@@ -7,25 +7,25 @@
  * What is told of requests that must not run twice, in the order in which it happens. Called in turns only; no
  * call waits. An intent stands recorded before the first byte of its attempt goes out.
  */
-public interface OrderLog {
+public interface RequestLog {
     /** Whether a request that comes in is recorded, goes on without a record, or is turned away at once. */
     enum Admission { RECORDED, UNRECORDED, REFUSED }
 
     /** What the terminal was finally told; GONE: it left and was told nothing. */
     enum Answer { SERVED, REJECTED, FAILED, GONE }
 
-    Admission take(Request request);
+    Admission admit(Request request);
 
     /**
      * Parks an attempt until its intent is recorded. The consumer is run once, in this or a later turn: with true
      * the attempt may be sent, with false it must not. An attempt that ended meanwhile is the consumer's to see.
      */
-    void intend(Attempt attempt, Consumer<Boolean> then);
+    void recordIntent(Attempt attempt, Consumer<Boolean> then);
 
     /** The socket has taken the attempt's last byte. */
-    void written(Attempt attempt);
+    void attemptWritten(Attempt attempt);
 
-    void ended(Attempt attempt, Api.Outcome outcome);
+    void attemptEnded(Attempt attempt, Api.Outcome outcome);
 
     void answered(Request request, Answer answer);
 
@@ -33,18 +33,18 @@
     double retryAfterMs();
 
     /** Records nothing. */
-    OrderLog NONE = new OrderLog() {
+    RequestLog NONE = new RequestLog() {
         @Override
-        public Admission take(Request request) { return Admission.UNRECORDED; }
+        public Admission admit(Request request) { return Admission.UNRECORDED; }
 
         @Override
-        public void intend(Attempt attempt, Consumer<Boolean> then) { then.accept(true); }
+        public void recordIntent(Attempt attempt, Consumer<Boolean> then) { then.accept(true); }
 
         @Override
-        public void written(Attempt attempt) { }
+        public void attemptWritten(Attempt attempt) { }
 
         @Override
-        public void ended(Attempt attempt, Api.Outcome outcome) { }
+        public void attemptEnded(Attempt attempt, Api.Outcome outcome) { }
 
         @Override
         public void answered(Request request, Answer answer) { }
--- a/src/main/java/yardusher/core/Course.java
+++ b/src/main/java/yardusher/core/RequestState.java
@@ -8,27 +8,27 @@
  * it begins after that. Of its attempts one at the most is out, and each ends once. Every method that may do a thing says
  * whether it was done; false changes nothing.
  */
-final class Course {
+final class RequestState {
     /** Of the request. PASSING: a large value is being passed on, and no other attempt may follow. */
-    enum Stage { OPEN, PASSING, ANSWERED, GONE }
+    enum Stage { OPEN, STREAMING, ANSWERED, GONE }
 
     /** Of the attempt that is out. PARKED: its intent is not recorded; BEGUN: with the backends' side; HANDED: to a socket. */
-    private enum Out { NONE, PARKED, BEGUN, HANDED }
+    private enum AttemptStage { NONE, PARKED, BEGUN, HANDED }
 
     private final Api.Effect effect;
     private final double windowMs;
-    private final double deadline;
+    private final double deadlineMs;
     private Stage stage = Stage.OPEN;
-    private Out out = Out.NONE;
-    private int number = -1;                         // of the newest attempt
-    private double handedAt;
+    private AttemptStage attemptStage = AttemptStage.NONE;
+    private int newestAttempt = -1;                         // of the newest attempt
+    private double handedAtMs;
     private boolean mayHaveRun;
-    private double ranAt;                            // when the first that may have run was handed over
+    private double mayHaveRunSinceMs;                            // when the first that may have run was handed over
 
-    Course(Api.RequestClass of, double deadline) {
-        effect = of.effect();
-        windowMs = of.windowMs();
-        this.deadline = deadline;
+    RequestState(Api.RequestClass requestClass, double deadlineMs) {
+        effect = requestClass.effect();
+        windowMs = requestClass.windowMs();
+        this.deadlineMs = deadlineMs;
     }
 
     Stage stage() { return stage; }
@@ -37,32 +37,32 @@
     boolean isOver() { return stage == Stage.ANSWERED || stage == Stage.GONE; }
 
     /** Whether an attempt is out, from its parking to its end. */
-    boolean isOut() { return out != Out.NONE; }
+    boolean isAttemptActive() { return attemptStage != AttemptStage.NONE; }
 
-    boolean isOut(int attempt) { return out != Out.NONE && attempt == number; }
+    boolean isActive(int attempt) { return attemptStage != AttemptStage.NONE && attempt == newestAttempt; }
 
-    boolean isParked(int attempt) { return out == Out.PARKED && attempt == number; }
+    boolean isParked(int attempt) { return attemptStage == AttemptStage.PARKED && attempt == newestAttempt; }
 
-    boolean isHanded(int attempt) { return out == Out.HANDED && attempt == number; }
+    boolean isHanded(int attempt) { return attemptStage == AttemptStage.HANDED && attempt == newestAttempt; }
 
     /** Whether an attempt may have run, or is out so that it may yet. */
-    boolean mayHaveRun() { return mayHaveRun || out == Out.HANDED; }
+    boolean mayHaveRun() { return mayHaveRun || attemptStage == AttemptStage.HANDED; }
 
     /** Whether an attempt that ended may have run. */
-    boolean mayHaveRunBefore() { return mayHaveRun; }
+    boolean endedAttemptMayHaveRun() { return mayHaveRun; }
 
     /** An attempt is parked, with a number above those before. */
     boolean park(int attempt) {
-        if (stage != Stage.OPEN || out != Out.NONE || attempt <= number) { return false; }
-        number = attempt;
-        out = Out.PARKED;
+        if (stage != Stage.OPEN || attemptStage != AttemptStage.NONE || attempt <= newestAttempt) { return false; }
+        newestAttempt = attempt;
+        attemptStage = AttemptStage.PARKED;
         return true;
     }
 
     /** A parked attempt goes to the backends' side. */
-    boolean begin(int attempt) {
-        if (stage != Stage.OPEN || attempt != number || out != Out.PARKED) { return false; }
-        out = Out.BEGUN;
+    boolean beginAttempt(int attempt) {
+        if (stage != Stage.OPEN || attempt != newestAttempt || attemptStage != AttemptStage.PARKED) { return false; }
+        attemptStage = AttemptStage.BEGUN;
         return true;
     }
 
@@ -70,37 +70,37 @@
      * Its bytes are handed to a socket: from here on it may have run. Guards the repeat: what was chosen in time may have waited
      * for a record or a dial since, and is counted at this instant.
      */
-    boolean hand(int attempt, double now) {
-        if (stage != Stage.OPEN || attempt != number || out != Out.BEGUN || now >= deadline || !mayRepeat(now)) { return false; }
-        out = Out.HANDED;
-        handedAt = now;
+    boolean handToSocket(int attempt, double nowMs) {
+        if (stage != Stage.OPEN || attempt != newestAttempt || attemptStage != AttemptStage.BEGUN || nowMs >= deadlineMs || !mayRepeat(nowMs)) { return false; }
+        attemptStage = AttemptStage.HANDED;
+        handedAtMs = nowMs;
         return true;
     }
 
-    private boolean mayRepeat(double now) {
-        return !mayHaveRun || effect == Api.Effect.IDEMPOTENT || effect == Api.Effect.DEDUPLICATED && now - ranAt < windowMs;
+    private boolean mayRepeat(double nowMs) {
+        return !mayHaveRun || effect == Api.Effect.IDEMPOTENT || effect == Api.Effect.DEDUPLICATED && nowMs - mayHaveRunSinceMs < windowMs;
     }
 
     /** The write of an attempt failed: its last byte was never taken. */
-    void unwritten(int attempt) {
-        if (isHanded(attempt)) { out = Out.BEGUN; }
+    void writeFailed(int attempt) {
+        if (isHanded(attempt)) { attemptStage = AttemptStage.BEGUN; }
     }
 
     /** An attempt ends. What was never handed over never ran, whatever the outcome. */
-    boolean end(int attempt, Api.Outcome outcome) {
-        if (!isOut(attempt)) { return false; }
-        if (out == Out.HANDED && !outcome.neverRan() && !mayHaveRun) {
+    boolean endAttempt(int attempt, Api.Outcome outcome) {
+        if (!isActive(attempt)) { return false; }
+        if (attemptStage == AttemptStage.HANDED && !outcome.neverRan() && !mayHaveRun) {
             mayHaveRun = true;
-            ranAt = handedAt;
+            mayHaveRunSinceMs = handedAtMs;
         }
-        out = Out.NONE;
+        attemptStage = AttemptStage.NONE;
         return true;
     }
 
     /** The attempt's answer is too large to be held and begins to be passed on. */
-    boolean pass(int attempt) {
+    boolean beginStreaming(int attempt) {
         if (stage != Stage.OPEN || !isHanded(attempt)) { return false; }
-        stage = Stage.PASSING;
+        stage = Stage.STREAMING;
         return true;
     }
 
@@ -112,7 +112,7 @@
     }
 
     /** The client has gone, and is told nothing. */
-    boolean leave() {
+    boolean abandon() {
         if (isOver()) { return false; }
         stage = Stage.GONE;
         return true;
--- a/src/main/java/yardusher/core/Terminal.java
+++ b/src/main/java/yardusher/core/Terminal.java
@@ -8,7 +8,7 @@
      * A served value of so many bytes comes in parts, in place of {@link #served}; null where this terminal takes none, and
      * the attempt has failed.
      */
-    default Flow begin(long length) { return null; }
+    default ResponseStream beginStream(long length) { return null; }
 
     /**
      * Short-on-capacity reply: a repeat is harmless; come again after that time, 0 for no advice. It may have run
--- a/src/main/java/yardusher/discovery/DiscoveredBackends.java
+++ b/src/main/java/yardusher/discovery/DiscoveredBackends.java
@@ -66,9 +66,9 @@
     public Api.ServerList line(String text) throws IOException { return take(read(text)); }
 
     /** One JSON object of a watch, with a version that can be asked for. */
-    static Codec.Fields read(String text) throws IOException {
+    static Codec.JsonObject read(String text) throws IOException {
         try (JsonParser parser = JSON.createParser(text)) {
-            if (parser.nextToken() != JsonToken.START_OBJECT || !(Codec.read(parser) instanceof Codec.Fields fields)) {
+            if (parser.nextToken() != JsonToken.START_OBJECT || !(Codec.readValue(parser) instanceof Codec.JsonObject fields)) {
                 throw new IOException("not an object");
             }
             fields.list("members");
@@ -82,16 +82,16 @@
     }
 
     /** The version that news tell, or the one known where they name none. */
-    long revision(Codec.Fields news) { return news.has("revision") ? news.whole("revision") : revision; }
+    long revision(Codec.JsonObject news) { return news.has("revision") ? news.wholeNumber("revision") : revision; }
 
     /** How many entries of the last news could not be read. */
     int unread() { return unread; }
 
     /** Takes news in, as {@link #take(Codec.Fields, Api.ListKind)} does with {@code as} null. */
-    Api.ServerList take(Codec.Fields news) throws IOException { return takeBut(news, Set.of()); }
+    Api.ServerList take(Codec.JsonObject news) throws IOException { return takeBut(news, Set.of()); }
 
     /** The same of news that are older than what is known of these backends: they go untouched, and nobody is forgotten for being absent. */
-    Api.ServerList takeBut(Codec.Fields news, Set<Long> newer) throws IOException {
+    Api.ServerList takeBut(Codec.JsonObject news, Set<Long> newer) throws IOException {
         try {
             return take(news, null, newer);
         } catch (RuntimeException e) {
@@ -105,23 +105,23 @@
      * id gets nothing new until it is told of again. Where {@code as} is given, where no entry can be read, or where a complete list without entries
      * would end all that is known, it is a {@link yardusher.error.YardusherError} that changes nothing.
      */
-    public Api.ServerList take(Codec.Fields news, Api.ListKind as) { return take(news, as, Set.of()); }
+    public Api.ServerList take(Codec.JsonObject news, Api.ListKind as) { return take(news, as, Set.of()); }
 
-    private Api.ServerList take(Codec.Fields news, Api.ListKind as, Set<Long> newer) {
+    private Api.ServerList take(Codec.JsonObject news, Api.ListKind as, Set<Long> newer) {
         boolean complete = news.flag("complete") && newer.isEmpty();
         long next = newer.isEmpty() ? revision(news) : revision;
         List<Api.Server> servers = new ArrayList<>();
         List<InetSocketAddress> addresses = new ArrayList<>();
         List<String> ids = new ArrayList<>();
-        List<?> members = as == Api.ListKind.CACHED ? news.objectsOrNone("members") : news.list("members");
+        List<?> members = as == Api.ListKind.CACHED ? news.objectsOrEmpty("members") : news.list("members");
         RuntimeException bad = null;
         int unreadable = 0;
         for (Object member : members) {              // read whole before anything is changed
             try {
-                Codec.Fields entry = entry(member);
+                Codec.JsonObject entry = entry(member);
                 Api.Server server = checked(entry, zone(entry));
                 if (newer.contains(server.id())) { continue; }
-                addresses.add(server.readiness() == Api.Readiness.GONE ? null : Sockets.address(entry.text("host_port")));
+                addresses.add(server.readiness() == Api.Readiness.GONE ? null : Sockets.parseAddress(entry.text("host_port")));
                 servers.add(server);
                 ids.add(entry.text("id"));
             } catch (RuntimeException e) {
@@ -163,8 +163,8 @@
         return new Api.ServerList(as != null ? as : complete ? Api.ListKind.FULL : Api.ListKind.DELTA, servers);
     }
 
-    private static Codec.Fields entry(Object member) {
-        if (member instanceof Codec.Fields entry) { return entry; }
+    private static Codec.JsonObject entry(Object member) {
+        if (member instanceof Codec.JsonObject entry) { return entry; }
         throw new WireError.Malformed(null, "needs objects in \"members\"");
     }
 
@@ -172,7 +172,7 @@
     private void doubtful(List<?> members, List<String> read, List<Api.Server> servers, List<InetSocketAddress> addresses) {
         Set<String> named = new HashSet<>(read);
         for (Object member : members) {
-            if (!(member instanceof Codec.Fields entry) || !(entry.has("id") && isText(entry))) { continue; }
+            if (!(member instanceof Codec.JsonObject entry) || !(entry.has("id") && isText(entry))) { continue; }
             Api.Server before = listed.get(id(entry.text("id")));
             if (before == null || !named.add(entry.text("id"))) { continue; }
             servers.add(new Api.Server(before.id(), before.zone(), before.cell(), before.size(), before.startedAtMs(), Api.Readiness.DRAINING));
@@ -180,7 +180,7 @@
         }
     }
 
-    private static boolean isText(Codec.Fields entry) {
+    private static boolean isText(Codec.JsonObject entry) {
         try {
             return entry.text("id") != null;
         } catch (WireError e) {
@@ -220,12 +220,12 @@
     }
 
     /** An entry that cannot be used is a {@link yardusher.error.YardusherError} that says why. */
-    public static void checked(Codec.Fields member) {
-        if (checked(member, 0).readiness() != Api.Readiness.GONE) { Sockets.address(member.text("host_port")); }
+    public static void checked(Codec.JsonObject member) {
+        if (checked(member, 0).readiness() != Api.Readiness.GONE) { Sockets.parseAddress(member.text("host_port")); }
         if (member.has("locality")) { member.text("locality"); }
     }
 
-    private static Api.Server checked(Codec.Fields member, int zone) {
+    private static Api.Server checked(Codec.JsonObject member, int zone) {
         Api.Readiness readiness = switch (member.text("phase")) {
             case "Ready" -> Api.Readiness.READY;
             case "Gone" -> Api.Readiness.GONE;
@@ -266,7 +266,7 @@
      * where no name tells, its letter in the alphabet. One that the settings don't name is a zone of its own, the same at
      * every ingress; a backend with none is alone in its zone, unless there is only one.
      */
-    private int zone(Codec.Fields member) {
+    private int zone(Codec.JsonObject member) {
         if (!member.has("locality")) { return zones.size() <= 1 ? 0 : alone(id(member.text("id"))); }
         String locality = member.text("locality");
         int named = zones.indexOf(locality), ends = 0, at = -1;
--- a/src/main/java/yardusher/discovery/Watch.java
+++ b/src/main/java/yardusher/discovery/Watch.java
@@ -83,7 +83,7 @@
             return;
         }
         awaits = then;
-        loop.deadlines().at(loop.now() + withinMs, this::awaitNoLonger);
+        loop.deadlines().schedule(loop.now() + withinMs, this::awaitNoLonger);
     }
 
     /** Runs what waits for the first news, without them. */
@@ -105,7 +105,7 @@
         if (next >= pendingAt) { return; }
         loop.deadlines().cancel(pending);
         pendingAt = next;
-        pending = loop.deadlines().at(next, () -> {
+        pending = loop.deadlines().schedule(next, () -> {
             pendingAt = Double.POSITIVE_INFINITY;
             clock.look(loop.now());
             look();
@@ -134,12 +134,12 @@
                 }, this::fail);
             } catch (RuntimeException e) {
                 // Guards the clock's next look: an address that the system cannot even try is one that refuses.
-                loop.afterwards(this::fail);
+                loop.defer(this::fail);
             }
         }
 
         private void ask() {
-            counters.listAsks++;
+            counters.listWatches++;
             knew = table.revision();
             asked = clock.asksWhole() ? 0 : knew;
             String request = "GET /v1/servers?follow=1&since=" + asked + " HTTP/1.1\r\nHost: "
@@ -151,14 +151,14 @@
             channel.write(request, null, new CompletionHandler<Integer, Void>() {
                 @Override
                 public void completed(Integer count, Void none) {
-                    loop.turn(() -> {
+                    loop.execute(() -> {
                         if (closed) { return; }
                         if (request.hasRemaining()) { write(request); } else { read(); }
                     });
                 }
 
                 @Override
-                public void failed(Throwable why, Void none) { loop.turn(Stream.this::fail); }
+                public void failed(Throwable why, Void none) { loop.execute(Stream.this::fail); }
             });
         }
 
@@ -166,10 +166,10 @@
             in.clear();
             channel.read(in, null, new CompletionHandler<Integer, Void>() {
                 @Override
-                public void completed(Integer count, Void none) { loop.turn(() -> got(count)); }
+                public void completed(Integer count, Void none) { loop.execute(() -> got(count)); }
 
                 @Override
-                public void failed(Throwable why, Void none) { loop.turn(Stream.this::end); }
+                public void failed(Throwable why, Void none) { loop.execute(Stream.this::end); }
             });
         }
 
@@ -215,12 +215,12 @@
         }
 
         private void bad(IOException why) {
-            counters.listBad++;
+            counters.malformedListLines++;
             System.err.println("service table: " + String.valueOf(why.getMessage()).lines().findFirst().orElse(""));
         }
 
         private void news(String object) throws IOException {
-            Codec.Fields fields = DiscoveredBackends.read(object);
+            Codec.JsonObject fields = DiscoveredBackends.read(object);
             boolean first = clock.isHeir(number);
             long version = table.revision(fields);
             // Guards against an answer that was written before what the old watch has told meanwhile, and would undo it. The
@@ -232,11 +232,11 @@
                 for (Api.Server server : news.servers()) { other.newer.add(server.id()); }
             }
             counters.listChanges++;
-            counters.listWhole += news.kind() == Api.ListKind.FULL ? 1 : 0;
-            ingress.tell(news);
+            counters.completeLists += news.kind() == Api.ListKind.FULL ? 1 : 0;
+            ingress.deliver(news);
             spoken = true;
             if (table.unread() > 0) {
-                counters.listBad += table.unread();
+                counters.malformedListLines += table.unread();
                 System.err.println("service table: " + table.unread() + " entries cannot be read");
             }
             if (table.unread() > 0 && !(first && asked == 0)) {
--- a/src/main/java/yardusher/fence/Memory.java
+++ b/src/main/java/yardusher/fence/Memory.java
@@ -191,12 +191,12 @@
                 try {
                     ledger.append(lines);
                     ledger.force();
-                    if (ledger.isLong()) { loop.turn(this::rollLater); }
+                    if (ledger.isLong()) { loop.execute(this::rollLater); }
                 } catch (IOException e) {
                     why = e;
                 }
                 IOException told = why;
-                loop.turn(() -> {
+                loop.execute(() -> {
                     complain(told);
                     writing = false;
                     heirs.forEach(heir -> heir.accept(told));
--- a/src/main/java/yardusher/fleet/Desk.java
+++ b/src/main/java/yardusher/fleet/Desk.java
@@ -8,7 +8,7 @@
 import yardusher.error.CommandError;
 import yardusher.error.WireError;
 import yardusher.error.YardusherError;
-import yardusher.net.Answers;
+import yardusher.net.RespServer;
 import yardusher.net.Sockets;
 import yardusher.register.Kind;
 import yardusher.register.Member;
@@ -36,7 +36,7 @@
     }
 
     /** Answers a command of the fleet's, now or later. */
-    void command(byte[][] words, Answers.Slot slot) {
+    void command(byte[][] words, RespServer.Slot slot) {
         String name = new String(words[0], StandardCharsets.ISO_8859_1).toUpperCase(Locale.ROOT);
         if (words.length < 2 || !new String(words[1], StandardCharsets.UTF_8).equals(settings.installation())) {
             slot.answer(failure("ERR this agent belongs to installation " + settings.installation()));
@@ -65,11 +65,11 @@
         }
     }
 
-    private static byte[] failure(String text) { return new Encoder(64).failure(text).toBytes(); }
+    private static byte[] failure(String text) { return new Encoder(64).error(text).toBytes(); }
 
     private static byte[] encoded(Value answer) {
-        return answer instanceof Value.Failure failure ? failure(failure.text())
-                : new Encoder(256).bulk(((Value.Bulk) answer).bytes()).toBytes();
+        return answer instanceof Value.ErrorReply failure ? failure(failure.text())
+                : new Encoder(256).bulk(((Value.BulkString) answer).bytes()).toBytes();
     }
 
     private static String text(byte[][] words, int at) {
@@ -77,27 +77,27 @@
         return new String(words[at], StandardCharsets.UTF_8);
     }
 
-    private void raft(byte[][] words, Answers.Slot slot) throws IOException {
+    private void raft(byte[][] words, RespServer.Slot slot) throws IOException {
         if (words.length != 4) { throw new CommandError.Argument("wrong number of arguments"); }
         if (fellows.peer(text(words, 2)) == null) { throw new CommandError.NotFound("no member " + text(words, 2)); }
         seat.node().hear(words[3]);
-        slot.answer(new Encoder(16).simple("OK").toBytes());
+        slot.answer(new Encoder(16).simpleString("OK").toBytes());
     }
 
     /** A member asks this one, which it takes for the leader. */
-    private void operation(byte[][] words, Answers.Slot slot) throws IOException {
+    private void operation(byte[][] words, RespServer.Slot slot) throws IOException {
         if (words.length != 3 || words[2].length > Op.MOST_BYTES) { throw new CommandError.Argument("an operation of at most " + Op.MOST_BYTES + " bytes is needed"); }
         answer(Op.decode(words[2]), slot);
     }
 
-    private void answer(Op op, Answers.Slot slot) {
+    private void answer(Op op, RespServer.Slot slot) {
         seat.here(op, (answer, leader) -> slot.answer(answer == null
                 ? failure("TRYAGAIN " + (leader == null ? "nobody leads" : leader + " leads"))
                 : new Encoder(128).bulk(answer.encode()).toBytes()));
     }
 
     /** An operator's order, with its id: passed to the register by whichever agent is asked. */
-    private void order(byte[][] words, Answers.Slot slot) {
+    private void order(byte[][] words, RespServer.Slot slot) {
         String command = text(words, 2);
         if (!command.matches("[0-9a-zA-Z-]{8,64}")) { throw new CommandError.Argument("a command's id is 8 to 64 letters, digits and '-'"); }
         String by = text(words, 3);
@@ -114,7 +114,7 @@
             case "stop" -> new Op.Stop(command, by, now, Kind.of(text(words, 5)));
             case "step-down" -> new Op.StepDown(command, by, Kind.of(text(words, 5)));
             case "admit" -> {
-                Sockets.address(text(words, 6));
+                Sockets.parseAddress(text(words, 6));
                 yield new Op.Admit(command, new Member(text(words, 5)).name(), text(words, 6));
             }
             case "forget" -> new Op.Forget(command, new Member(text(words, 5)).name());
@@ -136,26 +136,26 @@
     }
 
     /** Changes who takes part, at the leader, until that is so. */
-    private void member(String member, boolean in, double until, Answers.Slot slot, String text) {
+    private void member(String member, boolean in, double until, RespServer.Slot slot, String text) {
         Consumer<Boolean> then = done -> {
             if (done) {
                 slot.answer(new Encoder(128).bulk(text).toBytes());
             } else if (loop.now() > until || seat.isClosed()) {
                 slot.answer(failure("TRYAGAIN the members could not be changed yet; ask again"));
             } else {
-                loop.deadlines().at(loop.now() + TRY_AGAIN_MS, () -> member(member, in, until, slot, text));
+                loop.deadlines().schedule(loop.now() + TRY_AGAIN_MS, () -> member(member, in, until, slot, text));
             }
         };
         seat.change(member, in, then);
     }
 
-    private void change(String member, boolean in, Answers.Slot slot) {
+    private void change(String member, boolean in, RespServer.Slot slot) {
         seat.changeHere(new Member(member).name(), in, done ->
                 slot.answer(done ? new Encoder(16).bulk("done").toBytes() : failure("TRYAGAIN not now")));
     }
 
     /** The whole state: through the register, or this member's own copy, and which of the two it is. */
-    private void read(Answers.Slot slot) {
+    private void read(RespServer.Slot slot) {
         seat.untilAnswered(new Op.Read(), loop.now() + 1500, answer -> {
             try {
                 View told = answer == null || answer.state() == null ? seat.view() : View.of(answer.state());
--- a/src/main/java/yardusher/fleet/Fellows.java
+++ b/src/main/java/yardusher/fleet/Fellows.java
@@ -23,7 +23,7 @@
     /** A member is there from now on. */
     void know(String name, String address) {
         if (name.equals(settings.member())) { return; }
-        InetSocketAddress at = Sockets.address(address);
+        InetSocketAddress at = Sockets.parseAddress(address);
         Peer known = peers.get(name);
         if (known == null) { peers.put(name, new Peer(sockets, at, random)); } else { known.move(at); }
     }
--- a/src/main/java/yardusher/fleet/FleetAgent.java
+++ b/src/main/java/yardusher/fleet/FleetAgent.java
@@ -6,7 +6,7 @@
 import yardusher.disk.Storage;
 import yardusher.error.RegisterError;
 import yardusher.fence.Memory;
-import yardusher.net.Answers;
+import yardusher.net.RespServer;
 import yardusher.net.Sockets;
 import yardusher.register.Store;
 
@@ -85,7 +85,7 @@
     }
 
     /** Answers a command of the fleet's, now or later. */
-    public void command(byte[][] words, Answers.Slot slot) { desk.command(words, slot); }
+    public void command(byte[][] words, RespServer.Slot slot) { desk.command(words, slot); }
 
     /** Ends this member's part. What it holds is taken by others once its lease is over. */
     public void close() {
--- a/src/main/java/yardusher/fleet/FleetSettings.java
+++ b/src/main/java/yardusher/fleet/FleetSettings.java
@@ -42,7 +42,7 @@
             one.only(MEMBER_KEYS);
             String name = name(one, "name");
             String address = one.text("address");
-            Sockets.address(address);
+            Sockets.parseAddress(address);
             if (members.containsKey(name)) { throw new ConfigError.Conflict(null, "fleet.members", "fleet.members: " + name + " stands twice"); }
             if (members.containsValue(address)) { throw new ConfigError.Conflict(null, "fleet.members", "fleet.members: two members at " + address); }
             members.put(name, address);
--- a/src/main/java/yardusher/fleet/Holder.java
+++ b/src/main/java/yardusher/fleet/Holder.java
@@ -72,7 +72,7 @@
 
     void tick() {
         if (seat.isClosed()) { return; }
-        tick = loop.deadlines().at(loop.now() + REST_MS, this::tick); // before: a fault in what follows must not end it
+        tick = loop.deadlines().schedule(loop.now() + REST_MS, this::tick); // before: a fault in what follows must not end it
         look();
         outpost.tellAll();
         double now = loop.now();
@@ -80,7 +80,7 @@
         // What is due already waits for somebody else's word, which brings a turn of its own.
         double next = !holdings.isEmpty() ? now + TICK_MS : due > now ? Math.min(due + 1, now + REST_MS) : now + REST_MS;
         loop.deadlines().cancel(tick);
-        tick = loop.deadlines().at(next, this::tick);
+        tick = loop.deadlines().schedule(next, this::tick);
     }
 
     private boolean wants(Work work) {
@@ -136,7 +136,7 @@
     private void keep(Holding holding, Undertaking.Keep keep) {
         seat.ask(new Op.Checkpoint(holding.kind, holding.token, keep.seq(), keep.text(), keep.state(), keep.note()), answer -> {
             if (answer == null) {                    // nobody knows: asked again until the lease is over
-                loop.deadlines().at(loop.now() + TRY_AGAIN_MS, () -> {
+                loop.deadlines().schedule(loop.now() + TRY_AGAIN_MS, () -> {
                     if (isCurrent(holding)) { keep(holding, keep); }
                 });
             } else if (answer.ok()) {
@@ -151,7 +151,7 @@
 
     private void seal(Holding holding, String member) {
         ask(member, List.of("FLEET.SEAL", holding.kind.word(), Long.toString(holding.token)), answer -> {
-            if (answer instanceof Value.Bulk told) {
+            if (answer instanceof Value.BulkString told) {
                 List<Undertaking.Standing> standings = new ArrayList<>();
                 for (String line : told.text().lines().toList()) {
                     String[] words = line.split(" ");
@@ -159,7 +159,7 @@
                 }
                 holding.undertaking.sealed(loop.now(), member, standings);
             } else {
-                holding.undertaking.silent(loop.now(), member, answer instanceof Value.Failure failure ? failure.text() : "no answer");
+                holding.undertaking.silent(loop.now(), member, answer instanceof Value.ErrorReply failure ? failure.text() : "no answer");
             }
             advance(holding);
         });
@@ -167,10 +167,10 @@
 
     private void order(Holding holding, Undertaking.Do order) {
         ask(order.member(), List.of("FLEET.DO", holding.kind.word(), Long.toString(holding.token), order.step(), order.act()), answer -> {
-            if (answer instanceof Value.Bulk told) {
+            if (answer instanceof Value.BulkString told) {
                 holding.undertaking.told(loop.now(), order.member(), order.step(), told.text());
             } else {
-                holding.undertaking.silent(loop.now(), order.member(), answer instanceof Value.Failure failure ? failure.text() : "no answer");
+                holding.undertaking.silent(loop.now(), order.member(), answer instanceof Value.ErrorReply failure ? failure.text() : "no answer");
             }
             advance(holding);
         });
@@ -179,12 +179,12 @@
     /** Asks an agent, which may be this one; {@code then} hears null for no answer. */
     private void ask(String member, List<String> words, Consumer<Value> then) {
         if (member.equals(settings.member())) {
-            outpost.command(words.toArray(new String[0]), answer -> loop.afterwards(() -> then.accept(answer)));
+            outpost.command(words.toArray(new String[0]), answer -> loop.defer(() -> then.accept(answer)));
             return;
         }
         Peer peer = fellows.peer(member);
         if (peer == null) {
-            loop.afterwards(() -> then.accept(null));
+            loop.defer(() -> then.accept(null));
             return;
         }
         String[] rest = words.subList(1, words.size()).toArray(new String[0]);
--- a/src/main/java/yardusher/fleet/Outpost.java
+++ b/src/main/java/yardusher/fleet/Outpost.java
@@ -91,13 +91,13 @@
             if (token == 0 || token > MOST_TOKEN) { throw new CommandError.Argument("no token"); }
             if (words[0].equals("FLEET.SEAL")) { seal(kind, token, then); } else { order(kind, token, words[3], words[4], then); }
         } catch (YardusherError e) {
-            then.accept(new Value.Failure("ERR " + e.getMessage()));
+            then.accept(new Value.ErrorReply("ERR " + e.getMessage()));
         }
     }
 
-    private static Value fenced(long newer) { return new Value.Failure("FENCED token " + newer + " is newer"); }
+    private static Value fenced(long newer) { return new Value.ErrorReply("FENCED token " + newer + " is newer"); }
 
-    private static Value text(String text) { return new Value.Bulk(text.getBytes(StandardCharsets.UTF_8)); }
+    private static Value text(String text) { return new Value.BulkString(text.getBytes(StandardCharsets.UTF_8)); }
 
     /** The token that this member's own copy says was given last. */
     private long given(Kind kind) {
@@ -114,14 +114,14 @@
             // Guards against tokens made up: what the register has not given here is not believed.
             if (waiting.size() >= MOST_WAITING) { then.accept(unproven(token)); } else {
                 waiting.add(new Waiting(kind, token, loop.now() + SEAL_WAIT_MS, then));
-                loop.deadlines().at(loop.now() + SEAL_WAIT_MS, this::changed);
+                loop.deadlines().schedule(loop.now() + SEAL_WAIT_MS, this::changed);
             }
         } else {
             boolean anew = token > fence.sealed(kind.word());
             if (anew) { note(kind, token, "-", "seals"); }
             memory.seal(kind.word(), token, why -> {
                 if (why != null) {
-                    then.accept(new Value.Failure("DISK " + why.getMessage()));
+                    then.accept(new Value.ErrorReply("DISK " + why.getMessage()));
                 } else if (!fence.may(kind.word(), token)) {
                     then.accept(fenced(fence.sealed(kind.word())));
                 } else {
@@ -131,7 +131,7 @@
         }
     }
 
-    private static Value unproven(long token) { return new Value.Failure("UNPROVEN token " + token + " is not known here"); }
+    private static Value unproven(long token) { return new Value.ErrorReply("UNPROVEN token " + token + " is not known here"); }
 
     private Value standings() {
         StringBuilder out = new StringBuilder();
@@ -158,7 +158,7 @@
             note(kind, token, step, "refused, " + refused.newer() + " is newer");
             then.accept(fenced(refused.newer()));
         } else if (verdict instanceof Fence.Unsealed unsealed) {
-            then.accept(new Value.Failure("UNSEALED token " + token + ", sealed is " + unsealed.sealed()));
+            then.accept(new Value.ErrorReply("UNSEALED token " + token + ", sealed is " + unsealed.sealed()));
         } else if (verdict instanceof Fence.Over over) {
             then.accept(text(over.outcome()));
         } else if (verdict instanceof Fence.Running) {
@@ -192,7 +192,7 @@
         memory.begin(kind.word(), token, step, act, before, why -> {
             if (why != null) {
                 fence.drop(kind.word(), step);
-                then.accept(new Value.Failure("DISK " + why.getMessage()));
+                then.accept(new Value.ErrorReply("DISK " + why.getMessage()));
             } else if (!fence.may(kind.word(), token) || token < given(kind)) {
                 memory.drop(kind.word(), step);      // a newer owner came while this was being written
                 note(kind, token, step, "dropped, " + Math.max(fence.sealed(kind.word()), given(kind)) + " is newer");
@@ -305,7 +305,7 @@
             } else {
                 knows.unable = answer;
             }
-            loop.afterwards(this::tellAll);
+            loop.defer(this::tellAll);
         });
     }
 }
--- a/src/main/java/yardusher/fleet/Peer.java
+++ b/src/main/java/yardusher/fleet/Peer.java
@@ -7,16 +7,16 @@
 import java.util.random.RandomGenerator;
 import yardusher.core.Deadlines;
 import yardusher.core.EventLoop;
-import yardusher.net.Link;
+import yardusher.net.Connection;
 import yardusher.net.Sockets;
-import yardusher.resp.Malformed;
+import yardusher.resp.MalformedRespException;
 import yardusher.resp.Value;
 
 /**
  * The way to one other agent: RESP commands on one connection, answered in their order. What is not answered in time is
  * given up, its answer dropped when it comes. Bounded; a member that is slow or away costs nobody else anything. In loop.
  */
-final class Peer implements Link.Owner {
+final class Peer implements Connection.Owner {
     private static final int MOST_ASKED = 64;
     private static final int MOST_QUEUED = 512 * 1024; // bytes not yet taken by the system
     private static final double DIAL_MS = 500;
@@ -38,7 +38,7 @@
     private final RandomGenerator random;
     private InetSocketAddress address;
     private final ArrayDeque<Asked> asked = new ArrayDeque<>(); // written and unwritten, in order
-    private Link link;
+    private Connection link;
     private boolean dialling;
     private double waitMs;                           // before the next dial; 0 after a success
     private double dialAt;
@@ -65,15 +65,15 @@
 
     /** Asks; one of the two is run later, in a turn, and {@code orElse} after so many ms at the latest. */
     void ask(byte[] command, double withinMs, Consumer<Value> then, Runnable orElse) {
-        boolean full = asked.size() >= MOST_ASKED || link != null && link.queued() > MOST_QUEUED;
+        boolean full = asked.size() >= MOST_ASKED || link != null && link.queuedBytes() > MOST_QUEUED;
         if (closed || full || link == null && !dialling && loop.now() < dialAt) {
-            loop.afterwards(orElse);
+            loop.defer(orElse);
             return;
         }
         Asked one = new Asked(command);
         one.then = then;
         one.orElse = orElse;
-        one.limit = loop.deadlines().at(loop.now() + withinMs, () -> {
+        one.limit = loop.deadlines().schedule(loop.now() + withinMs, () -> {
             giveUp(one);
             if (link != null && loop.now() - heardAt > STUCK_MS) {
                 link.close();
@@ -96,7 +96,7 @@
         dialling = true;
         sockets.connect(address, DIAL_MS, channel -> {
             dialling = false;
-            link = new Link(channel, loop, this);
+            link = new Connection(channel, loop, this);
             heardAt = loop.now();
             asked.removeIf(one -> one.then == null);  // given up before they were written
             for (Asked one : asked) { link.write(one.command); }
@@ -121,21 +121,21 @@
     }
 
     @Override
-    public boolean readable(Link from) {
+    public boolean onReadable(Connection from) {
         if (from != link) { return false; }
         try {
-            for (Value answer; (answer = from.decoder().value()) != null;) {
+            for (Value answer; (answer = from.decoder().nextValue()) != null;) {
                 Asked one = asked.poll();
                 heardAt = loop.now();
                 waitMs = 0;
-                if (one == null) { throw new Malformed("an answer that nobody asked for"); }
+                if (one == null) { throw new MalformedRespException("an answer that nobody asked for"); }
                 loop.deadlines().cancel(one.limit);
                 Consumer<Value> then = one.then;
                 if (then != null) { then.accept(answer); }
                 if (link != from) { return false; }
             }
             return true;
-        } catch (Malformed e) {
+        } catch (MalformedRespException e) {
             from.close();
             lost();
             return false;
@@ -143,7 +143,7 @@
     }
 
     @Override
-    public void ended(Link from) {
+    public void onClosed(Connection from) {
         if (from == link) { lost(); }
     }
 
--- a/src/main/java/yardusher/fleet/Seat.java
+++ b/src/main/java/yardusher/fleet/Seat.java
@@ -74,14 +74,14 @@
         made[0] = new Node(settings.installation(), settings.member(), first, store, settings.heartbeatMs(), loop,
                 () -> System.nanoTime() / 1e6, new Random(random.nextLong()), new Node.World() {
                     @Override
-                    public void send(String member, byte[] message) { turns.turn(() -> sendRaft(member, message)); }
+                    public void send(String member, byte[] message) { turns.execute(() -> sendRaft(member, message)); }
 
                     @Override
                     public boolean reaches(String member) { return true; }
 
                     @Override
                     public void changed(View now) {
-                        turns.turn(() -> {
+                        turns.execute(() -> {
                             if (node != made[0]) { return; }
                             view = now;
                             changed.run();
@@ -89,7 +89,7 @@
                     }
 
                     @Override
-                    public void broken(IOException why) { turns.turn(() -> brokenStore(made[0], why)); }
+                    public void broken(IOException why) { turns.execute(() -> brokenStore(made[0], why)); }
                 });
         node = made[0];
         node.start();
@@ -101,7 +101,7 @@
         System.err.println("agent: " + settings.member() + " takes no part in the register: " + why.getMessage());
         failed.stop(() -> { });
         loop.shutdown();
-        turns.deadlines().at(turns.now() + REOPEN_MS, this::reopen);
+        turns.deadlines().schedule(turns.now() + REOPEN_MS, this::reopen);
     }
 
     private void reopen() {
@@ -119,12 +119,12 @@
             }
             Store found = opened;
             IOException told = why;
-            turns.turn(() -> {
+            turns.execute(() -> {
                 opening.shutdown();
                 if (closed) { return; }
                 if (found == null) {
                     System.err.println("agent: " + settings.member() + " takes no part in the register: " + told.getMessage());
-                    turns.deadlines().at(turns.now() + REOPEN_MS, this::reopen);
+                    turns.deadlines().schedule(turns.now() + REOPEN_MS, this::reopen);
                     return;
                 }
                 store = found;
@@ -156,7 +156,7 @@
 
     private static Answer decoded(Value value) {
         try {
-            return value instanceof Value.Bulk bulk && bulk.bytes() != null ? Answer.decode(bulk.bytes()) : null;
+            return value instanceof Value.BulkString bulk && bulk.bytes() != null ? Answer.decode(bulk.bytes()) : null;
         } catch (IOException e) {
             return null;
         }
@@ -170,7 +170,7 @@
     /** Asks this member's own node, for at most {@link #OP_MS}. */
     void here(Op op, Here then) {
         boolean[] over = new boolean[1];
-        Deadlines.Entry limit = turns.deadlines().at(turns.now() + OP_MS, () -> {
+        Deadlines.Entry limit = turns.deadlines().schedule(turns.now() + OP_MS, () -> {
             if (!over[0]) {
                 over[0] = true;
                 then.said(null, null);
@@ -184,7 +184,7 @@
             public void notHere(String leader, boolean unknown) { tell(null, unknown ? null : leader); }
 
             private void tell(Answer answer, String leader) {
-                turns.turn(() -> {
+                turns.execute(() -> {
                     turns.deadlines().cancel(limit);
                     if (!over[0]) {
                         over[0] = true;
@@ -201,7 +201,7 @@
             if (answer != null || turns.now() > until || closed) {
                 then.accept(answer);
             } else {
-                turns.deadlines().at(turns.now() + TRY_AGAIN_MS, () -> untilAnswered(op, until, then));
+                turns.deadlines().schedule(turns.now() + TRY_AGAIN_MS, () -> untilAnswered(op, until, then));
             }
         });
     }
@@ -215,7 +215,7 @@
             changeHere(member, in, then);
         } else if (fellows.peer(leader) != null) {
             fellows.peer(leader).ask(fellows.command("FLEET.CHANGE", member, in ? "in" : "out").toBytes(), OP_MS,
-                    answer -> then.accept(answer instanceof Value.Bulk), () -> then.accept(false));
+                    answer -> then.accept(answer instanceof Value.BulkString), () -> then.accept(false));
         } else {
             then.accept(false);
         }
@@ -225,10 +225,10 @@
     void changeHere(String member, boolean in, Consumer<Boolean> then) {
         node.change(member, in, new Node.Asked() {
             @Override
-            public void answered(Answer answer) { turns.turn(() -> then.accept(true)); }
+            public void answered(Answer answer) { turns.execute(() -> then.accept(true)); }
 
             @Override
-            public void notHere(String leader, boolean unknown) { turns.turn(() -> then.accept(false)); }
+            public void notHere(String leader, boolean unknown) { turns.execute(() -> then.accept(false)); }
         });
     }
 
--- a/src/main/java/yardusher/handover/Handover.java
+++ b/src/main/java/yardusher/handover/Handover.java
@@ -8,21 +8,21 @@
 import java.security.MessageDigest;
 import java.util.Collection;
 import yardusher.core.Deadlines;
-import yardusher.core.Neighbours;
+import yardusher.core.PeerSender;
 import yardusher.core.EventLoop;
 import yardusher.error.CommandError;
 import yardusher.error.WireError;
 import yardusher.error.YardusherError;
 import yardusher.log.Events;
-import yardusher.net.Lines;
-import yardusher.net.Link;
+import yardusher.net.LineReader;
+import yardusher.net.Connection;
 import yardusher.net.Sockets;
 
 /**
  * Two processes of one ingress while a new version takes over: finds the process that serves already, is asked by the one
  * that comes after, and says which of the two owns what; see docs/design/upgrade.md. In turns only, but for its making.
  */
-public final class Handover implements Neighbours, Other.Ear {
+public final class Handover implements PeerSender, Other.Ear {
     /** What this program does on its way. */
     public interface Program {
         /** A region is out by hand, or no longer; here only. */
@@ -108,13 +108,13 @@
             serve();
             return;
         }
-        foundBy = loop.deadlines().at(loop.now() + FOUND_MS, () -> alone("it does not answer"));
+        foundBy = loop.deadlines().schedule(loop.now() + FOUND_MS, () -> alone("it does not answer"));
         String call = "handover " + Note.VERSION + " " + before.token() + "\n";
         Runnable drop = sockets.connect(before.address(), FOUND_MS, channel -> {
             if (serving) { return; }
-            Lines lines = new Lines(Word.MOST_LINE);
+            LineReader lines = new LineReader(Word.MOST_LINE);
             other = new Other(lines, this);
-            Link link = new Link(channel, loop, other, lines);
+            Connection link = new Connection(channel, loop, other, lines);
             other.on(link);
             link.write(call.getBytes(StandardCharsets.US_ASCII));
             link.readMore();
@@ -162,7 +162,7 @@
      * The next version asks for what is known, with this line; what it says afterwards comes to the result. An
      * {@link CommandError} for one that may not.
      */
-    public Link.Owner succeed(String line, Lines lines, Link link) {
+    public Connection.Owner succeed(String line, LineReader lines, Connection link) {
         String[] words = line.split(" ", -1);
         if (words.length != 3 || own == null || !MessageDigest.isEqual(words[2].getBytes(StandardCharsets.ISO_8859_1),
                 own.token().getBytes(StandardCharsets.ISO_8859_1))) {
@@ -193,7 +193,7 @@
             if (!over[0]) { then.run(); }
             over[0] = true;
         };
-        Deadlines.Entry limit = loop.deadlines().at(loop.now() + HELD_MS, once);
+        Deadlines.Entry limit = loop.deadlines().schedule(loop.now() + HELD_MS, once);
         other.ban(new Word.Ban(region, out), () -> {
             loop.deadlines().cancel(limit);
             once.run();
@@ -211,7 +211,7 @@
     }
 
     @Override
-    public void tell(int to, String body) {
+    public void send(int to, String body) {
         if (to == self) {
             if (other != null) { other.say(new Word.Heard(self, body)); }
         } else if (port || other == null) {
--- a/src/main/java/yardusher/handover/Note.java
+++ b/src/main/java/yardusher/handover/Note.java
@@ -60,7 +60,7 @@
             throw new WireError.Malformed(file, "is torn");
         }
         try {
-            return new Note(Sockets.address(lines.get(1)), lines.get(2));
+            return new Note(Sockets.parseAddress(lines.get(1)), lines.get(2));
         } catch (ConfigError e) {
             throw new WireError.Malformed(file, "is torn", e);
         }
--- a/src/main/java/yardusher/handover/Other.java
+++ b/src/main/java/yardusher/handover/Other.java
@@ -3,11 +3,11 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import yardusher.error.WireError;
-import yardusher.net.Lines;
-import yardusher.net.Link;
+import yardusher.net.LineReader;
+import yardusher.net.Connection;
 
 /** The link to the other process of this ingress: words in, words out. In turns only. */
-public final class Other implements Link.Owner {
+public final class Other implements Connection.Owner {
     /** What is done with what the other says. */
     public interface Ear {
         void heard(Other from, Word word);
@@ -16,18 +16,18 @@
         void gone(Other other);
     }
 
-    private final Lines lines;
+    private final LineReader lines;
     private final Ear ear;
     private final ArrayDeque<Runnable> unheld = new ArrayDeque<>();
-    private Link link;
+    private Connection link;
 
-    public Other(Lines lines, Ear ear) {
+    public Other(LineReader lines, Ear ear) {
         this.lines = lines;
         this.ear = ear;
     }
 
     /** The connection that carries it, whose lines are those given before. */
-    public void on(Link carried) { link = carried; }
+    public void on(Connection carried) { link = carried; }
 
     public void say(Word word) { raw(word.line()); }
 
@@ -46,9 +46,9 @@
     }
 
     @Override
-    public boolean readable(Link from) {
+    public boolean onReadable(Connection from) {
         try {
-            for (String line; !link.isClosed() && (line = lines.next()) != null;) { ear.heard(this, Word.of(line)); }
+            for (String line; !link.isClosed() && (line = lines.nextLine()) != null;) { ear.heard(this, Word.of(line)); }
             return true;
         } catch (WireError e) {
             close();
@@ -57,7 +57,7 @@
     }
 
     @Override
-    public void ended(Link from) { over(); }
+    public void onClosed(Connection from) { over(); }
 
     /** Ends the link from this side. */
     public void close() {
--- a/src/main/java/yardusher/journal/Entry.java
+++ b/src/main/java/yardusher/journal/Entry.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import yardusher.Api;
-import yardusher.core.OrderLog;
+import yardusher.core.RequestLog;
 
 /** One record of the journal. Times are microseconds of Unix time; an order's number is unique within its life. */
 sealed interface Entry {
@@ -16,7 +16,7 @@
     record Opened(long atUs, long life, String name, List<String> classes, List<String> plans) implements Entry { }
 
     /** An order that was open when the segment began, with all that was known of it. */
-    record Carried(long atUs, long life, long order, Facts facts, OrderLog.Answer answer, List<Order.Try> tries)
+    record Carried(long atUs, long life, long order, Facts facts, RequestLog.Answer answer, List<Order.Try> tries)
             implements Entry { }
 
     record SnapshotEnd(long atUs, long count) implements Entry { }
@@ -33,7 +33,7 @@
     /** {@code mayHaveGone} is false where no byte of the attempt can have left whole. */
     record Ended(long atUs, long order, int attempt, Api.Outcome outcome, boolean mayHaveGone) implements Entry { }
 
-    record Answered(long atUs, long order, OrderLog.Answer answer) implements Entry { }
+    record Answered(long atUs, long order, RequestLog.Answer answer) implements Entry { }
 
     /** A later life found the order open. */
     record Closed(long atUs, long life, long order) implements Entry { }
--- a/src/main/java/yardusher/journal/EntryCodec.java
+++ b/src/main/java/yardusher/journal/EntryCodec.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import yardusher.Api;
-import yardusher.core.OrderLog;
+import yardusher.core.RequestLog;
 
 /**
  * Entries as protobuf messages, in the fields of journal.proto. Written with the runtime's streams and no generated
@@ -17,7 +17,7 @@
     private static final int OPENED = 1, CARRIED = 2, SNAPSHOT_END = 3, TAKEN = 4, INTENDED = 5, WRITTEN = 6, ENDED = 7,
             ANSWERED = 8, CLOSED = 9, GAP = 10;
     private static final Api.Outcome[] OUTCOMES = Api.Outcome.values();
-    private static final OrderLog.Answer[] ANSWERS = OrderLog.Answer.values();
+    private static final RequestLog.Answer[] ANSWERS = RequestLog.Answer.values();
 
     private EntryCodec() { }
 
@@ -218,7 +218,7 @@
         return OUTCOMES[number - 1];
     }
 
-    private static OrderLog.Answer answer(int number) throws IOException {
+    private static RequestLog.Answer answer(int number) throws IOException {
         if (number < 1 || number > ANSWERS.length) { throw new IOException("answer " + number); }
         return ANSWERS[number - 1];
     }
--- a/src/main/java/yardusher/journal/Journal.java
+++ b/src/main/java/yardusher/journal/Journal.java
@@ -7,8 +7,8 @@
 import yardusher.Api;
 import yardusher.core.Attempt;
 import yardusher.core.Deadlines;
-import yardusher.core.Ids;
-import yardusher.core.OrderLog;
+import yardusher.core.IdGenerator;
+import yardusher.core.RequestLog;
 import yardusher.core.Request;
 import yardusher.core.EventLoop;
 import yardusher.disk.Folder;
@@ -22,7 +22,7 @@
  * in a batch, which goes to the writing thread at the turn's end where an attempt waits for it, or a little later;
  * while one batch is written the next gathers, and all that wait in it share its write.
  */
-public final class Journal implements OrderLog {
+public final class Journal implements RequestLog {
     /** Entries that gather at the most; further ones are lost, and counted. */
     static final int MOST_GATHERED = 20_000;
     private static final double RETRY_MS = 100;      // after a write that failed; doubles
@@ -99,7 +99,7 @@
             Recovery.Found found = Recovery.run(storage, loop.now());
             Indexer indexer = new Indexer(storage, instance);
             Segments segments = new Segments(storage, settings, found,
-                    new Entry.Opened(0, new Ids().next(), instance, classes, plans), loop::now, indexer);
+                    new Entry.Opened(0, new IdGenerator().next(), instance, classes, plans), loop::now, indexer);
             for (Retention.Sealed one : found.sealed()) { indexer.build(one.number()); }
             return new Journal(loop, site, settings, segments, found, events, instance);
         } catch (IOException e) {
@@ -126,8 +126,8 @@
     }
 
     @Override
-    public Admission take(Request t) {
-        if (site.classes().get(t.order.classIndex()).effect() == Api.Effect.IDEMPOTENT) { return Admission.UNRECORDED; }
+    public Admission admit(Request t) {
+        if (site.classes().get(t.incoming.classIndex()).effect() == Api.Effect.IDEMPOTENT) { return Admission.UNRECORDED; }
         if (!records()) {
             if (settings.refuses()) {
                 counts.refused++;
@@ -146,18 +146,18 @@
     }
 
     @Override
-    public void intend(Attempt attempt, Consumer<Boolean> then) {
+    public void recordIntent(Attempt attempt, Consumer<Boolean> then) {
         Request t = attempt.request;
         if (!records()) {
             unrecordedIntent(then);
             return;
         }
-        attempt.noted = gather(new Entry.Intended(nowUs(), t.number, attempt.number, attempt.backend, facts(t), takenUs(t)));
-        t.noted |= attempt.noted;
+        attempt.intentLogged = gather(new Entry.Intended(nowUs(), t.number, attempt.number, attempt.backend, facts(t), takenUs(t)));
+        t.logged |= attempt.intentLogged;
         gathering.waiters.add(new Waiter(attempt, then));
         if (flying == null && !handsOver) {
             handsOver = true;
-            loop.afterwards(this::handOver);        // all that this turn gathers shares the write
+            loop.defer(this::handOver);        // all that this turn gathers shares the write
         }
     }
 
@@ -172,19 +172,19 @@
     }
 
     @Override
-    public void written(Attempt attempt) {
-        if (attempt.noted) { gather(new Entry.Written(nowUs(), attempt.request.number, attempt.number)); }
+    public void attemptWritten(Attempt attempt) {
+        if (attempt.intentLogged) { gather(new Entry.Written(nowUs(), attempt.request.number, attempt.number)); }
     }
 
     @Override
-    public void ended(Attempt attempt, Api.Outcome outcome) {
-        if (!attempt.noted) { return; }              // sent on unrecorded: the gap tells of it
-        gather(new Entry.Ended(nowUs(), attempt.request.number, attempt.number, outcome, attempt.mayHaveGone()));
+    public void attemptEnded(Attempt attempt, Api.Outcome outcome) {
+        if (!attempt.intentLogged) { return; }              // sent on unrecorded: the gap tells of it
+        gather(new Entry.Ended(nowUs(), attempt.request.number, attempt.number, outcome, attempt.mayHaveBeenSent()));
     }
 
     @Override
     public void answered(Request t, Answer answer) {
-        if (!t.noted) {
+        if (!t.logged) {
             // Guards the folder's room against a flood beyond a quota: what was never tried is counted, not told.
             counts.untried++;
             if (!settings.untriedToo()) { return; }
@@ -196,14 +196,14 @@
     @Override
     public double retryAfterMs() { return settings.retryAfterMs(); }
 
-    private static long takenUs(Request t) { return (long) (t.arrivedAt * 1e3); }
+    private static long takenUs(Request t) { return (long) (t.arrivedAtMs * 1e3); }
 
     private long nowUs() { return (long) (loop.now() * 1e3); }
 
     private Entry.Facts facts(Request t) {
-        String key = t.order.cargo().key();
-        return new Entry.Facts(t.order.cargo().id(), key != null, key == null ? 0 : Long.parseUnsignedLong(key, 16),
-                t.order.customer(), t.order.classIndex(), t.order.plan(), t.order.units(), prints && key != null ? t.order.cargo().print() : 0);
+        String key = t.incoming.command().key();
+        return new Entry.Facts(t.incoming.command().id(), key != null, key == null ? 0 : Long.parseUnsignedLong(key, 16),
+                t.incoming.customer(), t.incoming.classIndex(), t.incoming.plan(), t.incoming.units(), prints && key != null ? t.incoming.command().fingerprint() : 0);
     }
 
     private boolean gather(Entry entry) {
@@ -226,7 +226,7 @@
         gathering = spare;
         spare = null;
         flyingSince = loop.now();
-        if (stallAt == null) { stallAt = loop.deadlines().at(flyingSince + settings.stallMs(), this::watch); }
+        if (stallAt == null) { stallAt = loop.deadlines().schedule(flyingSince + settings.stallMs(), this::watch); }
         submit(flying);
     }
 
@@ -235,7 +235,7 @@
         scribe.submit(() -> {
             Segments.Result result = segments.append(batch.entries);
             if (result.written()) { scribe.wrote(); }
-            loop.turn(() -> completed(batch, result));
+            loop.execute(() -> completed(batch, result));
         });
     }
 
@@ -245,7 +245,7 @@
             become(Health.FAILING, result.why().getMessage());
             withdraw(batch);
             withdraw(gathering);
-            loop.deadlines().at(loop.now() + retryMs, () -> submit(batch));
+            loop.deadlines().schedule(loop.now() + retryMs, () -> submit(batch));
             retryMs = Math.min(RETRY_MOST_MS, 2 * retryMs);
             return;                                  // it goes on flying: nothing may overtake it
         }
@@ -271,7 +271,7 @@
 
     private void flushSoon() {
         if (flushAt != null) { return; }
-        flushAt = loop.deadlines().at(loop.now() + settings.flushMs(), () -> {
+        flushAt = loop.deadlines().schedule(loop.now() + settings.flushMs(), () -> {
             flushAt = null;
             handOver();
         });
@@ -285,7 +285,7 @@
         if (due <= loop.now() && health != Health.FAILING) {
             stalled();
         } else {
-            stallAt = loop.deadlines().at(Math.max(due, loop.now() + settings.flushMs()), this::watch);
+            stallAt = loop.deadlines().schedule(Math.max(due, loop.now() + settings.flushMs()), this::watch);
         }
     }
 
@@ -317,12 +317,12 @@
     }
 
     private void look() {
-        lookAt = loop.deadlines().at(loop.now() + LOOK_MS, () -> {
+        lookAt = loop.deadlines().schedule(loop.now() + LOOK_MS, () -> {
             lookAt = null;
             if (health != Health.FULL) { return; }
             scribe.submit(() -> {
                 boolean full = segments.recheck();
-                loop.turn(() -> {
+                loop.execute(() -> {
                     if (health != Health.FULL) { return; }
                     if (full) { look(); } else { become(Health.GOOD, ""); }
                 });
@@ -378,10 +378,10 @@
 
     /** Writes and syncs all that was told, and ends; false where the disk did not take it in time. Not in a turn. */
     public boolean close(long withinMs) {
-        loop.turn(this::handOver);
+        loop.execute(this::handOver);
         boolean ended = scribe.end(withinMs);
         // Entries of the last turns: the writing thread has ended, so they are written here.
-        loop.turn(() -> {
+        loop.execute(() -> {
             if (ended && flying == null && !gathering.entries.isEmpty()) { segments.append(gathering.entries); }
         });
         if (!ended) { return false; }
--- a/src/main/java/yardusher/journal/JournalSubsystem.java
+++ b/src/main/java/yardusher/journal/JournalSubsystem.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.List;
 import yardusher.Api;
-import yardusher.core.OrderLog;
+import yardusher.core.RequestLog;
 import yardusher.core.EventLoop;
 import yardusher.log.Events;
 import yardusher.subsystem.Subsystem;
@@ -25,7 +25,7 @@
     public String name() { return "journal"; }
 
     @Override
-    public OrderLog orders(OrderLog inner) { return journal; }
+    public RequestLog orders(RequestLog inner) { return journal; }
 
     @Override
     public String line() { return journal.line(); }
--- a/src/main/java/yardusher/journal/Order.java
+++ b/src/main/java/yardusher/journal/Order.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import yardusher.Api;
-import yardusher.core.OrderLog;
+import yardusher.core.RequestLog;
 
 /** What the journal knows of one order. Written by {@link OrderBook}; a reader must not change it. */
 final class Order {
@@ -45,7 +45,7 @@
     long takenUs;
     Entry.Facts facts;                               // null where every record that tells it was lost
     final List<Try> tries = new ArrayList<>(1);
-    OrderLog.Answer answer;
+    RequestLog.Answer answer;
     long answeredUs;
     long closedUs;                                   // when a later life found it open
     int firstBlock = -1;                             // where the segment being written or read tells of it first
