--- a/src/main/java/yardusher/keys/KeyedIntake.java
+++ b/src/main/java/yardusher/keys/KeyedIntake.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 import yardusher.Api;
 import yardusher.core.Deadlines;
-import yardusher.core.Flow;
-import yardusher.core.Intake;
-import yardusher.core.Order;
+import yardusher.core.ResponseStream;
+import yardusher.core.RequestAcceptor;
+import yardusher.core.IncomingRequest;
 import yardusher.core.Session;
-import yardusher.core.Stay;
+import yardusher.core.RequestHandle;
 import yardusher.core.Terminal;
 import yardusher.core.EventLoop;
 
@@ -20,15 +20,15 @@
  * that is held. What leads becomes a transaction of the core, so quotas, regions and the journal see each run once. Used
  * in turns only.
  */
-public final class KeyedIntake implements Intake {
-    private final Intake core;
+public final class KeyedIntake implements RequestAcceptor {
+    private final RequestAcceptor core;
     private final EventLoop loop;
     private final KeyTable<Asker> table;
     private final KeyTable.Rule[] rules;
     private final double retryAfterMs;
     private final Map<Long, Flight> flights = new HashMap<>(); // a key's transaction; as many as run
 
-    public KeyedIntake(Intake core, EventLoop loop, KeySettings settings, List<Api.RequestClass> classes, List<String> names) {
+    public KeyedIntake(RequestAcceptor core, EventLoop loop, KeySettings settings, List<Api.RequestClass> classes, List<String> names) {
         settings.check(names);
         this.core = core;
         this.loop = loop;
@@ -43,27 +43,27 @@
     }
 
     /** One request with a key: its own deadline, its own place on its connection. */
-    private final class Asker implements Stay {
-        final Order order;
+    private final class Asker implements RequestHandle {
+        final IncomingRequest order;
         final long key;
         final double deadline;
         Deadlines.Entry lastCall;                    // while it waits; who leads has the core's
         boolean over;
 
-        Asker(Order order, long key) {
+        Asker(IncomingRequest order, long key) {
             this.order = order;
             this.key = key;
             this.deadline = loop.now() + order.waitMs();
         }
 
         @Override
-        public Order order() { return order; }
+        public IncomingRequest incoming() { return order; }
 
         @Override
         public boolean mayHaveRun() { return flights.containsKey(key) && flights.get(key).mayHaveRun(); }
 
         @Override
-        public void gone() {
+        public void terminalLeft() {
             if (!over) { leave(this); }
         }
 
@@ -91,7 +91,7 @@
     /** A run's transaction in the core. */
     private final class Flight implements Terminal {
         final Asker leader;
-        Stay stay;
+        RequestHandle stay;
         boolean over;
 
         Flight(Asker leader) { this.leader = leader; }
@@ -111,17 +111,17 @@
 
         /** Who leads gets it as it comes. It is too large to be held, so repeats, now and later, hear that it ran. */
         @Override
-        public Flow begin(long length) {
-            Flow flow = leader.order.terminal().begin(length);
-            return flow == null ? null : new Flow() {
+        public ResponseStream beginStream(long length) {
+            ResponseStream flow = leader.order.terminal().beginStream(length);
+            return flow == null ? null : new ResponseStream() {
                 @Override
-                public void part(ByteBuffer bytes, Runnable taken) { flow.part(bytes, taken); }
+                public void write(ByteBuffer bytes, Runnable taken) { flow.write(bytes, taken); }
 
                 @Override
                 public void end() { over(KeyTable.Ending.SERVED, flow::end); }
 
                 @Override
-                public void broken() { over(KeyTable.Ending.MAY_HAVE_RUN, flow::broken); }
+                public void fail() { over(KeyTable.Ending.MAY_HAVE_RUN, flow::fail); }
             };
         }
 
@@ -165,15 +165,15 @@
     }
 
     @Override
-    public Stay take(Order order) {
-        String told = order.cargo().key();
-        if (told == null) { return core.take(order); }
+    public RequestHandle accept(IncomingRequest order) {
+        String told = order.command().key();
+        if (told == null) { return core.accept(order); }
         long key = Long.parseUnsignedLong(told, 16);
         Asker asker = new Asker(order, key);
-        KeyTable.Decision decision = table.arrive(loop.now(), key, order.cargo().print(), rules[order.classIndex()], asker);
+        KeyTable.Decision decision = table.arrive(loop.now(), key, order.command().fingerprint(), rules[order.classIndex()], asker);
         switch (decision.verdict()) {
             case LEAD -> lead(asker);
-            case JOIN -> asker.lastCall = loop.deadlines().at(asker.deadline, () -> {
+            case JOIN -> asker.lastCall = loop.deadlines().schedule(asker.deadline, () -> {
                 if (asker.over) { return; }
                 asker.failed("deadline passed", asker.mayHaveRun());
                 left(asker);
@@ -191,9 +191,9 @@
         loop.deadlines().cancel(asker.lastCall);
         Flight flight = new Flight(asker);
         flights.put(asker.key, flight);
-        Order o = asker.order;
-        flight.stay = core.take(new Order(o.classIndex(), o.plan(), o.customer(), o.units(), o.first(), o.spread(),
-                Math.max(1, asker.deadline - loop.now()), o.cargo(), flight, o.only()));
+        IncomingRequest o = asker.order;
+        flight.stay = core.accept(new IncomingRequest(o.classIndex(), o.plan(), o.customer(), o.units(), o.first(), o.spread(),
+                Math.max(1, asker.deadline - loop.now()), o.command(), flight, o.binding()));
     }
 
     /** Who waited when a run ended without a value: one leads, or all get to know that it may have run. */
@@ -201,7 +201,7 @@
         for (Asker one : next.answered()) { one.failed("it may have run", true); }
         if (next.leads() == null) { return; }
         // After this turn's work: the core first ends the attempt of the run that is over.
-        loop.afterwards(() -> {
+        loop.defer(() -> {
             if (!next.leads().over) { lead(next.leads()); }
         });
     }
@@ -222,7 +222,7 @@
         if (!empty) { return; }
         boolean mayHaveRun = flight.mayHaveRun();
         flight.end();
-        flight.stay.gone();
+        flight.stay.terminalLeft();
         follow(table.ended(loop.now(), asker.key, ending(mayHaveRun), null));
     }
 
--- a/src/main/java/yardusher/keys/KeysSubsystem.java
+++ b/src/main/java/yardusher/keys/KeysSubsystem.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 import java.util.List;
-import yardusher.core.Intake;
+import yardusher.core.RequestAcceptor;
 import yardusher.journal.Journal;
 import yardusher.journal.JournalSettings;
 import yardusher.subsystem.Site;
@@ -24,7 +24,7 @@
     public String name() { return "keys"; }
 
     @Override
-    public Intake intake(Site site, Intake inner) throws IOException {
+    public RequestAcceptor intake(Site site, RequestAcceptor inner) throws IOException {
         List<String> classes = site.classes();
         intake = new KeyedIntake(inner, site.loop(), settings, site.settings().classes(), classes);
         if (journal != null) {
@@ -35,7 +35,7 @@
     }
 
     @Override
-    public void join(Site site) { site.front().answerKeys(intake::told, intake::line); }
+    public void join(Site site) { site.front().enableKeyCommands(intake::told, intake::line); }
 
     @Override
     public String line() { return intake.line(); }
--- a/src/main/java/yardusher/mesh/DatagramMesh.java
+++ b/src/main/java/yardusher/mesh/DatagramMesh.java
@@ -20,29 +20,29 @@
  * enemy: the port belongs on a network of the installation's own.
  */
 public final class DatagramMesh implements Mesh {
-    private static final byte MARK = 'y';
+    private static final byte MAGIC = 'y';
     private static final byte VERSION = 1;
-    private static final int HEAD = 2 + 1 + 8 + 4;
+    private static final int HEADER_BYTES = 2 + 1 + 8 + 4;
     private static final Kind[] KINDS = Kind.values();
 
     private final InetSocketAddress listen;
-    private final long installation;
+    private final long installationHash;
     private final EventLoop loop;
-    private final Map<Kind, Hearer> hearers = new EnumMap<>(Kind.class);
-    private final ByteBuffer out = ByteBuffer.allocateDirect(HEAD + MOST_BODY);
+    private final Map<Kind, MessageHandler> handlers = new EnumMap<>(Kind.class);
+    private final ByteBuffer sendBuffer = ByteBuffer.allocateDirect(HEADER_BYTES + MAX_BODY_BYTES);
     private DatagramChannel channel;
     private InetSocketAddress address;
     private long sent;
     private long sentBytes;
-    private long heard;
+    private long received;
     private long foreign;                            // of another installation, version or program
-    private long spoilt;                             // cut, oversized, or with a wrong checksum
-    private long unheard;                            // of a kind that is off here
-    private long unsent;                             // refused by the system
+    private long corrupt;                             // cut, oversized, or with a wrong checksum
+    private long unhandled;                            // of a kind that is off here
+    private long sendFailures;                             // refused by the system
 
     public DatagramMesh(InetSocketAddress listen, String installation, EventLoop loop) {
         this.listen = listen;
-        this.installation = LongHashFunction.xx3().hashChars(installation);
+        this.installationHash = LongHashFunction.xx3().hashChars(installation);
         this.loop = loop;
     }
 
@@ -57,7 +57,7 @@
             opened.bind(listen);
         } catch (IOException e) {
             opened.close();
-            throw new ViewError.Listen(Sockets.text(listen), e.getMessage(), e);
+            throw new ViewError.Listen(Sockets.formatAddress(listen), e.getMessage(), e);
         }
         channel = opened;
         address = (InetSocketAddress) opened.getLocalAddress();
@@ -74,7 +74,7 @@
                 InetSocketAddress sender = (InetSocketAddress) from.receive(in);
                 byte[] datagram = new byte[in.flip().remaining()];
                 in.get(datagram);
-                loop.turn(() -> take(sender, datagram));
+                loop.execute(() -> handleDatagram(sender, datagram));
             } catch (IOException e) {
                 if (!from.isOpen()) { return; }      // else one refused datagram: the next may be fine
             }
@@ -82,34 +82,34 @@
     }
 
     /** Looks a datagram over and hands its body on. */
-    void take(InetSocketAddress sender, byte[] datagram) {
+    void handleDatagram(InetSocketAddress sender, byte[] datagram) {
         ByteBuffer in = ByteBuffer.wrap(datagram);
-        if (datagram.length < HEAD || in.get() != MARK || in.get() != VERSION) {
+        if (datagram.length < HEADER_BYTES || in.get() != MAGIC || in.get() != VERSION) {
             foreign++;
             return;
         }
         int kind = in.get();
-        boolean ours = in.getLong() == installation;
-        int sum = in.getInt();
-        if (!ours) {
+        boolean sameInstallation = in.getLong() == installationHash;
+        int expectedChecksum = in.getInt();
+        if (!sameInstallation) {
             foreign++;
-        } else if (datagram.length > HEAD + MOST_BODY || kind < 0 || kind >= KINDS.length || sum != sum(kind, in.duplicate())) {
-            spoilt++;
-        } else if (!hearers.containsKey(KINDS[kind])) {
-            unheard++;
+        } else if (datagram.length > HEADER_BYTES + MAX_BODY_BYTES || kind < 0 || kind >= KINDS.length || expectedChecksum != checksum(kind, in.duplicate())) {
+            corrupt++;
+        } else if (!handlers.containsKey(KINDS[kind])) {
+            unhandled++;
         } else {
-            heard++;
+            received++;
             byte[] body = new byte[in.remaining()];
             in.get(body);
-            hearers.get(KINDS[kind]).heard(sender, body);
+            handlers.get(KINDS[kind]).onMessage(sender, body);
         }
     }
 
-    private int sum(int kind, ByteBuffer body) {
-        CRC32C sum = new CRC32C();
-        sum.update(kind);
-        sum.update(body);
-        return (int) (sum.getValue() ^ installation);
+    private int checksum(int kind, ByteBuffer body) {
+        CRC32C crc = new CRC32C();
+        crc.update(kind);
+        crc.update(body);
+        return (int) (crc.getValue() ^ installationHash);
     }
 
     @Override
@@ -117,27 +117,27 @@
 
     @Override
     public void send(InetSocketAddress to, Kind kind, byte[] body) {
-        if (body.length > MOST_BODY) { throw new IllegalArgumentException("a body of " + body.length + " bytes"); }
+        if (body.length > MAX_BODY_BYTES) { throw new IllegalArgumentException("a body of " + body.length + " bytes"); }
         if (channel == null) { return; }
-        out.clear();
-        out.put(MARK).put(VERSION).put((byte) kind.ordinal()).putLong(installation).putInt(sum(kind.ordinal(), ByteBuffer.wrap(body)));
-        out.put(body).flip();
+        sendBuffer.clear();
+        sendBuffer.put(MAGIC).put(VERSION).put((byte) kind.ordinal()).putLong(installationHash).putInt(checksum(kind.ordinal(), ByteBuffer.wrap(body)));
+        sendBuffer.put(body).flip();
         try {
-            channel.send(out, to);
+            channel.send(sendBuffer, to);
             sent++;
-            sentBytes += HEAD + body.length;
+            sentBytes += HEADER_BYTES + body.length;
         } catch (IOException e) {
-            unsent++;                                // as good as lost on the way
+            sendFailures++;                                // as good as lost on the way
         }
     }
 
     @Override
-    public void hear(Kind kind, Hearer hearer) { hearers.put(kind, hearer); }
+    public void setHandler(Kind kind, MessageHandler handler) { handlers.put(kind, handler); }
 
     @Override
-    public String line() {
-        return "mesh_sent=" + sent + " mesh_sent_bytes=" + sentBytes + " mesh_heard=" + heard + " mesh_foreign=" + foreign
-                + " mesh_spoilt=" + spoilt + " mesh_unheard=" + unheard + " mesh_unsent=" + unsent;
+    public String countersLine() {
+        return "mesh_sent=" + sent + " mesh_sent_bytes=" + sentBytes + " mesh_heard=" + received + " mesh_foreign=" + foreign
+                + " mesh_spoilt=" + corrupt + " mesh_unheard=" + unhandled + " mesh_unsent=" + sendFailures;
     }
 
     /** Gives the port up. In a turn. */
--- a/src/main/java/yardusher/mesh/Mesh.java
+++ b/src/main/java/yardusher/mesh/Mesh.java
@@ -9,14 +9,14 @@
  */
 public interface Mesh {
     /** Bytes of a body at the most; a longer one is an {@link IllegalArgumentException}. With the frame it fits one Ethernet packet. */
-    int MOST_BODY = 1200;
+    int MAX_BODY_BYTES = 1200;
 
     /** Whose message it is. */
     enum Kind { VIEW, UNITS, PARTS, RATES }
 
     /** What is done with a body that came whole from that address, in a turn. */
-    interface Hearer {
-        void heard(InetSocketAddress from, byte[] body);
+    interface MessageHandler {
+        void onMessage(InetSocketAddress from, byte[] body);
     }
 
     /** Where others reach this one. */
@@ -26,8 +26,8 @@
     void send(InetSocketAddress to, Kind kind, byte[] body);
 
     /** Bodies of this kind go there from now on; those of a kind that nobody hears are counted and dropped. */
-    void hear(Kind kind, Hearer hearer);
+    void setHandler(Kind kind, MessageHandler handler);
 
     /** Names and values for the counters line: sent, heard, and what was dropped by reason. */
-    String line();
+    String countersLine();
 }
--- a/src/main/java/yardusher/net/Lines.java
+++ b/src/main/java/yardusher/net/LineReader.java
@@ -3,19 +3,19 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import yardusher.error.WireError;
-import yardusher.resp.Inbound;
+import yardusher.resp.InboundBuffer;
 
 /** Takes lines out of bytes cut anywhere. One fixed buffer, the longest line and its end. */
-public final class Lines implements Inbound {
+public final class LineReader implements InboundBuffer {
     private final byte[] bytes;
     private int start;
     private int end;
 
     /** For lines of so many bytes at the most, without their end. */
-    public Lines(int most) { bytes = new byte[most + 2]; }
+    public LineReader(int maxBytes) { bytes = new byte[maxBytes + 2]; }
 
     @Override
-    public ByteBuffer room() {
+    public ByteBuffer readBuffer() {
         System.arraycopy(bytes, start, bytes, 0, end - start);
         end -= start;
         start = 0;
@@ -23,7 +23,7 @@
     }
 
     @Override
-    public void filled(int count) { end += count; }
+    public void advance(int count) { end += count; }
 
     public boolean isEmpty() { return start == end; }
 
@@ -31,7 +31,7 @@
      * The next line without its end (LF or CR LF), or null while it is not whole. A {@link WireError}
      * for one that is too long.
      */
-    public String next() {
+    public String nextLine() {
         for (int i = start; i < end; i++) {
             if (bytes[i] != '\n') { continue; }
             int to = i > start && bytes[i - 1] == '\r' ? i - 1 : i;
--- a/src/main/java/yardusher/net/Sockets.java
+++ b/src/main/java/yardusher/net/Sockets.java
@@ -20,7 +20,7 @@
 /** Opens connections and listens, on one channel group with one thread of its own. */
 public final class Sockets {
     static {
-        // Guards the look ahead of {@link Link}: past so many completions at once (16 if not said) the platform leaves what is
+        // Guards the look ahead of {@link Connection}: past so many completions at once (16 if not said) the platform leaves what is
         // there to the next poll. None of them runs on the stack of another, since a turn puts off what comes within it.
         if (System.getProperty("sun.nio.ch.maxCompletionHandlersOnStack") == null) {
             System.setProperty("sun.nio.ch.maxCompletionHandlersOnStack", "64");
@@ -43,7 +43,7 @@
     public EventLoop loop() { return loop; }
 
     /** An address of digits and a port, such as 127.0.0.4:6379. Names are not looked up. Else a {@link ConfigError}. */
-    public static InetSocketAddress address(String text) {
+    public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
         if (!host.matches("[0-9.]+|\\[[0-9a-fA-F:.]+]")) {
@@ -57,24 +57,24 @@
     }
 
     /** The other way round, for messages. */
-    public static String text(InetSocketAddress at) { return at.getAddress().getHostAddress() + ":" + at.getPort(); }
+    public static String formatAddress(InetSocketAddress address) { return address.getAddress().getHostAddress() + ":" + address.getPort(); }
 
     /** A listening socket. */
-    public final class Door {
+    public final class Listener {
         private final AsynchronousServerSocketChannel channel;
-        private final Consumer<AsynchronousSocketChannel> guests;
-        private final Predicate<Void> room;
-        private final InetSocketAddress at;
+        private final Consumer<AsynchronousSocketChannel> onAccept;
+        private final Predicate<Void> hasRoom;
+        private final InetSocketAddress address;
         private boolean accepting;
         private boolean bound;
-        private double guestAt;                      // when the last one came
+        private double lastAcceptedAtMs;                      // when the last one came
 
-        private Door(AsynchronousServerSocketChannel channel, InetSocketAddress at,
-                Consumer<AsynchronousSocketChannel> guests, Predicate<Void> room) {
+        private Listener(AsynchronousServerSocketChannel channel, InetSocketAddress address,
+                Consumer<AsynchronousSocketChannel> onAccept, Predicate<Void> hasRoom) {
             this.channel = channel;
-            this.at = at;
-            this.guests = guests;
-            this.room = room;
+            this.address = address;
+            this.onAccept = onAccept;
+            this.hasRoom = hasRoom;
         }
 
         public InetSocketAddress address() throws IOException { return (InetSocketAddress) channel.getLocalAddress(); }
@@ -82,42 +82,42 @@
         /** Listens; until then nobody can come. A {@link WireError} where another process holds the address. */
         public void bind() throws IOException {
             try {
-                channel.bind(at, 1024);
+                channel.bind(address, 1024);
             } catch (SocketException e) {
-                throw new WireError.Listen(text(at), e.getMessage(), e);
+                throw new WireError.Listen(formatAddress(address), e.getMessage(), e);
             }
             bound = true;
         }
 
         /** Goes on accepting while there is room; called again when room comes back. */
-        public void open() {
+        public void accept() {
             // Guards against running out of descriptors: who finds no room waits in the backlog.
             if (accepting || !bound || !channel.isOpen()) { return; }
-            boolean fits = false;
+            boolean mayAccept = false;
             accepting = true;                        // also while room is made, which may open the door again
             try {
-                fits = room.test(null);
+                mayAccept = hasRoom.test(null);
             } finally {
-                accepting = fits;                    // guards the door against a fault while room is made: it may be opened again
+                accepting = mayAccept;                    // guards the door against a fault while room is made: it may be opened again
             }
-            if (!fits) { return; }
-            channel.accept(this, new CompletionHandler<AsynchronousSocketChannel, Door>() {
+            if (!mayAccept) { return; }
+            channel.accept(this, new CompletionHandler<AsynchronousSocketChannel, Listener>() {
                 @Override
-                public void completed(AsynchronousSocketChannel guest, Door door) {
-                    loop.turn(() -> {
+                public void completed(AsynchronousSocketChannel guest, Listener door) {
+                    loop.execute(() -> {
                         accepting = false;
-                        guestAt = loop.now();
-                        quick(guest);
-                        guests.accept(guest);
-                        open();
+                        lastAcceptedAtMs = loop.now();
+                        setNoDelay(guest);
+                        onAccept.accept(guest);
+                        accept();
                     });
                 }
 
                 @Override
-                public void failed(Throwable why, Door door) {
-                    loop.turn(() -> {
+                public void failed(Throwable why, Listener door) {
+                    loop.execute(() -> {
                         accepting = false;
-                        loop.deadlines().at(loop.now() + 50, Door.this::open);
+                        loop.deadlines().schedule(loop.now() + 50, Listener.this::accept);
                     });
                 }
             });
@@ -127,16 +127,16 @@
          * Closes once nobody has come for so long, or at that time: whoever waits to be accepted when it closes is reset,
          * and who comes while it is open is accepted at once.
          */
-        public void closeWhenQuiet(double quietMs, double by) {
-            double now = loop.now();
-            double at = Math.min(by, Math.max(now, guestAt) + quietMs);
-            loop.deadlines().at(at, () -> {
-                if (guestAt < now || loop.now() >= by) { close(); } else { closeWhenQuiet(quietMs, by); }
+        public void closeWhenQuiet(double quietMs, double deadlineMs) {
+            double nowMs = loop.now();
+            double closeAtMs = Math.min(deadlineMs, Math.max(nowMs, lastAcceptedAtMs) + quietMs);
+            loop.deadlines().schedule(closeAtMs, () -> {
+                if (lastAcceptedAtMs < nowMs || loop.now() >= deadlineMs) { close(); } else { closeWhenQuiet(quietMs, deadlineMs); }
             });
         }
 
         /** Whether nobody can come any more. */
-        public boolean isShut() { return !channel.isOpen(); }
+        public boolean isClosed() { return !channel.isOpen(); }
 
         public void close() {
             try {
@@ -145,75 +145,75 @@
         }
     }
 
-    public Door listen(InetSocketAddress at, Consumer<AsynchronousSocketChannel> guests, Predicate<Void> room)
+    public Listener listen(InetSocketAddress address, Consumer<AsynchronousSocketChannel> onAccept, Predicate<Void> hasRoom)
             throws IOException {
-        Door door = door(at, false, guests, room);
-        door.bind();
-        return door;
+        Listener listener = createListener(address, false, onAccept, hasRoom);
+        listener.bind();
+        return listener;
     }
 
     /**
      * A door that does not listen yet. With {@code shared} the next version of this program can listen there as well,
      * before this one ends.
      */
-    public Door door(InetSocketAddress at, boolean shared, Consumer<AsynchronousSocketChannel> guests,
-            Predicate<Void> room) throws IOException {
+    public Listener createListener(InetSocketAddress address, boolean reusePort, Consumer<AsynchronousSocketChannel> onAccept,
+            Predicate<Void> hasRoom) throws IOException {
         AsynchronousServerSocketChannel channel = AsynchronousServerSocketChannel.open(group);
         channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-        if (shared && channel.supportedOptions().contains(StandardSocketOptions.SO_REUSEPORT)) {
+        if (reusePort && channel.supportedOptions().contains(StandardSocketOptions.SO_REUSEPORT)) {
             channel.setOption(StandardSocketOptions.SO_REUSEPORT, true);
         }
-        return new Door(channel, at, guests, room);
+        return new Listener(channel, address, onAccept, hasRoom);
     }
 
     /** Connects within the time given; one of the two is called, in a turn. The result gives it up. */
-    public Runnable connect(InetSocketAddress to, double withinMs, Consumer<AsynchronousSocketChannel> then,
-            Runnable orElse) {
-        boolean[] over = new boolean[1];
+    public Runnable connect(InetSocketAddress to, double timeoutMs, Consumer<AsynchronousSocketChannel> onConnected,
+            Runnable onFailed) {
+        boolean[] finished = new boolean[1];
         AsynchronousSocketChannel channel;
         try {
             channel = AsynchronousSocketChannel.open(group);
         } catch (IOException e) {                    // no descriptor left: as if nobody had answered
-            loop.afterwards(() -> {
-                if (!over[0]) { orElse.run(); }
+            loop.defer(() -> {
+                if (!finished[0]) { onFailed.run(); }
             });
-            return () -> over[0] = true;
+            return () -> finished[0] = true;
         }
-        Runnable drop = () -> {
-            over[0] = true;
-            shut(channel);
+        Runnable cancel = () -> {
+            finished[0] = true;
+            closeQuietly(channel);
         };
-        Deadlines.Entry limit = loop.deadlines().at(loop.now() + withinMs, () -> {
-            if (!over[0]) {
-                drop.run();
-                orElse.run();
+        Deadlines.Entry timeout = loop.deadlines().schedule(loop.now() + timeoutMs, () -> {
+            if (!finished[0]) {
+                cancel.run();
+                onFailed.run();
             }
         });
         channel.connect(to, null, new CompletionHandler<Void, Void>() {
             @Override
             public void completed(Void nothing, Void none) {
-                loop.turn(() -> {
-                    loop.deadlines().cancel(limit);
-                    if (over[0]) { return; }
-                    over[0] = true;
-                    quick(channel);
-                    then.accept(channel);
+                loop.execute(() -> {
+                    loop.deadlines().cancel(timeout);
+                    if (finished[0]) { return; }
+                    finished[0] = true;
+                    setNoDelay(channel);
+                    onConnected.accept(channel);
                 });
             }
 
             @Override
             public void failed(Throwable why, Void none) {
-                loop.turn(() -> {
-                    loop.deadlines().cancel(limit);
-                    if (over[0]) { return; }
-                    drop.run();
-                    orElse.run();
+                loop.execute(() -> {
+                    loop.deadlines().cancel(timeout);
+                    if (finished[0]) { return; }
+                    cancel.run();
+                    onFailed.run();
                 });
             }
         });
         return () -> {
-            loop.deadlines().cancel(limit);
-            drop.run();
+            loop.deadlines().cancel(timeout);
+            cancel.run();
         };
     }
 
@@ -221,40 +221,40 @@
      * Connects, however long the system tries; one of the two is called, in a turn. For whoever must know how a dial ended
      * after having given it up: a channel that is closed on the way may have been accepted all the same.
      */
-    public void dial(InetSocketAddress to, Consumer<AsynchronousSocketChannel> then, Runnable orElse) {
+    public void dial(InetSocketAddress to, Consumer<AsynchronousSocketChannel> onConnected, Runnable onFailed) {
         AsynchronousSocketChannel channel;
         try {
             channel = AsynchronousSocketChannel.open(group);
         } catch (IOException e) {
-            loop.afterwards(orElse);
+            loop.defer(onFailed);
             return;
         }
         channel.connect(to, null, new CompletionHandler<Void, Void>() {
             @Override
             public void completed(Void nothing, Void none) {
-                loop.turn(() -> {
-                    quick(channel);
-                    then.accept(channel);
+                loop.execute(() -> {
+                    setNoDelay(channel);
+                    onConnected.accept(channel);
                 });
             }
 
             @Override
             public void failed(Throwable why, Void none) {
-                loop.turn(() -> {
-                    shut(channel);
-                    orElse.run();
+                loop.execute(() -> {
+                    closeQuietly(channel);
+                    onFailed.run();
                 });
             }
         });
     }
 
-    private static void quick(AsynchronousSocketChannel channel) {
+    private static void setNoDelay(AsynchronousSocketChannel channel) {
         try {
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         } catch (IOException e) { /* the first read or write will tell */ }
     }
 
-    private static void shut(AsynchronousSocketChannel channel) {
+    private static void closeQuietly(AsynchronousSocketChannel channel) {
         try {
             channel.close();
         } catch (IOException e) { /* it is gone either way */ }
--- a/src/main/java/yardusher/rates/RateSettings.java
+++ b/src/main/java/yardusher/rates/RateSettings.java
@@ -8,7 +8,7 @@
  * datagrams; {@code from}: ingresses of the narrowest set whose counts are told as rates in place of rows; {@code horizonS}: seconds over which what
  * a customer is asked is taken together, at the least.
  */
-public record RateSettings(int bytesPerS, int from, int horizonS) {
+public record RateSettings(int bytesPerS, int minSetSize, int horizonS) {
     private static final Set<String> KEYS = Set.of("bytes_per_s", "from", "horizon_s");
 
     /** Reads the table; a {@link yardusher.error.ConfigError} names the key and what is allowed. Null where it is left out. */
--- a/src/main/java/yardusher/register/Node.java
+++ b/src/main/java/yardusher/register/Node.java
@@ -53,7 +53,7 @@
     private static final int PART = 32 * 1024;       // bytes of a snapshot's part
 
     static {
-        if (Messages.MOST_BYTES > Decoder.MOST_BULK) { throw new IllegalStateException("messages longer than a bulk string"); }
+        if (Messages.MOST_BYTES > Decoder.MAX_BULK_BYTES) { throw new IllegalStateException("messages longer than a bulk string"); }
     }
 
     /** What a member needs of its surroundings. Called where the executor runs. */
--- a/src/main/java/yardusher/resp/Call.java
+++ b/src/main/java/yardusher/resp/Call.java
@@ -4,25 +4,25 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import net.openhft.hashing.LongHashFunction;
-import yardusher.core.Cargo;
-import yardusher.core.UnitWord;
+import yardusher.core.BackendCommand;
+import yardusher.core.UnitDirective;
 import yardusher.error.CommandError;
 
 /**
  * A platform command, CALL.GET or CALL.POST, decoded once: customer, id, the list of names and values, body.
  * A region gets it unchanged but for {@code d}, which says how long this ingress will wait.
  */
-public final class Call implements Cargo {
+public final class Call implements BackendCommand {
     private static final byte[] GET = "CALL.GET".getBytes(StandardCharsets.US_ASCII);
     private static final byte[] POST = "CALL.POST".getBytes(StandardCharsets.US_ASCII);
 
-    private static final byte[] END = {'\r', '\n'};
-    private static final int MOST_LIST = 512;
-    private static final long MOST_WAIT_MS = 86_400_000; // as the settings allow it for a class
+    private static final byte[] LINE_END = {'\r', '\n'};
+    private static final int MAX_LIST_BYTES = 512;
+    private static final long MAX_WAIT_MS = 86_400_000; // as the settings allow it for a class
 
     private final byte[][] words;
     private final String list;
-    private final UnitWord unit;                     // null where it says nothing of one
+    private final UnitDirective unit;                     // null where it says nothing of one
     public final long id;
     public final String key;
     public final long customer;
@@ -34,7 +34,7 @@
     public final int first;
 
     private Call(byte[][] words, String list, long id, String key, long customer, String className, String plan, long waitMs,
-            double units, int spread, int first, UnitWord unit) {
+            double units, int spread, int first, UnitDirective unit) {
         this.unit = unit;
         this.words = words;
         this.list = list;
@@ -50,10 +50,10 @@
     }
 
     /** Whether the words are a platform command at all, well-formed or not. */
-    public static boolean is(byte[][] words) { return word(words[0], GET) || word(words[0], POST); }
+    public static boolean isCall(byte[][] words) { return isWord(words[0], GET) || isWord(words[0], POST); }
 
     /** Whether it is the form for classes that are safe to repeat. */
-    public boolean isGet() { return word(words[0], GET); }
+    public boolean isGet() { return isWord(words[0], GET); }
 
     /** Whether it brings a body. */
     public boolean hasBody() { return words.length == 5; }
@@ -62,48 +62,48 @@
      * Reads a command; a {@link CommandError} says what is wrong with it. Guards the regions, which
      * take a form that no client sends as a fault of the ingress: every word is read to its end.
      */
-    public static Call of(byte[][] words) {
+    public static Call parse(byte[][] words) {
         if (words.length < 4 || words.length > 5) { throw new CommandError.Argument("wrong number of arguments"); }
-        long customer = hex(words[1], "customer");
+        long customer = parseHex(words[1], "customer");
         if (customer < 0 || customer >= 1L << 33) { throw new CommandError.Argument("bad customer"); }
-        long id = hex(words[2], "request id");
-        if (words[3].length > MOST_LIST) { throw new CommandError.Argument("list too long"); }
+        long id = parseHex(words[2], "request id");
+        if (words[3].length > MAX_LIST_BYTES) { throw new CommandError.Argument("list too long"); }
         String list = new String(words[3], StandardCharsets.ISO_8859_1);
-        String c = null;
-        String t = null;
-        String k = null;
-        long d = -1;
+        String className = null;
+        String plan = null;
+        String key = null;
+        long waitMs = -1;
         double units = 0;
         int spread = -1;
         int first = -1;
-        int seen = 0;
+        int seenNames = 0;
         for (int from = 0; from <= list.length();) {
             int comma = list.indexOf(',', from);
             int to = comma < 0 ? list.length() : comma;
-            int is = list.indexOf('=', from);
-            if (is < 0 || is >= to - 1) { throw new CommandError.Argument("bad list"); }
-            String name = list.substring(from, is);
-            String value = list.substring(is + 1, to);
-            int bit = 1 << NAMES.indexOf(name);
-            if (!NAMES.contains(name)) { throw new CommandError.Argument("unknown name in list"); }
-            if ((seen & bit) != 0) { throw new CommandError.Argument("a name stands twice in the list"); }
-            seen |= bit;
+            int equals = list.indexOf('=', from);
+            if (equals < 0 || equals >= to - 1) { throw new CommandError.Argument("bad list"); }
+            String name = list.substring(from, equals);
+            String value = list.substring(equals + 1, to);
+            int bit = 1 << LIST_NAMES.indexOf(name);
+            if (!LIST_NAMES.contains(name)) { throw new CommandError.Argument("unknown name in list"); }
+            if ((seenNames & bit) != 0) { throw new CommandError.Argument("a name stands twice in the list"); }
+            seenNames |= bit;
             switch (name) {
-                case "c" -> c = name(value);
-                case "t" -> t = name(value);
-                case "k" -> k = visible(value);
-                case "d" -> d = whole(value, MOST_WAIT_MS);
-                case "units" -> units = units(value);
-                case "spread" -> spread = (int) whole(value, 10_000);
-                case "first" -> first = (int) whole(value, 10_000);
-                default -> whole(value, 1);          // r
+                case "c" -> className = parseName(value);
+                case "t" -> plan = parseName(value);
+                case "k" -> key = requireVisible(value);
+                case "d" -> waitMs = parseWhole(value, MAX_WAIT_MS);
+                case "units" -> units = parseUnits(value);
+                case "spread" -> spread = (int) parseWhole(value, 10_000);
+                case "first" -> first = (int) parseWhole(value, 10_000);
+                default -> parseWhole(value, 1);          // r
             }
             from = to + 1;
         }
-        if (c == null || t == null || d < 1) { throw new CommandError.Argument("c, t and d are needed"); }
+        if (className == null || plan == null || waitMs < 1) { throw new CommandError.Argument("c, t and d are needed"); }
         if (units <= 0 || spread < 0 || first < 0) { throw new CommandError.Argument("units, spread and first are needed"); }
-        if (k != null) { hex(k.getBytes(StandardCharsets.ISO_8859_1), "k"); }
-        return new Call(words, list, id, k, customer, c, t, d, units, spread, first, null);
+        if (key != null) { parseHex(key.getBytes(StandardCharsets.ISO_8859_1), "k"); }
+        return new Call(words, list, id, key, customer, className, plan, waitMs, units, spread, first, null);
     }
 
     /**
@@ -111,54 +111,54 @@
      * number, {@code b} a boundary. These are taken out of what a region is told unless {@code passOn}. An
      * {@link CommandError.Argument} says what is wrong.
      */
-    public static Call withUnit(byte[][] words, boolean passOn) {
-        if (words.length < 4 || words[3].length > MOST_LIST) { return of(words); } // says what is wrong
+    public static Call parseWithUnit(byte[][] words, boolean forwardUnit) {
+        if (words.length < 4 || words[3].length > MAX_LIST_BYTES) { return parse(words); } // says what is wrong
         String list = new String(words[3], StandardCharsets.ISO_8859_1);
-        String[] found = new String[3];
-        StringBuilder rest = null;
+        String[] unitValues = new String[3];
+        StringBuilder remaining = null;
         for (int from = 0; from <= list.length();) {
             int comma = list.indexOf(',', from);
             int to = comma < 0 ? list.length() : comma;
-            int which = from + 1 < to && list.charAt(from + 1) == '=' ? "upb".indexOf(list.charAt(from)) : -1;
-            if (which >= 0) {
-                if (found[which] != null) { throw new CommandError.Argument("a name stands twice in the list"); }
-                found[which] = visible(list.substring(from + 2, to));
-                if (rest == null) { rest = new StringBuilder(list.length()).append(list, 0, Math.max(0, from - 1)); }
-            } else if (rest != null) {
-                rest.append(rest.length() == 0 ? "" : ",").append(list, from, to);
+            int unitIndex = from + 1 < to && list.charAt(from + 1) == '=' ? "upb".indexOf(list.charAt(from)) : -1;
+            if (unitIndex >= 0) {
+                if (unitValues[unitIndex] != null) { throw new CommandError.Argument("a name stands twice in the list"); }
+                unitValues[unitIndex] = requireVisible(list.substring(from + 2, to));
+                if (remaining == null) { remaining = new StringBuilder(list.length()).append(list, 0, Math.max(0, from - 1)); }
+            } else if (remaining != null) {
+                remaining.append(remaining.length() == 0 ? "" : ",").append(list, from, to);
             }
             from = to + 1;
         }
-        if (rest == null) { return of(words); }
+        if (remaining == null) { return parse(words); }
         byte[][] without = words.clone();
-        without[3] = rest.toString().getBytes(StandardCharsets.ISO_8859_1);
-        Call call = of(without);
-        UnitWord unit = unit(found[0], found[1], found[2]);
-        return new Call(without, passOn ? list : call.list, call.id, call.key, call.customer, call.className, call.plan, call.waitMs,
+        without[3] = remaining.toString().getBytes(StandardCharsets.ISO_8859_1);
+        Call call = parse(without);
+        UnitDirective unit = parseUnit(unitValues[0], unitValues[1], unitValues[2]);
+        return new Call(without, forwardUnit ? list : call.list, call.id, call.key, call.customer, call.className, call.plan, call.waitMs,
                 call.units, call.spread, call.first, unit);
     }
 
-    private static UnitWord unit(String u, String p, String b) {
-        int part = p == null ? 0 : (int) whole(p, 1_000_000);
-        UnitWord.Said said = b == null ? UnitWord.Said.NONE : switch (b) {
-            case "open" -> UnitWord.Said.OPEN;
-            case "end" -> UnitWord.Said.END;
-            case "abandon" -> UnitWord.Said.ABANDON;
+    private static UnitDirective parseUnit(String unitName, String partText, String boundaryText) {
+        int part = partText == null ? 0 : (int) parseWhole(partText, 1_000_000);
+        UnitDirective.Boundary boundary = boundaryText == null ? UnitDirective.Boundary.NONE : switch (boundaryText) {
+            case "open" -> UnitDirective.Boundary.OPEN;
+            case "end" -> UnitDirective.Boundary.END;
+            case "abandon" -> UnitDirective.Boundary.ABANDON;
             default -> throw new CommandError.Argument("b is open, end or abandon");
         };
-        boolean fits = switch (said) {
-            case OPEN -> p == null;                  // with u it is an opening inside a unit, which has its own answer
-            case NONE -> u != null && part > 0;
-            case END -> u != null && (p == null || part > 0);
-            case ABANDON -> u != null && p == null;
+        boolean consistent = switch (boundary) {
+            case OPEN -> partText == null;                  // with u it is an opening inside a unit, which has its own answer
+            case NONE -> unitName != null && part > 0;
+            case END -> unitName != null && (partText == null || part > 0);
+            case ABANDON -> unitName != null && partText == null;
         };
-        if (!fits || u != null && (u.isEmpty() || u.length() > 120)) { throw new CommandError.Argument("u, p and b do not go together"); }
-        return new UnitWord(u, part, said);
+        if (!consistent || unitName != null && (unitName.isEmpty() || unitName.length() > 120)) { throw new CommandError.Argument("u, p and b do not go together"); }
+        return new UnitDirective(unitName, part, boundary);
     }
 
-    private static final List<String> NAMES = List.of("c", "t", "d", "k", "units", "spread", "first", "r");
+    private static final List<String> LIST_NAMES = List.of("c", "t", "d", "k", "units", "spread", "first", "r");
 
-    private static String visible(String value) {
+    private static String requireVisible(String value) {
         for (int i = 0; i < value.length(); i++) {
             if (value.charAt(i) <= ' ' || value.charAt(i) > '~') { throw new CommandError.Argument("bad list"); }
         }
@@ -169,7 +169,7 @@
      * A name of the settings, as UTF-8 gives it; the settings decide whether there is such a one, so any character may stand
      * in it but those of control.
      */
-    private static String name(String value) {
+    private static String parseName(String value) {
         boolean ascii = true;
         for (int i = 0; i < value.length(); i++) {
             if (value.charAt(i) < ' ' || value.charAt(i) == 127) { throw new CommandError.Argument("bad list"); }
@@ -178,23 +178,23 @@
         return ascii ? value : new String(value.getBytes(StandardCharsets.ISO_8859_1), StandardCharsets.UTF_8);
     }
 
-    private static double units(String value) {
+    private static double parseUnits(String value) {
         if (value.length() > 12 || !value.matches("[0-9]+(\\.[0-9]+)?")) { throw new CommandError.Argument("bad units"); }
         return Double.parseDouble(value);
     }
 
-    private static long whole(String value, long most) {
+    private static long parseWhole(String value, long max) {
         long number = 0;
         for (int i = 0; i < value.length(); i++) {
             int digit = value.charAt(i) - '0';
             number = number * 10 + digit;
-            if (digit < 0 || digit > 9 || number > most) { throw new CommandError.Argument("bad number in list"); }
+            if (digit < 0 || digit > 9 || number > max) { throw new CommandError.Argument("bad number in list"); }
         }
         return number;
     }
 
     /** Sixteen digits, as every number of this protocol is written. */
-    private static long hex(byte[] digits, String what) {
+    private static long parseHex(byte[] digits, String what) {
         long number = 0;
         for (byte b : digits) {
             int digit = b >= '0' && b <= '9' ? b - '0' : b >= 'a' && b <= 'f' ? b - 'a' + 10 : -1;
@@ -205,7 +205,7 @@
         return number;
     }
 
-    private static boolean word(byte[] given, byte[] wanted) {
+    private static boolean isWord(byte[] given, byte[] wanted) {
         if (given.length != wanted.length) { return false; }
         for (int i = 0; i < given.length; i++) {
             int c = given[i] >= 'a' && given[i] <= 'z' ? given[i] - 32 : given[i];
@@ -215,7 +215,7 @@
     }
 
     @Override
-    public UnitWord unit() { return unit; }
+    public UnitDirective unit() { return unit; }
 
     @Override
     public long id() { return id; }
@@ -224,24 +224,24 @@
     public String key() { return key; }
 
     @Override
-    public long print() {
+    public long fingerprint() {
         LongHashFunction hash = LongHashFunction.xx3();
         long body = words.length > 4 ? hash.hashBytes(words[4]) : 0;
         return hash.hashLongs(new long[] {customer, Double.doubleToLongBits(units), hash.hashChars(className), body});
     }
 
     @Override
-    public ByteBuffer[] encoded(long wait) {
-        boolean large = words.length > 4 && words[4].length > Decoder.MOST_BULK;
-        int size = 96 + list.length() + (words.length > 4 && !large ? words[4].length : 0);
+    public ByteBuffer[] encoded(long waitMs) {
+        boolean largeBody = words.length > 4 && words[4].length > Decoder.MAX_BULK_BYTES;
+        int size = 96 + list.length() + (words.length > 4 && !largeBody ? words[4].length : 0);
         Encoder out = new Encoder(size).array(words.length).bulk(isGet() ? GET : POST).bulk(words[1]).bulk(words[2]);
-        int d = list.startsWith("d=") ? 0 : list.indexOf(",d=") + 1;
-        int end = list.indexOf(',', d);
-        String told = list.substring(0, d) + "d=" + wait + (end < 0 ? "" : list.substring(end));
-        out.bulk(told.getBytes(StandardCharsets.ISO_8859_1));
-        if (large) {                                 // never copied: every attempt is written from where it was read
+        int waitStart = list.startsWith("d=") ? 0 : list.indexOf(",d=") + 1;
+        int waitEnd = list.indexOf(',', waitStart);
+        String forwardedList = list.substring(0, waitStart) + "d=" + waitMs + (waitEnd < 0 ? "" : list.substring(waitEnd));
+        out.bulk(forwardedList.getBytes(StandardCharsets.ISO_8859_1));
+        if (largeBody) {                                 // never copied: every attempt is written from where it was read
             return new ByteBuffer[] {ByteBuffer.wrap(out.bulkHead(words[4].length).toBytes()), ByteBuffer.wrap(words[4]),
-                ByteBuffer.wrap(END)};
+                ByteBuffer.wrap(LINE_END)};
         }
         if (words.length > 4) { out.bulk(words[4]); }
         return new ByteBuffer[] {ByteBuffer.wrap(out.toBytes())};
--- a/src/main/java/yardusher/resp/Encoder.java
+++ b/src/main/java/yardusher/resp/Encoder.java
@@ -12,7 +12,7 @@
 
     public Encoder array(int items) { return header('*', items); }
 
-    public Encoder whole(long number) { return header(':', number); }
+    public Encoder integer(long number) { return header(':', number); }
 
     public Encoder bulk(byte[] body) {
         header('$', body.length);
@@ -24,10 +24,10 @@
 
     public Encoder bulk(String text) { return bulk(text.getBytes(StandardCharsets.UTF_8)); }
 
-    public Encoder simple(String text) { return ascii('+').text(text).raw(CRLF); }
+    public Encoder simpleString(String text) { return ascii('+').text(text).raw(CRLF); }
 
     /** An error line; line ends in the text would break the framing and become spaces. */
-    public Encoder failure(String text) {
+    public Encoder error(String text) {
         return ascii('-').text(text.replace('\r', ' ').replace('\n', ' ')).raw(CRLF);
     }
 
@@ -43,15 +43,15 @@
 
     private Encoder text(String text) { return raw(text.getBytes(StandardCharsets.UTF_8)); }
 
-    public Encoder raw(byte[] more) {
-        grow(more.length);
-        System.arraycopy(more, 0, bytes, length, more.length);
-        length += more.length;
+    public Encoder raw(byte[] added) {
+        grow(added.length);
+        System.arraycopy(added, 0, bytes, length, added.length);
+        length += added.length;
         return this;
     }
 
-    private void grow(int more) {
-        if (length + more > bytes.length) { bytes = Arrays.copyOf(bytes, Math.max(length + more, bytes.length * 2)); }
+    private void grow(int added) {
+        if (length + added > bytes.length) { bytes = Arrays.copyOf(bytes, Math.max(length + added, bytes.length * 2)); }
     }
 
     public byte[] toBytes() { return length == bytes.length ? bytes : Arrays.copyOf(bytes, length); }
--- a/src/main/java/yardusher/resp/Inbound.java
+++ b/src/main/java/yardusher/resp/InboundBuffer.java
@@ -3,10 +3,10 @@
 import java.nio.ByteBuffer;
 
 /** Where a connection puts the bytes that it reads. */
-public interface Inbound {
+public interface InboundBuffer {
     /** Room to read into, never empty; what lies there counts only after {@link #filled}. */
-    ByteBuffer room();
+    ByteBuffer readBuffer();
 
     /** So many bytes were read into the room last given. */
-    void filled(int count);
+    void advance(int count);
 }
--- a/src/main/java/yardusher/resp/Value.java
+++ b/src/main/java/yardusher/resp/Value.java
@@ -5,17 +5,17 @@
 
 /** One decoded RESP2 value. A null bulk string or array holds null. */
 public sealed interface Value {
-    record Simple(String text) implements Value { }
+    record SimpleString(String text) implements Value { }
 
-    record Failure(String text) implements Value { }
+    record ErrorReply(String text) implements Value { }
 
-    record Whole(long number) implements Value { }
+    record IntegerValue(long number) implements Value { }
 
-    record Bulk(byte[] bytes) implements Value {
+    record BulkString(byte[] bytes) implements Value {
         public String text() {
             return bytes == null ? null : new String(bytes, StandardCharsets.UTF_8);
         }
     }
 
-    record Many(List<Value> items) implements Value { }
+    record ArrayValue(List<Value> items) implements Value { }
 }
--- a/src/main/java/yardusher/servers/BackendLink.java
+++ b/src/main/java/yardusher/servers/BackendLink.java
@@ -7,13 +7,13 @@
 import yardusher.Api;
 import yardusher.core.Attempt;
 import yardusher.core.Deadlines;
-import yardusher.core.Flow;
-import yardusher.net.Link;
-import yardusher.resp.Malformed;
+import yardusher.core.ResponseStream;
+import yardusher.net.Connection;
+import yardusher.resp.MalformedRespException;
 import yardusher.resp.Value;
 
 /** One connection to a backend, with at most one attempt on it. */
-final class BackendLink implements Link.Owner {
+final class BackendLink implements Connection.Owner {
     private final BackendPool pool;
     final BackendPool.Place place;
     final long backend;
@@ -23,10 +23,10 @@
     private static final double LOOK_MS = 50;        // and what came while nothing was read is read first
     private static final double WHOLE_MS = 1000;
 
-    private Link link;
+    private Connection link;
     private Attempt attempt;
     private Deadlines.Entry wholeBy;
-    private Flow flow;                               // a large value that is passed on as it comes
+    private ResponseStream flow;                               // a large value that is passed on as it comes
     private long left;                               // bytes of it that have not come
     private boolean carried;                         // a part is on its way to the terminal
     private double startedAt;                        // when the first bytes of an answer came that is not whole
@@ -42,7 +42,7 @@
     }
 
     void open(AsynchronousSocketChannel channel) {
-        link = new Link(channel, pool.sockets.loop(), this);
+        link = new Connection(channel, pool.sockets.loop(), this);
         link.readMore();
     }
 
@@ -54,7 +54,7 @@
         attempt = next;
         kept = used;
         used = true;
-        next.giveUp = this::close;
+        next.abort = this::close;
         for (ByteBuffer part : cargo) { link.write(part); }
     }
 
@@ -70,23 +70,23 @@
 
     /** A connection that nobody waits for any more by the time it is there. */
     static void drop(BackendPool pool, AsynchronousSocketChannel channel, Runnable then) {
-        new Link(channel, pool.sockets.loop(), new Link.Owner() {
+        new Connection(channel, pool.sockets.loop(), new Connection.Owner() {
             @Override
-            public boolean readable(Link from) { return true; }
+            public boolean onReadable(Connection from) { return true; }
 
             @Override
-            public void ended(Link from) { then.run(); }
-        }).leave(then);
+            public void onClosed(Connection from) { then.run(); }
+        }).shutdownAndAwaitPeer(then);
     }
 
     @Override
-    public boolean readable(Link from) {
+    public boolean onReadable(Connection from) {
         if (flow != null) { return flows(); }
         Value value;
         try {
-            value = from.decoder().value();
-            if (value == null && attempt != null && from.decoder().openLarge() > 0) { return begins(); }
-        } catch (Malformed e) {
+            value = from.decoder().nextValue();
+            if (value == null && attempt != null && from.decoder().beginLargeValue() > 0) { return begins(); }
+        } catch (MalformedRespException e) {
             spoilt();
             return false;
         }
@@ -115,23 +115,23 @@
         startedAt = wholeBy == null ? now : startedAt;
         deadlines.cancel(wholeBy);
         boolean endless = now - startedAt > WHOLE_MS;
-        wholeBy = endless ? deadlines.at(now, this::spoilt) : deadlines.at(now + MOVES_MS, this::look);
+        wholeBy = endless ? deadlines.schedule(now, this::spoilt) : deadlines.schedule(now + MOVES_MS, this::look);
     }
 
     /** Guards against a process that was held up: what came meanwhile is read before this time is over. */
     private void look() {
         Deadlines deadlines = pool.sockets.loop().deadlines();
-        wholeBy = deadlines.at(pool.sockets.loop().now() + LOOK_MS, this::spoilt);
+        wholeBy = deadlines.schedule(pool.sockets.loop().now() + LOOK_MS, this::spoilt);
     }
 
     /** The attempt has its answer: the connection waits for the next. */
     private void served(Attempt.Result result) {
         Attempt ended = attempt;
         attempt = null;
-        ended.giveUp = () -> { };
+        ended.abort = () -> { };
         pool.noteLost(kept, false);
         // Guards the next attempt: what is behind the answer is no one's, and a command that is not written whole still goes out.
-        if (link.decoder().isEmpty() && link.queued() == 0) { pool.rest(this); } else { close(); }
+        if (link.decoder().isEmpty() && link.queuedBytes() == 0) { pool.rest(this); } else { close(); }
         pool.end(ended, result);
     }
 
@@ -139,14 +139,14 @@
     private boolean begins() {
         Deadlines deadlines = pool.sockets.loop().deadlines();
         deadlines.cancel(wholeBy);
-        left = link.decoder().openLarge();
+        left = link.decoder().beginLargeValue();
         flow = pool.begin(attempt, left);
         if (flow == null) {
             spoilt();
             return false;
         }
         moved();
-        wholeBy = deadlines.at(movedAt + pool.stallMs, this::watchFlow);
+        wholeBy = deadlines.schedule(movedAt + pool.stallMs, this::watchFlow);
         return flows();
     }
 
@@ -160,7 +160,7 @@
         if (flow == null) { return; }
         double now = pool.sockets.loop().now();
         if (now < movedAt + pool.stallMs) {
-            wholeBy = pool.sockets.loop().deadlines().at(movedAt + pool.stallMs, this::watchFlow);
+            wholeBy = pool.sockets.loop().deadlines().schedule(movedAt + pool.stallMs, this::watchFlow);
             return;
         }
         Attempt ended = attempt;
@@ -172,24 +172,24 @@
     private boolean flows() {
         if (carried) { return false; }
         if (left > 0) {
-            ByteBuffer part = link.decoder().part(left);
+            ByteBuffer part = link.decoder().nextChunk(left);
             if (part == null) { return true; }
             left -= part.remaining();
             carried = true;
             moved();
-            flow.part(part, this::taken);
+            flow.write(part, this::taken);
             return false;
         }
         try {
-            List<Value> rest = link.decoder().rest();
+            List<Value> rest = link.decoder().finishLargeValue();
             if (rest == null) { return true; }
-            if (rest.size() != 2) { throw new Malformed("not an answer"); }
+            if (rest.size() != 2) { throw new MalformedRespException("not an answer"); }
             flow = null;
             pool.sockets.loop().deadlines().cancel(wholeBy);
             wholeBy = null;
             served(new Attempt.Result(Api.Outcome.SERVED, null, load(rest.get(1))));
             return true;
-        } catch (Malformed e) {
+        } catch (MalformedRespException e) {
             spoilt();
             return false;
         }
@@ -203,12 +203,12 @@
     }
 
     @Override
-    public void written(Link from) {
+    public void onFlushed(Connection from) {
         if (attempt != null) { pool.written(attempt); }
     }
 
     @Override
-    public void ended(Link from) {
+    public void onClosed(Connection from) {
         pool.over(place, backend, false);
         place.idle.remove(this);
         pool.sockets.loop().deadlines().cancel(wholeBy);
@@ -217,7 +217,7 @@
         flow = null;
         if (ended != null) {
             pool.noteLost(kept, true);
-            if (from.writeFailed()) { ended.unwritten(); }
+            if (from.writeFailed()) { ended.writeFailed(); }
             pool.end(ended, Attempt.Result.of(from.writeFailed() ? Api.Outcome.CONNECT_FAILED : Api.Outcome.CONNECTION_LOST));
         }
     }
@@ -235,11 +235,11 @@
      * request, and against taking a spoilt line for a backend's word that it never ran.
      */
     private Attempt.Result result(Value value) {
-        if (value instanceof Value.Many many && many.items() != null && many.items().size() == 3
-                && many.items().get(0) instanceof Value.Bulk bulk && bulk.bytes() != null) {
+        if (value instanceof Value.ArrayValue many && many.items() != null && many.items().size() == 3
+                && many.items().get(0) instanceof Value.BulkString bulk && bulk.bytes() != null) {
             return new Attempt.Result(Api.Outcome.SERVED, bulk.bytes(), load(many.items().get(2)));
         }
-        if (!(value instanceof Value.Failure failure)) { return null; }
+        if (!(value instanceof Value.ErrorReply failure)) { return null; }
         String text = failure.text();
         int last = text.lastIndexOf(' ');
         boolean reports = last > 0 && text.indexOf('=', last) > 0;
@@ -255,7 +255,7 @@
     }
 
     private double[] load(Value last) {
-        return last instanceof Value.Bulk bulk && bulk.bytes() != null ? load(bulk.text()) : null;
+        return last instanceof Value.BulkString bulk && bulk.bytes() != null ? load(bulk.text()) : null;
     }
 
     /**
--- a/src/main/java/yardusher/servers/BackendPool.java
+++ b/src/main/java/yardusher/servers/BackendPool.java
@@ -13,10 +13,10 @@
 import yardusher.core.Attempt;
 import yardusher.core.Counters;
 import yardusher.core.Deadlines;
-import yardusher.core.Flow;
+import yardusher.core.ResponseStream;
 import yardusher.core.Ingress;
 import yardusher.core.Backends;
-import yardusher.net.Link;
+import yardusher.net.Connection;
 import yardusher.net.Sockets;
 
 /**
@@ -97,7 +97,7 @@
         this.dialMs = dialMs;
         this.retireMs = idleMs * RETIRED_PART;
         this.mostConnections = mostConnections;
-        sockets.loop().deadlines().at(sockets.loop().now() + UPKEEP_MS, this::upkeep);
+        sockets.loop().deadlines().schedule(sockets.loop().now() + UPKEEP_MS, this::upkeep);
     }
 
     /** How many connections are held at the most; idle ones beyond that close. */
@@ -154,14 +154,14 @@
     /** Told once this turn's news have reached the module: it must not choose by the list before. */
     private void dropDialling(Place place) {
         for (Attempt attempt : Set.copyOf(place.dialling)) {
-            attempt.giveUp.run();
-            attempt.giveUp = () -> { };
-            sockets.loop().afterwards(() -> end(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED)));
+            attempt.abort.run();
+            attempt.abort = () -> { };
+            sockets.loop().defer(() -> end(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED)));
         }
         for (Wait wait; (wait = place.waiting.peek()) != null;) {
             Attempt attempt = wait.attempt;
             stop(place, wait);
-            sockets.loop().afterwards(() -> end(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED)));
+            sockets.loop().defer(() -> end(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED)));
         }
         for (Dial dial; (dial = place.dials.peek()) != null;) { dial.drop.run(); }
     }
@@ -186,7 +186,7 @@
     }
 
     @Override
-    public boolean knows(long backend) { return isOpen(places.get(backend), backend); }
+    public boolean isAvailable(long backend) { return isOpen(places.get(backend), backend); }
 
     /** Whether attempts may begin there: it is listed, does not drain, and is not out by hand. */
     private boolean isOpen(Place place, long backend) {
@@ -194,7 +194,7 @@
     }
 
     @Override
-    public void begin(Attempt attempt, ByteBuffer... cargo) {
+    public void start(Attempt attempt, ByteBuffer... cargo) {
         Place place = places.get(attempt.backend);
         BackendLink link = ++begun % LOOKS == 0 || !keepingLoses() ? settled(place) : null;
         if (link != null) {
@@ -204,7 +204,7 @@
         }
         if (connections - leaving >= mostConnections && !closeOneIdle()) {
             // Guards the descriptor limit: past the budget nothing was sent, so the module may go elsewhere.
-            sockets.loop().afterwards(() -> end(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED)));
+            sockets.loop().defer(() -> end(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED)));
             return;
         }
         if (allowance != null) {
@@ -215,10 +215,10 @@
         double now = sockets.loop().now();
         Wait wait = new Wait(attempt, cargo);
         place.waiting.addLast(wait);
-        attempt.giveUp = () -> stop(place, wait);
-        wait.limit = deadlines.at(now + dialMs, () -> fails(place, wait));
+        attempt.abort = () -> stop(place, wait);
+        wait.limit = deadlines.schedule(now + dialMs, () -> fails(place, wait));
         // A dial that does not come up is often lost alone: a second one beside it comes up sooner than the first would fail.
-        wait.second = deadlines.at(now + dialMs * SECOND_PART, () -> {
+        wait.second = deadlines.schedule(now + dialMs * SECOND_PART, () -> {
             if (!wait.over && connections < mostConnections) { dial(place, wait); }
         });
         dial(place, wait);
@@ -227,12 +227,12 @@
     /** Hands an attempt to a connection; false where nothing of it may be sent any more, and it ends as never sent. */
     private boolean carries(BackendLink link, Attempt attempt, ByteBuffer... cargo) {
         double now = sockets.loop().now();
-        if (attempt.hand(now)) {
+        if (attempt.handToSocket(now)) {
             link.carry(attempt, cargo);
             return true;
         }
-        Api.Outcome never = attempt.isLate(now) ? Api.Outcome.CONNECT_FAILED : Api.Outcome.NOT_SENT;
-        sockets.loop().afterwards(() -> end(attempt, Attempt.Result.of(never)));
+        Api.Outcome never = attempt.isTooLateToWrite(now) ? Api.Outcome.CONNECT_FAILED : Api.Outcome.NOT_SENT;
+        sockets.loop().defer(() -> end(attempt, Attempt.Result.of(never)));
         return false;
     }
 
@@ -310,7 +310,7 @@
         if (!allowance.take(attempt.backend)) {
             BackendLink resting = place.idle.pollFirst();
             if (resting == null) {                   // known before the choice, but for what this very turn changed
-                sockets.loop().afterwards(() -> end(attempt, Attempt.Result.of(Api.Outcome.NOT_SENT)));
+                sockets.loop().defer(() -> end(attempt, Attempt.Result.of(Api.Outcome.NOT_SENT)));
             } else {
                 counters.connectionsReused++;
                 if (!carries(resting, attempt, cargo)) { resting.close(); }
@@ -327,7 +327,7 @@
             place.dialling.remove(attempt);
             leaving(place, attempt.backend);
         };
-        Deadlines.Entry limit = sockets.loop().deadlines().at(sockets.loop().now() + dialMs, () -> {
+        Deadlines.Entry limit = sockets.loop().deadlines().schedule(sockets.loop().now() + dialMs, () -> {
             if (dropped[0]) { return; }
             drop.run();
             counters.connectionsFailed++;
@@ -351,21 +351,21 @@
             counters.connectionsFailed++;
             end(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED));
         });
-        attempt.giveUp = () -> {
+        attempt.abort = () -> {
             sockets.loop().deadlines().cancel(limit);
             drop.run();
         };
     }
 
     /** A connection is closed from this side. */
-    void leaves(Place place, long backend, Link link) {
+    void leaves(Place place, long backend, Connection link) {
         if (allowance == null) {
             over(place, backend, false);
             link.close();
             return;
         }
         leaving(place, backend);
-        link.leave(() -> over(place, backend, true));
+        link.shutdownAndAwaitPeer(() -> over(place, backend, true));
     }
 
     private void leaving(Place place, long backend) {
@@ -431,11 +431,11 @@
         return false;
     }
 
-    Flow begin(Attempt attempt, long length) { return ingress.begin(attempt, length); }
+    ResponseStream begin(Attempt attempt, long length) { return ingress.beginStream(attempt, length); }
 
-    void written(Attempt attempt) { ingress.written(attempt); }
+    void written(Attempt attempt) { ingress.attemptWritten(attempt); }
 
-    void end(Attempt attempt, Attempt.Result result) { ingress.ended(attempt, result); }
+    void end(Attempt attempt, Attempt.Result result) { ingress.attemptEnded(attempt, result); }
 
     /** An attempt ended in order: its connection waits for the next. */
     void rest(BackendLink link) {
@@ -444,7 +444,7 @@
         if (isOpen(link.place, link.backend) && !enough) {
             link.place.idle.addLast(link);
             if (!link.place.waiting.isEmpty()) {
-                sockets.loop().deadlines().at(link.idleSince + SETTLED_MS, () -> serveWaiting(link.place));
+                sockets.loop().deadlines().schedule(link.idleSince + SETTLED_MS, () -> serveWaiting(link.place));
             }
         } else {
             link.close();
@@ -453,7 +453,7 @@
 
     private void upkeep() {
         double now = sockets.loop().now();
-        sockets.loop().deadlines().at(now + UPKEEP_MS, this::upkeep);
+        sockets.loop().deadlines().schedule(now + UPKEEP_MS, this::upkeep);
         for (Place place : places.values()) {
             for (Iterator<BackendLink> all = place.idle.iterator(); all.hasNext();) {
                 BackendLink link = all.next();
--- a/src/main/java/yardusher/settings/Settings.java
+++ b/src/main/java/yardusher/settings/Settings.java
@@ -9,7 +9,7 @@
 import yardusher.journal.JournalSettings;
 import yardusher.keys.KeySettings;
 import yardusher.log.LogSettings;
-import yardusher.parts.PartSettings;
+import yardusher.connectionquota.ConnectionQuotaSettings;
 import yardusher.rates.RateSettings;
 import yardusher.units.UnitSettings;
 import yardusher.view.ViewSettings;
@@ -19,7 +19,7 @@
  * platform's file says nothing of them.
  */
 public record Settings(JournalSettings journal, KeySettings keys, LogSettings log, boolean fenced, ViewSettings view,
-        UnitSettings units, PartSettings parts, RateSettings rates) {
+        UnitSettings units, ConnectionQuotaSettings parts, RateSettings rates) {
     /** Everything off. */
     public static final Settings OFF = new Settings(null, null, null, false, null, null, null, null);
     private static final Set<String> TABLES = Set.of("journal", "keys", "log", "fleet", "view", "units", "parts", "rates");
@@ -33,7 +33,7 @@
         if (file == null || isSilent(file)) { return OFF; }
         return Toml.read(file, toml -> {
             Settings all = new Settings(JournalSettings.of(toml.only(TABLES)), KeySettings.of(toml), LogSettings.of(toml), fenced(toml),
-                    ViewSettings.of(toml), UnitSettings.of(toml), PartSettings.of(toml), RateSettings.of(toml));
+                    ViewSettings.of(toml), UnitSettings.of(toml), ConnectionQuotaSettings.of(toml), RateSettings.of(toml));
             String lone = all.view != null ? null : all.units != null ? "units" : all.parts != null ? "parts" : all.rates != null ? "rates" : null;
             if (lone != null) { throw new ConfigError.Conflict(null, lone, lone + " needs a table view, by which ingresses reach one another"); }
             return all;
--- a/src/main/java/yardusher/subsystem/Site.java
+++ b/src/main/java/yardusher/subsystem/Site.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import yardusher.Api;
-import yardusher.clients.PlatformFront;
+import yardusher.clients.PlatformFrontend;
 import yardusher.core.Ingress;
 import yardusher.core.EventLoop;
 import yardusher.discovery.DiscoveredBackends;
@@ -17,5 +17,5 @@
  * {@code classes}, {@code plans} and {@code zones} are the names of the settings' entries, in their order; {@code mesh} and {@code view} are null where the view is off.
  */
 public record Site(String name, long seed, EventLoop loop, Sockets sockets, Api.Settings settings, List<String> classes, List<String> plans,
-        List<String> zones, Ingress ingress, BackendPool pool, DiscoveredBackends table, PlatformFront front, Events events,
+        List<String> zones, Ingress ingress, BackendPool pool, DiscoveredBackends table, PlatformFrontend front, Events events,
         Mesh mesh, View view) { }
--- a/src/main/java/yardusher/subsystem/Subsystem.java
+++ b/src/main/java/yardusher/subsystem/Subsystem.java
@@ -1,8 +1,8 @@
 package yardusher.subsystem;
 
 import java.io.IOException;
-import yardusher.core.Intake;
-import yardusher.core.OrderLog;
+import yardusher.core.RequestAcceptor;
+import yardusher.core.RequestLog;
 import yardusher.settings.Settings;
 
 /**
@@ -15,10 +15,10 @@
     String name();
 
     /** Writes down the core's orders, over what {@code inner} does; by default nothing is added. Before the core is made. */
-    default OrderLog orders(OrderLog inner) { return inner; }
+    default RequestLog orders(RequestLog inner) { return inner; }
 
     /** Stands between the fronts and the core; by default it does not. Once, when the core is there and the fronts are not. */
-    default Intake intake(Site site, Intake inner) throws IOException { return inner; }
+    default RequestAcceptor intake(Site site, RequestAcceptor inner) throws IOException { return inner; }
 
     /** Gets what it needs of the ingress, once all of it is made and nothing has been taken yet. */
     default void join(Site site) throws IOException { }
--- a/src/main/java/yardusher/units/Message.java
+++ b/src/main/java/yardusher/units/Message.java
@@ -10,42 +10,42 @@
 /** What ingresses say to one another about units, and its bytes. Durations in milliseconds; -1 for no region or hall. */
 sealed interface Message {
     /** To a home: a part or an end is asked for, and waited for so long. */
-    record Ask(UnitName unit, long ask, long customer, int part, Ticket.Kind kind, double waitMs, double repeatMs) implements Message { }
+    record Request(UnitName unit, long requestId, long customer, int part, Ticket.Kind kind, double waitMs, double repeatWindowMs) implements Message { }
 
     /** From a home: run it, bound to this region or hall; {@code toRegion}: what the first attempt binds it to. */
-    record Grant(UnitName unit, long ask, int grant, boolean toRegion, long server, int zone) implements Message { }
+    record Grant(UnitName unit, long requestId, int grantNumber, boolean bindsToRegion, long region, int zone) implements Message { }
 
     /** {@code to}: where it is to be asked for, empty but for MOVED. */
-    record Refuse(UnitName unit, long ask, Refusal why, long figure, String to) implements Message { }
+    record Refuse(UnitName unit, long requestId, Refusal reason, long detail, String newHome) implements Message { }
 
     /** From a home: it has its place and waits for its turn; part {@code due} is the one that is awaited. */
-    record Waits(UnitName unit, long ask, int due) implements Message { }
+    record Queued(UnitName unit, long requestId, int awaitedPart) implements Message { }
 
     /** From a home: the unit is over. */
-    record Told(UnitName unit, long ask, Unit.State state, int served) implements Message { }
+    record Outcome(UnitName unit, long requestId, Unit.State state, int servedParts) implements Message { }
 
     /** To a home: the part that was granted is over. {@code holder} and its life are there where a former home passes it on. */
-    record Done(UnitName unit, int grant, Unit.Result result, double looseMs, long server, int zone, String holder, long life) implements Message { }
+    record PartDone(UnitName unit, int grantNumber, Unit.Result result, double mayRunForMs, long region, int zone, String holder, long holderIncarnation) implements Message { }
 
     /** To a home: who asked asks no more, and runs nothing. */
-    record Withdraw(UnitName unit, long ask, String holder, long life) implements Message { }
+    record Withdraw(UnitName unit, long requestId, String holder, long holderIncarnation) implements Message { }
 
     /** From a home: is this part still in your hands? If not, its end is to be told again. */
-    record Still(UnitName unit, int grant) implements Message { }
+    record StatusQuery(UnitName unit, int grantNumber) implements Message { }
 
     /** To whoever was granted a part: the unit is over, once. */
-    record Ended(UnitName unit, Unit.State state) implements Message { }
+    record UnitEnded(UnitName unit, Unit.State state) implements Message { }
 
     /** To all: the units of a home's life are asked for at another ingress from now on. */
-    record Moved(String home, long life, String to, int epoch) implements Message { }
+    record Moved(String home, long incarnation, String newHome, int epoch) implements Message { }
 
     /** To all: who knows where the units of that life went? Answered by Moved. */
-    record Where(String home, long life) implements Message { }
+    record Locate(String home, long incarnation) implements Message { }
 
     /** To the next home: a unit. */
-    record Take(UnitRecord unit) implements Message { }
+    record Transfer(UnitRecord record) implements Message { }
 
-    default byte[] bytes() {
+    default byte[] encode() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(96);
         try {
             write(this, new DataOutputStream(bytes));
@@ -56,170 +56,170 @@
     }
 
     private static void write(Message message, DataOutputStream out) throws IOException {
-        if (message instanceof Ask m) {
+        if (message instanceof Request m) {
             out.writeByte(1);
-            name(out, m.unit);
-            out.writeLong(m.ask);
+            writeName(out, m.unit);
+            out.writeLong(m.requestId);
             out.writeLong(m.customer);
             out.writeInt(m.part);
             out.writeByte(m.kind.ordinal());
             out.writeDouble(m.waitMs);
-            out.writeDouble(m.repeatMs);
+            out.writeDouble(m.repeatWindowMs);
         } else if (message instanceof Grant m) {
             out.writeByte(2);
-            name(out, m.unit);
-            out.writeLong(m.ask);
-            out.writeInt(m.grant);
-            out.writeBoolean(m.toRegion);
-            out.writeLong(m.server);
+            writeName(out, m.unit);
+            out.writeLong(m.requestId);
+            out.writeInt(m.grantNumber);
+            out.writeBoolean(m.bindsToRegion);
+            out.writeLong(m.region);
             out.writeInt(m.zone);
         } else if (message instanceof Refuse m) {
             out.writeByte(3);
-            name(out, m.unit);
-            out.writeLong(m.ask);
-            out.writeByte(m.why.ordinal());
-            out.writeLong(m.figure);
-            out.writeUTF(m.to);
-        } else if (message instanceof Waits m) {
+            writeName(out, m.unit);
+            out.writeLong(m.requestId);
+            out.writeByte(m.reason.ordinal());
+            out.writeLong(m.detail);
+            out.writeUTF(m.newHome);
+        } else if (message instanceof Queued m) {
             out.writeByte(4);
-            name(out, m.unit);
-            out.writeLong(m.ask);
-            out.writeInt(m.due);
-        } else if (message instanceof Told m) {
+            writeName(out, m.unit);
+            out.writeLong(m.requestId);
+            out.writeInt(m.awaitedPart);
+        } else if (message instanceof Outcome m) {
             out.writeByte(5);
-            name(out, m.unit);
-            out.writeLong(m.ask);
+            writeName(out, m.unit);
+            out.writeLong(m.requestId);
             out.writeByte(m.state.ordinal());
-            out.writeInt(m.served);
-        } else if (message instanceof Done m) {
+            out.writeInt(m.servedParts);
+        } else if (message instanceof PartDone m) {
             out.writeByte(6);
-            name(out, m.unit);
-            out.writeInt(m.grant);
+            writeName(out, m.unit);
+            out.writeInt(m.grantNumber);
             out.writeByte(m.result.ordinal());
-            out.writeDouble(m.looseMs);
-            out.writeLong(m.server);
+            out.writeDouble(m.mayRunForMs);
+            out.writeLong(m.region);
             out.writeInt(m.zone);
             out.writeUTF(m.holder);
-            out.writeLong(m.life);
+            out.writeLong(m.holderIncarnation);
         } else if (message instanceof Withdraw m) {
             out.writeByte(7);
-            name(out, m.unit);
-            out.writeLong(m.ask);
+            writeName(out, m.unit);
+            out.writeLong(m.requestId);
             out.writeUTF(m.holder);
-            out.writeLong(m.life);
-        } else if (message instanceof Ended m) {
+            out.writeLong(m.holderIncarnation);
+        } else if (message instanceof UnitEnded m) {
             out.writeByte(8);
-            name(out, m.unit);
+            writeName(out, m.unit);
             out.writeByte(m.state.ordinal());
         } else if (message instanceof Moved m) {
             out.writeByte(9);
             out.writeUTF(m.home);
-            out.writeLong(m.life);
-            out.writeUTF(m.to);
+            out.writeLong(m.incarnation);
+            out.writeUTF(m.newHome);
             out.writeInt(m.epoch);
-        } else if (message instanceof Where m) {
+        } else if (message instanceof Locate m) {
             out.writeByte(10);
             out.writeUTF(m.home);
-            out.writeLong(m.life);
-        } else if (message instanceof Still m) {
+            out.writeLong(m.incarnation);
+        } else if (message instanceof StatusQuery m) {
             out.writeByte(12);
-            name(out, m.unit);
-            out.writeInt(m.grant);
-        } else if (message instanceof Take m) {
+            writeName(out, m.unit);
+            out.writeInt(m.grantNumber);
+        } else if (message instanceof Transfer m) {
             out.writeByte(11);
-            record(out, m.unit);
+            writeRecord(out, m.record);
         }
     }
 
     /** Reads one; an {@link IOException} for bytes that are none. */
-    static Message of(byte[] bytes) throws IOException {
+    static Message decode(byte[] bytes) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
         Message message = switch (in.readByte()) {
-            case 1 -> new Ask(name(in), in.readLong(), in.readLong(), positive(in.readInt()), one(Ticket.Kind.values(), in), time(in), time(in));
-            case 2 -> new Grant(name(in), in.readLong(), positive(in.readInt()), in.readBoolean(), in.readLong(), in.readInt());
-            case 3 -> new Refuse(name(in), in.readLong(), one(Refusal.values(), in), in.readLong(), in.readUTF());
-            case 4 -> new Waits(name(in), in.readLong(), positive(in.readInt()));
-            case 5 -> new Told(name(in), in.readLong(), one(Unit.State.values(), in), positive(in.readInt()));
-            case 6 -> new Done(name(in), positive(in.readInt()), one(Unit.Result.values(), in), time(in), in.readLong(), in.readInt(), in.readUTF(), in.readLong());
-            case 7 -> new Withdraw(name(in), in.readLong(), in.readUTF(), in.readLong());
-            case 8 -> new Ended(name(in), one(Unit.State.values(), in));
-            case 9 -> new Moved(in.readUTF(), in.readLong(), in.readUTF(), positive(in.readInt()));
-            case 10 -> new Where(in.readUTF(), in.readLong());
-            case 11 -> new Take(record(in));
-            case 12 -> new Still(name(in), positive(in.readInt()));
+            case 1 -> new Request(readName(in), in.readLong(), in.readLong(), requireNonNegative(in.readInt()), readEnum(Ticket.Kind.values(), in), readDuration(in), readDuration(in));
+            case 2 -> new Grant(readName(in), in.readLong(), requireNonNegative(in.readInt()), in.readBoolean(), in.readLong(), in.readInt());
+            case 3 -> new Refuse(readName(in), in.readLong(), readEnum(Refusal.values(), in), in.readLong(), in.readUTF());
+            case 4 -> new Queued(readName(in), in.readLong(), requireNonNegative(in.readInt()));
+            case 5 -> new Outcome(readName(in), in.readLong(), readEnum(Unit.State.values(), in), requireNonNegative(in.readInt()));
+            case 6 -> new PartDone(readName(in), requireNonNegative(in.readInt()), readEnum(Unit.Result.values(), in), readDuration(in), in.readLong(), in.readInt(), in.readUTF(), in.readLong());
+            case 7 -> new Withdraw(readName(in), in.readLong(), in.readUTF(), in.readLong());
+            case 8 -> new UnitEnded(readName(in), readEnum(Unit.State.values(), in));
+            case 9 -> new Moved(in.readUTF(), in.readLong(), in.readUTF(), requireNonNegative(in.readInt()));
+            case 10 -> new Locate(in.readUTF(), in.readLong());
+            case 11 -> new Transfer(readRecord(in));
+            case 12 -> new StatusQuery(readName(in), requireNonNegative(in.readInt()));
             default -> throw new IOException("of no kind that is known");
         };
         if (in.read() >= 0) { throw new IOException("too long"); }
         return message;
     }
 
-    private static <T> T one(T[] of, DataInputStream in) throws IOException {
+    private static <T> T readEnum(T[] values, DataInputStream in) throws IOException {
         int index = in.readUnsignedByte();
-        if (index >= of.length) { throw new IOException("no such value"); }
-        return of[index];
+        if (index >= values.length) { throw new IOException("no such value"); }
+        return values[index];
     }
 
-    private static int positive(int value) throws IOException {
+    private static int requireNonNegative(int value) throws IOException {
         if (value < 0) { throw new IOException("below 0"); }
         return value;
     }
 
-    private static double time(DataInputStream in) throws IOException {
+    private static double readDuration(DataInputStream in) throws IOException {
         double value = in.readDouble();
         if (Double.isNaN(value) || value < 0) { throw new IOException("no duration"); }
         return value;
     }
 
-    private static void name(DataOutputStream out, UnitName name) throws IOException {
+    private static void writeName(DataOutputStream out, UnitName name) throws IOException {
         out.writeUTF(name.home());
-        out.writeLong(name.life());
+        out.writeLong(name.incarnation());
         out.writeLong(name.number());
     }
 
-    private static UnitName name(DataInputStream in) throws IOException {
+    private static UnitName readName(DataInputStream in) throws IOException {
         UnitName name = new UnitName(in.readUTF(), in.readLong(), in.readLong());
-        if (name.home().isEmpty() || name.home().length() > 64 || name.life() <= 0 || name.number() <= 0) { throw new IOException("no name"); }
+        if (name.home().isEmpty() || name.home().length() > 64 || name.incarnation() <= 0 || name.number() <= 0) { throw new IOException("no name"); }
         return name;
     }
 
-    private static void record(DataOutputStream out, UnitRecord r) throws IOException {
-        name(out, r.name());
+    private static void writeRecord(DataOutputStream out, UnitRecord r) throws IOException {
+        writeName(out, r.name());
         out.writeLong(r.customer());
         out.writeByte(r.mode().ordinal());
         out.writeInt(r.epoch());
-        out.writeInt(r.next());
-        out.writeInt(r.grants());
-        out.writeByte((r.repeats() ? 1 : 0) | (r.doubt() ? 2 : 0) | (r.doubtSaid() ? 4 : 0) | (r.lastSaid() ? 8 : 0) | (r.last() ? 16 : 0));
-        out.writeInt(r.doubts());
-        out.writeDouble(r.triedMs());
-        out.writeDouble(r.looseMs());
-        out.writeInt(r.served());
-        out.writeLong(r.server());
+        out.writeInt(r.nextPart());
+        out.writeInt(r.grantCount());
+        out.writeByte((r.repeatGranted() ? 1 : 0) | (r.nextPartUncertain() ? 2 : 0) | (r.uncertainPartNumbered() ? 4 : 0) | (r.lastPartNumbered() ? 8 : 0) | (r.grantedIsLast() ? 16 : 0));
+        out.writeInt(r.skippedUncertain());
+        out.writeDouble(r.firstGrantedAgoMs());
+        out.writeDouble(r.mayRunForMs());
+        out.writeInt(r.servedParts());
+        out.writeLong(r.region());
         out.writeInt(r.zone());
         out.writeUTF(r.holder() == null ? "" : r.holder());
-        out.writeLong(r.life());
-        out.writeLong(r.ask());
-        out.writeInt(r.part());
-        out.writeDouble(r.dueMs());
+        out.writeLong(r.holderIncarnation());
+        out.writeLong(r.requestId());
+        out.writeInt(r.grantedPart());
+        out.writeDouble(r.deadlineInMs());
     }
 
-    private static UnitRecord record(DataInputStream in) throws IOException {
-        UnitName name = name(in);
+    private static UnitRecord readRecord(DataInputStream in) throws IOException {
+        UnitName name = readName(in);
         long customer = in.readLong();
-        Mode mode = one(Mode.values(), in);
-        int epoch = positive(in.readInt());
-        int next = positive(in.readInt());
-        int grants = positive(in.readInt());
+        Mode mode = readEnum(Mode.values(), in);
+        int epoch = requireNonNegative(in.readInt());
+        int nextPart = requireNonNegative(in.readInt());
+        int grantCount = requireNonNegative(in.readInt());
         int flags = in.readUnsignedByte();
-        int doubts = positive(in.readInt());
-        double tried = time(in);
-        double loose = time(in);
-        int served = positive(in.readInt());
-        long server = in.readLong();
+        int skippedUncertain = requireNonNegative(in.readInt());
+        double firstGrantedAgoMs = readDuration(in);
+        double mayRunForMs = readDuration(in);
+        int servedParts = requireNonNegative(in.readInt());
+        long region = in.readLong();
         int zone = in.readInt();
         String holder = in.readUTF();
-        return new UnitRecord(name, customer, mode, epoch, next, grants, (flags & 1) != 0, (flags & 2) != 0, (flags & 4) != 0, (flags & 8) != 0,
-                doubts, tried, loose, served, server, zone, holder.isEmpty() ? null : holder, in.readLong(), in.readLong(), positive(in.readInt()),
-                (flags & 16) != 0, time(in));
+        return new UnitRecord(name, customer, mode, epoch, nextPart, grantCount, (flags & 1) != 0, (flags & 2) != 0, (flags & 4) != 0, (flags & 8) != 0,
+                skippedUncertain, firstGrantedAgoMs, mayRunForMs, servedParts, region, zone, holder.isEmpty() ? null : holder, in.readLong(), in.readLong(), requireNonNegative(in.readInt()),
+                (flags & 16) != 0, readDuration(in));
     }
 }
--- a/src/main/java/yardusher/units/Ticket.java
+++ b/src/main/java/yardusher/units/Ticket.java
@@ -5,18 +5,18 @@
  * the next one that a session brings; until when, on the home's clock in milliseconds; and for how long after a first try
  * that may have run the class bears another (0 for never, infinity for always).
  */
-record Ticket(long ask, String holder, long life, long customer, int part, Kind kind, double dueMs, double repeatMs) {
+record Ticket(long requestId, String holder, long incarnation, long customer, int part, Kind kind, double deadlineMs, double repeatWindowMs) {
     enum Kind {
         PART,
         /** A part with which the unit ends once it is served. */
-        LAST,
+        LAST_PART,
         /** No part: the end itself. */
         END,
         /** No part: given up. */
         ABANDON;
 
-        boolean isPart() { return this == PART || this == LAST; }
+        boolean isPart() { return this == PART || this == LAST_PART; }
     }
 
-    boolean is(String who, long lifeOf, long number) { return ask == number && life == lifeOf && holder.equals(who); }
+    boolean matches(String otherHolder, long otherIncarnation, long otherRequestId) { return requestId == otherRequestId && incarnation == otherIncarnation && holder.equals(otherHolder); }
 }
--- a/src/main/java/yardusher/units/Unit.java
+++ b/src/main/java/yardusher/units/Unit.java
@@ -6,7 +6,7 @@
 /**
  * One unit of work, as its home holds it: parts are let out one at a time and in their order, each to one holder under a
  * grant with a number; the unit ends once. Free of I/O and clock: times come in as milliseconds that never go back. What
- * follows from a call is told to the {@link Sink} within it. Its size does not grow with its parts.
+ * follows from a call is told to the {@link Listener} within it. Its size does not grow with its parts.
  */
 final class Unit {
     enum State {
@@ -22,7 +22,7 @@
 
         boolean isOver() { return ordinal() >= DONE.ordinal(); }
 
-        String told() { return name().toLowerCase(java.util.Locale.ROOT); }
+        String label() { return name().toLowerCase(java.util.Locale.ROOT); }
     }
 
     /** By which boundary it ends; the first that comes counts. */
@@ -37,10 +37,10 @@
         /** Its first part went out with a holder that died: nobody knows where it may have run. */
         LOST;
 
-        private State end(boolean doubtful, boolean whole) {
+        private State finalState(boolean uncertain, boolean complete) {
             return switch (this) {
-                case SAID -> doubtful ? State.UNKNOWN : State.DONE;
-                case CLOSED -> doubtful || !whole ? State.ABANDONED : State.DONE;
+                case SAID -> uncertain ? State.UNKNOWN : State.DONE;
+                case CLOSED -> uncertain || !complete ? State.ABANDONED : State.DONE;
                 case LOST -> State.UNKNOWN;
                 default -> State.ABANDONED;
             };
@@ -51,54 +51,54 @@
     enum Result { SERVED, NEVER_RAN, MAY_HAVE_RUN }
 
     /** What a unit has to tell. */
-    interface Sink {
+    interface Listener {
         /** The holder may run the part, under this grant and the unit's binding as it stands. */
-        void grant(Unit unit, Ticket ticket, int grant);
+        void onGrant(Unit unit, Ticket ticket, int grantNumber);
 
-        void refuse(Unit unit, Ticket ticket, Refusal why, long figure);
+        void onRefuse(Unit unit, Ticket ticket, Refusal reason, long detail);
 
         /** It has to wait for its turn. */
-        void waits(Unit unit, Ticket ticket);
+        void onQueued(Unit unit, Ticket ticket);
 
         /** The answer to an end that was said. */
-        void told(Unit unit, Ticket ticket);
+        void handleOutcome(Unit unit, Ticket ticket);
 
         /** It is over and nothing of it may run: once for each unit. */
-        void ended(Unit unit);
+        void onEnded(Unit unit);
     }
 
     /** What a unit goes by: waiting tickets at the most, and how long what was given up may run on, in milliseconds. */
-    record Rules(int mostWaiting, double settleMs) { }
+    record Rules(int maxWaiting, double settleMs) { }
 
     final UnitName name;
     final long customer;
     final Mode mode;
     private State state = State.OPEN;
     private Boundary boundary;
-    private boolean whole = true;                    // nothing was cut off by the boundary
+    private boolean complete = true;                    // nothing was cut off by the boundary
     private int epoch;                               // counts homes
-    private int next = 1;                            // the part that is due
-    private Ticket out;                              // the part in a holder's hands
-    private int grants;
-    private boolean repeats;                         // the part that is out was served before
-    private boolean doubt;                           // the part that is due may have run
-    private boolean doubtSaid;                       // and its terminal gave it its number, so that it can say it again
-    private boolean lastSaid;                        // the part before was served under a number its terminal gave
-    private int doubts;                              // parts passed over that may have run
-    private double triedAt;                          // when the latest part was first let out
-    private double looseUntil = Double.NEGATIVE_INFINITY; // something that was given up may run until then
-    private double wordAt;
-    private int served;
-    private long server = -1;
+    private int nextPart = 1;                            // the part that is due
+    private Ticket granted;                              // the part in a holder's hands
+    private int grantCount;
+    private boolean repeatGranted;                         // the part that is out was served before
+    private boolean nextPartUncertain;                           // the part that is due may have run
+    private boolean uncertainPartNumbered;                       // and its terminal gave it its number, so that it can say it again
+    private boolean lastPartNumbered;                        // the part before was served under a number its terminal gave
+    private int skippedUncertain;                              // parts passed over that may have run
+    private double firstGrantedAtMs;                          // when the latest part was first let out
+    private double mayRunUntilMs = Double.NEGATIVE_INFINITY; // something that was given up may run until then
+    private double lastActivityMs;
+    private int servedParts;
+    private long region = -1;
     private int zone = -1;
-    boolean wakes;                                   // for the table: a wake of it is pending
+    boolean wakePending;                                   // for the table: a wake of it is pending
     private List<Ticket> waiting = new ArrayList<>(0);
 
     Unit(UnitName name, long customer, Mode mode, double now) {
         this.name = name;
         this.customer = customer;
         this.mode = mode;
-        this.wordAt = now;
+        this.lastActivityMs = now;
     }
 
     State state() { return state; }
@@ -107,111 +107,111 @@
 
     int epoch() { return epoch; }
 
-    int served() { return served; }
+    int servedParts() { return servedParts; }
 
-    int next() { return next; }
+    int nextPart() { return nextPart; }
 
-    Ticket out() { return out; }
+    Ticket granted() { return granted; }
 
-    int grants() { return grants; }
+    int grantCount() { return grantCount; }
 
-    boolean isDoubtful() { return doubt || doubts > 0; }
+    boolean isUncertain() { return nextPartUncertain || skippedUncertain > 0; }
 
-    long server() { return server; }
+    long region() { return region; }
 
     int zone() { return zone; }
 
-    double wordAt() { return wordAt; }
+    double lastActivityMs() { return lastActivityMs; }
 
-    void looked(double now) { wordAt = now; }
+    void markActive(double now) { lastActivityMs = now; }
 
-    double looseUntil() { return looseUntil; }
+    double mayRunUntilMs() { return mayRunUntilMs; }
 
     int waitingCount() { return waiting.size(); }
 
     /** Whether any part was ever let out. */
-    boolean isBegun() { return grants > 0; }
+    boolean isStarted() { return grantCount > 0; }
 
-    boolean isBound() { return server >= 0 || zone >= 0; }
+    boolean isBound() { return region >= 0 || zone >= 0; }
 
     /** Somebody asks for a part or an end. */
-    void ask(double now, Ticket t, Rules rules, Sink sink) {
-        if (t.customer() != customer) {
-            sink.refuse(this, t, Refusal.UNKNOWN, 0);
+    void submit(double now, Ticket ticket, Rules rules, Listener listener) {
+        if (ticket.customer() != customer) {
+            listener.onRefuse(this, ticket, Refusal.UNKNOWN, 0);
             return;
         }
-        if (!t.kind().isPart()) {
-            end(now, t.kind() == Ticket.Kind.END ? Boundary.SAID : Boundary.ABANDON_SAID, t, sink);
+        if (!ticket.kind().isPart()) {
+            end(now, ticket.kind() == Ticket.Kind.END ? Boundary.SAID : Boundary.ABANDON_SAID, ticket, listener);
             return;
         }
-        if (out != null && out.is(t.holder(), t.life(), t.ask()) || waiting.stream().anyMatch(one -> one.is(t.holder(), t.life(), t.ask()))) { return; }
-        wordAt = now;
+        if (granted != null && granted.matches(ticket.holder(), ticket.incarnation(), ticket.requestId()) || waiting.stream().anyMatch(queued -> queued.matches(ticket.holder(), ticket.incarnation(), ticket.requestId()))) { return; }
+        lastActivityMs = now;
         if (state != State.OPEN) {
-            sink.refuse(this, t, Refusal.ENDED, state.ordinal());
-        } else if (isPast(t) && !maySendAgain(now, t)) {
-            sink.refuse(this, t, Refusal.RAN, next - 1);
-        } else if (waiting.size() >= rules.mostWaiting() || t.part() > next + rules.mostWaiting()) {
-            sink.refuse(this, t, Refusal.ORDER, next);
+            listener.onRefuse(this, ticket, Refusal.ENDED, state.ordinal());
+        } else if (isEarlierPart(ticket) && !mayRepeat(now, ticket)) {
+            listener.onRefuse(this, ticket, Refusal.ALREADY_RUN, nextPart - 1);
+        } else if (waiting.size() >= rules.maxWaiting() || ticket.part() > nextPart + rules.maxWaiting()) {
+            listener.onRefuse(this, ticket, Refusal.OUT_OF_ORDER, nextPart);
         } else {
-            waiting.add(t);
-            advance(now, sink);
-            if (waiting.contains(t)) { sink.waits(this, t); }
+            waiting.add(ticket);
+            advance(now, listener);
+            if (waiting.contains(ticket)) { listener.onQueued(this, ticket); }
         }
     }
 
-    private boolean isPast(Ticket t) { return t.part() > 0 && t.part() < next; }
+    private boolean isEarlierPart(Ticket ticket) { return ticket.part() > 0 && ticket.part() < nextPart; }
 
     /** Whether a past part may go once more: it was the last one served, nothing after it has begun, and its class bears it. */
-    private boolean maySendAgain(double now, Ticket t) {
-        return t.part() == next - 1 && lastSaid && !doubt && (out == null || out.part() == t.part()) && now - triedAt < t.repeatMs();
+    private boolean mayRepeat(double now, Ticket ticket) {
+        return ticket.part() == nextPart - 1 && lastPartNumbered && !nextPartUncertain && (granted == null || granted.part() == ticket.part()) && now - firstGrantedAtMs < ticket.repeatWindowMs();
     }
 
     /** Lets the next part out where one may go, and ends what is to end. */
-    void advance(double now, Sink sink) {
-        expire(now);
-        while (out == null && state == State.OPEN) {
-            Ticket t = due();
-            if (t == null) { return; }
-            if (doubt && !doubtSaid && now >= looseUntil) { // nobody can say again which one it was: it is passed over
-                doubts++;
-                doubt = false;
-                lastSaid = false;
-                next++;
+    void advance(double now, Listener listener) {
+        expireWaiting(now);
+        while (granted == null && state == State.OPEN) {
+            Ticket ticket = nextTicket();
+            if (ticket == null) { return; }
+            if (nextPartUncertain && !uncertainPartNumbered && now >= mayRunUntilMs) { // nobody can say again which one it was: it is passed over
+                skippedUncertain++;
+                nextPartUncertain = false;
+                lastPartNumbered = false;
+                nextPart++;
             }
-            boolean again = isPast(t) || t.part() == next && doubt && doubtSaid;
-            if (isPast(t) ? !maySendAgain(now, t) : again && now - triedAt >= t.repeatMs()) {
-                waiting.remove(t);
-                sink.refuse(this, t, Refusal.RAN, isPast(t) ? next - 1 : next);
-            } else if (t.part() == 0 && doubt && doubtSaid) {
-                waiting.remove(t);
-                sink.refuse(this, t, Refusal.ORDER, next); // the part with that number comes first
-            } else if (!again && now < looseUntil) {
-                if (t.dueMs() > looseUntil) { return; } // its turn comes
-                waiting.remove(t);
-                sink.refuse(this, t, Refusal.LATER, (long) Math.ceil(looseUntil - now));
+            boolean repeat = isEarlierPart(ticket) || ticket.part() == nextPart && nextPartUncertain && uncertainPartNumbered;
+            if (isEarlierPart(ticket) ? !mayRepeat(now, ticket) : repeat && now - firstGrantedAtMs >= ticket.repeatWindowMs()) {
+                waiting.remove(ticket);
+                listener.onRefuse(this, ticket, Refusal.ALREADY_RUN, isEarlierPart(ticket) ? nextPart - 1 : nextPart);
+            } else if (ticket.part() == 0 && nextPartUncertain && uncertainPartNumbered) {
+                waiting.remove(ticket);
+                listener.onRefuse(this, ticket, Refusal.OUT_OF_ORDER, nextPart); // the part with that number comes first
+            } else if (!repeat && now < mayRunUntilMs) {
+                if (ticket.deadlineMs() > mayRunUntilMs) { return; } // its turn comes
+                waiting.remove(ticket);
+                listener.onRefuse(this, ticket, Refusal.RETRY_LATER, (long) Math.ceil(mayRunUntilMs - now));
             } else {
-                letOut(now, t, again, sink);
+                grant(now, ticket, repeat, listener);
             }
         }
-        if (state == State.ENDING && out == null && now >= looseUntil) { finish(sink); }
+        if (state == State.ENDING && granted == null && now >= mayRunUntilMs) { finish(listener); }
     }
 
     /** Drops who waited longer than its terminal does; its holder has told it. */
-    void expire(double now) { waiting.removeIf(t -> t.kind().isPart() && t.dueMs() <= now); }
-
-    private void letOut(double now, Ticket t, boolean again, Sink sink) {
-        waiting.remove(t);
-        repeats = isPast(t);
-        if (!again) { triedAt = now; }
-        out = t;
-        grants++;
-        sink.grant(this, t, grants);
+    void expireWaiting(double now) { waiting.removeIf(t -> t.kind().isPart() && t.deadlineMs() <= now); }
+
+    private void grant(double now, Ticket ticket, boolean repeat, Listener listener) {
+        waiting.remove(ticket);
+        repeatGranted = isEarlierPart(ticket);
+        if (!repeat) { firstGrantedAtMs = now; }
+        granted = ticket;
+        grantCount++;
+        listener.onGrant(this, ticket, grantCount);
     }
 
     /** The ticket whose turn it is: a repeat of the part before, the part that is due, or a session's next. */
-    private Ticket due() {
-        for (Ticket t : waiting) {
-            if (t.part() <= next) { return t; }
+    private Ticket nextTicket() {
+        for (Ticket ticket : waiting) {
+            if (ticket.part() <= nextPart) { return ticket; }
         }
         return null;
     }
@@ -220,163 +220,163 @@
      * A holder's word on the part in its hands. What it gave up may run for {@code looseMs} more; server and zone are where
      * it may have run, -1 for nowhere. False where the word is of an older grant or another's, and changes nothing.
      */
-    boolean done(double now, String holder, long life, int grant, Result result, double looseMs, long atServer, int atZone, Sink sink) {
-        if (out == null || grant != grants || out.life() != life || !out.holder().equals(holder)) { return false; }
-        wordAt = now;
-        Ticket was = out;
-        out = null;
-        if (looseMs > 0) { looseUntil = Math.max(looseUntil, now + looseMs); }
+    boolean partDone(double now, String holder, long incarnation, int grantNumber, Result result, double mayRunForMs, long atRegion, int atZone, Listener listener) {
+        if (granted == null || grantNumber != grantCount || granted.incarnation() != incarnation || !granted.holder().equals(holder)) { return false; }
+        lastActivityMs = now;
+        Ticket ticket = granted;
+        granted = null;
+        if (mayRunForMs > 0) { mayRunUntilMs = Math.max(mayRunUntilMs, now + mayRunForMs); }
         if (result != Result.NEVER_RAN && !isBound()) {
-            server = mode == Mode.SESSION ? atServer : -1;
+            region = mode == Mode.SESSION ? atRegion : -1;
             zone = mode == Mode.SESSION ? -1 : atZone;
         }
-        if (!repeats) {
+        if (!repeatGranted) {
             if (result == Result.SERVED) {
-                next++;
-                served++;
-                doubt = false;
-                lastSaid = was.part() > 0;
+                nextPart++;
+                servedParts++;
+                nextPartUncertain = false;
+                lastPartNumbered = ticket.part() > 0;
             } else if (result == Result.MAY_HAVE_RUN) {
-                doubt = true;
-                doubtSaid = was.part() > 0;
+                nextPartUncertain = true;
+                uncertainPartNumbered = ticket.part() > 0;
             }
         }
-        if (result == Result.MAY_HAVE_RUN && !isBound() && state == State.OPEN) { begin(Boundary.LOST, sink); } // nobody knows where
-        if (result == Result.SERVED && was.kind() == Ticket.Kind.LAST && state == State.OPEN) { begin(Boundary.SAID, sink); }
-        advance(now, sink);
+        if (result == Result.MAY_HAVE_RUN && !isBound() && state == State.OPEN) { beginEnding(Boundary.LOST, listener); } // nobody knows where
+        if (result == Result.SERVED && ticket.kind() == Ticket.Kind.LAST_PART && state == State.OPEN) { beginEnding(Boundary.SAID, listener); }
+        advance(now, listener);
         return true;
     }
 
     /** Who asked asks no more: its ticket goes, and a part that was let out for it never ran. */
-    void withdraw(double now, String holder, long life, long ask, Sink sink) {
-        waiting.removeIf(t -> t.is(holder, life, ask));
-        if (out != null && out.is(holder, life, ask)) { done(now, holder, life, grants, Result.NEVER_RAN, 0, -1, -1, sink); }
+    void withdraw(double now, String holder, long incarnation, long requestId, Listener listener) {
+        waiting.removeIf(t -> t.matches(holder, incarnation, requestId));
+        if (granted != null && granted.matches(holder, incarnation, requestId)) { partDone(now, holder, incarnation, grantCount, Result.NEVER_RAN, 0, -1, -1, listener); }
     }
 
     /** A boundary. {@code asker} is told once it is over, null for nobody; of two that cross the first counts. */
-    void end(double now, Boundary by, Ticket asker, Sink sink) {
+    void end(double now, Boundary cause, Ticket asker, Listener listener) {
         if (asker != null && state.isOver()) {
-            sink.told(this, asker);
+            listener.handleOutcome(this, asker);
             return;
         }
         if (asker != null) {
-            waiting.removeIf(t -> !t.kind().isPart() && t.is(asker.holder(), asker.life(), asker.ask()));
+            waiting.removeIf(t -> !t.kind().isPart() && t.matches(asker.holder(), asker.incarnation(), asker.requestId()));
             if (waiting.size() < 1000) { waiting.add(asker); }
         }
-        if (state == State.OPEN) { begin(by, sink); }
-        advance(now, sink);
-        if (asker != null && waiting.contains(asker)) { sink.waits(this, asker); }
+        if (state == State.OPEN) { beginEnding(cause, listener); }
+        advance(now, listener);
+        if (asker != null && waiting.contains(asker)) { listener.onQueued(this, asker); }
     }
 
-    private void begin(Boundary by, Sink sink) {
+    private void beginEnding(Boundary cause, Listener listener) {
         state = State.ENDING;
-        boundary = by;
-        whole = out == null && waiting.stream().noneMatch(t -> t.kind().isPart());
-        for (Ticket t : List.copyOf(waiting)) {
-            if (t.kind().isPart()) {
-                waiting.remove(t);
-                sink.refuse(this, t, Refusal.ENDED, state.ordinal());
+        boundary = cause;
+        complete = granted == null && waiting.stream().noneMatch(ticket -> ticket.kind().isPart());
+        for (Ticket ticket : List.copyOf(waiting)) {
+            if (ticket.kind().isPart()) {
+                waiting.remove(ticket);
+                listener.onRefuse(this, ticket, Refusal.ENDED, state.ordinal());
             }
         }
     }
 
-    private void finish(Sink sink) {
-        state = boundary.end(isDoubtful(), whole);
-        List<Ticket> told = waiting;
+    private void finish(Listener listener) {
+        state = boundary.finalState(isUncertain(), complete);
+        List<Ticket> askers = waiting;
         waiting = new ArrayList<>(0);
-        sink.ended(this);
-        for (Ticket t : told) { sink.told(this, t); }
+        listener.onEnded(this);
+        for (Ticket asker : askers) { listener.handleOutcome(this, asker); }
     }
 
     /** A holder is not in the life any more in which it got the part: what it held may have run, and may run till it settles. */
-    void died(double now, String holder, long lifeNow, Rules rules, Sink sink) {
-        waiting.removeIf(t -> t.holder().equals(holder) && t.life() != lifeNow);
-        if (out == null || !out.holder().equals(holder) || out.life() == lifeNow) { return; }
+    void holderLost(double now, String holder, long currentIncarnation, Rules rules, Listener listener) {
+        waiting.removeIf(t -> t.holder().equals(holder) && t.incarnation() != currentIncarnation);
+        if (granted == null || !granted.holder().equals(holder) || granted.incarnation() == currentIncarnation) { return; }
         if (isBound()) {
-            double loose = Math.max(0, out.dueMs() - now) + rules.settleMs();
-            done(now, holder, out.life(), grants, Result.MAY_HAVE_RUN, loose, -1, -1, sink);
+            double mayRunForMs = Math.max(0, granted.deadlineMs() - now) + rules.settleMs();
+            partDone(now, holder, granted.incarnation(), grantCount, Result.MAY_HAVE_RUN, mayRunForMs, -1, -1, listener);
         } else {
-            doubt = true;
-            doubtSaid = out.part() > 0;
-            looseUntil = Math.max(looseUntil, Math.max(now, out.dueMs()) + rules.settleMs());
-            out = null;
-            end(now, Boundary.LOST, null, sink);
+            nextPartUncertain = true;
+            uncertainPartNumbered = granted.part() > 0;
+            mayRunUntilMs = Math.max(mayRunUntilMs, Math.max(now, granted.deadlineMs()) + rules.settleMs());
+            granted = null;
+            end(now, Boundary.LOST, null, listener);
         }
     }
 
     /** When something is to be looked at again by {@link #advance}; infinity for never. */
-    double wakeAt(double now) {
-        if (out != null || now >= looseUntil) { return Double.POSITIVE_INFINITY; }
-        return state == State.ENDING || !waiting.isEmpty() ? looseUntil : Double.POSITIVE_INFINITY;
+    double nextWakeMs(double now) {
+        if (granted != null || now >= mayRunUntilMs) { return Double.POSITIVE_INFINITY; }
+        return state == State.ENDING || !waiting.isEmpty() ? mayRunUntilMs : Double.POSITIVE_INFINITY;
     }
 
     /** Seals it for another home: who waits is to ask there, and here nothing is let out any more. */
-    UnitRecord handOver(double now, Sink sink) {
-        UnitRecord record = new UnitRecord(name, customer, mode, epoch + 1, next, grants, repeats, doubt, doubtSaid, lastSaid, doubts, now - triedAt,
-                Math.max(0, looseUntil - now), served, server, zone, out == null ? null : out.holder(), out == null ? 0 : out.life(),
-                out == null ? 0 : out.ask(), out == null ? 0 : out.part(), out != null && out.kind() == Ticket.Kind.LAST,
-                out == null ? 0 : Math.max(0, out.dueMs() - now));
+    UnitRecord handOver(double now, Listener listener) {
+        UnitRecord record = new UnitRecord(name, customer, mode, epoch + 1, nextPart, grantCount, repeatGranted, nextPartUncertain, uncertainPartNumbered, lastPartNumbered, skippedUncertain, now - firstGrantedAtMs,
+                Math.max(0, mayRunUntilMs - now), servedParts, region, zone, granted == null ? null : granted.holder(), granted == null ? 0 : granted.incarnation(),
+                granted == null ? 0 : granted.requestId(), granted == null ? 0 : granted.part(), granted != null && granted.kind() == Ticket.Kind.LAST_PART,
+                granted == null ? 0 : Math.max(0, granted.deadlineMs() - now));
         state = State.ENDING;
-        List<Ticket> told = waiting;
+        List<Ticket> queued = waiting;
         waiting = new ArrayList<>(0);
-        for (Ticket t : told) { sink.refuse(this, t, Refusal.MOVED, 0); }
+        for (Ticket ticket : queued) { listener.onRefuse(this, ticket, Refusal.MOVED, 0); }
         return record;
     }
 
     /** A unit as another home handed it over. */
-    static Unit of(UnitRecord r, double now) {
-        Unit unit = new Unit(r.name(), r.customer(), r.mode(), now);
-        unit.epoch = r.epoch();
-        unit.next = r.next();
-        unit.grants = r.grants();
-        unit.repeats = r.repeats();
-        unit.doubt = r.doubt();
-        unit.doubtSaid = r.doubtSaid();
-        unit.lastSaid = r.lastSaid();
-        unit.doubts = r.doubts();
-        unit.triedAt = now - r.triedMs();
-        unit.looseUntil = r.looseMs() > 0 ? now + r.looseMs() : Double.NEGATIVE_INFINITY;
-        unit.served = r.served();
-        unit.server = r.server();
-        unit.zone = r.zone();
-        if (r.holder() != null) {
-            unit.out = new Ticket(r.ask(), r.holder(), r.life(), r.customer(), r.part(), r.last() ? Ticket.Kind.LAST : Ticket.Kind.PART,
-                    now + r.dueMs(), 0);
+    static Unit fromRecord(UnitRecord record, double now) {
+        Unit unit = new Unit(record.name(), record.customer(), record.mode(), now);
+        unit.epoch = record.epoch();
+        unit.nextPart = record.nextPart();
+        unit.grantCount = record.grantCount();
+        unit.repeatGranted = record.repeatGranted();
+        unit.nextPartUncertain = record.nextPartUncertain();
+        unit.uncertainPartNumbered = record.uncertainPartNumbered();
+        unit.lastPartNumbered = record.lastPartNumbered();
+        unit.skippedUncertain = record.skippedUncertain();
+        unit.firstGrantedAtMs = now - record.firstGrantedAgoMs();
+        unit.mayRunUntilMs = record.mayRunForMs() > 0 ? now + record.mayRunForMs() : Double.NEGATIVE_INFINITY;
+        unit.servedParts = record.servedParts();
+        unit.region = record.region();
+        unit.zone = record.zone();
+        if (record.holder() != null) {
+            unit.granted = new Ticket(record.requestId(), record.holder(), record.holderIncarnation(), record.customer(), record.grantedPart(), record.grantedIsLast() ? Ticket.Kind.LAST_PART : Ticket.Kind.PART,
+                    now + record.deadlineInMs(), 0);
         }
         return unit;
     }
 
     /** The same unit once more, for those who look at what might follow. */
     Unit copy() {
-        Unit copy = new Unit(name, customer, mode, wordAt);
+        Unit copy = new Unit(name, customer, mode, lastActivityMs);
         copy.state = state;
         copy.boundary = boundary;
-        copy.whole = whole;
+        copy.complete = complete;
         copy.epoch = epoch;
-        copy.next = next;
-        copy.out = out;
-        copy.grants = grants;
-        copy.repeats = repeats;
-        copy.doubt = doubt;
-        copy.doubtSaid = doubtSaid;
-        copy.lastSaid = lastSaid;
-        copy.doubts = doubts;
-        copy.triedAt = triedAt;
-        copy.looseUntil = looseUntil;
-        copy.served = served;
-        copy.server = server;
+        copy.nextPart = nextPart;
+        copy.granted = granted;
+        copy.grantCount = grantCount;
+        copy.repeatGranted = repeatGranted;
+        copy.nextPartUncertain = nextPartUncertain;
+        copy.uncertainPartNumbered = uncertainPartNumbered;
+        copy.lastPartNumbered = lastPartNumbered;
+        copy.skippedUncertain = skippedUncertain;
+        copy.firstGrantedAtMs = firstGrantedAtMs;
+        copy.mayRunUntilMs = mayRunUntilMs;
+        copy.servedParts = servedParts;
+        copy.region = region;
         copy.zone = zone;
         copy.waiting = new ArrayList<>(waiting);
         return copy;
     }
 
     /** All that decides what it does next but for the number of grants, in a text that is the same for equal units. */
-    String shape(double now) {
-        StringBuilder text = new StringBuilder(64).append(state.ordinal()).append(boundary == null ? "" : boundary.ordinal()).append(whole ? 'w' : 'c').append(next)
-                .append(repeats ? 'r' : '-').append(doubt ? 'd' : '-').append(doubtSaid ? 's' : '-').append(lastSaid ? 'l' : '-').append(doubts > 0 ? 'p' : '-')
-                .append(now < looseUntil ? 'L' : '-').append(server).append('/').append(zone).append('@').append(epoch);
-        if (out != null) { text.append(" o").append(out.ask()).append(out.life()); }
-        for (Ticket t : waiting) { text.append(" t").append(t.ask()).append(t.life()); }
+    String stateKey(double now) {
+        StringBuilder text = new StringBuilder(64).append(state.ordinal()).append(boundary == null ? "" : boundary.ordinal()).append(complete ? 'w' : 'c').append(nextPart)
+                .append(repeatGranted ? 'r' : '-').append(nextPartUncertain ? 'd' : '-').append(uncertainPartNumbered ? 's' : '-').append(lastPartNumbered ? 'l' : '-').append(skippedUncertain > 0 ? 'p' : '-')
+                .append(now < mayRunUntilMs ? 'L' : '-').append(region).append('/').append(zone).append('@').append(epoch);
+        if (granted != null) { text.append(" o").append(granted.requestId()).append(granted.incarnation()); }
+        for (Ticket ticket : waiting) { text.append(" t").append(ticket.requestId()).append(ticket.incarnation()); }
         return text.toString();
     }
 
@@ -384,13 +384,13 @@
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder(128).append(name).append(" mode=").append(mode.name().toLowerCase(java.util.Locale.ROOT))
-                .append(" state=").append(state.told()).append(" next=").append(next).append(" served=").append(served)
-                .append(" grants=").append(grants).append(" epoch=").append(epoch);
-        if (boundary != null) { text.append(" by=").append(boundary.name().toLowerCase(java.util.Locale.ROOT)).append(whole ? "" : " cut=1"); }
-        if (out != null) { text.append(" out=").append(out.part()).append('@').append(out.holder()).append(out.kind() == Ticket.Kind.LAST ? " last=1" : ""); }
-        if (repeats) { text.append(" repeat=1"); }
-        if (isDoubtful()) { text.append(" may_have_run=").append(doubts + (doubt ? 1 : 0)); }
-        if (server >= 0) { text.append(" region=s-").append(String.format("%08x", server)); }
+                .append(" state=").append(state.label()).append(" next=").append(nextPart).append(" served=").append(servedParts)
+                .append(" grants=").append(grantCount).append(" epoch=").append(epoch);
+        if (boundary != null) { text.append(" by=").append(boundary.name().toLowerCase(java.util.Locale.ROOT)).append(complete ? "" : " cut=1"); }
+        if (granted != null) { text.append(" out=").append(granted.part()).append('@').append(granted.holder()).append(granted.kind() == Ticket.Kind.LAST_PART ? " last=1" : ""); }
+        if (repeatGranted) { text.append(" repeat=1"); }
+        if (isUncertain()) { text.append(" may_have_run=").append(skippedUncertain + (nextPartUncertain ? 1 : 0)); }
+        if (region >= 0) { text.append(" region=s-").append(String.format("%08x", region)); }
         if (zone >= 0) { text.append(" hall=").append(zone); }
         return text.toString();
     }
--- a/src/main/java/yardusher/units/UnitSettings.java
+++ b/src/main/java/yardusher/units/UnitSettings.java
@@ -12,9 +12,9 @@
  * others are single. {@code settleMs}: how long a region may still run what was given up. {@code sendsUnsure}: a part whose
  * holder is silent counts as over once its time and that are past, instead of blocking its unit till the holder is heard.
  */
-public record UnitSettings(Map<String, Mode> modes, int mostOpen, int mostOfCustomer, int mostWaiting, double idleMs, double askMs,
-        double settleMs, double handOverMs, int handOverBytes, boolean sendsUnsure, boolean passOn, boolean trace) {
-    private static final int LEAST_IDLE_MS = 1000;
+public record UnitSettings(Map<String, Mode> modes, int maxOpen, int maxOpenPerCustomer, int maxWaiting, double idleMs, double homeTimeoutMs,
+        double settleMs, double handOverMs, int handOverBytes, boolean proceedsWhenUnsure, boolean forwardsUnitFields, boolean trace) {
+    private static final int MIN_IDLE_MS = 1000;
 
     /** Reads the table; the error names the key and what is allowed. Null where it is left out. */
     public static UnitSettings of(Toml file) {
@@ -23,15 +23,15 @@
         table.only(Set.of("mode", "most_open", "most_open_of_customer", "most_waiting", "idle_ms", "ask_ms", "settle_ms", "hand_over_ms",
                 "hand_over_kb", "when_unsure", "pass_on", "trace"));
         Map<String, Mode> modes = new HashMap<>();
-        for (Toml one : table.tables("mode")) {
-            one.only(Set.of("plan", "mode"));
-            Mode mode = Mode.valueOf(one.choice("mode", "single", "session", "unit", "single").toUpperCase(java.util.Locale.ROOT));
-            if (modes.put(one.text("plan"), mode) != null) {
-                throw new ConfigError.Conflict(null, "units.mode", "units.mode names the plan " + one.text("plan") + " twice");
+        for (Toml entry : table.tables("mode")) {
+            entry.only(Set.of("plan", "mode"));
+            Mode mode = Mode.valueOf(entry.choice("mode", "single", "session", "unit", "single").toUpperCase(java.util.Locale.ROOT));
+            if (modes.put(entry.text("plan"), mode) != null) {
+                throw new ConfigError.Conflict(null, "units.mode", "units.mode names the plan " + entry.text("plan") + " twice");
             }
         }
         return new UnitSettings(modes, table.whole("most_open", 100_000, 1, 1_000_000), table.whole("most_open_of_customer", 1000, 1, 1_000_000),
-                table.whole("most_waiting", 16, 1, 1000), table.whole("idle_ms", 30_000, LEAST_IDLE_MS, 86_400_000),
+                table.whole("most_waiting", 16, 1, 1000), table.whole("idle_ms", 30_000, MIN_IDLE_MS, 86_400_000),
                 table.whole("ask_ms", 400, 10, 60_000), table.whole("settle_ms", 2000, 0, 600_000), table.whole("hand_over_ms", 2000, 0, 60_000),
                 1024 * table.whole("hand_over_kb", 4096, 1, 1 << 20), table.choice("when_unsure", "refuse", "refuse", "send").equals("send"),
                 table.flag("pass_on", false), table.flag("trace", false));
@@ -44,9 +44,9 @@
         }
     }
 
-    Mode mode(String plan) { return modes.getOrDefault(plan, Mode.SINGLE); }
+    Mode modeOf(String plan) { return modes.getOrDefault(plan, Mode.SINGLE); }
 
-    UnitTable.Bounds bounds() { return new UnitTable.Bounds(mostOpen, mostOfCustomer, idleMs, Math.min(idleMs, LEAST_IDLE_MS)); }
+    UnitTable.Limits limits() { return new UnitTable.Limits(maxOpen, maxOpenPerCustomer, idleMs, Math.min(idleMs, MIN_IDLE_MS)); }
 
-    Unit.Rules rules() { return new Unit.Rules(mostWaiting, settleMs); }
+    Unit.Rules rules() { return new Unit.Rules(maxWaiting, settleMs); }
 }
--- a/src/main/java/yardusher/units/UnitTable.java
+++ b/src/main/java/yardusher/units/UnitTable.java
@@ -15,7 +15,7 @@
  */
 class UnitTable {
     /** Bounds: open at once, of one customer; silent for so long is given up, and before that where room is needed. */
-    record Bounds(int mostOpen, int mostOfCustomer, double idleMs, double leastIdleMs) { }
+    record Limits(int maxOpen, int maxOpenPerCustomer, double idleMs, double minIdleMs) { }
 
     /** Counts since the start. */
     static final class Counts {
@@ -25,64 +25,64 @@
         long refused;
         long takenOver;
         long handedOver;
-        long stale;                                  // words of older grants, void
+        long staleReports;                                  // words of older grants, void
     }
 
-    private record Wake(double at, UnitName name) { }
+    private record Wake(double atMs, UnitName name) { }
 
-    private static final int MOST_OVER = 4096;       // a quarter of a megabyte
+    private static final int MAX_RECENTLY_ENDED = 4096;       // a quarter of a megabyte
 
     private final String self;
-    private final long life;
-    private final Unit.Sink sink;
-    private Bounds bounds;
+    private final long incarnation;
+    private final Unit.Listener listener;
+    private Limits limits;
     private Unit.Rules rules;
     private final LinkedHashMap<UnitName, Unit> units = new LinkedHashMap<>(); // the longest without a word first
-    private final Map<Long, Integer> ofCustomer = new HashMap<>();
-    private final PriorityQueue<Wake> wakes = new PriorityQueue<>((a, b) -> Double.compare(a.at(), b.at())); // at most one a unit
-    private final LinkedHashMap<UnitName, Unit> outs = new LinkedHashMap<>(); // with a part in a holder's hands, the longest first
-    private final LinkedHashMap<UnitName, Unit> over = new LinkedHashMap<>(); // the last that ended: who asks again hears the same
-    private long last;
+    private final Map<Long, Integer> openByCustomer = new HashMap<>();
+    private final PriorityQueue<Wake> wakes = new PriorityQueue<>((a, b) -> Double.compare(a.atMs(), b.atMs())); // at most one a unit
+    private final LinkedHashMap<UnitName, Unit> withGrantedPart = new LinkedHashMap<>(); // with a part in a holder's hands, the longest first
+    private final LinkedHashMap<UnitName, Unit> recentlyEnded = new LinkedHashMap<>(); // the last that ended: who asks again hears the same
+    private long lastNumber;
     final Counts counts = new Counts();
 
-    UnitTable(String self, long life, Bounds bounds, Unit.Rules rules, Unit.Sink sink) {
+    UnitTable(String self, long incarnation, Limits limits, Unit.Rules rules, Unit.Listener listener) {
         this.self = self;
-        this.life = life;
-        this.bounds = bounds;
+        this.incarnation = incarnation;
+        this.limits = limits;
         this.rules = rules;
-        this.sink = new Unit.Sink() {
+        this.listener = new Unit.Listener() {
             @Override
-            public void grant(Unit unit, Ticket ticket, int grant) {
+            public void onGrant(Unit unit, Ticket ticket, int grant) {
                 counts.grants++;
-                outs.put(unit.name, unit);
-                sink.grant(unit, ticket, grant);
+                withGrantedPart.put(unit.name, unit);
+                listener.onGrant(unit, ticket, grant);
             }
 
             @Override
-            public void refuse(Unit unit, Ticket ticket, Refusal why, long figure) {
+            public void onRefuse(Unit unit, Ticket ticket, Refusal why, long figure) {
                 counts.refused++;
-                sink.refuse(unit, ticket, why, figure);
+                listener.onRefuse(unit, ticket, why, figure);
             }
 
             @Override
-            public void waits(Unit unit, Ticket ticket) { sink.waits(unit, ticket); }
+            public void onQueued(Unit unit, Ticket ticket) { listener.onQueued(unit, ticket); }
 
             @Override
-            public void told(Unit unit, Ticket ticket) { sink.told(unit, ticket); }
+            public void handleOutcome(Unit unit, Ticket ticket) { listener.handleOutcome(unit, ticket); }
 
             @Override
-            public void ended(Unit unit) {
+            public void onEnded(Unit unit) {
                 counts.ended[unit.state().ordinal()]++;
-                forget(unit);
-                over.put(unit.name, unit);
-                if (over.size() > MOST_OVER) { over.remove(over.keySet().iterator().next()); }
-                sink.ended(unit);
+                remove(unit);
+                recentlyEnded.put(unit.name, unit);
+                if (recentlyEnded.size() > MAX_RECENTLY_ENDED) { recentlyEnded.remove(recentlyEnded.keySet().iterator().next()); }
+                listener.onEnded(unit);
             }
         };
     }
 
-    void set(Bounds newBounds, Unit.Rules newRules) {
-        bounds = newBounds;
+    void configure(Limits newLimits, Unit.Rules newRules) {
+        limits = newLimits;
         rules = newRules;
     }
 
@@ -92,168 +92,168 @@
 
     Collection<Unit> all() { return units.values(); }
 
-    boolean isOurs(UnitName name) { return name.life() == life && name.home().equals(self); }
+    boolean isOpenedHere(UnitName name) { return name.incarnation() == incarnation && name.home().equals(self); }
 
     /** Opens a unit; null where there is no room, also after the longest silent ones were given up. */
     Unit open(double now, long customer, Mode mode) {
-        if (ofCustomer.getOrDefault(customer, 0) >= bounds.mostOfCustomer()) { return null; }
-        while (units.size() >= bounds.mostOpen()) {
-            if (!giveUp(now, bounds.leastIdleMs())) { return null; }
+        if (openByCustomer.getOrDefault(customer, 0) >= limits.maxOpenPerCustomer()) { return null; }
+        while (units.size() >= limits.maxOpen()) {
+            if (!abandonLongestIdle(now, limits.minIdleMs())) { return null; }
         }
-        Unit unit = new Unit(new UnitName(self, life, ++last), customer, mode, now);
+        Unit unit = new Unit(new UnitName(self, incarnation, ++lastNumber), customer, mode, now);
         counts.opened++;
-        hold(unit);
+        add(unit);
         return unit;
     }
 
-    private void hold(Unit unit) {
+    private void add(Unit unit) {
         units.put(unit.name, unit);
-        ofCustomer.merge(unit.customer, 1, Integer::sum);
+        openByCustomer.merge(unit.customer, 1, Integer::sum);
     }
 
-    private void forget(Unit unit) {
-        outs.remove(unit.name);
-        if (units.remove(unit.name) != null) { ofCustomer.computeIfPresent(unit.customer, (customer, open) -> open == 1 ? null : open - 1); }
+    private void remove(Unit unit) {
+        withGrantedPart.remove(unit.name);
+        if (units.remove(unit.name) != null) { openByCustomer.computeIfPresent(unit.customer, (customer, open) -> open == 1 ? null : open - 1); }
     }
 
     /** Ends the longest silent unit that has nothing out or waiting; false where none has been silent that long. */
-    private boolean giveUp(double now, double silentMs) {
+    private boolean abandonLongestIdle(double now, double idleMs) {
         for (Unit unit : units.values()) {
-            if (now - unit.wordAt() < silentMs) { return false; }
-            unit.expire(now);                        // a question that came after its withdrawal would wait for ever
-            if (unit.state() != Unit.State.OPEN || unit.out() != null || unit.waitingCount() > 0) { continue; }
-            unit.end(now, Unit.Boundary.SILENT, null, sink);
-            wake(now, unit);
+            if (now - unit.lastActivityMs() < idleMs) { return false; }
+            unit.expireWaiting(now);                        // a question that came after its withdrawal would wait for ever
+            if (unit.state() != Unit.State.OPEN || unit.granted() != null || unit.waitingCount() > 0) { continue; }
+            unit.end(now, Unit.Boundary.SILENT, null, listener);
+            scheduleWake(now, unit);
             return true;
         }
         return false;
     }
 
     /** Somebody asks for a part or an end of a unit. {@code silent}: whom nothing is heard of. */
-    void ask(double now, UnitName name, Ticket ticket, Predicate<String> silent) {
+    void submit(double now, UnitName name, Ticket ticket, Predicate<String> isSilent) {
         Unit unit = units.get(name);
         if (unit == null) {
-            Unit ended = over.get(name);
+            Unit ended = recentlyEnded.get(name);
             if (ended != null) {
-                ended.ask(now, ticket, rules, sink);
+                ended.submit(now, ticket, rules, listener);
                 return;
             }
             counts.refused++;
-            boolean given = isOurs(name) && name.number() <= last; // then it is over
-            sink.refuse(null, ticket, given ? Refusal.ENDED : Refusal.UNKNOWN, given ? Unit.State.DONE.ordinal() : 0);
+            boolean wasOpened = isOpenedHere(name) && name.number() <= lastNumber; // then it is over
+            listener.onRefuse(null, ticket, wasOpened ? Refusal.ENDED : Refusal.UNKNOWN, wasOpened ? Unit.State.DONE.ordinal() : 0);
             return;
         }
-        touch(unit);
-        if (ticket.kind().isPart() && unit.out() != null && silent.test(unit.out().holder())) {
+        moveToEnd(unit);
+        if (ticket.kind().isPart() && unit.granted() != null && isSilent.test(unit.granted().holder())) {
             counts.refused++;
-            sink.refuse(unit, ticket, Refusal.HOLDER, 0);
+            listener.onRefuse(unit, ticket, Refusal.HOLDER_UNREACHABLE, 0);
             return;
         }
-        unit.ask(now, ticket, rules, sink);
-        wake(now, unit);
+        unit.submit(now, ticket, rules, listener);
+        scheduleWake(now, unit);
     }
 
-    private void touch(Unit unit) {
+    private void moveToEnd(Unit unit) {
         units.remove(unit.name);
         units.put(unit.name, unit);
     }
 
-    /** A holder's word; see {@link Unit#done}. */
-    boolean done(double now, UnitName name, String holder, long lifeOf, int grant, Unit.Result result, double looseMs, long server, int zone) {
+    /** A holder's word; see {@link Unit#partDone}. */
+    boolean partDone(double now, UnitName name, String holder, long holderIncarnation, int grantNumber, Unit.Result result, double mayRunForMs, long region, int zone) {
         Unit unit = units.get(name);
-        if (unit == null || !unit.done(now, holder, lifeOf, grant, result, looseMs, server, zone, sink)) {
-            counts.stale++;
+        if (unit == null || !unit.partDone(now, holder, holderIncarnation, grantNumber, result, mayRunForMs, region, zone, listener)) {
+            counts.staleReports++;
             return false;
         }
-        if (units.containsKey(name)) { touch(unit); }
-        ordered(unit);
-        wake(now, unit);
+        if (units.containsKey(name)) { moveToEnd(unit); }
+        removeIfNotGranted(unit);
+        scheduleWake(now, unit);
         return true;
     }
 
-    void withdraw(double now, UnitName name, String holder, long lifeOf, long ask) {
+    void withdraw(double now, UnitName name, String holder, long holderIncarnation, long requestId) {
         Unit unit = units.get(name);
         if (unit == null) { return; }
-        unit.withdraw(now, holder, lifeOf, ask, sink);
-        if (units.containsKey(name)) { touch(unit); }
-        ordered(unit);
-        wake(now, unit);
+        unit.withdraw(now, holder, holderIncarnation, requestId, listener);
+        if (units.containsKey(name)) { moveToEnd(unit); }
+        removeIfNotGranted(unit);
+        scheduleWake(now, unit);
     }
 
-    void end(double now, UnitName name, Unit.Boundary by) {
+    void end(double now, UnitName name, Unit.Boundary cause) {
         Unit unit = units.get(name);
         if (unit == null) { return; }
-        unit.end(now, by, null, sink);
-        wake(now, unit);
+        unit.end(now, cause, null, listener);
+        scheduleWake(now, unit);
     }
 
-    /** A name is in a new life, or will not be heard of again: see {@link Unit#died}. */
-    void died(double now, String holder, long lifeNow) {
+    /** A name is in a new life, or will not be heard of again: see {@link Unit#holderLost}. */
+    void holderLost(double now, String holder, long currentIncarnation) {
         for (Unit unit : List.copyOf(units.values())) {
-            double before = unit.wordAt();
-            unit.died(now, holder, lifeNow, rules, sink);
-            if (unit.wordAt() != before && units.containsKey(unit.name)) { touch(unit); }
-            ordered(unit);
-            wake(now, unit);
+            double lastActivityMs = unit.lastActivityMs();
+            unit.holderLost(now, holder, currentIncarnation, rules, listener);
+            if (unit.lastActivityMs() != lastActivityMs && units.containsKey(unit.name)) { moveToEnd(unit); }
+            removeIfNotGranted(unit);
+            scheduleWake(now, unit);
         }
     }
 
-    private void ordered(Unit unit) {
-        if (unit.out() == null) { outs.remove(unit.name); }
+    private void removeIfNotGranted(Unit unit) {
+        if (unit.granted() == null) { withGrantedPart.remove(unit.name); }
     }
 
     /**
      * Units whose part has been out for so long without a word, some at the most; each counts as looked at. Who has
      * them is asked, or held for gone.
      */
-    List<Unit> longOut(double now, double forMs, int most) {
+    List<Unit> takeLongGranted(double now, double forMs, int limit) {
         List<Unit> found = new ArrayList<>(0);
-        for (Unit unit : outs.values()) {
-            if (found.size() >= most || now - unit.wordAt() < forMs) { break; }
+        for (Unit unit : withGrantedPart.values()) {
+            if (found.size() >= limit || now - unit.lastActivityMs() < forMs) { break; }
             found.add(unit);
         }
         for (Unit unit : found) {
-            unit.looked(now);
-            outs.remove(unit.name);
-            outs.put(unit.name, unit);
-            touch(unit);                             // else it would hide the silent ones behind it
+            unit.markActive(now);
+            withGrantedPart.remove(unit.name);
+            withGrantedPart.put(unit.name, unit);
+            moveToEnd(unit);                             // else it would hide the silent ones behind it
         }
         return found;
     }
 
-    /** The holder of a part is held for gone, by rule: see {@link Unit#died}. */
-    void presume(double now, Unit unit) {
-        unit.died(now, unit.out().holder(), -1, rules, sink);
-        if (units.containsKey(unit.name)) { touch(unit); }
-        ordered(unit);
-        wake(now, unit);
+    /** The holder of a part is held for gone, by rule: see {@link Unit#holderLost}. */
+    void presumeHolderLost(double now, Unit unit) {
+        unit.holderLost(now, unit.granted().holder(), -1, rules, listener);
+        if (units.containsKey(unit.name)) { moveToEnd(unit); }
+        removeIfNotGranted(unit);
+        scheduleWake(now, unit);
     }
 
-    private void wake(double now, Unit unit) {
-        double at = unit.wakeAt(now);
-        if (at == Double.POSITIVE_INFINITY || unit.wakes) { return; }
-        unit.wakes = true;                           // one for each unit: what comes later is seen when this one is due
-        wakes.add(new Wake(at, unit.name));
+    private void scheduleWake(double now, Unit unit) {
+        double atMs = unit.nextWakeMs(now);
+        if (atMs == Double.POSITIVE_INFINITY || unit.wakePending) { return; }
+        unit.wakePending = true;                           // one for each unit: what comes later is seen when this one is due
+        wakes.add(new Wake(atMs, unit.name));
     }
 
     /** Does what time alone brings: turns that come, ends that may be told, units silent for too long. At most so many a call. */
-    void tick(double now, int most) {
-        for (int i = 0; i < most && !wakes.isEmpty() && wakes.peek().at() <= now; i++) {
+    void tick(double now, int limit) {
+        for (int i = 0; i < limit && !wakes.isEmpty() && wakes.peek().atMs() <= now; i++) {
             Unit unit = units.get(wakes.poll().name());
             if (unit != null) {
-                unit.wakes = false;
-                unit.advance(now, sink);
-                wake(now, unit);
+                unit.wakePending = false;
+                unit.advance(now, listener);
+                scheduleWake(now, unit);
             }
         }
-        for (int i = 0; i < most && giveUp(now, bounds.idleMs()); i++) { }
+        for (int i = 0; i < limit && abandonLongestIdle(now, limits.idleMs()); i++) { }
     }
 
     /** When {@link #tick} has something to do, as far as is known; infinity for never. */
-    double nextAt() { return wakes.isEmpty() ? Double.POSITIVE_INFINITY : wakes.peek().at(); }
+    double nextWakeMs() { return wakes.isEmpty() ? Double.POSITIVE_INFINITY : wakes.peek().atMs(); }
 
     /** Units that can go to another home: open ones that no connection here holds. */
-    List<Unit> movable() {
+    List<Unit> transferable() {
         List<Unit> found = new ArrayList<>();
         for (Unit unit : units.values()) {
             if (unit.mode != Mode.SESSION && unit.state() == Unit.State.OPEN) { found.add(unit); }
@@ -263,25 +263,25 @@
 
     /** Seals a unit and forgets it. */
     UnitRecord handOver(double now, Unit unit) {
-        forget(unit);
+        remove(unit);
         counts.handedOver++;
-        return unit.handOver(now, sink);
+        return unit.handOver(now, listener);
     }
 
     /** Takes a unit over; false where it is held already, or there is no room for it. */
     boolean takeOver(double now, UnitRecord record) {
-        if (units.containsKey(record.name()) || isOurs(record.name()) || units.size() >= 2 * bounds.mostOpen()) { return false; }
-        Unit unit = Unit.of(record, now);
-        hold(unit);
-        if (unit.out() != null) { outs.put(unit.name, unit); }
+        if (units.containsKey(record.name()) || isOpenedHere(record.name()) || units.size() >= 2 * limits.maxOpen()) { return false; }
+        Unit unit = Unit.fromRecord(record, now);
+        add(unit);
+        if (unit.granted() != null) { withGrantedPart.put(unit.name, unit); }
         counts.takenOver++;
         return true;
     }
 
-    String line() {
+    String statusLine() {
         return "units_open=" + units.size() + " units_opened=" + counts.opened + " units_done=" + counts.ended[Unit.State.DONE.ordinal()]
                 + " units_abandoned=" + counts.ended[Unit.State.ABANDONED.ordinal()] + " units_unknown="
                 + counts.ended[Unit.State.UNKNOWN.ordinal()] + " units_grants=" + counts.grants + " units_refused=" + counts.refused
-                + " units_handed_over=" + counts.handedOver + " units_taken_over=" + counts.takenOver + " units_stale=" + counts.stale;
+                + " units_handed_over=" + counts.handedOver + " units_taken_over=" + counts.takenOver + " units_stale=" + counts.staleReports;
     }
 }
