--- a/src/main/java/yardusher/units/UnitsIntake.java
+++ b/src/main/java/yardusher/units/UnitsIntake.java
@@ -15,12 +15,12 @@
 import java.util.function.ToIntFunction;
 import yardusher.Api;
 import yardusher.core.Deadlines;
-import yardusher.core.Intake;
-import yardusher.core.Order;
+import yardusher.core.RequestAcceptor;
+import yardusher.core.IncomingRequest;
 import yardusher.core.Session;
-import yardusher.core.Stay;
+import yardusher.core.RequestHandle;
 import yardusher.core.EventLoop;
-import yardusher.core.UnitWord;
+import yardusher.core.UnitDirective;
 import yardusher.error.UnitError;
 import yardusher.log.Events;
 import yardusher.mesh.Mesh;
@@ -31,7 +31,7 @@
  * home for each part, and is itself the home of the units that were opened here. What names no unit, where the mode has
  * none, goes straight on. Used in turns only.
  */
-final class UnitsIntake implements Intake, Unit.Sink, Post.Ends {
+final class UnitsIntake implements RequestAcceptor, Unit.Listener, ReliableTransport.Callbacks {
     /** What is known of regions: the zone of one, -1 where it is not listed; and whether a zone has any left. */
     interface Regions {
         int zoneOf(long region);
@@ -40,552 +40,552 @@
     }
 
     /** What it stands in. */
-    record Place(String self, long life, EventLoop loop, Intake inner, UnitLog log, Regions regions, Mesh mesh, View view, Events events,
+    record Context(String self, long incarnation, EventLoop loop, RequestAcceptor inner, UnitRequestLog log, Regions regions, Mesh mesh, View view, Events events,
             List<Api.RequestClass> classes, List<String> plans, LongSupplier nonces) { }
 
-    private static final int MOST_HOPS = 4;
-    private static final int MOST_REMEMBERED = 4096; // of each: ended units, words sent, units that went elsewhere
-    private static final int MOST_MOVES = 4096;      // homes' lives whose units went elsewhere
-    private static final int MOST_SEARCHES = 64;     // lives that are asked about at once
-    private static final int PUMP = 256;             // units on their way to the next home at once
-    private static final int TICK = 256;             // units looked at in one go
-    private static final double LATE_MS = 100;       // a terminal whose part waits is answered so long before it gives up, or an eighth of its wait
-    private static final double SLOW_MS = 100;       // between looks while something is held
-    private static final double TICK_MS = 5;
-    private static final double SILENT_OUT_MS = 1000;
-    private static final double AGAIN_MS = 40;
-    private static final double BUSY_MS = 50;
-    private static final long NOT_NOW_MS = 200;
-
-    private final Place at;
+    private static final int MAX_HOPS = 4;
+    private static final int MAX_REMEMBERED = 4096; // of each: ended units, words sent, units that went elsewhere
+    private static final int MAX_MOVES = 4096;      // homes' lives whose units went elsewhere
+    private static final int MAX_SEARCHES = 64;     // lives that are asked about at once
+    private static final int MAX_TRANSFERS_IN_FLIGHT = 256;             // units on their way to the next home at once
+    private static final int MAX_UNITS_PER_TICK = 256;             // units looked at in one go
+    private static final double MAX_ANSWER_MARGIN_MS = 100;       // a terminal whose part waits is answered so long before it gives up, or an eighth of its wait
+    private static final double MAX_TICK_MS = 100;       // between looks while something is held
+    private static final double MIN_TICK_MS = 5;
+    private static final double STATUS_QUERY_AFTER_MS = 1000;
+    private static final double TRANSFER_RETRY_MS = 40;
+    private static final double MIN_RETRY_AFTER_MS = 50;
+    private static final long DRAINING_RETRY_AFTER_MS = 200;
+
+    private final Context context;
     private final EventLoop loop;
     private final UnitTable table;
-    private final Post post;
+    private final ReliableTransport transport;
     private UnitSettings settings;
-    private Mode[] modes;
-    private final Map<Long, Asked> asks = new HashMap<>(); // as many as requests are open
-    private final Map<Session, Map<Long, UnitName>> sessions = new IdentityHashMap<>(); // by connection and customer
+    private Mode[] modeByPlan;
+    private final Map<Long, UnitRequest> requests = new HashMap<>(); // as many as requests are open
+    private final Map<Session, Map<Long, UnitName>> sessionUnits = new IdentityHashMap<>(); // by connection and customer
     private final Map<UnitName, Session> sessionOf = new HashMap<>();
-    private final Map<UnitName, Set<String>> holders = new HashMap<>(); // other ingresses that were granted a part; open units only
-    private final LinkedHashMap<UnitName, Unit.State> over = new LinkedHashMap<>(); // told by other homes
-    private final LinkedHashMap<UnitName, Message.Done> words = new LinkedHashMap<>(); // the last ones sent, to be said again
-    private final LinkedHashMap<UnitName, String> gone = new LinkedHashMap<>(); // single units at another home now
-    private final LinkedHashMap<Long, Message.Moved> moves = new LinkedHashMap<>(); // by the life of the home that opened them
-    private final Map<Long, List<Asked>> searches = new HashMap<>();
-    private final ArrayDeque<Unit> toHand = new ArrayDeque<>();
-    private final Map<String, Integer> refusals = new HashMap<>(); // by error code, of which there are a dozen
-    private String heir;
-    private double handBy;
-    private int handBytes;
+    private final Map<UnitName, Set<String>> remoteHolders = new HashMap<>(); // other ingresses that were granted a part; open units only
+    private final LinkedHashMap<UnitName, Unit.State> endedElsewhere = new LinkedHashMap<>(); // told by other homes
+    private final LinkedHashMap<UnitName, Message.PartDone> sentReports = new LinkedHashMap<>(); // the last ones sent, to be said again
+    private final LinkedHashMap<UnitName, String> movedUnits = new LinkedHashMap<>(); // single units at another home now
+    private final LinkedHashMap<Long, Message.Moved> movedIncarnations = new LinkedHashMap<>(); // by the life of the home that opened them
+    private final Map<Long, List<UnitRequest>> searches = new HashMap<>();
+    private final ArrayDeque<Unit> transferQueue = new ArrayDeque<>();
+    private final Map<String, Integer> refusalsByCode = new HashMap<>(); // by error code, of which there are a dozen
+    private String successor;
+    private double transferDeadlineMs;
+    private int transferBytesLeft;
     private boolean draining;
-    private Deadlines.Entry pulse;
-    private double pulseAt = Double.POSITIVE_INFINITY;
-    private long lastAsk;
-    private long parts;
-    private long partsElsewhere;
-    private long spoilt;
-    private long notHandedOver;
+    private Deadlines.Entry tickTimer;
+    private double nextTickMs = Double.POSITIVE_INFINITY;
+    private long lastRequestId;
+    private long startedParts;
+    private long startedRemoteParts;
+    private long malformedMessages;
+    private long notTransferred;
 
     /** Makes the table of a home. */
-    interface Tables {
-        UnitTable make(String self, long life, UnitTable.Bounds bounds, Unit.Rules rules, Unit.Sink sink);
-    }
-
-    UnitsIntake(Place place, UnitSettings settings) { this(place, settings, UnitTable::new); }
-
-    UnitsIntake(Place place, UnitSettings settings, Tables tables) {
-        this.at = place;
-        this.loop = place.loop;
-        settings.check(place.plans);
-        this.table = tables.make(place.self, place.life, settings.bounds(), settings.rules(), this);
-        this.post = new Post(place.self, place.life, place.nonces, this);
-        set(settings);
-        place.log.join(zones(), this::settle);
-        place.mesh.hear(Mesh.Kind.UNITS, (from, body) -> {
-            post.heard(loop.now(), body);
-            pulseBy(loop.now() + TICK_MS);
+    interface TableFactory {
+        UnitTable create(String self, long incarnation, UnitTable.Limits limits, Unit.Rules rules, Unit.Listener listener);
+    }
+
+    UnitsIntake(Context context, UnitSettings settings) { this(context, settings, UnitTable::new); }
+
+    UnitsIntake(Context context, UnitSettings settings, TableFactory tables) {
+        this.context = context;
+        this.loop = context.loop;
+        settings.check(context.plans);
+        this.table = tables.create(context.self, context.incarnation, settings.limits(), settings.rules(), this);
+        this.transport = new ReliableTransport(context.self, context.incarnation, context.nonces, this);
+        configure(settings);
+        context.log.connect(zoneOfRegion(), this::reportIfFinished);
+        context.mesh.setHandler(Mesh.Kind.UNITS, (from, body) -> {
+            transport.receive(loop.now(), body);
+            scheduleTick(loop.now() + MIN_TICK_MS);
         });
-        place.view.follow(this::changed);
-        for (View.Member member : place.view.picture().members()) { greet(member); }
-        pulseBy(loop.now() + SLOW_MS);
+        context.view.subscribe(this::viewChanged);
+        for (View.Member member : context.view.snapshot().members()) { greet(member); }
+        scheduleTick(loop.now() + MAX_TICK_MS);
     }
 
-    private ToIntFunction<Long> zones() { return region -> at.regions.zoneOf(region); }
+    private ToIntFunction<Long> zoneOfRegion() { return region -> context.regions.zoneOf(region); }
 
-    private void set(UnitSettings next) {
+    private void configure(UnitSettings next) {
         settings = next;
-        modes = new Mode[at.plans.size()];
-        for (int i = 0; i < modes.length; i++) { modes[i] = next.mode(at.plans.get(i)); }
-        table.set(next.bounds(), next.rules());
-        at.log.settleMs(next.settleMs());
+        modeByPlan = new Mode[context.plans.size()];
+        for (int i = 0; i < modeByPlan.length; i++) { modeByPlan[i] = next.modeOf(context.plans.get(i)); }
+        table.configure(next.limits(), next.rules());
+        context.log.setSettleMs(next.settleMs());
     }
 
     /** Other settings hold from now on; units that are open keep the mode in which they were opened. */
     String reload(UnitSettings next) {
-        next.check(at.plans);
+        next.check(context.plans);
         if (next.equals(settings)) { return null; }
-        boolean passes = next.passOn() != settings.passOn();
-        set(next);
-        return passes ? "units as told, but pass_on waits for a restart" : "units as told";
+        boolean forwardingChanges = next.forwardsUnitFields() != settings.forwardsUnitFields();
+        configure(next);
+        return forwardingChanges ? "units as told, but pass_on waits for a restart" : "units as told";
     }
 
     // Requests of fronts.
 
     @Override
-    public Stay take(Order order) {
-        UnitWord word = order.cargo().unit();
-        Mode mode = modes[order.plan()];
-        if (word == null) { return plain(order, mode); }
-        return word.said() == UnitWord.Said.OPEN ? opening(order, word, mode) : named(order, word, mode);
+    public RequestHandle accept(IncomingRequest clientRequest) {
+        UnitDirective word = clientRequest.command().unit();
+        Mode mode = modeByPlan[clientRequest.plan()];
+        if (word == null) { return takeUnnamed(clientRequest, mode); }
+        return word.boundary() == UnitDirective.Boundary.OPEN ? takeOpening(clientRequest, word, mode) : takeNamed(clientRequest, word, mode);
     }
 
     /** The unit that this connection holds for a customer, null for none. */
-    private Unit held(Session session, long customer) {
-        Map<Long, UnitName> units = session == null ? null : sessions.get(session);
+    private Unit sessionUnit(Session session, long customer) {
+        Map<Long, UnitName> units = session == null ? null : sessionUnits.get(session);
         UnitName name = units == null ? null : units.get(customer);
         return name == null ? null : table.find(name);
     }
 
-    private Stay plain(Order order, Mode mode) {
-        if (mode != Mode.SESSION && sessions.isEmpty()) { return at.inner.take(order); }
-        Session session = order.terminal().session();
-        Unit unit = held(session, order.customer());
+    private RequestHandle takeUnnamed(IncomingRequest clientRequest, Mode mode) {
+        if (mode != Mode.SESSION && sessionUnits.isEmpty()) { return context.inner.accept(clientRequest); }
+        Session session = clientRequest.terminal().session();
+        Unit unit = sessionUnit(session, clientRequest.customer());
         if (unit == null) {
-            if (session == null || Translation.PLAIN.at(mode) != Translation.Then.JOINS) { return at.inner.take(order); }
-            unit = begin(session, order);
-            if (unit == null) { return refused(order); }
+            if (session == null || BoundaryRule.UNNAMED_REQUEST.actionIn(mode) != BoundaryRule.Action.JOINS) { return context.inner.accept(clientRequest); }
+            unit = openSessionUnit(session, clientRequest);
+            if (unit == null) { return refuseOpening(clientRequest); }
         } else if (unit.state() != Unit.State.OPEN) { // order across a session's units has no counterpart elsewhere: one after another
-            return later(order, (long) Math.max(BUSY_MS, Math.ceil(unit.looseUntil() - loop.now())));
+            return reject(clientRequest, (long) Math.max(MIN_RETRY_AFTER_MS, Math.ceil(unit.mayRunUntilMs() - loop.now())));
         }
-        return asks(order, unit.name, 0, Ticket.Kind.PART);
+        return submit(clientRequest, unit.name, 0, Ticket.Kind.PART);
     }
 
-    private Unit begin(Session session, Order order) {
-        Unit unit = draining ? null : table.open(loop.now(), order.customer(), Mode.SESSION);
+    private Unit openSessionUnit(Session session, IncomingRequest clientRequest) {
+        Unit unit = draining ? null : table.open(loop.now(), clientRequest.customer(), Mode.SESSION);
         if (unit == null) { return null; }
-        if (!sessions.containsKey(session)) {
-            sessions.put(session, new HashMap<>(2));
-            session.atEnd(() -> closed(session));
+        if (!sessionUnits.containsKey(session)) {
+            sessionUnits.put(session, new HashMap<>(2));
+            session.onClose(() -> connectionClosed(session));
         }
-        sessions.get(session).put(order.customer(), unit.name);
+        sessionUnits.get(session).put(clientRequest.customer(), unit.name);
         sessionOf.put(unit.name, session);
         trace("unit opened", unit, "mode", "session");
-        pulseBy(loop.now() + SLOW_MS);
+        scheduleTick(loop.now() + MAX_TICK_MS);
         return unit;
     }
 
-    private void closed(Session session) {
-        Map<Long, UnitName> units = sessions.remove(session);
+    private void connectionClosed(Session session) {
+        Map<Long, UnitName> units = sessionUnits.remove(session);
         if (units == null) { return; }
         for (UnitName name : units.values()) { table.end(loop.now(), name, Unit.Boundary.CLOSED); }
-        pulseBy(loop.now() + TICK_MS);
+        scheduleTick(loop.now() + MIN_TICK_MS);
     }
 
-    private Stay opening(Order order, UnitWord word, Mode mode) {
-        Session session = mode == Mode.SESSION ? order.terminal().session() : null;
-        Unit unit = held(session, order.customer());
-        boolean nested = word.unit() != null || unit != null && (unit.isBegun() || unit.waitingCount() > 0 || unit.state() != Unit.State.OPEN);
-        Translation.Then then = (nested ? Translation.NESTED : Translation.OPENING).at(mode);
-        if (nested) { return fails(order, new UnitError.Boundary(word.unit() == null ? unit.name : word.unit(), "a unit is opened inside it")); }
-        if (then == Translation.Then.REFUSES || then == Translation.Then.NAMES && session == null) {
-            return fails(order, new UnitError.Mode("new", mode.name().toLowerCase(java.util.Locale.ROOT), "no unit can be opened here"));
+    private RequestHandle takeOpening(IncomingRequest clientRequest, UnitDirective word, Mode mode) {
+        Session session = mode == Mode.SESSION ? clientRequest.terminal().session() : null;
+        Unit unit = sessionUnit(session, clientRequest.customer());
+        boolean nested = word.unitName() != null || unit != null && (unit.isStarted() || unit.waitingCount() > 0 || unit.state() != Unit.State.OPEN);
+        BoundaryRule.Action action = (nested ? BoundaryRule.NESTED_OPENING : BoundaryRule.OPENING).actionIn(mode);
+        if (nested) { return fail(clientRequest, new UnitError.Boundary(word.unitName() == null ? unit.name : word.unitName(), "a unit is opened inside it")); }
+        if (action == BoundaryRule.Action.REFUSES || action == BoundaryRule.Action.NAMES && session == null) {
+            return fail(clientRequest, new UnitError.Mode("new", mode.name().toLowerCase(java.util.Locale.ROOT), "no unit can be opened here"));
         }
-        if (draining) { return refused(order); }
+        if (draining) { return refuseOpening(clientRequest); }
         if (unit == null) {
-            unit = then == Translation.Then.NAMES ? begin(session, order) : table.open(loop.now(), order.customer(), Mode.UNIT);
-            if (unit == null) { return refused(order); }
-            if (then == Translation.Then.OPENS) { trace("unit opened", unit, "mode", "unit"); }
-            pulseBy(loop.now() + SLOW_MS);
+            unit = action == BoundaryRule.Action.NAMES ? openSessionUnit(session, clientRequest) : table.open(loop.now(), clientRequest.customer(), Mode.UNIT);
+            if (unit == null) { return refuseOpening(clientRequest); }
+            if (action == BoundaryRule.Action.OPENS) { trace("unit opened", unit, "mode", "unit"); }
+            scheduleTick(loop.now() + MAX_TICK_MS);
         }
-        return answers(order, unit.name.toString());
+        return answer(clientRequest, unit.name.toString());
     }
 
-    private Stay named(Order order, UnitWord word, Mode mode) {
-        UnitName name = UnitName.of(word.unit());
-        if (name == null) { return fails(order, new UnitError.Unknown(word.unit())); }
-        Ticket.Kind kind = word.said() == UnitWord.Said.ABANDON ? Ticket.Kind.ABANDON : word.said() == UnitWord.Said.NONE ? Ticket.Kind.PART
-                : word.part() > 0 ? Ticket.Kind.LAST : Ticket.Kind.END;
-        Unit held = mode == Mode.SESSION ? held(order.terminal().session(), order.customer()) : null;
-        if (kind.isPart() && held != null && !held.name.equals(name) && held.isBegun() && Translation.CROSSING.at(mode) == Translation.Then.REFUSES) {
-            return fails(order, new UnitError.Boundary(name, "its part crosses unit " + held.name + " of the same connection"));
+    private RequestHandle takeNamed(IncomingRequest clientRequest, UnitDirective word, Mode mode) {
+        UnitName name = UnitName.parse(word.unitName());
+        if (name == null) { return fail(clientRequest, new UnitError.Unknown(word.unitName())); }
+        Ticket.Kind kind = word.boundary() == UnitDirective.Boundary.ABANDON ? Ticket.Kind.ABANDON : word.boundary() == UnitDirective.Boundary.NONE ? Ticket.Kind.PART
+                : word.part() > 0 ? Ticket.Kind.LAST_PART : Ticket.Kind.END;
+        Unit sessionUnit = mode == Mode.SESSION ? sessionUnit(clientRequest.terminal().session(), clientRequest.customer()) : null;
+        if (kind.isPart() && sessionUnit != null && !sessionUnit.name.equals(name) && sessionUnit.isStarted() && BoundaryRule.CROSSING_PART.actionIn(mode) == BoundaryRule.Action.REFUSES) {
+            return fail(clientRequest, new UnitError.Boundary(name, "its part crosses unit " + sessionUnit.name + " of the same connection"));
         }
-        if (kind.isPart() && over.containsKey(name)) { return fails(order, new UnitError.Ended(name, over.get(name).told())); }
-        return asks(order, name, word.part(), kind);
+        if (kind.isPart() && endedElsewhere.containsKey(name)) { return fail(clientRequest, new UnitError.Ended(name, endedElsewhere.get(name).label())); }
+        return submit(clientRequest, name, word.part(), kind);
     }
 
     /** Something that was answered at once. */
-    private record Over(Order order) implements Stay {
+    private record AnsweredRequest(IncomingRequest incoming) implements RequestHandle {
         @Override
         public boolean mayHaveRun() { return false; }
 
         @Override
-        public void gone() { }
+        public void terminalLeft() { }
     }
 
-    private Stay answers(Order order, String text) {
-        order.terminal().served(text.getBytes(StandardCharsets.UTF_8));
-        return new Over(order);
+    private RequestHandle answer(IncomingRequest clientRequest, String text) {
+        clientRequest.terminal().served(text.getBytes(StandardCharsets.UTF_8));
+        return new AnsweredRequest(clientRequest);
     }
 
-    private Stay later(Order order, long afterMs) {
-        order.terminal().reject(afterMs, false);
-        return new Over(order);
+    private RequestHandle reject(IncomingRequest clientRequest, long retryAfterMs) {
+        clientRequest.terminal().reject(retryAfterMs, false);
+        return new AnsweredRequest(clientRequest);
     }
 
     /** No unit can be opened now. */
-    private Stay refused(Order order) {
-        return draining ? later(order, NOT_NOW_MS) : fails(order, new UnitError.Full("new", settings.mostOpen()));
+    private RequestHandle refuseOpening(IncomingRequest clientRequest) {
+        return draining ? reject(clientRequest, DRAINING_RETRY_AFTER_MS) : fail(clientRequest, new UnitError.Full("new", settings.maxOpen()));
     }
 
-    private Stay fails(Order order, UnitError error) {
-        order.terminal().failed(text(error), false);
-        return new Over(order);
+    private RequestHandle fail(IncomingRequest clientRequest, UnitError error) {
+        clientRequest.terminal().failed(errorText(error), false);
+        return new AnsweredRequest(clientRequest);
     }
 
-    private String text(UnitError error) {
-        refusals.merge(error.code(), 1, Integer::sum);
+    private String errorText(UnitError error) {
+        refusalsByCode.merge(error.code(), 1, Integer::sum);
         return error.code() + " " + error.getMessage() + ". " + error.advice();
     }
 
     // Asking a home.
 
-    private Stay asks(Order order, UnitName name, int part, Ticket.Kind kind) {
-        Asked asked = new Asked(order, name, ++lastAsk, part, kind, loop, this::settle, this::left);
-        asks.put(asked.ask, asked);
-        ask(asked);
-        return asked;
+    private RequestHandle submit(IncomingRequest clientRequest, UnitName name, int part, Ticket.Kind kind) {
+        UnitRequest request = new UnitRequest(clientRequest, name, ++lastRequestId, part, kind, loop, this::reportIfFinished, this::terminalLeft);
+        requests.put(request.requestId, request);
+        sendToHome(request);
+        return request;
     }
 
-    private static double lastCall(Asked asked) { return asked.deadline - Math.min(LATE_MS, asked.order.waitMs() / 8); }
+    private static double answerByMs(UnitRequest request) { return request.deadlineMs - Math.min(MAX_ANSWER_MARGIN_MS, request.clientRequest.waitMs() / 8); }
 
-    private double repeatMs(Asked asked) {
-        Api.RequestClass of = at.classes.get(asked.order.classIndex());
-        return switch (of.effect()) {
+    private double repeatWindowMs(UnitRequest request) {
+        Api.RequestClass requestClass = context.classes.get(request.clientRequest.classIndex());
+        return switch (requestClass.effect()) {
             case IDEMPOTENT -> Double.POSITIVE_INFINITY;
-            case DEDUPLICATED -> of.windowMs();
+            case DEDUPLICATED -> requestClass.windowMs();
             case AT_MOST_ONCE -> 0;
         };
     }
 
-    private void ask(Asked asked) {
+    private void sendToHome(UnitRequest request) {
         double now = loop.now();
-        asked.due = 0;
-        if (asked.hops++ >= MOST_HOPS) {
-            end(asked, new UnitError.Holder(asked.unit, String.valueOf(asked.home)), false);
+        request.awaitedPart = 0;
+        if (request.hops++ >= MAX_HOPS) {
+            failWaiting(request, new UnitError.Holder(request.unit, String.valueOf(request.home)), false);
             return;
         }
-        if (table.find(asked.unit) != null || table.isOurs(asked.unit) && !moves.containsKey(at.life) && !gone.containsKey(asked.unit)) {
-            asked.home = null;
-            wait(asked, lastCall(asked));
-            table.ask(now, asked.unit, new Ticket(asked.ask, at.self, at.life, asked.order.customer(), asked.part, asked.kind,
-                    asked.deadline, repeatMs(asked)), this::isSilent);
-            pulseBy(now + TICK_MS);
+        if (table.find(request.unit) != null || table.isOpenedHere(request.unit) && !movedIncarnations.containsKey(context.incarnation) && !movedUnits.containsKey(request.unit)) {
+            request.home = null;
+            startTimeout(request, answerByMs(request));
+            table.submit(now, request.unit, new Ticket(request.requestId, context.self, context.incarnation, request.clientRequest.customer(), request.part, request.kind,
+                    request.deadlineMs, repeatWindowMs(request)), this::isSilent);
+            scheduleTick(now + MIN_TICK_MS);
             return;
         }
-        String home = homeOf(asked.unit);
-        View.Member member = at.view.member(home);
-        boolean there = member != null && !isOut(member) && !home.equals(at.self);
-        boolean sameLife = !home.equals(asked.unit.home()) || post.lifeOf(home) == 0 || post.lifeOf(home) == asked.unit.life();
-        if (!there || !sameLife) {
-            search(asked);
+        String home = homeOf(request.unit);
+        View.Member member = context.view.member(home);
+        boolean present = member != null && !hasLeft(member) && !home.equals(context.self);
+        boolean sameIncarnation = !home.equals(request.unit.home()) || transport.incarnationOf(home) == 0 || transport.incarnationOf(home) == request.unit.incarnation();
+        if (!present || !sameIncarnation) {
+            locate(request);
             return;
         }
-        asked.home = home;
-        asked.homeLife = post.lifeOf(home);
-        Message.Ask message = new Message.Ask(asked.unit, asked.ask, asked.order.customer(), asked.part, asked.kind, asked.deadline - now, repeatMs(asked));
-        double until = Math.min(now + settings.askMs(), lastCall(asked));
-        if (!post.send(now, home, message.bytes(), until)) {
-            end(asked, new UnitError.Holder(asked.unit, home), false);
+        request.home = home;
+        request.homeIncarnation = transport.incarnationOf(home);
+        Message.Request message = new Message.Request(request.unit, request.requestId, request.clientRequest.customer(), request.part, request.kind, request.deadlineMs - now, repeatWindowMs(request));
+        double untilMs = Math.min(now + settings.homeTimeoutMs(), answerByMs(request));
+        if (!transport.send(now, home, message.encode(), untilMs)) {
+            failWaiting(request, new UnitError.Holder(request.unit, home), false);
             return;
         }
-        wait(asked, until);
-        pulseBy(now + TICK_MS);
+        startTimeout(request, untilMs);
+        scheduleTick(now + MIN_TICK_MS);
     }
 
     /** Who is asked for a unit that is not here. */
     private String homeOf(UnitName name) {
-        String single = gone.get(name);
-        if (single != null) { return single; }
-        Message.Moved moved = moves.get(name.life());
-        return moved == null ? name.home() : moved.to();
+        String unitHome = movedUnits.get(name);
+        if (unitHome != null) { return unitHome; }
+        Message.Moved moved = movedIncarnations.get(name.incarnation());
+        return moved == null ? name.home() : moved.newHome();
     }
 
-    private static boolean isOut(View.Member member) { return member.state() == View.State.GONE || member.state() == View.State.LEFT; }
+    private static boolean hasLeft(View.Member member) { return member.state() == View.State.GONE || member.state() == View.State.LEFT; }
 
     /** Whether nothing is heard of a holder, so that its part is waited for in vain. */
     private boolean isSilent(String holder) {
-        if (holder.equals(at.self)) { return false; }
-        View.Member member = at.view.member(holder);
-        return member == null || isOut(member);
+        if (holder.equals(context.self)) { return false; }
+        View.Member member = context.view.member(holder);
+        return member == null || hasLeft(member);
     }
 
     /** The home is not there, or in another life: somebody may know where its units went. */
-    private void search(Asked asked) {
-        List<Asked> found = searches.get(asked.unit.life());
-        if (found == null) {
-            if (searches.size() >= MOST_SEARCHES) {
-                end(asked, new UnitError.Unknown(asked.unit), false);
+    private void locate(UnitRequest request) {
+        List<UnitRequest> waiting = searches.get(request.unit.incarnation());
+        if (waiting == null) {
+            if (searches.size() >= MAX_SEARCHES) {
+                failWaiting(request, new UnitError.Unknown(request.unit), false);
                 return;
             }
-            found = new ArrayList<>(2);
-            searches.put(asked.unit.life(), found);
-            byte[] message = new Message.Where(asked.unit.home(), asked.unit.life()).bytes();
-            double until = loop.now() + settings.askMs();
-            for (View.Member member : at.view.picture().members()) {
-                if (!member.name().equals(at.self)) { post.send(loop.now(), member.name(), message, until); }
+            waiting = new ArrayList<>(2);
+            searches.put(request.unit.incarnation(), waiting);
+            byte[] message = new Message.Locate(request.unit.home(), request.unit.incarnation()).encode();
+            double untilMs = loop.now() + settings.homeTimeoutMs();
+            for (View.Member member : context.view.snapshot().members()) {
+                if (!member.name().equals(context.self)) { transport.send(loop.now(), member.name(), message, untilMs); }
             }
-            long life = asked.unit.life();
-            loop.deadlines().at(loop.now() + settings.askMs() / 2, () -> found(life));
-            pulseBy(loop.now() + TICK_MS);
+            long incarnation = request.unit.incarnation();
+            loop.deadlines().schedule(loop.now() + settings.homeTimeoutMs() / 2, () -> endSearch(incarnation));
+            scheduleTick(loop.now() + MIN_TICK_MS);
         }
-        found.add(asked);
-        wait(asked, lastCall(asked));
+        waiting.add(request);
+        startTimeout(request, answerByMs(request));
     }
 
     /** The time of a search is over, or somebody knew. */
-    private void found(long life) {
-        List<Asked> waited = searches.remove(life);
-        if (waited == null) { return; }
-        boolean known = moves.containsKey(life);
-        for (Asked asked : waited) {
-            if (asked.stage != Asked.Stage.WAITS || asked.answered) { continue; }
-            if (known) { ask(asked); } else { end(asked, new UnitError.Unknown(asked.unit), false); }
+    private void endSearch(long incarnation) {
+        List<UnitRequest> waiting = searches.remove(incarnation);
+        if (waiting == null) { return; }
+        boolean known = movedIncarnations.containsKey(incarnation);
+        for (UnitRequest request : waiting) {
+            if (request.stage != UnitRequest.Stage.WAITING || request.answered) { continue; }
+            if (known) { sendToHome(request); } else { failWaiting(request, new UnitError.Unknown(request.unit), false); }
         }
     }
 
-    private void wait(Asked asked, double until) {
-        loop.deadlines().cancel(asked.timer);
-        asked.timer = loop.deadlines().at(until, () -> tooLate(asked));
+    private void startTimeout(UnitRequest request, double untilMs) {
+        loop.deadlines().cancel(request.timer);
+        request.timer = loop.deadlines().schedule(untilMs, () -> timedOut(request));
     }
 
-    private void tooLate(Asked asked) {
-        if (asked.stage != Asked.Stage.WAITS || asked.answered) { return; }
-        withdraw(asked);
-        if (asked.due == 0) {
-            end(asked, new UnitError.Holder(asked.unit, asked.home == null ? at.self : asked.home), false);
-        } else if (asked.part > asked.due) {
-            end(asked, new UnitError.Order(asked.unit, asked.part, asked.due), false);
+    private void timedOut(UnitRequest request) {
+        if (request.stage != UnitRequest.Stage.WAITING || request.answered) { return; }
+        withdraw(request);
+        if (request.awaitedPart == 0) {
+            failWaiting(request, new UnitError.Holder(request.unit, request.home == null ? context.self : request.home), false);
+        } else if (request.part > request.awaitedPart) {
+            failWaiting(request, new UnitError.Order(request.unit, request.part, request.awaitedPart), false);
         } else {                                     // what it waited for took all of its time
-            asked.stage = Asked.Stage.OVER;
-            asks.remove(asked.ask);
-            asked.failed("deadline passed", false);
+            request.stage = UnitRequest.Stage.FINISHED;
+            requests.remove(request.requestId);
+            request.failed("deadline passed", false);
         }
     }
 
-    private void withdraw(Asked asked) {
+    private void withdraw(UnitRequest request) {
         double now = loop.now();
-        if (table.find(asked.unit) != null) {
-            table.withdraw(now, asked.unit, at.self, at.life, asked.ask);
-        } else if (asked.home != null) {
-            post.send(now, asked.home, new Message.Withdraw(asked.unit, asked.ask, "", 0).bytes(), Double.POSITIVE_INFINITY);
+        if (table.find(request.unit) != null) {
+            table.withdraw(now, request.unit, context.self, context.incarnation, request.requestId);
+        } else if (request.home != null) {
+            transport.send(now, request.home, new Message.Withdraw(request.unit, request.requestId, "", 0).encode(), Double.POSITIVE_INFINITY);
         }
-        pulseBy(now + TICK_MS);
+        scheduleTick(now + MIN_TICK_MS);
     }
 
     /** Gives up what waits, with its one answer. */
-    private void end(Asked asked, UnitError error, boolean mayHaveRun) {
-        asked.stage = Asked.Stage.OVER;
-        asks.remove(asked.ask);
-        asked.failed(text(error), mayHaveRun);
+    private void failWaiting(UnitRequest request, UnitError error, boolean mayHaveRun) {
+        request.stage = UnitRequest.Stage.FINISHED;
+        requests.remove(request.requestId);
+        request.failed(errorText(error), mayHaveRun);
     }
 
     /** Its terminal left. */
-    private void left(Asked asked) {
-        loop.deadlines().cancel(asked.timer);
-        if (asked.stage == Asked.Stage.WAITS) {
-            asked.stage = Asked.Stage.OVER;
-            asks.remove(asked.ask);
-            withdraw(asked);
-        } else if (asked.stage == Asked.Stage.RUNS) {
-            asked.mayHaveRun |= asked.stay != null && asked.stay.mayHaveRun();
-            if (asked.stay != null) { asked.stay.gone(); }
-            settle(asked);
+    private void terminalLeft(UnitRequest request) {
+        loop.deadlines().cancel(request.timer);
+        if (request.stage == UnitRequest.Stage.WAITING) {
+            request.stage = UnitRequest.Stage.FINISHED;
+            requests.remove(request.requestId);
+            withdraw(request);
+        } else if (request.stage == UnitRequest.Stage.RUNNING) {
+            request.mayHaveRun |= request.admitted != null && request.admitted.mayHaveRun();
+            if (request.admitted != null) { request.admitted.terminalLeft(); }
+            reportIfFinished(request);
         }
     }
 
     // Answers of homes.
 
-    private Asked waiting(UnitName unit, long ask) {
-        Asked asked = asks.get(ask);
-        return asked != null && asked.stage == Asked.Stage.WAITS && asked.unit.equals(unit) ? asked : null;
+    private UnitRequest findWaiting(UnitName unit, long requestId) {
+        UnitRequest request = requests.get(requestId);
+        return request != null && request.stage == UnitRequest.Stage.WAITING && request.unit.equals(unit) ? request : null;
     }
 
     /** A part may run here. */
-    private void granted(Message.Grant g, String from) {
-        Asked asked = waiting(g.unit(), g.ask());
-        if (asked == null || !asked.kind.isPart()) { // given up meanwhile: it never ran
-            word(new Message.Done(g.unit(), g.grant(), Unit.Result.NEVER_RAN, 0, -1, -1, "", 0), from);
+    private void handleGrant(Message.Grant grant, String from) {
+        UnitRequest request = findWaiting(grant.unit(), grant.requestId());
+        if (request == null || !request.kind.isPart()) { // given up meanwhile: it never ran
+            report(new Message.PartDone(grant.unit(), grant.grantNumber(), Unit.Result.NEVER_RAN, 0, -1, -1, "", 0), from);
             return;
         }
-        loop.deadlines().cancel(asked.timer);
-        asked.stage = Asked.Stage.RUNS;
-        asked.home = from;
-        asked.grant = g.grant();
-        asked.toRegion = g.toRegion();
-        asked.server = g.server();
-        asked.zone = g.zone();
-        double left = asked.deadline - loop.now();
-        boolean bound = asked.server >= 0 || asked.zone >= 0;
-        boolean there = asked.server >= 0 ? at.regions.zoneOf(asked.server) >= 0 : asked.zone < 0 || at.regions.hasZone(asked.zone);
-        if (!there || left < 1) {
-            asked.taken = true;
-            String where = asked.server >= 0 ? String.format("s-%08x", asked.server) : "of hall " + asked.zone;
-            asked.failed(there ? "deadline passed" : text(new UnitError.Binding(asked.unit, where)), false);
+        loop.deadlines().cancel(request.timer);
+        request.stage = UnitRequest.Stage.RUNNING;
+        request.home = from;
+        request.grantNumber = grant.grantNumber();
+        request.bindsToRegion = grant.bindsToRegion();
+        request.region = grant.region();
+        request.zone = grant.zone();
+        double leftMs = request.deadlineMs - loop.now();
+        boolean bound = request.region >= 0 || request.zone >= 0;
+        boolean listed = request.region >= 0 ? context.regions.zoneOf(request.region) >= 0 : request.zone < 0 || context.regions.hasZone(request.zone);
+        if (!listed || leftMs < 1) {
+            request.handedOn = true;
+            String where = request.region >= 0 ? String.format("s-%08x", request.region) : "of hall " + request.zone;
+            request.failed(listed ? "deadline passed" : errorText(new UnitError.Binding(request.unit, where)), false);
             return;
         }
-        parts++;
-        partsElsewhere += from == null ? 0 : 1;
-        at.log.runs(asked);
-        trace("part begins", null, "unit", asked.unit, "part", asked.part, "grant", asked.grant, "id", String.format("%016x", asked.order.cargo().id()));
-        Order o = asked.order;
-        asked.stay = at.inner.take(new Order(o.classIndex(), o.plan(), o.customer(), o.units(), o.first(), o.spread(), left, o.cargo(), asked,
-                bound ? new Api.Binding(asked.server, asked.zone, -1) : o.only()));
-        asked.taken = true;
-        settle(asked);
+        startedParts++;
+        startedRemoteParts += from == null ? 0 : 1;
+        context.log.add(request);
+        trace("part begins", null, "unit", request.unit, "part", request.part, "grant", request.grantNumber, "id", String.format("%016x", request.clientRequest.command().id()));
+        IncomingRequest clientRequest = request.clientRequest;
+        request.admitted = context.inner.accept(new IncomingRequest(clientRequest.classIndex(), clientRequest.plan(), clientRequest.customer(), clientRequest.units(), clientRequest.first(), clientRequest.spread(), leftMs, clientRequest.command(), request,
+                bound ? new Api.Binding(request.region, request.zone, -1) : clientRequest.binding()));
+        request.handedOn = true;
+        reportIfFinished(request);
     }
 
     /** Tells a part's home how it went, once it is over. */
-    private void settle(Asked asked) {
-        if (asked.stage != Asked.Stage.RUNS || !asked.taken || !asked.answered || asked.out > 0) { return; }
-        asked.stage = Asked.Stage.OVER;
-        asks.remove(asked.ask);
-        at.log.over(asked);
+    private void reportIfFinished(UnitRequest request) {
+        if (request.stage != UnitRequest.Stage.RUNNING || !request.handedOn || !request.answered || request.openAttempts > 0) { return; }
+        request.stage = UnitRequest.Stage.FINISHED;
+        requests.remove(request.requestId);
+        context.log.remove(request);
         double now = loop.now();
-        Unit.Result result = asked.served ? Unit.Result.SERVED : asked.mayHaveRun ? Unit.Result.MAY_HAVE_RUN : Unit.Result.NEVER_RAN;
-        double loose = Math.max(0, asked.looseUntil - now);
-        if (result == Unit.Result.MAY_HAVE_RUN && asked.looseUntil == Double.NEGATIVE_INFINITY && asked.zone < 0 && asked.server < 0) {
-            loose = Math.max(0, asked.deadline - now) + settings.settleMs(); // somebody else's word: nothing is known of where
+        Unit.Result result = request.served ? Unit.Result.SERVED : request.mayHaveRun ? Unit.Result.MAY_HAVE_RUN : Unit.Result.NEVER_RAN;
+        double mayRunForMs = Math.max(0, request.mayRunUntilMs - now);
+        if (result == Unit.Result.MAY_HAVE_RUN && request.mayRunUntilMs == Double.NEGATIVE_INFINITY && request.zone < 0 && request.region < 0) {
+            mayRunForMs = Math.max(0, request.deadlineMs - now) + settings.settleMs(); // somebody else's word: nothing is known of where
         }
-        trace("part over", null, "unit", asked.unit, "part", asked.part, "grant", asked.grant, "result", result);
-        Message.Done done = new Message.Done(asked.unit, asked.grant, result, loose, asked.server, asked.zone, "", 0);
+        trace("part over", null, "unit", request.unit, "part", request.part, "grant", request.grantNumber, "result", result);
+        Message.PartDone done = new Message.PartDone(request.unit, request.grantNumber, result, mayRunForMs, request.region, request.zone, "", 0);
         // After what runs now: the home may let the next part out within it.
-        if (asked.home == null) { loop.afterwards(() -> word(done, null)); } else { word(done, asked.home); }
+        if (request.home == null) { loop.defer(() -> report(done, null)); } else { report(done, request.home); }
     }
 
-    private void word(Message.Done done, String home) {
+    private void report(Message.PartDone done, String home) {
         double now = loop.now();
-        if (table.done(now, done.unit(), at.self, at.life, done.grant(), done.result(), done.looseMs(), done.server(), done.zone())) {
-            pulseBy(now + TICK_MS);
+        if (table.partDone(now, done.unit(), context.self, context.incarnation, done.grantNumber(), done.result(), done.mayRunForMs(), done.region(), done.zone())) {
+            scheduleTick(now + MIN_TICK_MS);
             return;
         }
-        remember(words, done.unit(), done);
-        String to = home == null || gone.containsKey(done.unit()) || moves.containsKey(done.unit().life()) ? homeOf(done.unit()) : home;
-        if (!to.equals(at.self)) { post.send(now, to, done.bytes(), Double.POSITIVE_INFINITY); }
-        pulseBy(now + TICK_MS);
+        remember(sentReports, done.unit(), done);
+        String to = home == null || movedUnits.containsKey(done.unit()) || movedIncarnations.containsKey(done.unit().incarnation()) ? homeOf(done.unit()) : home;
+        if (!to.equals(context.self)) { transport.send(now, to, done.encode(), Double.POSITIVE_INFINITY); }
+        scheduleTick(now + MIN_TICK_MS);
     }
 
     private static <K, V> void remember(LinkedHashMap<K, V> in, K key, V value) {
         in.remove(key);
         in.put(key, value);
-        if (in.size() > MOST_REMEMBERED) { in.remove(in.keySet().iterator().next()); }
-    }
-
-    private void refused(Message.Refuse r, String from) {
-        Asked asked = waiting(r.unit(), r.ask());
-        if (asked == null) { return; }
-        if (r.why() == Refusal.MOVED) {
-            if (!r.to().isEmpty()) { remember(gone, r.unit(), r.to()); }
-            ask(asked);
-        } else if (r.why() == Refusal.UNKNOWN && gone.containsKey(r.unit()) && asked.hops < MOST_HOPS) {
-            loop.deadlines().at(loop.now() + AGAIN_MS, () -> { // it may still be on its way there
-                if (asked.stage == Asked.Stage.WAITS && !asked.answered) { ask(asked); }
+        if (in.size() > MAX_REMEMBERED) { in.remove(in.keySet().iterator().next()); }
+    }
+
+    private void handleRefuse(Message.Refuse refuse, String from) {
+        UnitRequest request = findWaiting(refuse.unit(), refuse.requestId());
+        if (request == null) { return; }
+        if (refuse.reason() == Refusal.MOVED) {
+            if (!refuse.newHome().isEmpty()) { remember(movedUnits, refuse.unit(), refuse.newHome()); }
+            sendToHome(request);
+        } else if (refuse.reason() == Refusal.UNKNOWN && movedUnits.containsKey(refuse.unit()) && request.hops < MAX_HOPS) {
+            loop.deadlines().schedule(loop.now() + TRANSFER_RETRY_MS, () -> { // it may still be on its way there
+                if (request.stage == UnitRequest.Stage.WAITING && !request.answered) { sendToHome(request); }
             });
-        } else if (r.why() == Refusal.LATER) {
-            asked.stage = Asked.Stage.OVER;
-            asks.remove(asked.ask);
-            asked.reject(r.figure(), false);
+        } else if (refuse.reason() == Refusal.RETRY_LATER) {
+            request.stage = UnitRequest.Stage.FINISHED;
+            requests.remove(request.requestId);
+            request.reject(refuse.detail(), false);
         } else {
-            end(asked, r.why().error(r.unit(), r.figure(), asked.part, from == null ? at.self : from), r.why() == Refusal.RAN);
+            failWaiting(request, refuse.reason().error(refuse.unit(), refuse.detail(), request.part, from == null ? context.self : from), refuse.reason() == Refusal.ALREADY_RUN);
         }
     }
 
-    private void told(UnitName unit, long ask, Unit.State state, int served) {
-        Asked asked = waiting(unit, ask);
-        if (asked == null) { return; }
-        asked.stage = Asked.Stage.OVER;
-        asks.remove(asked.ask);
-        asked.served((state.told() + " " + served).getBytes(StandardCharsets.UTF_8));
+    private void handleOutcome(UnitName unit, long requestId, Unit.State state, int servedParts) {
+        UnitRequest request = findWaiting(unit, requestId);
+        if (request == null) { return; }
+        request.stage = UnitRequest.Stage.FINISHED;
+        requests.remove(request.requestId);
+        request.served((state.label() + " " + servedParts).getBytes(StandardCharsets.UTF_8));
     }
 
     // What the table says of units whose home this is.
 
-    private boolean isHere(Ticket t) { return t.holder().equals(at.self) && t.life() == at.life; }
+    private boolean isFromHere(Ticket ticket) { return ticket.holder().equals(context.self) && ticket.incarnation() == context.incarnation; }
 
-    private void say(Ticket to, Message message) {
-        if (post.lifeOf(to.holder()) == to.life()) { // else nobody is left who asked
-            post.send(loop.now(), to.holder(), message.bytes(), to.dueMs() + settings.askMs());
-            pulseBy(loop.now() + TICK_MS);
+    private void sendTo(Ticket ticket, Message message) {
+        if (transport.incarnationOf(ticket.holder()) == ticket.incarnation()) { // else nobody is left who asked
+            transport.send(loop.now(), ticket.holder(), message.encode(), ticket.deadlineMs() + settings.homeTimeoutMs());
+            scheduleTick(loop.now() + MIN_TICK_MS);
         }
     }
 
     @Override
-    public void grant(Unit unit, Ticket ticket, int grant) {
-        Message.Grant message = new Message.Grant(unit.name, ticket.ask(), grant, unit.mode == Mode.SESSION, unit.server(), unit.zone());
-        trace("part granted", unit, "part", ticket.part(), "grant", grant, "to", ticket.holder());
-        if (isHere(ticket)) {
-            loop.afterwards(() -> granted(message, null));
+    public void onGrant(Unit unit, Ticket ticket, int grantNumber) {
+        Message.Grant message = new Message.Grant(unit.name, ticket.requestId(), grantNumber, unit.mode == Mode.SESSION, unit.region(), unit.zone());
+        trace("part granted", unit, "part", ticket.part(), "grant", grantNumber, "to", ticket.holder());
+        if (isFromHere(ticket)) {
+            loop.defer(() -> handleGrant(message, null));
         } else {
-            holders.computeIfAbsent(unit.name, none -> new HashSet<>(2)).add(ticket.holder());
-            say(ticket, message);
+            remoteHolders.computeIfAbsent(unit.name, none -> new HashSet<>(2)).add(ticket.holder());
+            sendTo(ticket, message);
         }
     }
 
     @Override
-    public void refuse(Unit unit, Ticket ticket, Refusal why, long figure) {
-        String to = why == Refusal.MOVED ? heir : "";
-        if (isHere(ticket)) {
-            loop.afterwards(() -> {
-                Asked asked = asks.get(ticket.ask());
-                if (asked != null) { refused(new Message.Refuse(asked.unit, ticket.ask(), why, figure, to), null); }
+    public void onRefuse(Unit unit, Ticket ticket, Refusal reason, long detail) {
+        String newHome = reason == Refusal.MOVED ? successor : "";
+        if (isFromHere(ticket)) {
+            loop.defer(() -> {
+                UnitRequest request = requests.get(ticket.requestId());
+                if (request != null) { handleRefuse(new Message.Refuse(request.unit, ticket.requestId(), reason, detail, newHome), null); }
             });
         } else {
-            UnitName name = unit == null ? asking : unit.name;
-            say(ticket, new Message.Refuse(name, ticket.ask(), why, figure, to));
+            UnitName name = unit == null ? requestedUnit : unit.name;
+            sendTo(ticket, new Message.Refuse(name, ticket.requestId(), reason, detail, newHome));
         }
     }
 
-    private UnitName asking;                         // the unit that is asked for right now, which may not be held
+    private UnitName requestedUnit;                         // the unit that is asked for right now, which may not be held
 
     @Override
-    public void waits(Unit unit, Ticket ticket) {
-        if (isHere(ticket)) {
-            Asked asked = asks.get(ticket.ask());
-            if (asked != null) { asked.due = unit.next(); }
+    public void onQueued(Unit unit, Ticket ticket) {
+        if (isFromHere(ticket)) {
+            UnitRequest request = requests.get(ticket.requestId());
+            if (request != null) { request.awaitedPart = unit.nextPart(); }
         } else {
-            say(ticket, new Message.Waits(unit.name, ticket.ask(), unit.next()));
+            sendTo(ticket, new Message.Queued(unit.name, ticket.requestId(), unit.nextPart()));
         }
     }
 
     @Override
-    public void told(Unit unit, Ticket ticket) {
-        if (isHere(ticket)) {
-            loop.afterwards(() -> told(unit.name, ticket.ask(), unit.state(), unit.served()));
+    public void handleOutcome(Unit unit, Ticket ticket) {
+        if (isFromHere(ticket)) {
+            loop.defer(() -> handleOutcome(unit.name, ticket.requestId(), unit.state(), unit.servedParts()));
         } else {
-            say(ticket, new Message.Told(unit.name, ticket.ask(), unit.state(), unit.served()));
+            sendTo(ticket, new Message.Outcome(unit.name, ticket.requestId(), unit.state(), unit.servedParts()));
         }
     }
 
     @Override
-    public void ended(Unit unit) {
+    public void onEnded(Unit unit) {
         Session session = sessionOf.remove(unit.name);
-        Map<Long, UnitName> units = session == null ? null : sessions.get(session);
+        Map<Long, UnitName> units = session == null ? null : sessionUnits.get(session);
         if (units != null) { units.remove(unit.customer, unit.name); }
-        Set<String> told = holders.remove(unit.name);
-        if (told != null) {
-            byte[] message = new Message.Ended(unit.name, unit.state()).bytes();
-            for (String holder : told) { post.send(loop.now(), holder, message, loop.now() + settings.idleMs()); }
+        Set<String> remote = remoteHolders.remove(unit.name);
+        if (remote != null) {
+            byte[] message = new Message.UnitEnded(unit.name, unit.state()).encode();
+            for (String holder : remote) { transport.send(loop.now(), holder, message, loop.now() + settings.idleMs()); }
         }
         if (unit.state() == Unit.State.UNKNOWN && !settings.trace()) {
-            at.events.warn("a unit ended, and nobody knows whether all of it ran", "unit", unit.name, "served", unit.served());
+            context.events.warn("a unit ended, and nobody knows whether all of it ran", "unit", unit.name, "served", unit.servedParts());
         }
-        trace("unit ended", unit, "state", unit.state().told(), "by", unit.boundary(), "served", unit.served());
+        trace("unit ended", unit, "state", unit.state().label(), "by", unit.boundary(), "served", unit.servedParts());
     }
 
     /** For whoever follows units through many ingresses: each line says when, in Unix time. */
     private void trace(String text, Unit unit, Object... pairs) {
         if (!settings.trace()) { return; }
-        int own = unit == null ? 2 : 6;
-        Object[] all = new Object[pairs.length + own];
+        int prefixLength = unit == null ? 2 : 6;
+        Object[] all = new Object[pairs.length + prefixLength];
         all[0] = "at";
         all[1] = String.format(java.util.Locale.ROOT, "%.3f", loop.now());
         if (unit != null) {
@@ -594,123 +594,123 @@
             all[4] = "epoch";
             all[5] = unit.epoch();
         }
-        System.arraycopy(pairs, 0, all, own, pairs.length);
-        at.events.info(text, all);
+        System.arraycopy(pairs, 0, all, prefixLength, pairs.length);
+        context.events.info(text, all);
     }
 
     // Other ingresses.
 
     @Override
-    public boolean isKnown(String name) { return at.view.member(name) != null; }
+    public boolean isKnown(String name) { return context.view.member(name) != null; }
 
     @Override
-    public void transmit(String to, byte[] datagram) {
-        View.Member member = at.view.member(to);
-        if (member != null && datagram.length <= Mesh.MOST_BODY) { at.mesh.send(member.at(), Mesh.Kind.UNITS, datagram); }
+    public void sendDatagram(String to, byte[] datagram) {
+        View.Member member = context.view.member(to);
+        if (member != null && datagram.length <= Mesh.MAX_BODY_BYTES) { context.mesh.send(member.address(), Mesh.Kind.UNITS, datagram); }
     }
 
     @Override
-    public void newLife(String name, long life) {
+    public void onNewIncarnation(String name, long incarnation) {
         double now = loop.now();
-        table.died(now, name, life);
-        for (Asked asked : List.copyOf(asks.values())) {
-            if (asked.stage == Asked.Stage.WAITS && name.equals(asked.home) && asked.homeLife != 0 && asked.homeLife != life) { ask(asked); }
+        table.holderLost(now, name, incarnation);
+        for (UnitRequest request : List.copyOf(requests.values())) {
+            if (request.stage == UnitRequest.Stage.WAITING && name.equals(request.home) && request.homeIncarnation != 0 && request.homeIncarnation != incarnation) { sendToHome(request); }
         }
-        if (moves.containsKey(at.life)) { post.send(now, name, moves.get(at.life).bytes(), now + settings.handOverMs()); }
-        pulseBy(now + TICK_MS);
+        if (movedIncarnations.containsKey(context.incarnation)) { transport.send(now, name, movedIncarnations.get(context.incarnation).encode(), now + settings.handOverMs()); }
+        scheduleTick(now + MIN_TICK_MS);
     }
 
     @Override
-    public void message(String from, long life, byte[] body) {
+    public void onMessage(String from, long incarnation, byte[] body) {
         Message message;
         try {
-            message = Message.of(body);
+            message = Message.decode(body);
         } catch (IOException e) {
-            spoilt++;
+            malformedMessages++;
             return;
         }
         double now = loop.now();
-        if (message instanceof Message.Ask m) {
-            asked(from, life, m);
+        if (message instanceof Message.Request m) {
+            handleRequest(from, incarnation, m);
         } else if (message instanceof Message.Grant m) {
-            granted(m, from);
+            handleGrant(m, from);
         } else if (message instanceof Message.Refuse m) {
-            refused(m, from);
-        } else if (message instanceof Message.Waits m) {
-            Asked asked = waiting(m.unit(), m.ask());
-            if (asked != null) {
-                asked.due = m.due();
-                wait(asked, lastCall(asked));
+            handleRefuse(m, from);
+        } else if (message instanceof Message.Queued m) {
+            UnitRequest request = findWaiting(m.unit(), m.requestId());
+            if (request != null) {
+                request.awaitedPart = m.awaitedPart();
+                startTimeout(request, answerByMs(request));
             }
-        } else if (message instanceof Message.Told m) {
-            told(m.unit(), m.ask(), m.state(), m.served());
-        } else if (message instanceof Message.Done m) {
-            boolean passed = !m.holder().isEmpty();
-            if (!table.done(now, m.unit(), passed ? m.holder() : from, passed ? m.life() : life, m.grant(), m.result(), m.looseMs(), m.server(),
-                    m.zone()) && !passed && gone.containsKey(m.unit())) {
-                Message.Done on = new Message.Done(m.unit(), m.grant(), m.result(), m.looseMs(), m.server(), m.zone(), from, life);
-                post.send(now, gone.get(m.unit()), on.bytes(), Double.POSITIVE_INFINITY);
+        } else if (message instanceof Message.Outcome m) {
+            handleOutcome(m.unit(), m.requestId(), m.state(), m.servedParts());
+        } else if (message instanceof Message.PartDone m) {
+            boolean forwarded = !m.holder().isEmpty();
+            if (!table.partDone(now, m.unit(), forwarded ? m.holder() : from, forwarded ? m.holderIncarnation() : incarnation, m.grantNumber(), m.result(), m.mayRunForMs(), m.region(),
+                    m.zone()) && !forwarded && movedUnits.containsKey(m.unit())) {
+                Message.PartDone forward = new Message.PartDone(m.unit(), m.grantNumber(), m.result(), m.mayRunForMs(), m.region(), m.zone(), from, incarnation);
+                transport.send(now, movedUnits.get(m.unit()), forward.encode(), Double.POSITIVE_INFINITY);
             }
         } else if (message instanceof Message.Withdraw m) {
-            if (table.find(m.unit()) == null && gone.containsKey(m.unit()) && m.holder().isEmpty()) {
-                post.send(now, gone.get(m.unit()), new Message.Withdraw(m.unit(), m.ask(), from, life).bytes(), Double.POSITIVE_INFINITY);
+            if (table.find(m.unit()) == null && movedUnits.containsKey(m.unit()) && m.holder().isEmpty()) {
+                transport.send(now, movedUnits.get(m.unit()), new Message.Withdraw(m.unit(), m.requestId(), from, incarnation).encode(), Double.POSITIVE_INFINITY);
             } else {
-                boolean passed = !m.holder().isEmpty();
-                table.withdraw(now, m.unit(), passed ? m.holder() : from, passed ? m.life() : life, m.ask());
+                boolean forwarded = !m.holder().isEmpty();
+                table.withdraw(now, m.unit(), forwarded ? m.holder() : from, forwarded ? m.holderIncarnation() : incarnation, m.requestId());
             }
-        } else if (message instanceof Message.Still m) {
-            still(from, m);
-        } else if (message instanceof Message.Ended m) {
-            remember(over, m.unit(), m.state());
+        } else if (message instanceof Message.StatusQuery m) {
+            handleStatusQuery(from, m);
+        } else if (message instanceof Message.UnitEnded m) {
+            remember(endedElsewhere, m.unit(), m.state());
         } else if (message instanceof Message.Moved m) {
-            moved(m);
-        } else if (message instanceof Message.Where m) {
-            Message.Moved known = moves.get(m.life());
-            boolean here = table.all().stream().limit(TICK).anyMatch(unit -> unit.name.life() == m.life());
-            if (known == null && here) { known = new Message.Moved(m.home(), m.life(), at.self, 0); }
-            if (known != null) { post.send(now, from, known.bytes(), now + settings.askMs()); }
-        } else if (message instanceof Message.Take m) {
-            takeOver(m.unit());
+            handleMoved(m);
+        } else if (message instanceof Message.Locate m) {
+            Message.Moved known = movedIncarnations.get(m.incarnation());
+            boolean here = table.all().stream().limit(MAX_UNITS_PER_TICK).anyMatch(unit -> unit.name.incarnation() == m.incarnation());
+            if (known == null && here) { known = new Message.Moved(m.home(), m.incarnation(), context.self, 0); }
+            if (known != null) { transport.send(now, from, known.encode(), now + settings.homeTimeoutMs()); }
+        } else if (message instanceof Message.Transfer m) {
+            takeOver(m.record());
         }
-        pulseBy(now + TICK_MS);
+        scheduleTick(now + MIN_TICK_MS);
     }
 
-    private void asked(String from, long life, Message.Ask m) {
+    private void handleRequest(String from, long incarnation, Message.Request message) {
         double now = loop.now();
-        Ticket ticket = new Ticket(m.ask(), from, life, m.customer(), m.part(), m.kind(), now + m.waitMs(), m.repeatMs());
-        String moved = gone.get(m.unit());
-        if (table.find(m.unit()) == null && moved != null) {
-            say(ticket, new Message.Refuse(m.unit(), m.ask(), Refusal.MOVED, 0, moved));
+        Ticket ticket = new Ticket(message.requestId(), from, incarnation, message.customer(), message.part(), message.kind(), now + message.waitMs(), message.repeatWindowMs());
+        String newHome = movedUnits.get(message.unit());
+        if (table.find(message.unit()) == null && newHome != null) {
+            sendTo(ticket, new Message.Refuse(message.unit(), message.requestId(), Refusal.MOVED, 0, newHome));
             return;
         }
-        asking = m.unit();
-        table.ask(now, m.unit(), ticket, this::isSilent);
+        requestedUnit = message.unit();
+        table.submit(now, message.unit(), ticket, this::isSilent);
     }
 
     /** A home asks for a part that it has not heard of for a while. */
-    private void still(String from, Message.Still m) {
-        for (Asked asked : asks.values()) {
-            if (asked.unit.equals(m.unit()) && asked.grant == m.grant() && asked.stage == Asked.Stage.RUNS) {
-                asked.home = from;                   // it may have gone there meanwhile
+    private void handleStatusQuery(String from, Message.StatusQuery query) {
+        for (UnitRequest request : requests.values()) {
+            if (request.unit.equals(query.unit()) && request.grantNumber == query.grantNumber() && request.stage == UnitRequest.Stage.RUNNING) {
+                request.home = from;                   // it may have gone there meanwhile
                 return;
             }
         }
-        Message.Done done = words.get(m.unit());
-        if (done == null || done.grant() != m.grant()) {
-            done = new Message.Done(m.unit(), m.grant(), Unit.Result.MAY_HAVE_RUN, settings.settleMs(), -1, -1, "", 0);
+        Message.PartDone done = sentReports.get(query.unit());
+        if (done == null || done.grantNumber() != query.grantNumber()) {
+            done = new Message.PartDone(query.unit(), query.grantNumber(), Unit.Result.MAY_HAVE_RUN, settings.settleMs(), -1, -1, "", 0);
         }
-        post.send(loop.now(), from, done.bytes(), Double.POSITIVE_INFINITY);
+        transport.send(loop.now(), from, done.encode(), Double.POSITIVE_INFINITY);
     }
 
-    private void moved(Message.Moved m) {
-        if (m.life() == at.life || m.home().equals(at.self) && m.to().equals(at.self)) { return; }
-        Message.Moved known = moves.get(m.life());
-        if (known == null || m.epoch() >= known.epoch()) {
-            moves.remove(m.life());
-            moves.put(m.life(), m);
-            if (moves.size() > MOST_MOVES) { moves.remove(moves.keySet().iterator().next()); }
+    private void handleMoved(Message.Moved moved) {
+        if (moved.incarnation() == context.incarnation || moved.home().equals(context.self) && moved.newHome().equals(context.self)) { return; }
+        Message.Moved known = movedIncarnations.get(moved.incarnation());
+        if (known == null || moved.epoch() >= known.epoch()) {
+            movedIncarnations.remove(moved.incarnation());
+            movedIncarnations.put(moved.incarnation(), moved);
+            if (movedIncarnations.size() > MAX_MOVES) { movedIncarnations.remove(movedIncarnations.keySet().iterator().next()); }
         }
-        found(m.life());
+        endSearch(moved.incarnation());
     }
 
     // Handing over.
@@ -720,56 +720,56 @@
         if (draining) { return; }
         draining = true;
         double now = loop.now();
-        heir = heir();
-        handBy = now + settings.handOverMs();
-        handBytes = settings.handOverBytes();
-        toHand.addAll(table.movable());
-        handOn(now);
-        pulseBy(now + TICK_MS);
+        successor = chooseSuccessor();
+        transferDeadlineMs = now + settings.handOverMs();
+        transferBytesLeft = settings.handOverBytes();
+        transferQueue.addAll(table.transferable());
+        transferUnits(now);
+        scheduleTick(now + MIN_TICK_MS);
     }
 
     /** The next ingress by name that is well; null where there is none. */
-    private String heir() {
+    private String chooseSuccessor() {
         List<String> names = new ArrayList<>();
-        for (View.Member member : at.view.picture().members()) {
-            if (member.state() == View.State.ALIVE && !member.name().equals(at.self)) { names.add(member.name()); }
+        for (View.Member member : context.view.snapshot().members()) {
+            if (member.state() == View.State.ALIVE && !member.name().equals(context.self)) { names.add(member.name()); }
         }
-        return names.stream().filter(name -> name.compareTo(at.self) > 0).findFirst().orElse(names.isEmpty() ? null : names.get(0));
+        return names.stream().filter(name -> name.compareTo(context.self) > 0).findFirst().orElse(names.isEmpty() ? null : names.get(0));
     }
 
-    private void handOn(double now) {
-        if (toHand.isEmpty()) { return; }
+    private void transferUnits(double now) {
+        if (transferQueue.isEmpty()) { return; }
         Set<String> homes = new HashSet<>();
-        while (!toHand.isEmpty() && post.outstanding() < PUMP) {
-            Unit unit = toHand.peek();
+        while (!transferQueue.isEmpty() && transport.unacknowledgedCount() < MAX_TRANSFERS_IN_FLIGHT) {
+            Unit unit = transferQueue.peek();
             if (unit.state() != Unit.State.OPEN || table.find(unit.name) != unit) {
-                toHand.poll();
+                transferQueue.poll();
                 continue;
             }
-            if (heir == null || now >= handBy || handBytes <= 0) {
-                toHand.poll();
-                notHandedOver++;
+            if (successor == null || now >= transferDeadlineMs || transferBytesLeft <= 0) {
+                transferQueue.poll();
+                notTransferred++;
                 table.end(now, unit.name, Unit.Boundary.DRAINED);
                 continue;
             }
-            toHand.poll();
-            remember(gone, unit.name, heir);         // before it is sealed: who waits is told
-            byte[] message = new Message.Take(table.handOver(now, unit)).bytes();
-            holders.remove(unit.name);
-            handBytes -= message.length;
-            trace("unit handed over", unit, "to", heir);
-            post.send(now, heir, message, handBy + settings.handOverMs());
-        }
-        if (toHand.isEmpty() && heir != null) {
-            Map<Long, Message.Moved> told = new HashMap<>();
-            told.put(at.life, new Message.Moved(at.self, at.life, heir, 1));
-            for (Message.Moved known : moves.values()) {
-                if (known.to().equals(at.self)) { told.put(known.life(), new Message.Moved(known.home(), known.life(), heir, known.epoch() + 1)); }
+            transferQueue.poll();
+            remember(movedUnits, unit.name, successor);         // before it is sealed: who waits is told
+            byte[] message = new Message.Transfer(table.handOver(now, unit)).encode();
+            remoteHolders.remove(unit.name);
+            transferBytesLeft -= message.length;
+            trace("unit handed over", unit, "to", successor);
+            transport.send(now, successor, message, transferDeadlineMs + settings.handOverMs());
+        }
+        if (transferQueue.isEmpty() && successor != null) {
+            Map<Long, Message.Moved> announced = new HashMap<>();
+            announced.put(context.incarnation, new Message.Moved(context.self, context.incarnation, successor, 1));
+            for (Message.Moved known : movedIncarnations.values()) {
+                if (known.newHome().equals(context.self)) { announced.put(known.incarnation(), new Message.Moved(known.home(), known.incarnation(), successor, known.epoch() + 1)); }
             }
-            for (Message.Moved one : told.values()) {
-                moves.put(one.life(), one);
-                for (View.Member member : at.view.picture().members()) {
-                    if (!member.name().equals(at.self)) { post.send(now, member.name(), one.bytes(), now + settings.handOverMs()); }
+            for (Message.Moved moved : announced.values()) {
+                movedIncarnations.put(moved.incarnation(), moved);
+                for (View.Member member : context.view.snapshot().members()) {
+                    if (!member.name().equals(context.self)) { transport.send(now, member.name(), moved.encode(), now + settings.handOverMs()); }
                 }
             }
         }
@@ -778,87 +778,87 @@
     private void takeOver(UnitRecord record) {
         double now = loop.now();
         if (!table.takeOver(now, record)) { return; }
-        Message.Moved known = moves.get(record.name().life());
-        if (known == null || !known.to().equals(at.self)) {
-            moves.put(record.name().life(), new Message.Moved(record.name().home(), record.name().life(), at.self, record.epoch()));
+        Message.Moved known = movedIncarnations.get(record.name().incarnation());
+        if (known == null || !known.newHome().equals(context.self)) {
+            movedIncarnations.put(record.name().incarnation(), new Message.Moved(record.name().home(), record.name().incarnation(), context.self, record.epoch()));
         }
-        gone.remove(record.name());
+        movedUnits.remove(record.name());
         trace("unit taken over", table.find(record.name()));
     }
 
-    boolean isBusy() { return !toHand.isEmpty() || !asks.isEmpty() || draining && post.outstanding() > 0 && loop.now() < handBy; }
+    boolean isBusy() { return !transferQueue.isEmpty() || !requests.isEmpty() || draining && transport.unacknowledgedCount() > 0 && loop.now() < transferDeadlineMs; }
 
     // Time, and who is there.
 
     private void greet(View.Member member) {
-        if (!member.name().equals(at.self)) { post.greet(loop.now(), member.name()); }
+        if (!member.name().equals(context.self)) { transport.greet(loop.now(), member.name()); }
     }
 
-    private void changed(View.Change change) {
-        change.came().forEach(this::greet);
-        Set<String> out = new HashSet<>();
-        for (View.Member member : change.gone()) {
-            out.add(member.name());
-            if (member.state() == View.State.LEFT) { post.forget(member.name()); }
+    private void viewChanged(View.Change change) {
+        change.joined().forEach(this::greet);
+        Set<String> goneNames = new HashSet<>();
+        for (View.Member member : change.departed()) {
+            goneNames.add(member.name());
+            if (member.state() == View.State.LEFT) { transport.forget(member.name()); }
         }
-        for (Asked asked : List.copyOf(asks.values())) {
-            if (asked.stage == Asked.Stage.WAITS && asked.home != null && out.contains(asked.home)) { ask(asked); }
+        for (UnitRequest request : List.copyOf(requests.values())) {
+            if (request.stage == UnitRequest.Stage.WAITING && request.home != null && goneNames.contains(request.home)) { sendToHome(request); }
         }
-        pulseBy(loop.now() + TICK_MS);
+        scheduleTick(loop.now() + MIN_TICK_MS);
     }
 
-    private void pulseBy(double atMs) {
-        if (atMs >= pulseAt) { return; }
-        loop.deadlines().cancel(pulse);
-        pulseAt = atMs;
-        pulse = loop.deadlines().at(atMs, this::pulse);
+    private void scheduleTick(double atMs) {
+        if (atMs >= nextTickMs) { return; }
+        loop.deadlines().cancel(tickTimer);
+        nextTickMs = atMs;
+        tickTimer = loop.deadlines().schedule(atMs, this::tick);
     }
 
-    private void pulse() {
-        pulseAt = Double.POSITIVE_INFINITY;
+    private void tick() {
+        nextTickMs = Double.POSITIVE_INFINITY;
         double now = loop.now();
-        table.tick(now, TICK);
-        for (Unit unit : table.longOut(now, SILENT_OUT_MS, TICK)) { askAfter(now, unit); }
-        if (draining) { handOn(now); }
-        double next = Math.min(post.tick(now), table.nextAt());
-        if (!toHand.isEmpty()) { next = now + TICK_MS; }
-        pulseBy(Math.max(now + TICK_MS, Math.min(next, now + SLOW_MS)));
+        table.tick(now, MAX_UNITS_PER_TICK);
+        for (Unit unit : table.takeLongGranted(now, STATUS_QUERY_AFTER_MS, MAX_UNITS_PER_TICK)) { checkHolder(now, unit); }
+        if (draining) { transferUnits(now); }
+        double nextMs = Math.min(transport.tick(now), table.nextWakeMs());
+        if (!transferQueue.isEmpty()) { nextMs = now + MIN_TICK_MS; }
+        scheduleTick(Math.max(now + MIN_TICK_MS, Math.min(nextMs, now + MAX_TICK_MS)));
     }
 
     /** A part has been out for long: its holder is asked, or by rule held for gone. */
-    private void askAfter(double now, Unit unit) {
-        Ticket out = unit.out();
-        if (isHere(out)) { return; }
-        if (isSilent(out.holder())) {
-            if (settings.sendsUnsure() && now > out.dueMs() + settings.settleMs()) { table.presume(now, unit); }
+    private void checkHolder(double now, Unit unit) {
+        Ticket granted = unit.granted();
+        if (isFromHere(granted)) { return; }
+        if (isSilent(granted.holder())) {
+            if (settings.proceedsWhenUnsure() && now > granted.deadlineMs() + settings.settleMs()) { table.presumeHolderLost(now, unit); }
         } else {
-            post.send(now, out.holder(), new Message.Still(unit.name, unit.grants()).bytes(), now + SILENT_OUT_MS);
+            transport.send(now, granted.holder(), new Message.StatusQuery(unit.name, unit.grantCount()).encode(), now + STATUS_QUERY_AFTER_MS);
         }
     }
 
     // For operators.
 
-    String line() {
-        return table.line() + " units_parts=" + parts + " units_parts_elsewhere=" + partsElsewhere + " units_waiting=" + asks.size()
-                + " units_sessions=" + sessions.size() + " units_not_handed_over=" + notHandedOver + " units_held_back=" + at.log.held
-                + " units_bad_messages=" + spoilt + " " + post.line();
+    String statusLine() {
+        return table.statusLine() + " units_parts=" + startedParts + " units_parts_elsewhere=" + startedRemoteParts + " units_waiting=" + requests.size()
+                + " units_sessions=" + sessionUnits.size() + " units_not_handed_over=" + notTransferred + " units_held_back=" + context.log.blockedAttempts
+                + " units_bad_messages=" + malformedMessages + " " + transport.statusLine();
     }
 
     /** Figures, refusals by code, and the units that have been silent for longest. */
     String report() {
         StringBuilder text = new StringBuilder(1024);
-        text.append("self name=").append(at.self).append(" life=").append(Long.toHexString(at.life)).append(draining ? " drains to=" + heir : "").append('\n');
-        text.append(line()).append('\n');
-        refusals.forEach((code, count) -> text.append("refused code=").append(code).append(" count=").append(count).append('\n'));
-        moves.values().stream().limit(50).forEach(move -> text.append("moved life=").append(Long.toHexString(move.life())).append(" of=").append(move.home())
-                .append(" to=").append(move.to()).append('\n'));
+        text.append("self name=").append(context.self).append(" life=").append(Long.toHexString(context.incarnation)).append(draining ? " drains to=" + successor : "").append('\n');
+        text.append(statusLine()).append('\n');
+        refusalsByCode.forEach((code, count) -> text.append("refused code=").append(code).append(" count=").append(count).append('\n'));
+        movedIncarnations.values().stream().limit(50).forEach(move -> text.append("moved life=").append(Long.toHexString(move.incarnation())).append(" of=").append(move.home())
+                .append(" to=").append(move.newHome()).append('\n'));
         table.all().stream().limit(50).forEach(unit -> text.append("unit name=").append(unit).append(" silent_ms=")
-                .append(Math.round(loop.now() - unit.wordAt())).append('\n'));
+                .append(Math.round(loop.now() - unit.lastActivityMs())).append('\n'));
         return text.toString();
     }
 
     /** The table, for tests and the lab. */
     UnitTable table() { return table; }
 
-    int asksCount() { return asks.size(); }
+    int pendingCount() { return requests.size(); }
 }
--- a/src/main/java/yardusher/units/UnitsSubsystem.java
+++ b/src/main/java/yardusher/units/UnitsSubsystem.java
@@ -2,9 +2,9 @@
 
 import java.io.IOException;
 import java.util.function.Supplier;
-import yardusher.core.Ids;
-import yardusher.core.Intake;
-import yardusher.core.OrderLog;
+import yardusher.core.IdGenerator;
+import yardusher.core.RequestAcceptor;
+import yardusher.core.RequestLog;
 import yardusher.discovery.DiscoveredBackends;
 import yardusher.settings.Settings;
 import yardusher.subsystem.Site;
@@ -12,11 +12,11 @@
 
 /** Units of work in an ingress: turned on by the table {@code units}, and needs the mesh and the view. */
 public final class UnitsSubsystem implements Subsystem {
-    private static final int LIFE_BITS = 47;         // of a name's twelve digits
+    private static final int INCARNATION_BITS = 47;         // of a name's twelve digits
 
     private final UnitSettings settings;
-    private final Ids ids = new Ids();
-    private UnitLog log;
+    private final IdGenerator ids = new IdGenerator();
+    private UnitRequestLog log;
     private UnitsIntake intake;
 
     public UnitsSubsystem(UnitSettings settings) { this.settings = settings; }
@@ -25,16 +25,16 @@
     public String name() { return "units"; }
 
     @Override
-    public OrderLog orders(OrderLog inner) {
-        log = new UnitLog(inner);
+    public RequestLog orders(RequestLog inner) {
+        log = new UnitRequestLog(inner);
         return log;
     }
 
     @Override
-    public Intake intake(Site site, Intake inner) throws IOException {
+    public RequestAcceptor intake(Site site, RequestAcceptor inner) throws IOException {
         Supplier<DiscoveredBackends> table = site::table;
-        long life = (ids.next() >>> 64 - LIFE_BITS) | 1;
-        intake = new UnitsIntake(new UnitsIntake.Place(site.name(), life, site.loop(), inner, log, new UnitsIntake.Regions() {
+        long incarnation = (ids.next() >>> 64 - INCARNATION_BITS) | 1;
+        intake = new UnitsIntake(new UnitsIntake.Context(site.name(), incarnation, site.loop(), inner, log, new UnitsIntake.Regions() {
             @Override
             public int zoneOf(long region) { return table.get().listed(region) == null ? -1 : table.get().listed(region).zone(); }
 
@@ -46,7 +46,7 @@
 
     @Override
     public void join(Site site) {
-        if (site.front() != null) { site.front().readUnits(settings.passOn()); }
+        if (site.front() != null) { site.front().enableUnits(settings.forwardsUnitFields()); }
     }
 
     @Override
@@ -56,7 +56,7 @@
     }
 
     @Override
-    public String line() { return intake.line(); }
+    public String line() { return intake.statusLine(); }
 
     @Override
     public String report(String call) { return call.equals("units") ? intake.report() : null; }
--- a/src/main/java/yardusher/view/View.java
+++ b/src/main/java/yardusher/view/View.java
@@ -16,7 +16,7 @@
      * A member as it is seen here. {@code incarnation} only grows over the lives of a name; {@code hall} is its zone's
      * name; {@code at} is its address in the mesh.
      */
-    record Member(String name, String hall, InetSocketAddress at, long incarnation, State state) { }
+    record Member(String name, String hall, InetSocketAddress address, long incarnation, State state) { }
 
     /**
      * All members that are ALIVE or SUSPECT, this one among them, in the order of their names. {@code digest} is the same
@@ -24,16 +24,16 @@
      * is the same); {@code stillSinceMs} is when it last changed here, on the clock of the
      * loop; {@code same} of the {@code asked} members heard of lately hold this digest.
      */
-    record Picture(List<Member> members, long digest, double stillSinceMs, int same, int asked) { }
+    record Snapshot(List<Member> members, long digest, double unchangedSinceMs, int agreeing, int polled) { }
 
     /** What changed between two settled pictures, in one batch. */
-    record Change(Picture now, List<Member> came, List<Member> gone) { }
+    record Change(Snapshot snapshot, List<Member> joined, List<Member> departed) { }
 
     /** This ingress as the others see it. */
     Member self();
 
     /** The picture at this moment, settled or not. */
-    Picture picture();
+    Snapshot snapshot();
 
     /** A member of any state that is remembered; null for an unknown name. */
     Member member(String name);
@@ -42,8 +42,8 @@
      * The process that holds a name, by the number that it drew at its start: it differs between two lives of a name, and stays
      * where an incarnation went up because the member was suspected. 0 for an unknown name.
      */
-    default long life(String name) { return 0; }
+    default long instanceId(String name) { return 0; }
 
     /** Told of each change after it has settled; never a promise that others see the same. */
-    void follow(Consumer<Change> follower);
+    void subscribe(Consumer<Change> listener);
 }
--- a/src/main/java/yardusher/view/ViewSubsystem.java
+++ b/src/main/java/yardusher/view/ViewSubsystem.java
@@ -22,38 +22,38 @@
     private final DatagramMesh mesh;
     private final Membership membership;
     private Deadlines.Entry timer;
-    private double timerAt = Double.POSITIVE_INFINITY;
-    private boolean begun;
+    private double timerAtMs = Double.POSITIVE_INFINITY;
+    private boolean started;
 
     /** {@code hall}: the name of this ingress's zone, which the settings may override. Loads and opens nothing yet. */
     public ViewSubsystem(ViewSettings settings, String name, String hall, long seed, EventLoop loop, Events events) {
-        if (!Wire.isName(name)) { throw new ConfigError.Value(null, "name", "1 to 64 letters, digits, dots, underscores or dashes where the view is on, not " + name); }
+        if (!ViewCodec.isName(name)) { throw new ConfigError.Value(null, "name", "1 to 64 letters, digits, dots, underscores or dashes where the view is on, not " + name); }
         this.settings = settings;
         this.loop = loop;
         this.events = events;
         mesh = new DatagramMesh(settings.listen(), settings.installation(), loop);
-        String stands = settings.hall() != null ? settings.hall() : Wire.isHall(hall) ? hall : "-";
+        String effectiveHall = settings.hall() != null ? settings.hall() : ViewCodec.isHall(hall) ? hall : "-";
         // Two processes of one configuration have one seed; what they draw has to differ all the same.
-        membership = new Membership(settings, name, stands, settings.listen(), seed ^ System.nanoTime() ^ ProcessHandle.current().pid() << 40, loop.now(), new World());
-        membership.follow(this::tell);
+        membership = new Membership(settings, name, effectiveHall, settings.listen(), seed ^ System.nanoTime() ^ ProcessHandle.current().pid() << 40, loop.now(), new MembershipEnvironment());
+        membership.subscribe(this::logChange);
     }
 
-    private final class World implements Membership.World {
+    private final class MembershipEnvironment implements Membership.Environment {
         @Override
         public void send(InetSocketAddress to, byte[] body) { mesh.send(to, Mesh.Kind.VIEW, body); }
 
         @Override
-        public void wrong(ViewError error) { events.warn("view: " + error.what(), error.fields()); }
+        public void reportError(ViewError error) { events.warn("view: " + error.what(), error.fields()); }
     }
 
-    private void tell(Change change) {
-        events.info("view: settled", "there", change.now().members().size(), "came", names(change.came()), "gone", names(change.gone()),
-                "digest", Long.toHexString(change.now().digest()));
+    private void logChange(Change change) {
+        events.info("view: settled", "there", change.snapshot().members().size(), "came", names(change.joined()), "gone", names(change.departed()),
+                "digest", Long.toHexString(change.snapshot().digest()));
     }
 
     private static String names(List<Member> members) {
-        String some = String.join(",", members.stream().limit(20).map(Member::name).toList());
-        return members.isEmpty() ? "-" : members.size() > 20 ? some + ",and-" + (members.size() - 20) + "-more" : some;
+        String shown = String.join(",", members.stream().limit(20).map(Member::name).toList());
+        return members.isEmpty() ? "-" : members.size() > 20 ? shown + ",and-" + (members.size() - 20) + "-more" : shown;
     }
 
     public Mesh mesh() { return mesh; }
@@ -70,24 +70,24 @@
         } catch (IOException e) {
             throw new ViewError.Listen(settings.listen().getAddress().getHostAddress() + ":" + settings.listen().getPort(), e.getMessage(), e);
         }
-        mesh.hear(Mesh.Kind.VIEW, (from, body) -> {
-            membership.heard(loop.now(), body);
-            arm();
+        mesh.setHandler(Mesh.Kind.VIEW, (from, body) -> {
+            membership.receive(loop.now(), body);
+            scheduleTick();
         });
         membership.start(loop.now(), settings.advertise() != null ? settings.advertise() : mesh.address());
-        begun = true;
-        arm();
+        started = true;
+        scheduleTick();
     }
 
-    private void arm() {
-        double at = membership.next();
-        if (at == timerAt) { return; }
+    private void scheduleTick() {
+        double dueAtMs = membership.nextTickMs();
+        if (dueAtMs == timerAtMs) { return; }
         loop.deadlines().cancel(timer);
-        timerAt = at;
-        timer = at == Double.POSITIVE_INFINITY ? null : loop.deadlines().at(at, () -> {
-            timerAt = Double.POSITIVE_INFINITY;
+        timerAtMs = dueAtMs;
+        timer = dueAtMs == Double.POSITIVE_INFINITY ? null : loop.deadlines().schedule(dueAtMs, () -> {
+            timerAtMs = Double.POSITIVE_INFINITY;
             membership.tick(loop.now());
-            arm();
+            scheduleTick();
         });
     }
 
@@ -95,7 +95,7 @@
     public String reload(Settings next) { return settings.equals(next.view()) ? null : "table view waits for a restart"; }
 
     @Override
-    public String line() { return membership.line() + " " + mesh.line(); }
+    public String line() { return membership.counters() + " " + mesh.countersLine(); }
 
     @Override
     public String report(String call) { return call.equals("members") ? membership.report(loop.now()) : null; }
@@ -103,7 +103,7 @@
     /** Until here others may count on it: what it held is handed over before. */
     @Override
     public void close() {
-        if (begun) { membership.leave(loop.now()); }
+        if (started) { membership.leave(loop.now()); }
         loop.deadlines().cancel(timer);
         mesh.close();
     }
@@ -112,14 +112,14 @@
     public Member self() { return membership.self(); }
 
     @Override
-    public Picture picture() { return membership.picture(loop.now()); }
+    public Snapshot snapshot() { return membership.snapshot(loop.now()); }
 
     @Override
     public Member member(String name) { return membership.member(name); }
 
     @Override
-    public long life(String name) { return membership.life(name); }
+    public long instanceId(String name) { return membership.instanceId(name); }
 
     @Override
-    public void follow(Consumer<Change> follower) { membership.follow(follower); }
+    public void subscribe(Consumer<Change> listener) { membership.subscribe(listener); }
 }
--- a/src/main/java/yardusher/wire/Codec.java
+++ b/src/main/java/yardusher/wire/Codec.java
@@ -14,7 +14,7 @@
 
 /** Translates between the wire's messages and the types of {@link Api}. Unknown keys are skipped. */
 public final class Codec {
-    private static final double MOST_WHOLE = 0x1p63; // a whole number up to here fits a long
+    private static final double MAX_WHOLE_NUMBER = 0x1p63; // a whole number up to here fits a long
 
     private Codec() { }
 
@@ -22,26 +22,26 @@
      * A JSON object with typed access; a needed value that is absent, and any value of another type, is a
      * {@link WireError.Malformed} that names the key with all that it stands in. A null counts as absent.
      */
-    public static final class Fields {
+    public static final class JsonObject {
         private final Map<String, Object> values = new HashMap<>();
-        private Fields in;                           // where this was asked for, null at the top
-        private String as;
-        private int at = -1;                         // its place in the array there, -1 where it stands alone
+        private JsonObject parent;                           // where this was asked for, null at the top
+        private String parentKey;
+        private int parentIndex = -1;                         // its place in the array there, -1 where it stands alone
 
-        private WireError.Malformed needs(String what, String key) {
+        private WireError.Malformed wrongType(String what, String key) {
             return new WireError.Malformed(null, "needs " + what + " in \"" + path() + key + "\"");
         }
 
-        private WireError.Malformed unknown(String key, String allowed) {
+        private WireError.Malformed unknownValue(String key, String allowed) {
             return new WireError.Malformed(null, "unknown " + key + " \"" + text(key) + "\" in \"" + path() + key + "\", allowed are " + allowed);
         }
 
-        private String path() { return in == null ? "" : in.path() + as + (at < 0 ? "." : "[" + at + "]."); }
+        private String path() { return parent == null ? "" : parent.path() + parentKey + (parentIndex < 0 ? "." : "[" + parentIndex + "]."); }
 
-        private Fields asked(Fields from, String key, int index) {
-            in = from;
-            as = key;
-            at = index;
+        private JsonObject withParent(JsonObject containing, String key, int index) {
+            parent = containing;
+            parentKey = key;
+            parentIndex = index;
             return this;
         }
 
@@ -49,30 +49,30 @@
             if (values.get(key) instanceof Number number) {
                 return number.doubleValue();
             }
-            throw needs("a number", key);
+            throw wrongType("a number", key);
         }
 
-        public double number(String key, double absent) {
-            return values.get(key) == null ? absent : number(key);
+        public double number(String key, double defaultValue) {
+            return values.get(key) == null ? defaultValue : number(key);
         }
 
         /** Guards against a figure that is cut to a whole one, or wraps round, and then means something else. */
-        public long whole(String key) {
+        public long wholeNumber(String key) {
             if (values.get(key) instanceof Integer || values.get(key) instanceof Long) {
                 return ((Number) values.get(key)).longValue();
             }
             double number = values.get(key) instanceof Number given ? given.doubleValue() : Double.NaN;
-            if (number != Math.rint(number) || Math.abs(number) >= MOST_WHOLE) { throw needs("a whole number", key); }
+            if (number != Math.rint(number) || Math.abs(number) >= MAX_WHOLE_NUMBER) { throw wrongType("a whole number", key); }
             return (long) number;
         }
 
-        int small(String key) {
-            long number = whole(key);
-            if (number != (int) number) { throw needs("a whole number below 2^31", key); }
+        int intNumber(String key) {
+            long number = wholeNumber(key);
+            if (number != (int) number) { throw wrongType("a whole number below 2^31", key); }
             return (int) number;
         }
 
-        int small(String key, int absent) { return values.get(key) == null ? absent : small(key); }
+        int intNumber(String key, int defaultValue) { return values.get(key) == null ? defaultValue : intNumber(key); }
 
         public boolean has(String key) { return values.get(key) != null; }
 
@@ -83,50 +83,50 @@
         public boolean flag(String key) {
             Object value = values.get(key);
             if (value == null || value instanceof Boolean) { return Boolean.TRUE.equals(value); }
-            throw needs("true or false", key);
+            throw wrongType("true or false", key);
         }
 
         public String text(String key) {
             if (values.get(key) instanceof String text) {
                 return text;
             }
-            throw needs("a text", key);
+            throw wrongType("a text", key);
         }
 
-        public Fields object(String key) {
-            if (values.get(key) instanceof Fields fields) {
-                return fields.asked(this, key, -1);
+        public JsonObject object(String key) {
+            if (values.get(key) instanceof JsonObject fields) {
+                return fields.withParent(this, key, -1);
             }
-            throw needs("an object", key);
+            throw wrongType("an object", key);
         }
 
         /** The same, with nothing in it where the key is absent. */
-        public Fields objectOrNone(String key) { return has(key) ? object(key) : new Fields().asked(this, key, -1); }
+        public JsonObject objectOrEmpty(String key) { return has(key) ? object(key) : new JsonObject().withParent(this, key, -1); }
 
-        public List<Fields> objects(String key) {
-            List<Fields> found = new ArrayList<>();
+        public List<JsonObject> objects(String key) {
+            List<JsonObject> found = new ArrayList<>();
             for (Object item : list(key)) {
-                if (!(item instanceof Fields fields)) { throw needs("objects", key); }
-                found.add(fields.asked(this, key, found.size()));
+                if (!(item instanceof JsonObject fields)) { throw wrongType("objects", key); }
+                found.add(fields.withParent(this, key, found.size()));
             }
             return found;
         }
 
         /** The same, none where the key is absent. */
-        public List<Fields> objectsOrNone(String key) { return has(key) ? objects(key) : List.of(); }
+        public List<JsonObject> objectsOrEmpty(String key) { return has(key) ? objects(key) : List.of(); }
 
         public List<?> list(String key) {
             if (values.get(key) instanceof List<?> list) {
                 return list;
             }
-            throw needs("an array", key);
+            throw wrongType("an array", key);
         }
 
         /** Texts of an array; none where the key is absent. */
         public List<String> texts(String key) {
             List<String> texts = new ArrayList<>();
             for (Object item : has(key) ? list(key) : List.of()) {
-                if (!(item instanceof String text)) { throw needs("texts", key); }
+                if (!(item instanceof String text)) { throw wrongType("texts", key); }
                 texts.add(text);
             }
             return texts;
@@ -146,21 +146,21 @@
     }
 
     /** Reads the value at the parser's current token. */
-    public static Object read(JsonParser parser) throws IOException {
+    public static Object readValue(JsonParser parser) throws IOException {
         switch (parser.currentToken()) {
             case START_OBJECT: {
-                Fields fields = new Fields();
+                JsonObject fields = new JsonObject();
                 while (parser.nextToken() != JsonToken.END_OBJECT) {
                     String key = parser.currentName();
                     parser.nextToken();
-                    fields.values.put(key, read(parser));
+                    fields.values.put(key, readValue(parser));
                 }
                 return fields;
             }
             case START_ARRAY: {
                 List<Object> items = new ArrayList<>();
                 while (parser.nextToken() != JsonToken.END_ARRAY) {
-                    items.add(read(parser));
+                    items.add(readValue(parser));
                 }
                 return items;
             }
@@ -178,38 +178,38 @@
         }
     }
 
-    public static Api.Settings settings(Fields config) {
+    public static Api.Settings parseSettings(JsonObject config) {
         List<Api.RequestClass> classes = new ArrayList<>();
-        for (Fields c : config.objects("classes")) {
-            Api.Effect effect = switch (c.text("effect")) {
+        for (JsonObject requestClass : config.objects("classes")) {
+            Api.Effect effect = switch (requestClass.text("effect")) {
                 case "idempotent" -> Api.Effect.IDEMPOTENT;
                 case "deduplicated" -> Api.Effect.DEDUPLICATED;
                 case "at_most_once" -> Api.Effect.AT_MOST_ONCE;
-                default -> throw c.unknown("effect", "idempotent, deduplicated and at_most_once");
+                default -> throw requestClass.unknownValue("effect", "idempotent, deduplicated and at_most_once");
             };
-            Api.Group group = effect != Api.Effect.DEDUPLICATED ? Api.Group.ALL : switch (c.text("group")) {
+            Api.Group group = effect != Api.Effect.DEDUPLICATED ? Api.Group.ALL : switch (requestClass.text("group")) {
                 case "all" -> Api.Group.ALL;
                 case "zone" -> Api.Group.ZONE;
                 case "cell" -> Api.Group.CELL;
-                default -> throw c.unknown("group", "all, zone and cell");
+                default -> throw requestClass.unknownValue("group", "all, zone and cell");
             };
-            classes.add(new Api.RequestClass(c.number("aim_ms"), c.number("hard_limit_ms"),
-                    c.number("worth", 1), c.number("late_value", 0), effect, group,
-                    c.number("window_ms", 0), c.flag("streamed")));
+            classes.add(new Api.RequestClass(requestClass.number("aim_ms"), requestClass.number("hard_limit_ms"),
+                    requestClass.number("worth", 1), requestClass.number("late_value", 0), effect, group,
+                    requestClass.number("window_ms", 0), requestClass.flag("streamed")));
         }
         List<Api.Plan> plans = new ArrayList<>();
-        for (Fields p : config.objects("contracts")) {
-            plans.add(new Api.Plan(p.number("units_per_s", 0), p.number("peak_units", 0),
-                    p.small("at_once", 0), p.number("value_factor", 1), p.number("ceiling_rate", 0),
-                    p.number("hard_burst", 0), p.number("ceiling_slack", 0),
-                    p.number("beyond_costs", 1)));
+        for (JsonObject contract : config.objects("contracts")) {
+            plans.add(new Api.Plan(contract.number("units_per_s", 0), contract.number("peak_units", 0),
+                    contract.intNumber("at_once", 0), contract.number("value_factor", 1), contract.number("ceiling_rate", 0),
+                    contract.number("hard_burst", 0), contract.number("ceiling_slack", 0),
+                    contract.number("beyond_costs", 1)));
         }
-        Fields limits = config.object("limits");
-        Fields rules = config.object("rules");
-        Fields domain = config.object("domain");
-        Fields prices = config.objectOrNone("prices");
+        JsonObject limits = config.object("limits");
+        JsonObject rules = config.object("rules");
+        JsonObject domain = config.object("domain");
+        JsonObject prices = config.objectOrEmpty("prices");
         List<Api.Metric> metrics = new ArrayList<>();
-        for (String name : config.objectOrNone("report").texts("names")) {
+        for (String name : config.objectOrEmpty("report").texts("names")) {
             metrics.add(switch (name) {
                 case "busy_reqs" -> Api.Metric.IN_FLIGHT;
                 case "pending" -> Api.Metric.QUEUE;
@@ -220,9 +220,9 @@
                 default -> Api.Metric.OTHER;
             });
         }
-        return new Api.Settings(config.small("me"), config.small("peers_total"), config.small("zone"),
+        return new Api.Settings(config.intNumber("me"), config.intNumber("peers_total"), config.intNumber("zone"),
                 config.number("resolution_ms", 0), classes, plans,
-                new Api.Limits(limits.small("max_attempts"), limits.flag("may_cancel"),
+                new Api.Limits(limits.intNumber("max_attempts"), limits.flag("may_cancel"),
                         limits.flag("peers"),
                         limits.number("max_retry_after_ms", 0)),
                 new Api.Rules(rules.number("cold_from"), rules.number("warm_after_ms"),
@@ -233,26 +233,26 @@
     }
 
     /** Translates one event; null for a kind that the module has no use for. */
-    static Api.Event event(Fields e) {
-        return switch (e.text("event_type")) {
-            case "request" -> new Api.Request(e.whole("rid"), e.small("grade"),
-                    e.small("grade_of_service"), e.whole("member"), e.number("due_ms"),
-                    e.number("weight", 1), (int) e.number("first", 0), (int) e.number("n_entries", 1));
-            case "done" -> new Api.AttemptDone(e.whole("rid"), (int) e.number("leg", 0), e.whole("host"),
-                    outcome(e.text("ending")), e.number("spent_ms", 0), e.flag("over"),
-                    e.number("billed", 0), e.numbers("telemetry"));
-            case "first_byte" -> new Api.FirstByte(e.whole("rid"), (int) e.number("leg", 0),
-                    e.whole("host"));
-            case "hangup" -> new Api.ClientGone(e.whole("rid"));
-            case "timeout_fired" -> new Api.TimerFired(e.whole("cookie"));
-            case "peer" -> new Api.PeerMessage(e.small("from"), e.text("body"));
-            case "roster_change" -> servers(e);
+    static Api.Event parseEvent(JsonObject event) {
+        return switch (event.text("event_type")) {
+            case "request" -> new Api.Request(event.wholeNumber("rid"), event.intNumber("grade"),
+                    event.intNumber("grade_of_service"), event.wholeNumber("member"), event.number("due_ms"),
+                    event.number("weight", 1), (int) event.number("first", 0), (int) event.number("n_entries", 1));
+            case "done" -> new Api.AttemptDone(event.wholeNumber("rid"), (int) event.number("leg", 0), event.wholeNumber("host"),
+                    parseOutcome(event.text("ending")), event.number("spent_ms", 0), event.flag("over"),
+                    event.number("billed", 0), event.numbers("telemetry"));
+            case "first_byte" -> new Api.FirstByte(event.wholeNumber("rid"), (int) event.number("leg", 0),
+                    event.wholeNumber("host"));
+            case "hangup" -> new Api.ClientGone(event.wholeNumber("rid"));
+            case "timeout_fired" -> new Api.TimerFired(event.wholeNumber("cookie"));
+            case "peer" -> new Api.PeerMessage(event.intNumber("from"), event.text("body"));
+            case "roster_change" -> parseServers(event);
             default -> null;
         };
     }
 
-    private static Api.Event servers(Fields e) {
-        Api.ListKind kind = switch (e.small("kind")) {
+    private static Api.Event parseServers(JsonObject event) {
+        Api.ListKind kind = switch (event.intNumber("kind")) {
             case 0 -> Api.ListKind.FULL;
             case 1 -> Api.ListKind.FAILED;
             case 2 -> Api.ListKind.CACHED;
@@ -261,14 +261,14 @@
         };
         List<Api.Server> servers = new ArrayList<>();
         if (kind != Api.ListKind.FAILED) {
-            for (Fields row : e.objects("rows")) {
-                Api.Readiness readiness = switch (row.small("readiness")) {
+            for (JsonObject row : event.objects("rows")) {
+                Api.Readiness readiness = switch (row.intNumber("readiness")) {
                     case 0 -> Api.Readiness.GONE;
                     case 1 -> Api.Readiness.READY;
                     case 2 -> Api.Readiness.DRAINING;
                     default -> throw new WireError.Malformed(null, "unknown readiness");
                 };
-                servers.add(new Api.Server(row.whole("host"), (int) row.number("site", 0),
+                servers.add(new Api.Server(row.wholeNumber("host"), (int) row.number("site", 0),
                         (int) row.number("cell", 0), row.number("size", 1),
                         row.number("started_at_ms", 0), readiness));
             }
@@ -276,7 +276,7 @@
         return new Api.ServerList(kind, servers);
     }
 
-    private static Api.Outcome outcome(String code) {
+    private static Api.Outcome parseOutcome(String code) {
         return switch (code) {
             case "served" -> Api.Outcome.SERVED;
             case "server_error" -> Api.Outcome.SERVER_ERROR;
@@ -290,7 +290,7 @@
         };
     }
 
-    static void write(JsonGenerator out, Api.Action action) throws IOException {
+    static void writeAction(JsonGenerator out, Api.Action action) throws IOException {
         out.writeStartObject();
         if (action instanceof Api.Send a) {
             out.writeStringField("event_type", "call_out");
--- a/src/main/java/yardusher/wire/SettingsNotes.java
+++ b/src/main/java/yardusher/wire/SettingsValidator.java
@@ -12,12 +12,12 @@
  * Holds an operator's settings against what the program does with them: figures that no deployment can have are an error,
  * and what the program does not honour is named, so that nobody finds it out in service. See {@code docs/operators/}.
  */
-public final class SettingsNotes {
-    private static final int MOST_TOLD = 8;          // unknown keys named in one line
-    private static final int MOST_NAME = 200;        // a class's and a plan's have to fit into a request's list
-    private static final double MOST_MS = 86_400_000, MOST = 1e9;
+public final class SettingsValidator {
+    private static final int MAX_LISTED_KEYS = 8;          // unknown keys named in one line
+    private static final int MAX_NAME_LENGTH = 200;        // a class's and a plan's have to fit into a request's list
+    private static final double MAX_MS = 86_400_000, MAX_VALUE = 1e9;
     /** Keys that no note is due for: they are read, or name things that nothing is decided by. */
-    private static final Map<String, Set<String>> KNOWN = Map.ofEntries(
+    private static final Map<String, Set<String>> KNOWN_KEYS = Map.ofEntries(
             Map.entry("", Set.of("classes", "clients", "contracts", "domain", "goal", "kinds", "layers", "limits", "me", "membership_mode",
                     "peers_total", "prices", "report", "resolution_ms", "rules", "service_type", "tier", "weights", "zone", "zones")),
             Map.entry("classes", Set.of("aim_ms", "aim_stretch", "effect", "group", "hard_limit_ms", "late_value", "name", "streamed",
@@ -35,71 +35,71 @@
             Map.entry("rules", Set.of("answer_slack_ms", "cold_from", "drain_grace_ms", "must_ask_in_ms", "overload_factor",
                     "overload_for_ms", "warm_after_ms")));
 
-    private SettingsNotes() { }
+    private SettingsValidator() { }
 
     /** Figures that cannot be: a {@link ConfigError} with the key and what is allowed. */
-    public static Api.Settings verified(Api.Settings s, int zones) {
-        within("peers_total", s.gateways(), 1, 10_000);
-        within("me", s.self(), 0, s.gateways() - 1);
-        within("zone", s.zone(), 0, Math.max(0, zones - 1));
-        within("resolution_ms", s.resolutionMs(), 0, MOST_MS);
-        within("limits.max_attempts", s.limits().maxAttempts(), 1, 1000);
-        within("limits.max_retry_after_ms", s.limits().maxRetryAfterMs(), 0, 3_600_000);
-        within("domain.most_units", s.maxUnits(), 0, MOST);
-        within("domain.peer_in_per_s", s.peerIntakePerS(), 0, 1e6);
-        within("prices.cross_zone", s.crossZonePrice(), 0, 1000);
-        within("prices.peer", s.peerPrice(), 0, 1000);
-        within("rules.cold_from", s.rules().initialWarmth(), 0, 1);
-        within("rules.warm_after_ms", s.rules().warmAfterMs(), 0, 3_600_000);
-        within("rules.overload_factor", s.rules().overloadFactor(), 0, 1e6);
-        within("rules.overload_for_ms", s.rules().overloadWindowMs(), 0, 3_600_000);
-        within("rules.must_ask_in_ms", s.rules().mustAskMs(), 0, MOST_MS);
-        if (s.classes().isEmpty()) { throw new ConfigError.Missing(null, "classes", "at least one entry in \"classes\""); }
-        for (int i = 0; i < s.classes().size(); i++) {
-            Api.RequestClass c = s.classes().get(i);
-            String at = "classes[" + i + "].";
-            within(at + "aim_ms", c.aimMs(), 0.001, MOST_MS);
-            within(at + "hard_limit_ms", c.deadlineMs(), 0.001, MOST_MS);
-            within(at + "window_ms", c.windowMs(), 0, MOST_MS);
-            within(at + "late_value", c.lateValue(), 0, 1);
-            within(at + "worth", c.worth(), 0, MOST);
+    public static Api.Settings validate(Api.Settings settings, int zones) {
+        requireRange("peers_total", settings.gateways(), 1, 10_000);
+        requireRange("me", settings.self(), 0, settings.gateways() - 1);
+        requireRange("zone", settings.zone(), 0, Math.max(0, zones - 1));
+        requireRange("resolution_ms", settings.resolutionMs(), 0, MAX_MS);
+        requireRange("limits.max_attempts", settings.limits().maxAttempts(), 1, 1000);
+        requireRange("limits.max_retry_after_ms", settings.limits().maxRetryAfterMs(), 0, 3_600_000);
+        requireRange("domain.most_units", settings.maxUnits(), 0, MAX_VALUE);
+        requireRange("domain.peer_in_per_s", settings.peerIntakePerS(), 0, 1e6);
+        requireRange("prices.cross_zone", settings.crossZonePrice(), 0, 1000);
+        requireRange("prices.peer", settings.peerPrice(), 0, 1000);
+        requireRange("rules.cold_from", settings.rules().initialWarmth(), 0, 1);
+        requireRange("rules.warm_after_ms", settings.rules().warmAfterMs(), 0, 3_600_000);
+        requireRange("rules.overload_factor", settings.rules().overloadFactor(), 0, 1e6);
+        requireRange("rules.overload_for_ms", settings.rules().overloadWindowMs(), 0, 3_600_000);
+        requireRange("rules.must_ask_in_ms", settings.rules().mustAskMs(), 0, MAX_MS);
+        if (settings.classes().isEmpty()) { throw new ConfigError.Missing(null, "classes", "at least one entry in \"classes\""); }
+        for (int i = 0; i < settings.classes().size(); i++) {
+            Api.RequestClass requestClass = settings.classes().get(i);
+            String path = "classes[" + i + "].";
+            requireRange(path + "aim_ms", requestClass.aimMs(), 0.001, MAX_MS);
+            requireRange(path + "hard_limit_ms", requestClass.deadlineMs(), 0.001, MAX_MS);
+            requireRange(path + "window_ms", requestClass.windowMs(), 0, MAX_MS);
+            requireRange(path + "late_value", requestClass.lateValue(), 0, 1);
+            requireRange(path + "worth", requestClass.worth(), 0, MAX_VALUE);
         }
         // Guards against a start that turns every request away: each one has to name a plan.
-        if (s.plans().isEmpty()) { throw new ConfigError.Missing(null, "contracts", "at least one entry in \"contracts\""); }
-        for (int i = 0; i < s.plans().size(); i++) {
-            Api.Plan p = s.plans().get(i);
-            String at = "contracts[" + i + "].";
-            within(at + "units_per_s", p.ratePerS(), 0, MOST);
-            within(at + "peak_units", p.burst(), p.ratePerS() > 0 ? 0.001 : 0, MOST);
-            within(at + "at_once", p.openCap(), 0, MOST);
-            within(at + "ceiling_rate", p.ceilingRatePerS(), 0, MOST);
-            within(at + "hard_burst", p.ceilingBurst(), p.ceilingRatePerS() > 0 ? 0.001 : 0, MOST);
-            within(at + "ceiling_slack", p.ceilingSlack(), 0, MOST);
-            within(at + "value_factor", p.value(), 0, MOST);
-            within(at + "beyond_costs", p.overQuotaCost(), 0, 1000);
+        if (settings.plans().isEmpty()) { throw new ConfigError.Missing(null, "contracts", "at least one entry in \"contracts\""); }
+        for (int i = 0; i < settings.plans().size(); i++) {
+            Api.Plan plan = settings.plans().get(i);
+            String path = "contracts[" + i + "].";
+            requireRange(path + "units_per_s", plan.ratePerS(), 0, MAX_VALUE);
+            requireRange(path + "peak_units", plan.burst(), plan.ratePerS() > 0 ? 0.001 : 0, MAX_VALUE);
+            requireRange(path + "at_once", plan.openCap(), 0, MAX_VALUE);
+            requireRange(path + "ceiling_rate", plan.ceilingRatePerS(), 0, MAX_VALUE);
+            requireRange(path + "hard_burst", plan.ceilingBurst(), plan.ceilingRatePerS() > 0 ? 0.001 : 0, MAX_VALUE);
+            requireRange(path + "ceiling_slack", plan.ceilingSlack(), 0, MAX_VALUE);
+            requireRange(path + "value_factor", plan.value(), 0, MAX_VALUE);
+            requireRange(path + "beyond_costs", plan.overQuotaCost(), 0, 1000);
         }
-        return s;
+        return settings;
     }
 
     /**
      * Names that requests give by, in the order of the array {@code key}. A {@link ConfigError} where one cannot stand in a
      * request's list, or stands twice.
      */
-    public static List<String> names(Codec.Fields settings, String key) {
+    public static List<String> readNames(Codec.JsonObject settings, String key) {
         List<String> names = new ArrayList<>();
-        for (Codec.Fields one : settings.objects(key)) {
-            String at = key + "[" + names.size() + "].name", name = one.text("name");
-            if (name.isEmpty() || name.length() > MOST_NAME || name.indexOf(',') >= 0 || hasControl(name)) {
-                throw new ConfigError.Value(null, at, "a text of 1 to " + MOST_NAME + " characters, without commas and control characters");
+        for (Codec.JsonObject entry : settings.objects(key)) {
+            String path = key + "[" + names.size() + "].name", name = entry.text("name");
+            if (name.isEmpty() || name.length() > MAX_NAME_LENGTH || name.indexOf(',') >= 0 || hasControlCharacter(name)) {
+                throw new ConfigError.Value(null, path, "a text of 1 to " + MAX_NAME_LENGTH + " characters, without commas and control characters");
             }
-            if (names.contains(name)) { throw new ConfigError.Conflict(null, at, at + " " + name + " stands twice"); }
+            if (names.contains(name)) { throw new ConfigError.Conflict(null, path, path + " " + name + " stands twice"); }
             names.add(name);
         }
         return names;
     }
 
     /** Whether a text holds a character that would end a line, or begin one of its own, where it is told. */
-    public static boolean hasControl(String text) {
+    public static boolean hasControlCharacter(String text) {
         for (int i = 0; i < text.length(); i++) {
             if (Character.isISOControl(text.charAt(i))) { return true; }
         }
@@ -107,14 +107,14 @@
     }
 
     /** A figure out of its range is a {@link ConfigError} with the key, the figure and the range. */
-    public static double within(String key, double value, double least, double most) {
-        if (!(value >= least && value <= most)) {
-            throw new ConfigError.Range(null, key, plain(value), plain(least) + " to " + plain(most));
+    public static double requireRange(String key, double value, double min, double max) {
+        if (!(value >= min && value <= max)) {
+            throw new ConfigError.Range(null, key, formatNumber(value), formatNumber(min) + " to " + formatNumber(max));
         }
         return value;
     }
 
-    private static String plain(double value) {
+    private static String formatNumber(double value) {
         return value == Math.rint(value) && Math.abs(value) < 1e15 ? String.valueOf((long) value) : String.valueOf(value);
     }
 
@@ -122,10 +122,10 @@
      * What these settings give or ask for that the program does not use, each in a few words; empty where it uses all. A key
      * that no page names is told too: a misspelt one must not pass for a default.
      */
-    public static List<String> unused(Codec.Fields config) {
+    public static List<String> listUnused(Codec.JsonObject config) {
         List<String> notes = new ArrayList<>();
-        Codec.Fields limits = config.objectOrNone("limits"), domain = config.objectOrNone("domain"), report = config.objectOrNone("report"),
-                rules = config.objectOrNone("rules"), goal = config.objectOrNone("goal"), prices = config.objectOrNone("prices");
+        Codec.JsonObject limits = config.objectOrEmpty("limits"), domain = config.objectOrEmpty("domain"), report = config.objectOrEmpty("report"),
+                rules = config.objectOrEmpty("rules"), goal = config.objectOrEmpty("goal"), prices = config.objectOrEmpty("prices");
         if (limits.flag("second_copies")) { notes.add("limits.second_copies (one attempt of a request at a time)"); }
         if (limits.flag("probes")) { notes.add("limits.probes (backends are not probed)"); }
         if (limits.number("max_streams", 1) > 1) { notes.add("limits.max_streams (one attempt on a connection at a time)"); }
@@ -142,7 +142,7 @@
         for (String name : report.texts("names")) {
             if (!List.of("pending", "cpu_share").contains(name)) { notes.add("report." + name + " (read, and not used to choose)"); }
         }
-        if (config.objectOrNone("clients").flag("marks_retry")) { notes.add("clients.marks_retry (a retry counts like any request)"); }
+        if (config.objectOrEmpty("clients").flag("marks_retry")) { notes.add("clients.marks_retry (a retry counts like any request)"); }
         if (config.has("membership_mode") && !config.text("membership_mode").equals("push")) {
             notes.add("membership_mode " + config.text("membership_mode") + ", with rules.must_ask_in_ms (on sockets the list is watched from the start)");
         }
@@ -155,49 +155,49 @@
         if (rules.number("drain_grace_ms", 0) > 0) { notes.add("rules.drain_grace_ms (a backend that drains gets nothing new at once)"); }
         if (rules.number("answer_slack_ms", 0) > 0) { notes.add("rules.answer_slack_ms (answers are due before the deadline)"); }
         if (config.number("resolution_ms", 0) > 0) { notes.add("resolution_ms (what comes on sockets is answered as it comes)"); }
-        positive("prices.", prices, List.of("cross_zone", "peer"), notes, "not weighed");
-        positive("goal.", goal, List.of(), notes, "not weighed");
-        for (Codec.Fields c : config.objects("classes")) {
-            if (c.number("aim_stretch", 0) > 0) { notes.add("classes." + c.text("name") + ".aim_stretch (the aim is taken as it stands)"); }
+        notePositive("prices.", prices, List.of("cross_zone", "peer"), notes, "not weighed");
+        notePositive("goal.", goal, List.of(), notes, "not weighed");
+        for (Codec.JsonObject requestClass : config.objects("classes")) {
+            if (requestClass.number("aim_stretch", 0) > 0) { notes.add("classes." + requestClass.text("name") + ".aim_stretch (the aim is taken as it stands)"); }
         }
-        for (Codec.Fields p : config.objects("contracts")) {
-            if (p.number("beyond_earns", 0) > 0) {
-                notes.add("contracts." + p.text("name") + ".beyond_earns (what goes beyond a quota is weighed by beyond_costs alone)");
+        for (Codec.JsonObject contract : config.objects("contracts")) {
+            if (contract.number("beyond_earns", 0) > 0) {
+                notes.add("contracts." + contract.text("name") + ".beyond_earns (what goes beyond a quota is weighed by beyond_costs alone)");
             }
         }
-        unknown(config, notes);
+        noteUnknown(config, notes);
         return notes;
     }
 
     /** One note for all figures of a table above 0 but those that are read. Plain loops: all this is run at each start. */
-    private static void positive(String at, Codec.Fields of, List<String> read, List<String> notes, String why) {
+    private static void notePositive(String prefix, Codec.JsonObject table, List<String> usedKeys, List<String> notes, String reason) {
         Set<String> found = new TreeSet<>();
-        for (String key : of.keys()) {
-            if (!read.contains(key) && of.number(key, 0) > 0) { found.add(key); }
+        for (String key : table.keys()) {
+            if (!usedKeys.contains(key) && table.number(key, 0) > 0) { found.add(key); }
         }
-        if (!found.isEmpty()) { notes.add(at + listed(found) + " (" + why + ")"); }
+        if (!found.isEmpty()) { notes.add(prefix + joinKeys(found) + " (" + reason + ")"); }
     }
 
-    private static void unknown(Codec.Fields config, List<String> notes) {
+    private static void noteUnknown(Codec.JsonObject config, List<String> notes) {
         Set<String> found = new TreeSet<>();
-        for (Map.Entry<String, Set<String>> known : KNOWN.entrySet()) {
+        for (Map.Entry<String, Set<String>> known : KNOWN_KEYS.entrySet()) {
             String table = known.getKey();
-            boolean many = table.equals("classes") || table.equals("contracts");
-            for (Codec.Fields one : table.isEmpty() ? List.of(config) : many ? config.objects(table) : List.of(config.objectOrNone(table))) {
-                for (String key : one.keys()) {
+            boolean isArray = table.equals("classes") || table.equals("contracts");
+            for (Codec.JsonObject entry : table.isEmpty() ? List.of(config) : isArray ? config.objects(table) : List.of(config.objectOrEmpty(table))) {
+                for (String key : entry.keys()) {
                     if (!known.getValue().contains(key)) { found.add(table.isEmpty() ? key : table + "." + key); }
                 }
             }
         }
-        if (!found.isEmpty()) { notes.add(listed(found) + " (not known here)"); }
+        if (!found.isEmpty()) { notes.add(joinKeys(found) + " (not known here)"); }
     }
 
-    private static String listed(Set<String> names) {
+    private static String joinKeys(Set<String> keys) {
         StringBuilder text = new StringBuilder();
-        int left = MOST_TOLD;
-        for (String name : names) {
-            if (left-- == 0) { return text.append(" and others").toString(); }
-            text.append(text.length() == 0 ? "" : ", ").append(name);
+        int remaining = MAX_LISTED_KEYS;
+        for (String key : keys) {
+            if (remaining-- == 0) { return text.append(" and others").toString(); }
+            text.append(text.length() == 0 ? "" : ", ").append(key);
         }
         return text.toString();
     }
--- a/src/main/java/yardusher/wire/WireHost.java
+++ b/src/main/java/yardusher/wire/SimulatorHost.java
@@ -21,22 +21,22 @@
 import yardusher.error.WireError;
 
 /** Hosts instances of the module on the simulator's wire: a batch a line in, a reply a line out. */
-public final class WireHost {
+public final class SimulatorHost {
     private static final JsonFactory JSON = new JsonFactory();
     private final Map<Integer, Policy> instances = new HashMap<>();
     private final List<Api.Action> actions = new ArrayList<>();
 
-    private WireHost() { }
+    private SimulatorHost() { }
 
     /** Answers batches until the input ends; returns the exit status. */
     public static int run(InputStream in, OutputStream out, PrintStream errors) throws IOException {
         BufferedReader lines = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
-        WireHost host = new WireHost();
+        SimulatorHost host = new SimulatorHost();
         String line;
         for (long number = 1; (line = lines.readLine()) != null; number++) {
             String reply;
             try {
-                reply = host.answer(line, errors);
+                reply = host.answerBatch(line, errors);
             } catch (JsonProcessingException e) {
                 errors.println("line " + number + ": not JSON: " + e.getOriginalMessage());
                 return 1;
@@ -50,18 +50,18 @@
         return 0;
     }
 
-    private String answer(String line, PrintStream errors) throws IOException {
-        Codec.Fields batch = parse(line);
+    private String answerBatch(String line, PrintStream errors) throws IOException {
+        Codec.JsonObject batch = parse(line);
         double now = batch.number("ts_ms");
         StringWriter text = new StringWriter();
         try (JsonGenerator json = JSON.createGenerator(text)) {
             json.writeStartObject();
             json.writeArrayFieldStart("gateways");
-            for (Codec.Fields gateway : batch.objects("gateways")) {
-                int id = gateway.small("gateway");
+            for (Codec.JsonObject gateway : batch.objects("gateways")) {
+                int id = gateway.intNumber("gateway");
                 actions.clear();
                 String fault = null;
-                for (Codec.Fields event : gateway.objects("events")) {
+                for (Codec.JsonObject event : gateway.objects("events")) {
                     try {
                         deliver(id, now, event);
                     } catch (WireError e) {
@@ -78,7 +78,7 @@
                 json.writeNumberField("gateway", id);
                 json.writeArrayFieldStart("cmds");
                 for (Api.Action action : actions) {
-                    Codec.write(json, action);
+                    Codec.writeAction(json, action);
                 }
                 if (fault != null) {
                     json.writeStartObject();
@@ -95,14 +95,14 @@
         return text.append('\n').toString();
     }
 
-    private void deliver(int id, double now, Codec.Fields fields) {
+    private void deliver(int id, double now, Codec.JsonObject fields) {
         switch (fields.text("event_type")) {
-            case "up" -> instances.put(id, new Policy(Codec.settings(fields.object("config")),
-                    fields.whole("salt"), now, actions::add));
+            case "up" -> instances.put(id, new Policy(Codec.parseSettings(fields.object("config")),
+                    fields.wholeNumber("salt"), now, actions::add));
             case "detach" -> instances.remove(id);
             default -> {
                 Policy policy = instances.get(id);
-                Api.Event event = Codec.event(fields);
+                Api.Event event = Codec.parseEvent(fields);
                 if (policy == null) {
                     throw new WireError.Malformed(null, "event for gateway " + id + " before its start");
                 }
@@ -113,13 +113,13 @@
         }
     }
 
-    private static Codec.Fields parse(String line) throws IOException {
+    private static Codec.JsonObject parse(String line) throws IOException {
         try (JsonParser parser = JSON.createParser(line)) {
             if (parser.nextToken() == null) {
                 throw new WireError.Malformed(null, "empty line");
             }
-            Object value = Codec.read(parser);
-            if (!(value instanceof Codec.Fields fields)) {
+            Object value = Codec.readValue(parser);
+            if (!(value instanceof Codec.JsonObject fields)) {
                 throw new WireError.Malformed(null, "not an object");
             }
             if (parser.nextToken() != null) {
--- a/src/test/java/yardusher/admin/AdminCallTest.java
+++ b/src/test/java/yardusher/admin/AdminCallTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import yardusher.error.CommandError;
 import yardusher.error.WireError;
-import yardusher.net.Lines;
+import yardusher.net.LineReader;
 
 /** Calls and lines of the second address, without a socket. */
 class AdminCallTest {
@@ -34,33 +34,33 @@
     @Test
     void aLineIsWholeHoweverItIsCut() {
         for (String end : new String[] {"\n", "\r\n"}) {
-            Lines line = new Lines(256);
+            LineReader line = new LineReader(256);
             byte[] bytes = ("health" + end).getBytes(StandardCharsets.US_ASCII);
             for (byte b : bytes) {
-                assertThat(line.next()).isNull();
-                line.room().put(b);
-                line.filled(1);
+                assertThat(line.nextLine()).isNull();
+                line.readBuffer().put(b);
+                line.advance(1);
             }
-            assertThat(line.next()).isEqualTo("health");
+            assertThat(line.nextLine()).isEqualTo("health");
         }
     }
 
     @Test
     void anOverlongLineIsToldAndLinesBehindEachOtherComeInTurn() {
-        Lines two = new Lines(256);
-        two.room().put("health\r\nresume\nco".getBytes(StandardCharsets.US_ASCII));
-        two.filled(17);
-        assertThat(two.next()).isEqualTo("health");
-        assertThat(two.next()).isEqualTo("resume");
-        assertThat(two.next()).isNull();
+        LineReader two = new LineReader(256);
+        two.readBuffer().put("health\r\nresume\nco".getBytes(StandardCharsets.US_ASCII));
+        two.advance(17);
+        assertThat(two.nextLine()).isEqualTo("health");
+        assertThat(two.nextLine()).isEqualTo("resume");
+        assertThat(two.nextLine()).isNull();
         assertThat(two.isEmpty()).isFalse();
-        Lines endless = new Lines(256);
-        for (ByteBuffer room; (room = endless.room()).hasRemaining();) {
-            assertThat(endless.next()).isNull();
+        LineReader endless = new LineReader(256);
+        for (ByteBuffer room; (room = endless.readBuffer()).hasRemaining();) {
+            assertThat(endless.nextLine()).isNull();
             room.put((byte) 'x');
-            endless.filled(1);
+            endless.advance(1);
         }
-        assertThatThrownBy(endless::next).isInstanceOf(WireError.class).hasMessageContaining("256");
+        assertThatThrownBy(endless::nextLine).isInstanceOf(WireError.class).hasMessageContaining("256");
         assertThatThrownBy(() -> call("x".repeat(257))).isInstanceOf(CommandError.class).hasMessageContaining("256");
     }
 }
--- a/src/test/java/yardusher/admin/FiguresTest.java
+++ b/src/test/java/yardusher/admin/FiguresTest.java
@@ -11,12 +11,12 @@
 import yardusher.Api;
 import yardusher.cli.Config;
 import yardusher.core.Attempt;
-import yardusher.core.Cargo;
+import yardusher.core.BackendCommand;
 import yardusher.core.Counters;
-import yardusher.core.Flow;
+import yardusher.core.ResponseStream;
 import yardusher.core.Ingress;
-import yardusher.core.Order;
-import yardusher.core.OrderLog;
+import yardusher.core.IncomingRequest;
+import yardusher.core.RequestLog;
 import yardusher.core.Backends;
 import yardusher.core.Terminal;
 import yardusher.core.Request;
@@ -61,16 +61,16 @@
         public void failed(String why, boolean mayHaveRun) { is(2); }
 
         @Override
-        public Flow begin(long length) {
-            return new Flow() {
+        public ResponseStream beginStream(long length) {
+            return new ResponseStream() {
                 @Override
-                public void part(ByteBuffer bytes, Runnable then) { }
+                public void write(ByteBuffer bytes, Runnable then) { }
 
                 @Override
                 public void end() { is(0); }
 
                 @Override
-                public void broken() { is(2); }
+                public void fail() { is(2); }
             };
         }
     }
@@ -78,7 +78,7 @@
     private void take(Random random) {
         int classIndex = random.nextInt(CLASSES);
         long id = ++ids;
-        Cargo cargo = new Cargo() {
+        BackendCommand cargo = new BackendCommand() {
             @Override
             public ByteBuffer[] encoded(long waitMs) { return new ByteBuffer[0]; }
 
@@ -86,13 +86,13 @@
             public long id() { return id; }
 
             @Override
-            public long print() { return id; }
+            public long fingerprint() { return id; }
 
             @Override
             public String key() { return classIndex == 1 ? String.format("%016x", id) : null; }
         };
         Client client = new Client(classIndex);
-        loop.turn(() -> taken.add(ingress.take(new Order(classIndex, random.nextInt(3), random.nextInt(5), 1, 0, 1,
+        loop.execute(() -> taken.add(ingress.accept(new IncomingRequest(classIndex, random.nextInt(3), random.nextInt(5), 1, 0, 1,
                 random.nextInt(3000), cargo, client))));
     }
 
@@ -103,19 +103,19 @@
         Config config = Config.read("src/test/resources/ingress.json");
         Backends regions = new Backends() {
             @Override
-            public boolean knows(long region) { return true; }
+            public boolean isAvailable(long region) { return true; }
 
             @Override
-            public void begin(Attempt attempt, ByteBuffer... cargo) { out.add(attempt); }
+            public void start(Attempt attempt, ByteBuffer... cargo) { out.add(attempt); }
         };
-        loop.turn(() -> {
-            ingress = new Ingress(config.settings(), seed, loop.now() - yardusher.story.LongServing.EARNED_MS, loop, regions, (to, body) -> { }, counters, OrderLog.NONE);
-            ingress.tell(new Api.ServerList(Api.ListKind.FULL, List.of(new Api.Server(7, 0, 0, 1, 0, Api.Readiness.READY),
+        loop.execute(() -> {
+            ingress = new Ingress(config.settings(), seed, loop.now() - yardusher.story.LongServing.EARNED_MS, loop, regions, (to, body) -> { }, counters, RequestLog.NONE);
+            ingress.deliver(new Api.ServerList(Api.ListKind.FULL, List.of(new Api.Server(7, 0, 0, 1, 0, Api.Readiness.READY),
                     new Api.Server(8, 0, 0, 1, 0, Api.Readiness.READY))));
         });
         for (int step = 0; step < 2000; step++) {
             now += random.nextInt(20);
-            loop.turn(() -> { });
+            loop.execute(() -> { });
             out.removeIf(Attempt::isOver);
             Attempt attempt = out.isEmpty() ? null : out.get(random.nextInt(out.size()));
             switch (random.nextInt(6)) {
@@ -125,7 +125,7 @@
                     if (gone != null && random.nextInt(4) == 0) { leave(gone); }
                 }
                 case 3 -> {
-                    if (attempt != null && attempt.mayHaveGone() && random.nextInt(3) == 0) { loop.turn(() -> ingress.begin(attempt, 100_000)); }
+                    if (attempt != null && attempt.mayHaveBeenSent() && random.nextInt(3) == 0) { loop.execute(() -> ingress.beginStream(attempt, 100_000)); }
                 }
                 default -> {
                     if (attempt != null) { end(attempt, random); }
@@ -134,32 +134,32 @@
             check();
         }
         now += 100_000;
-        loop.turn(() -> { });
+        loop.execute(() -> { });
         check();
     }
 
     private void leave(Request gone) {
         long before = counters.clientsGone;
-        loop.turn(gone::gone);
+        loop.execute(gone::terminalLeft);
         left += counters.clientsGone - before;
     }
 
     /** An attempt is written whole, or ends; once each. */
     private void end(Attempt attempt, Random random) {
-        if (!attempt.mayHaveGone() && random.nextBoolean()) {
-            loop.turn(() -> {
-                if (!attempt.hand(now)) { return; }
+        if (!attempt.mayHaveBeenSent() && random.nextBoolean()) {
+            loop.execute(() -> {
+                if (!attempt.handToSocket(now)) { return; }
                 written++;
-                ingress.written(attempt);
-                ingress.written(attempt);            // told twice, it counts once
+                ingress.attemptWritten(attempt);
+                ingress.attemptWritten(attempt);            // told twice, it counts once
             });
             return;
         }
-        Api.Outcome[] outcomes = attempt.mayHaveGone()
+        Api.Outcome[] outcomes = attempt.mayHaveBeenSent()
                 ? new Api.Outcome[] {Api.Outcome.SERVED, Api.Outcome.SERVER_ERROR, Api.Outcome.REJECTED, Api.Outcome.CONNECTION_LOST}
                 : new Api.Outcome[] {Api.Outcome.CONNECT_FAILED};
         Api.Outcome outcome = outcomes[random.nextInt(outcomes.length)];
-        loop.turn(() -> ingress.ended(attempt, new Attempt.Result(outcome, new byte[0], null)));
+        loop.execute(() -> ingress.attemptEnded(attempt, new Attempt.Result(outcome, new byte[0], null)));
     }
 
     private void check() {
@@ -168,8 +168,8 @@
             assertThat(new long[] {counters.served[k], counters.refused[k], counters.failed[k]}).containsExactly(told[k]);
             ended += counters.served[k] + counters.refused[k] + counters.failed[k];
         }
-        assertThat(counters.takenIn).isEqualTo(ended + left + ingress.openCount());
+        assertThat(counters.accepted).isEqualTo(ended + left + ingress.openCount());
         assertThat(counters.forwards).isEqualTo(written);
-        assertThat(counters.largeOpen).isBetween(0, out.size());
+        assertThat(counters.largeValuesOpen).isBetween(0, out.size());
     }
 }
--- a/src/test/java/yardusher/core/EventLoopTest.java
+++ b/src/test/java/yardusher/core/EventLoopTest.java
@@ -19,12 +19,12 @@
     void stop() { loop.stop(); }
 
     @Test
-    void anErrorInATurnLeavesWhatFollowsIt() {
+    void anErrorInATaskDoesNotStopDeferredTasks() {
         List<String> done = new ArrayList<>();
-        loop.turn(() -> {
-            loop.afterwards(() -> { throw new OutOfMemoryError("made up"); });
-            loop.afterwards(() -> done.add("follows"));
-            loop.turn(() -> done.add("a completion that came at once"));
+        loop.execute(() -> {
+            loop.defer(() -> { throw new OutOfMemoryError("made up"); });
+            loop.defer(() -> done.add("follows"));
+            loop.execute(() -> done.add("a completion that came at once"));
             throw new AssertionError("made up");
         });
         assertThat(done).containsExactly("follows", "a completion that came at once");
@@ -33,13 +33,13 @@
 
     /** Danger: without the thread that keeps the time, a process stands open and nothing in it ever ends. */
     @Test
-    void theTimeIsKeptBehindAnErrorInADeadline() throws Exception {
+    void theTimerThreadSurvivesErrorsInTasks() throws Exception {
         BlockingQueue<String> done = new LinkedBlockingQueue<>();
         Thread timer = loop.startTimer();
-        loop.turn(() -> {
-            loop.deadlines().at(loop.now(), () -> { throw new NoClassDefFoundError("made up"); });
-            loop.deadlines().at(loop.now() + 5, () -> { throw new StackOverflowError("made up"); });
-            loop.deadlines().at(loop.now() + 10, () -> done.add("later"));
+        loop.execute(() -> {
+            loop.deadlines().schedule(loop.now(), () -> { throw new NoClassDefFoundError("made up"); });
+            loop.deadlines().schedule(loop.now() + 5, () -> { throw new StackOverflowError("made up"); });
+            loop.deadlines().schedule(loop.now() + 10, () -> done.add("later"));
         });
         assertThat(done.poll(20, TimeUnit.SECONDS)).isEqualTo("later");
         assertThat(timer.isAlive()).isTrue();
@@ -47,11 +47,11 @@
 
     /** As where no memory is left to print with. */
     @Test
-    void aFaultThatCannotBeToldIsNoFaultMore() {
+    void aFailingFaultHandlerDoesNotStopDeferredTasks() {
         List<String> done = new ArrayList<>();
-        EventLoop mute = new EventLoop(() -> 0, fault -> { throw new OutOfMemoryError("made up"); });
-        mute.turn(() -> {
-            mute.afterwards(() -> done.add("follows"));
+        EventLoop loopWithFailingHandler = new EventLoop(() -> 0, fault -> { throw new OutOfMemoryError("made up"); });
+        loopWithFailingHandler.execute(() -> {
+            loopWithFailingHandler.defer(() -> done.add("follows"));
             throw new IllegalStateException("made up");
         });
         assertThat(done).containsExactly("follows");
--- a/src/test/java/yardusher/discovery/DiscoveredBackendsTest.java
+++ b/src/test/java/yardusher/discovery/DiscoveredBackendsTest.java
@@ -37,9 +37,9 @@
             assertThat(told.servers()).extracting(Api.Server::id, Api.Server::readiness)
                     .contains(org.assertj.core.groups.Tuple.tuple(1L, Api.Readiness.GONE))
                     .contains(org.assertj.core.groups.Tuple.tuple(3L, Api.Readiness.READY));
-            assertThat(pool.knows(1)).isFalse();
-            assertThat(pool.knows(2)).isTrue();
-            assertThat(pool.knows(3)).isTrue();
+            assertThat(pool.isAvailable(1)).isFalse();
+            assertThat(pool.isAvailable(2)).isTrue();
+            assertThat(pool.isAvailable(3)).isTrue();
             // Named in the same news, the old one is what these say of it.
             told = table.line(news(3, false, member("s-2", 82, "Terminating"), member("s-4", 82, "Ready")));
             assertThat(told.servers()).extracting(Api.Server::readiness).containsExactly(Api.Readiness.DRAINING, Api.Readiness.READY);
@@ -64,8 +64,8 @@
             assertThat(table.size()).isLessThanOrEqualTo(200);
             assertThat(table.everListed("s-1")).isFalse();
             assertThat(table.everListed("s-" + Integer.toHexString(10_000))).isTrue();
-            assertThat(pool.knows(1)).isFalse();
-            assertThat(pool.knows(9_000)).isFalse();
+            assertThat(pool.isAvailable(1)).isFalse();
+            assertThat(pool.isAvailable(9_000)).isFalse();
         } finally {
             sockets.shutdown();
         }
@@ -157,7 +157,7 @@
             assertThatThrownBy(() -> table.line(text.replace("GONE", member("s-1", 81, "Gone")))).isInstanceOf(IOException.class);
             assertThat(table.revision()).isEqualTo(1);
             assertThat(table.size()).isEqualTo(2);
-            assertThat(pool.knows(1)).isTrue();
+            assertThat(pool.isAvailable(1)).isTrue();
             assertThat(table.listed()).hasSize(2);
         });
     }
@@ -184,7 +184,7 @@
                 assertThat(told.servers()).extracting(Api.Server::id, Api.Server::readiness).containsExactlyInAnyOrder(
                         tuple(1L, Api.Readiness.DRAINING), tuple(4L, Api.Readiness.READY), tuple(3L, Api.Readiness.DRAINING));
                 assertThat(table.size()).isEqualTo(4);
-                assertThat(pool.knows(2)).isTrue();
+                assertThat(pool.isAvailable(2)).isTrue();
                 table.line(news(6, true, member("s-3", 83, "Ready")));
                 assertThat(table.unread()).isZero();
                 assertThat(table.size()).isEqualTo(1);
--- a/src/test/java/yardusher/discovery/ObjectLinesTest.java
+++ b/src/test/java/yardusher/discovery/ObjectLinesTest.java
@@ -28,7 +28,7 @@
             if (object == null || object.isBlank()) { continue; }
             try (JsonParser parser = new JsonFactory().createParser(object)) {
                 parser.nextToken();
-                read.add(((Codec.Fields) Codec.read(parser)).text("id"));
+                read.add(((Codec.JsonObject) Codec.readValue(parser)).text("id"));
             }
         }
         return read;
--- a/src/test/java/yardusher/fence/FenceTest.java
+++ b/src/test/java/yardusher/fence/FenceTest.java
@@ -51,7 +51,7 @@
         Memory memory = Memory.open(disk, "site", "a1", loop);
         CountDownLatch durable = new CountDownLatch(2);
         AtomicReference<Exception> failed = new AtomicReference<>();
-        loop.turn(() -> {
+        loop.execute(() -> {
             memory.seal("roll", 7, why -> durable.countDown());
             memory.started("n0", 4711, 99);
             memory.begin("roll", 7, "5/n0", "restart n0", "1", why -> durable.countDown());
@@ -74,11 +74,11 @@
         java.util.concurrent.BlockingQueue<String> told = new java.util.concurrent.LinkedBlockingQueue<>();
         disk.full = true;
         for (int i = 0; i < 2; i++) {
-            loop.turn(() -> memory.seal("roll", 7, why -> told.add(String.valueOf(why == null ? "sealed" : why.getMessage()))));
+            loop.execute(() -> memory.seal("roll", 7, why -> told.add(String.valueOf(why == null ? "sealed" : why.getMessage()))));
             assertThat(told.poll(10, TimeUnit.SECONDS)).contains("No space");
         }
         disk.full = false;
-        loop.turn(() -> memory.seal("roll", 7, why -> told.add(why == null ? "sealed" : why.getMessage())));
+        loop.execute(() -> memory.seal("roll", 7, why -> told.add(why == null ? "sealed" : why.getMessage())));
         assertThat(told.poll(10, TimeUnit.SECONDS)).isEqualTo("sealed");
         assertThat(Memory.open(disk, "site", "a1", loop).fence().sealed("roll")).isEqualTo(7);
     }
--- a/src/test/java/yardusher/journal/CrashTest.java
+++ b/src/test/java/yardusher/journal/CrashTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 import yardusher.Api;
-import yardusher.core.OrderLog;
+import yardusher.core.RequestLog;
 import yardusher.disk.Framing;
 
 /** What a crash, a loss of power and damage at any byte leave of a journal. */
@@ -58,7 +58,7 @@
                     batch.add(new Entry.Ended(us, o[0], (int) o[1] - 1, Api.Outcome.values()[random.nextInt(8)], true));
                 } else {
                     open.remove(o);
-                    batch.add(new Entry.Answered(us, o[0], OrderLog.Answer.values()[random.nextInt(4)]));
+                    batch.add(new Entry.Answered(us, o[0], RequestLog.Answer.values()[random.nextInt(4)]));
                 }
             }
             assertThat(segments.append(batch).written()).isTrue();
--- a/src/test/java/yardusher/journal/JournalBench.java
+++ b/src/test/java/yardusher/journal/JournalBench.java
@@ -94,7 +94,7 @@
                 thread(() -> {
                     Decoder decoder = new Decoder();
                     for (;;) {
-                        if (decoder.command() != null) {
+                        if (decoder.nextCommand() != null) {
                             guest.getOutputStream().write(answer);
                         } else {
                             fill(decoder, guest);
@@ -122,10 +122,10 @@
     }
 
     private static void fill(Decoder decoder, Socket socket) throws IOException {
-        ByteBuffer room = decoder.room();
+        ByteBuffer room = decoder.readBuffer();
         int read = socket.getInputStream().read(room.array(), room.position(), room.remaining());
         if (read < 0) { throw new IOException("ended"); }
-        decoder.filled(read);
+        decoder.advance(read);
     }
 
     private static Figures run(String setting, String core, int rate, String members) throws Exception {
@@ -201,7 +201,7 @@
                         String id = String.format("%016x", IDS.incrementAndGet());
                         socket.getOutputStream().write(new Encoder(256).array(5).bulk("CALL.POST").bulk("0000000000000" + (100 + at)).bulk(id)
                                 .bulk("c=place-order,t=groot,d=2000,k=" + id + ",units=1,spread=1,first=0").bulk("BODY").toBytes());
-                        for (yardusher.resp.Value value; (value = decoder.value()) == null;) { fill(decoder, socket); }
+                        for (yardusher.resp.Value value; (value = decoder.nextValue()) == null;) { fill(decoder, socket); }
                         part.recordValue(System.nanoTime() - due);
                         due += every;
                     }
--- a/src/test/java/yardusher/journal/JournalJmh.java
+++ b/src/test/java/yardusher/journal/JournalJmh.java
@@ -24,7 +24,7 @@
 import org.openjdk.jmh.annotations.TearDown;
 import org.openjdk.jmh.annotations.Warmup;
 import yardusher.Api;
-import yardusher.core.OrderLog;
+import yardusher.core.RequestLog;
 import yardusher.disk.Folder;
 import yardusher.disk.Storage;
 
@@ -62,7 +62,7 @@
             }
             if (i > 1000) {
                 batch.add(new Entry.Ended(us, i - 1000, 0, Api.Outcome.SERVED, true));
-                batch.add(new Entry.Answered(us, i - 1000, OrderLog.Answer.SERVED));
+                batch.add(new Entry.Answered(us, i - 1000, RequestLog.Answer.SERVED));
             }
             if (batch.size() >= 32) {
                 if (!segments.append(batch).written()) { throw new IOException("not written"); }
--- a/src/test/java/yardusher/journal/JournalStoryTest.java
+++ b/src/test/java/yardusher/journal/JournalStoryTest.java
@@ -22,7 +22,7 @@
 import yardusher.Api;
 import yardusher.cli.Config;
 import yardusher.core.Attempt;
-import yardusher.core.Cargo;
+import yardusher.core.BackendCommand;
 import yardusher.core.Counters;
 import yardusher.core.Ingress;
 import yardusher.core.Backends;
@@ -61,17 +61,17 @@
                 config.plans(), loop, events);
         Backends regions = new Backends() {
             @Override
-            public boolean knows(long region) { return true; }
+            public boolean isAvailable(long region) { return true; }
 
             @Override
-            public void begin(Attempt attempt, java.nio.ByteBuffer... cargo) {
-                attempt.hand(now);
+            public void start(Attempt attempt, java.nio.ByteBuffer... cargo) {
+                attempt.handToSocket(now);
                 begun.add(attempt);
             }
         };
-        loop.turn(() -> {
+        loop.execute(() -> {
             ingress = new Ingress(config.settings(), 1, loop.now() - yardusher.story.LongServing.EARNED_MS, loop, regions, (to, body) -> { }, new Counters(), journal);
-            ingress.tell(new Api.ServerList(Api.ListKind.FULL, List.of(new Api.Server(7, 0, 0, 1, 0, Api.Readiness.READY))));
+            ingress.deliver(new Api.ServerList(Api.ListKind.FULL, List.of(new Api.Server(7, 0, 0, 1, 0, Api.Readiness.READY))));
         });
     }
 
@@ -84,7 +84,7 @@
     private Request take(int classIndex) {
         Request[] taken = new Request[1];
         long id = ++ids;
-        Cargo cargo = new Cargo() {
+        BackendCommand cargo = new BackendCommand() {
             @Override
             public java.nio.ByteBuffer[] encoded(long waitMs) { return new java.nio.ByteBuffer[0]; }
 
@@ -92,7 +92,7 @@
             public long id() { return id; }
 
             @Override
-            public long print() { return id; }
+            public long fingerprint() { return id; }
 
             @Override
             public String key() { return classIndex == ORDER ? String.format("%016x", id) : null; }
@@ -107,7 +107,7 @@
             @Override
             public void failed(String why, boolean mayHaveRun) { answers.add(id + " failed"); }
         };
-        loop.turn(() -> taken[0] = ingress.take(new yardusher.core.Order(classIndex, 2, 100 + id, 1, 0, 1, 2000, cargo, terminal)));
+        loop.execute(() -> taken[0] = ingress.accept(new yardusher.core.IncomingRequest(classIndex, 2, 100 + id, 1, 0, 1, 2000, cargo, terminal)));
         return taken[0];
     }
 
@@ -118,22 +118,22 @@
     }
 
     private void end(Attempt attempt, Api.Outcome outcome) {
-        loop.turn(() -> {
-            ingress.written(attempt);
-            ingress.ended(attempt, new Attempt.Result(outcome, new byte[0], null));
+        loop.execute(() -> {
+            ingress.attemptWritten(attempt);
+            ingress.attemptEnded(attempt, new Attempt.Result(outcome, new byte[0], null));
         });
     }
 
     private void pass(double ms) {
         now += ms;
-        loop.turn(() -> { });
+        loop.execute(() -> { });
     }
 
     /** Lets time pass, or none, until the journal is good again; looked at in loop, as all its state. */
     private void awaitGood(double stepMs) {
         for (boolean[] good = new boolean[1]; !good[0];) {
             pass(stepMs);
-            loop.turn(() -> good[0] = journal.health() == Journal.Health.GOOD);
+            loop.execute(() -> good[0] = journal.health() == Journal.Health.GOOD);
         }
     }
 
@@ -154,7 +154,7 @@
         take(ORDER);
         take(ORDER);
         take(0);
-        assertThat(next(begun).request.order.classIndex()).isZero();
+        assertThat(next(begun).request.incoming.classIndex()).isZero();
         assertThat(begun).isEmpty();
         disk.hang.countDown();
         for (int i = 0; i < 2; i++) {
@@ -180,7 +180,7 @@
         start(true, JournalSettings.Durability.PROCESS);
         disk.hang = new CountDownLatch(1);
         Request leaves = take(ORDER);
-        loop.turn(() -> leaves.gone());
+        loop.execute(() -> leaves.terminalLeft());
         disk.hang.countDown();
         disk.hang = new CountDownLatch(1);
         take(ORDER);                                 // gathers behind the first batch, or with it
@@ -191,7 +191,7 @@
         List<Order> orders = read();
         assertThat(begun).isEmpty();
         assertThat(orders).hasSize(2).allSatisfy(order -> assertThat(order.state()).isEqualTo(Order.State.NEVER_SENT));
-        assertThat(orders.get(0).answer).isEqualTo(yardusher.core.OrderLog.Answer.GONE);
+        assertThat(orders.get(0).answer).isEqualTo(yardusher.core.RequestLog.Answer.GONE);
     }
 
     @Test
@@ -283,7 +283,7 @@
         disk.hang = new CountDownLatch(1);
         for (int i = 0; i < 500; i++) {
             Request t = take(ORDER);
-            loop.turn(() -> t.gone());
+            loop.execute(() -> t.terminalLeft());
         }
         Thread opens = new Thread(disk.hang::countDown);
         opens.start();
@@ -302,20 +302,20 @@
             disk.hang = null;
             Journal before = journal;
             journal = own;
-            loop.turn(() -> ingress = new Ingress(config.settings(), 1, loop.now() - yardusher.story.LongServing.EARNED_MS, loop, new Backends() {
+            loop.execute(() -> ingress = new Ingress(config.settings(), 1, loop.now() - yardusher.story.LongServing.EARNED_MS, loop, new Backends() {
                 @Override
-                public boolean knows(long region) { return true; }
+                public boolean isAvailable(long region) { return true; }
 
                 @Override
-                public void begin(Attempt attempt, java.nio.ByteBuffer... cargo) { begun.add(attempt); }
+                public void start(Attempt attempt, java.nio.ByteBuffer... cargo) { begun.add(attempt); }
             }, (to, body) -> { }, new Counters(), own));
-            loop.turn(() -> ingress.tell(new Api.ServerList(Api.ListKind.FULL, List.of(new Api.Server(0xabc, 0, 0, 1, 0, Api.Readiness.READY)))));
+            loop.execute(() -> ingress.deliver(new Api.ServerList(Api.ListKind.FULL, List.of(new Api.Server(0xabc, 0, 0, 1, 0, Api.Readiness.READY)))));
             for (int i = 0; i < 3; i++) {
                 take(ORDER);
                 Attempt attempt = next(begun);
-                attempt.hand(now);
+                attempt.handToSocket(now);
                 now += 1000;
-                if (i == 0) { end(attempt, Api.Outcome.SERVED); } else { loop.turn(() -> ingress.written(attempt)); }
+                if (i == 0) { end(attempt, Api.Outcome.SERVED); } else { loop.execute(() -> ingress.attemptWritten(attempt)); }
                 if (i == 1) { pass(3000); }          // past its deadline
             }
             own.close(5000);
--- a/src/test/java/yardusher/journal/KillRun.java
+++ b/src/test/java/yardusher/journal/KillRun.java
@@ -62,7 +62,7 @@
                 Thread talk = new Thread(() -> {
                     try {
                         talk(guest, number);
-                    } catch (IOException | InterruptedException | RuntimeException | yardusher.resp.Malformed e) { /* it was killed */ }
+                    } catch (IOException | InterruptedException | RuntimeException | yardusher.resp.MalformedRespException e) { /* it was killed */ }
                     out.values().removeIf(socket -> socket == guest);
                     try {
                         guest.close();
@@ -77,15 +77,15 @@
         }
     }
 
-    private void talk(Socket guest, long number) throws IOException, InterruptedException, yardusher.resp.Malformed {
+    private void talk(Socket guest, long number) throws IOException, InterruptedException, yardusher.resp.MalformedRespException {
         Decoder decoder = new Decoder();
         InputStream in = guest.getInputStream();
         for (byte[][] words;;) {
-            if ((words = decoder.command()) == null) {
-                ByteBuffer room = decoder.room();
+            if ((words = decoder.nextCommand()) == null) {
+                ByteBuffer room = decoder.readBuffer();
                 int read = in.read(room.array(), room.position(), room.remaining());
                 if (read < 0) { return; }
-                decoder.filled(read);
+                decoder.advance(read);
                 continue;
             }
             String id = new String(words[2], StandardCharsets.US_ASCII);
@@ -99,7 +99,7 @@
             if (way == 0) { continue; }              // hangs
             if (way == 1) { return; }                // breaks
             Thread.sleep(random.nextInt(4));
-            byte[] answer = way < 4 ? new Encoder(16).failure("BUSY").toBytes() : way < 6 ? new Encoder(16).failure("ERR failed").toBytes()
+            byte[] answer = way < 4 ? new Encoder(16).error("BUSY").toBytes() : way < 6 ? new Encoder(16).error("ERR failed").toBytes()
                     : new Encoder(64).array(3).bulk("made").raw("$-1\r\n$-1\r\n".getBytes(StandardCharsets.US_ASCII)).toBytes();
             out.remove(id, guest);
             guest.getOutputStream().write(answer);
@@ -114,14 +114,14 @@
                 socket.getOutputStream().write(new Encoder(256).array(5).bulk("CALL.POST").bulk(String.format("%016x", ids.get() % 50)).bulk(id)
                         .bulk("c=place-order,t=groot,d=400,k=" + id + ",units=1,spread=1,first=0").bulk("BODY").toBytes());
                 for (;;) {
-                    if (decoder.value() != null) { break; }
-                    ByteBuffer room = decoder.room();
+                    if (decoder.nextValue() != null) { break; }
+                    ByteBuffer room = decoder.readBuffer();
                     int read = socket.getInputStream().read(room.array(), room.position(), room.remaining());
                     if (read < 0) { return; }
-                    decoder.filled(read);
+                    decoder.advance(read);
                 }
             }
-        } catch (IOException | yardusher.resp.Malformed e) { /* the ingress was killed */ }
+        } catch (IOException | yardusher.resp.MalformedRespException e) { /* the ingress was killed */ }
     }
 
     static Result run(Path folder, int kills, long seed, String durability) throws Exception {
--- a/src/test/java/yardusher/keys/KeysTest.java
+++ b/src/test/java/yardusher/keys/KeysTest.java
@@ -12,10 +12,10 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 import yardusher.Api;
-import yardusher.core.Cargo;
-import yardusher.core.Intake;
-import yardusher.core.Order;
-import yardusher.core.Stay;
+import yardusher.core.BackendCommand;
+import yardusher.core.RequestAcceptor;
+import yardusher.core.IncomingRequest;
+import yardusher.core.RequestHandle;
 import yardusher.core.Terminal;
 import yardusher.core.EventLoop;
 
@@ -32,20 +32,20 @@
     private int sent;
 
     /** A transaction that the core was given and has not ended. */
-    private final class Sent implements Stay {
-        final Order order;
+    private final class Sent implements RequestHandle {
+        final IncomingRequest order;
         boolean mayHaveRun;
 
-        Sent(Order order) { this.order = order; }
+        Sent(IncomingRequest order) { this.order = order; }
 
         @Override
-        public Order order() { return order; }
+        public IncomingRequest incoming() { return order; }
 
         @Override
         public boolean mayHaveRun() { return mayHaveRun; }
 
         @Override
-        public void gone() {
+        public void terminalLeft() {
             out.remove(this);
             over(this, null, mayHaveRun);
         }
@@ -59,10 +59,10 @@
         Held before = held.get(key);
         double until = now + LIFETIME_MS;
         if (value != null) {
-            held.put(key, new Held(sent.order.cargo().print(), value, 0, until));
+            held.put(key, new Held(sent.order.command().fingerprint(), value, 0, until));
         } else if (mayHaveRun || before != null && before.until > begun.get(key)) {
             double ran = before != null && before.until > begun.get(key) && before.value == null ? before.repeatUntil : now + WINDOW_MS;
-            held.put(key, new Held(sent.order.cargo().print(), null, Math.min(ran, begun.get(key) + WINDOW_MS), until));
+            held.put(key, new Held(sent.order.command().fingerprint(), null, Math.min(ran, begun.get(key) + WINDOW_MS), until));
         } else {
             held.remove(key);
         }
@@ -70,13 +70,13 @@
 
     private final Map<Long, Double> begun = new HashMap<>();
 
-    private static long key(Order order) { return Long.parseUnsignedLong(order.cargo().key(), 16); }
+    private static long key(IncomingRequest order) { return Long.parseUnsignedLong(order.command().key(), 16); }
 
     /** Somebody who asked, and the answers it got. */
     private static final class Asked implements Terminal {
         final long key;
         final List<String> answers = new ArrayList<>();
-        Stay stay;
+        RequestHandle stay;
         boolean left;
 
         Asked(long key) { this.key = key; }
@@ -93,7 +93,7 @@
 
     private void open(int answerBytes, int mostRunning) {
         loop = new EventLoop(() -> now, e -> { throw new AssertionError(e); }); // deadlines of an earlier try must not count
-        Intake core = order -> {
+        RequestAcceptor core = order -> {
             Sent one = new Sent(order);
             for (Sent other : out) { assertThat(key(other.order)).as("a key out twice").isNotEqualTo(key(order)); }
             out.add(one);
@@ -108,7 +108,7 @@
 
     private Asked ask(long key, long print, double waitMs) {
         Asked asked = new Asked(key);
-        Cargo cargo = new Cargo() {
+        BackendCommand cargo = new BackendCommand() {
             @Override
             public java.nio.ByteBuffer[] encoded(long wait) { return new java.nio.ByteBuffer[0]; }
 
@@ -119,16 +119,16 @@
             public String key() { return String.format("%016x", key); }
 
             @Override
-            public long print() { return print; }
+            public long fingerprint() { return print; }
         };
-        loop.turn(() -> asked.stay = intake.take(new Order(0, 0, 1, 1, 0, 1, waitMs, cargo, asked)));
+        loop.execute(() -> asked.stay = intake.accept(new IncomingRequest(0, 0, 1, 1, 0, 1, waitMs, cargo, asked)));
         return asked;
     }
 
     /** Ends what the core holds: 0 serves, 1 refuses, 2 fails and it may have run, 3 fails and it never ran. */
     private void end(Sent one, int how) {
         out.remove(one);
-        loop.turn(() -> {
+        loop.execute(() -> {
             String value = "value " + sent;
             over(one, how == 0 ? value : null, how == 2);
             switch (how) {
@@ -159,7 +159,7 @@
                     Asked asked = ask(key, print, 100 + random.nextInt(3000));
                     all.add(asked);
                     if (running != null) {
-                        boolean other = running.order.cargo().print() != print;
+                        boolean other = running.order.command().fingerprint() != print;
                         if (other) {
                             assertThat(asked.answers.get(0)).contains("another request");
                         } else {
@@ -180,12 +180,12 @@
                     if (!waiting.isEmpty()) {
                         Asked one = waiting.get(random.nextInt(waiting.size()));
                         one.left = true;
-                        loop.turn(() -> one.stay.gone());
+                        loop.execute(() -> one.stay.terminalLeft());
                     }
                 }
                 case 4 -> {
                     now += random.nextInt(10) == 0 ? 70_000 : random.nextInt(2500);
-                    loop.turn(() -> { });
+                    loop.execute(() -> { });
                 }
                 default -> {
                     if (!out.isEmpty()) {
@@ -226,17 +226,17 @@
         Asked first = ask(5, 1, 2000);
         Asked second = ask(5, 1, 50);
         Asked third = ask(5, 1, 3000);
-        loop.turn(() -> first.stay.gone());
+        loop.execute(() -> first.stay.terminalLeft());
         assertThat(out).hasSize(1);
         now += 60;                                   // the shorter deadline passes
-        loop.turn(() -> { });
+        loop.execute(() -> { });
         assertThat(second.answers).containsExactly("failed deadline passed");
         Sent one = out.get(0);
         out.remove(one);
         over(one, null, false);
-        loop.turn(() -> {
+        loop.execute(() -> {
             one.order.terminal().reject(0, false); // third is to lead after this turn's work
-            third.stay.gone();
+            third.stay.terminalLeft();
         });
         assertThat(out).isEmpty();
         assertThat(intake.line()).contains("keys_running=0 keys_waiting=0");
--- a/src/test/java/yardusher/mesh/DatagramMeshTest.java
+++ b/src/test/java/yardusher/mesh/DatagramMeshTest.java
@@ -17,59 +17,59 @@
 /** Datagrams between ingresses on real sockets: what passes and what is counted and dropped. */
 class DatagramMeshTest {
     private final EventLoop loop = new EventLoop(() -> System.nanoTime() / 1e6, fault -> { throw new AssertionError(fault); });
-    private final LinkedBlockingQueue<byte[]> heard = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<byte[]> received = new LinkedBlockingQueue<>();
     private final DatagramMesh mesh = mesh("site");
 
     private DatagramMesh mesh(String installation) {
         DatagramMesh made = new DatagramMesh(new InetSocketAddress("127.0.0.1", 0), installation, loop);
-        loop.turn(() -> {
+        loop.execute(() -> {
             try {
                 made.open();
             } catch (java.io.IOException e) {
                 throw new java.io.UncheckedIOException(e);
             }
-            made.hear(Mesh.Kind.VIEW, (from, body) -> heard.add(body));
+            made.setHandler(Mesh.Kind.VIEW, (from, body) -> received.add(body));
         });
         return made;
     }
 
     @AfterEach
-    void close() { loop.turn(mesh::close); }
+    void close() { loop.execute(mesh::close); }
 
-    private String line() {
+    private String countersLine() {
         String[] line = new String[1];
-        loop.turn(() -> line[0] = mesh.line());
+        loop.execute(() -> line[0] = mesh.countersLine());
         return line[0];
     }
 
-    private void awaitLine(String part) throws InterruptedException {
-        for (int i = 0; i < 500 && !line().contains(part); i++) { Thread.sleep(10); }
-        assertThat(line()).contains(part);
+    private void awaitCounter(String part) throws InterruptedException {
+        for (int i = 0; i < 500 && !countersLine().contains(part); i++) { Thread.sleep(10); }
+        assertThat(countersLine()).contains(part);
     }
 
     @Test
-    void aBodyOfAnySizePassesWhole() throws Exception {
+    void bodiesOfAllSizesArriveIntact() throws Exception {
         DatagramMesh other = mesh("site");
-        for (int size : new int[] {0, 1, Mesh.MOST_BODY}) {
+        for (int size : new int[] {0, 1, Mesh.MAX_BODY_BYTES}) {
             byte[] body = new byte[size];
             new Random(size).nextBytes(body);
-            loop.turn(() -> other.send(mesh.address(), Mesh.Kind.VIEW, body));
-            assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo(body);
+            loop.execute(() -> other.send(mesh.address(), Mesh.Kind.VIEW, body));
+            assertThat(received.poll(5, TimeUnit.SECONDS)).isEqualTo(body);
         }
-        assertThatIllegalArgumentException().isThrownBy(() -> other.send(mesh.address(), Mesh.Kind.VIEW, new byte[Mesh.MOST_BODY + 1]));
-        loop.turn(other::close);
+        assertThatIllegalArgumentException().isThrownBy(() -> other.send(mesh.address(), Mesh.Kind.VIEW, new byte[Mesh.MAX_BODY_BYTES + 1]));
+        loop.execute(other::close);
     }
 
     @Test
-    void whatIsForeignSpoiltOrForNobodyIsCountedAndDropped() throws Exception {
+    void foreignCorruptAndUnhandledDatagramsAreCountedAndDropped() throws Exception {
         DatagramMesh foreign = mesh("elsewhere");
-        loop.turn(() -> foreign.send(mesh.address(), Mesh.Kind.VIEW, new byte[8]));
-        awaitLine("mesh_foreign=1");
+        loop.execute(() -> foreign.send(mesh.address(), Mesh.Kind.VIEW, new byte[8]));
+        awaitCounter("mesh_foreign=1");
         DatagramMesh other = mesh("site");
-        loop.turn(() -> other.send(mesh.address(), Mesh.Kind.UNITS, new byte[8]));
-        awaitLine("mesh_unheard=1");
+        loop.execute(() -> other.send(mesh.address(), Mesh.Kind.UNITS, new byte[8]));
+        awaitCounter("mesh_unheard=1");
         try (DatagramChannel tap = DatagramChannel.open().bind(new InetSocketAddress("127.0.0.1", 0))) {
-            loop.turn(() -> {
+            loop.execute(() -> {
                 try {
                     other.send((InetSocketAddress) tap.getLocalAddress(), Mesh.Kind.VIEW, new byte[100]);
                 } catch (java.io.IOException e) {
@@ -88,16 +88,16 @@
             }
             tap.send(ByteBuffer.wrap(Arrays.copyOf(whole, 1990)), mesh.address());
             tap.send(ByteBuffer.wrap(whole), mesh.address());
-            assertThat(heard.poll(10, TimeUnit.SECONDS)).hasSize(100);
-            String[] counts = line().split("[ =]");
+            assertThat(received.poll(10, TimeUnit.SECONDS)).hasSize(100);
+            String[] counts = countersLine().split("[ =]");
             long counted = 0;
             for (int i = 0; i < counts.length; i += 2) {
                 if (counts[i].equals("mesh_foreign") || counts[i].equals("mesh_spoilt")) { counted += Long.parseLong(counts[i + 1]); }
             }
             assertThat(counted).isEqualTo(1 + dropped + 1); // the installation's other, and the oversized one
         }
-        assertThat(heard).isEmpty();
-        loop.turn(foreign::close);
-        loop.turn(other::close);
+        assertThat(received).isEmpty();
+        loop.execute(foreign::close);
+        loop.execute(other::close);
     }
 }
--- /dev/null
+++ b/src/test/java/yardusher/net/ClientConnectionTest.java
@@ -0,0 +1,399 @@
+package yardusher.net;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.net.SocketAddress;
+import java.net.SocketOption;
+import java.nio.ByteBuffer;
+import java.nio.channels.AsynchronousSocketChannel;
+import java.nio.channels.CompletionHandler;
+import java.nio.channels.ReadPendingException;
+import java.nio.channels.ShutdownChannelGroupException;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import java.util.concurrent.Future;
+import java.util.concurrent.TimeUnit;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.constraints.Size;
+import org.junit.jupiter.api.Test;
+import yardusher.core.EventLoop;
+import yardusher.resp.Encoder;
+
+/** One client connection on a scripted channel and clock: whatever ends it, in whatever order, each command has one end. */
+class ClientConnectionTest {
+    /** What happens, each to its end before the next. */
+    enum Event { COMMAND, HALF_COMMAND, COMMAND_THEN_CLOSE, COMMAND_THEN_RESET, MALFORMED, ANSWER, LAST_ANSWER, CLOSE, RESET, SHUTDOWN, EVICTION, WRITE_FAILURE, FLUSH, TIME_PASSES }
+
+    /** What the system does with bytes that are written. */
+    enum WriteMode { ACCEPTED, BLOCKED, FAILING }
+
+    private static final byte[] COMMAND = new Encoder(16).array(1).bulk("ASK").toBytes();
+    /** One that is answered at once, with one behind it, cut in two. */
+    private static final byte[][] SPLIT_COMMANDS = {"*1\r\n$3\r".getBytes(StandardCharsets.US_ASCII),
+        "\nNOW\r\n*1\r\n$3\r\nASK\r\n".getBytes(StandardCharsets.US_ASCII)};
+
+    /** A channel whose reads and writes end as told, at once where they can, as on the thread that polls. */
+    private static final class ScriptedChannel extends AsynchronousSocketChannel {
+        private record Pending(ByteBuffer bytes, Object attachment, CompletionHandler<Integer, Object> handler) { }
+
+        final ByteArrayOutputStream written = new ByteArrayOutputStream();
+        private ByteBuffer input = ByteBuffer.allocate(0);
+        private Pending pendingRead;
+        private Pending pendingWrite;
+        WriteMode writeMode = WriteMode.ACCEPTED;
+        boolean hasEnded;
+        boolean isReset;
+        int shutdowns;
+        int closes;
+
+        ScriptedChannel() { super(null); }
+
+        void receive(byte[] bytes) {
+            ByteBuffer all = ByteBuffer.allocate(input.remaining() + bytes.length);
+            input = all.put(input).put(bytes).flip();
+            completeRead();
+        }
+
+        void endInput(boolean resets) {
+            hasEnded = true;
+            isReset |= resets;
+            completeRead();
+            completeWrite();
+        }
+
+        void completeRead() {
+            Pending now = pendingRead;
+            if (now == null || !input.hasRemaining() && !hasEnded) { return; }
+            pendingRead = null;
+            if (input.hasRemaining()) {
+                int count = Math.min(input.remaining(), now.bytes.remaining());
+                for (int i = 0; i < count; i++) { now.bytes.put(input.get()); }
+                now.handler.completed(count, now.attachment);
+            } else if (isReset) {
+                now.handler.failed(new IOException("reset"), now.attachment);
+            } else {
+                now.handler.completed(-1, now.attachment);
+            }
+        }
+
+        void completeWrite() {
+            Pending now = pendingWrite;
+            if (now == null || writeMode == WriteMode.BLOCKED && !isReset) { return; }
+            pendingWrite = null;
+            if (writeMode == WriteMode.FAILING || isReset) {
+                now.handler.failed(new IOException("broken"), now.attachment);
+                return;
+            }
+            int count = now.bytes.remaining();
+            while (now.bytes.hasRemaining()) { written.write(now.bytes.get()); }
+            now.handler.completed(count, now.attachment);
+        }
+
+        @Override
+        @SuppressWarnings("unchecked")
+        public <A> void read(ByteBuffer to, long timeout, TimeUnit unit, A with, CompletionHandler<Integer, ? super A> then) {
+            if (pendingRead != null) { throw new ReadPendingException(); }
+            if (closes > 0) { throw new ShutdownChannelGroupException(); }
+            pendingRead = new Pending(to, with, (CompletionHandler<Integer, Object>) then);
+            completeRead();
+        }
+
+        @Override
+        @SuppressWarnings("unchecked")
+        public <A> void write(ByteBuffer from, long timeout, TimeUnit unit, A with, CompletionHandler<Integer, ? super A> then) {
+            pendingWrite = new Pending(from, with, (CompletionHandler<Integer, Object>) then);
+            completeWrite();
+        }
+
+        @Override
+        public AsynchronousSocketChannel shutdownOutput() {
+            shutdowns++;
+            return this;
+        }
+
+        @Override
+        public void close() { closes++; }
+
+        @Override
+        public boolean isOpen() { return closes == 0; }
+
+        @Override
+        public SocketAddress getRemoteAddress() { return new InetSocketAddress("127.0.0.1", 1); }
+
+        @Override
+        public SocketAddress getLocalAddress() { return getRemoteAddress(); }
+
+        @Override
+        public AsynchronousSocketChannel bind(SocketAddress at) { return this; }
+
+        @Override
+        public <T> AsynchronousSocketChannel setOption(SocketOption<T> name, T value) { return this; }
+
+        @Override
+        public <T> T getOption(SocketOption<T> name) { return null; }
+
+        @Override
+        public Set<SocketOption<?>> supportedOptions() { return Set.of(); }
+
+        @Override
+        public AsynchronousSocketChannel shutdownInput() { return this; }
+
+        @Override
+        public <A> void connect(SocketAddress to, A with, CompletionHandler<Void, ? super A> then) { throw new UnsupportedOperationException(); }
+
+        @Override
+        public Future<Void> connect(SocketAddress to) { throw new UnsupportedOperationException(); }
+
+        @Override
+        public Future<Integer> read(ByteBuffer to) { throw new UnsupportedOperationException(); }
+
+        @Override
+        public Future<Integer> write(ByteBuffer from) { throw new UnsupportedOperationException(); }
+
+        @Override
+        public <A> void read(ByteBuffer[] to, int at, int count, long timeout, TimeUnit unit, A with,
+                CompletionHandler<Long, ? super A> then) { throw new UnsupportedOperationException(); }
+
+        @Override
+        public <A> void write(ByteBuffer[] from, int at, int count, long timeout, TimeUnit unit, A with,
+                CompletionHandler<Long, ? super A> then) { throw new UnsupportedOperationException(); }
+    }
+
+    /** A connection, its front and its clock. */
+    private static final class ScriptedConnection implements RespServer.CommandHandler, AutoCloseable {
+        private double nowMs = 1000;
+        private final List<Throwable> faults = new ArrayList<>();
+        private final EventLoop loop = new EventLoop(() -> nowMs, faults::add);
+        private final Sockets sockets;
+        private final RespServer server;
+        private final ConnectionRegistry crowd = new ConnectionRegistry();
+        private final ScriptedChannel channel = new ScriptedChannel();
+        private final ClientConnection connection;
+        private final List<RespServer.Slot> openSlots = new ArrayList<>();
+        private final ByteArrayOutputStream owed = new ByteArrayOutputStream();
+        private int halvesSent;
+        private int handled;
+        private int answered;
+        private int abandoned;
+        private int closeNotifications;
+
+        ScriptedConnection() throws IOException {
+            sockets = new Sockets(loop);
+            server = new RespServer(sockets, new InetSocketAddress("127.0.0.1", 0), false, 100, new BodyBudget(0), this);
+            crowd.setMaxConnections(100);
+            ClientConnection[] made = new ClientConnection[1];
+            loop.execute(() -> {
+                made[0] = new ClientConnection(channel, server, crowd, loop);
+                made[0].session().onClose(() -> closeNotifications++);
+            });
+            connection = made[0];
+        }
+
+        @Override
+        public void handle(byte[][] words, RespServer.Slot slot) {
+            assertThat(channel.shutdowns + channel.closes).as("nothing is followed once it ends").isZero();
+            assertThat(channel.hasEnded && !channel.input.hasRemaining()).as("nothing is followed of who has gone").isFalse();
+            handled++;
+            openSlots.add(slot);
+            if (words[0][0] == 'N') { answer(openSlots.size() - 1); }
+        }
+
+        @Override
+        public void onTerminalLeft(RespServer.Slot slot) {
+            assertThat(openSlots.remove(slot)).as("gone once, and never answered").isTrue();
+            abandoned++;
+        }
+
+        private void answer(int at) {
+            RespServer.Slot slot = openSlots.remove(at);
+            answered++;
+            slot.answer(new Encoder(16).bulk("answer " + answered).toBytes());
+        }
+
+        void apply(Event event) {
+            switch (event) {
+                case COMMAND -> channel.receive(COMMAND);
+                case HALF_COMMAND -> channel.receive(SPLIT_COMMANDS[halvesSent++ % 2]);
+                case COMMAND_THEN_CLOSE, COMMAND_THEN_RESET -> {
+                    channel.hasEnded = true;         // before anybody looks
+                    channel.isReset |= event == Event.COMMAND_THEN_RESET;
+                    channel.receive(COMMAND);
+                    channel.endInput(channel.isReset);
+                }
+                case MALFORMED -> channel.receive("?\r\n".getBytes(StandardCharsets.US_ASCII));
+                case ANSWER -> loop.execute(() -> { if (!openSlots.isEmpty()) { answer(0); } });
+                case LAST_ANSWER -> loop.execute(() -> { if (!openSlots.isEmpty()) { answer(openSlots.size() - 1); } });
+                case CLOSE -> channel.endInput(false);
+                case RESET -> channel.endInput(true);
+                case SHUTDOWN -> loop.execute(() -> {
+                    server.close();
+                    crowd.all().forEach(ClientConnection::closeIfIdle);
+                });
+                case EVICTION -> loop.execute(() -> {
+                    ClientConnection longest = crowd.evictionCandidate(nowMs + 60_000);
+                    if (longest == null) { return; }
+                    assertThat(longest.owesNoReply() && !longest.hasUnflushedBytes()).as("who is owed bytes gives way to nobody").isTrue();
+                    longest.finish();
+                });
+                case WRITE_FAILURE -> {
+                    channel.writeMode = WriteMode.FAILING;
+                    channel.completeWrite();
+                }
+                case FLUSH -> {
+                    if (channel.writeMode == WriteMode.BLOCKED) { channel.writeMode = WriteMode.ACCEPTED; }
+                    channel.completeWrite();
+                }
+                default -> advance(150);
+            }
+        }
+
+        private void advance(double ms) {
+            for (double step = 0; step < ms; step += 50) {
+                nowMs += 50;
+                loop.execute(() -> {
+                    crowd.reap(nowMs);
+                    if (server.isClosing() && server.drainSchedule().hasStoppedReading(nowMs)) { crowd.all().forEach(ClientConnection::closeIfIdle); }
+                });
+            }
+        }
+
+        /** What has to hold in the end, whatever came before. */
+        void assertAllEnded() {
+            boolean fails = channel.writeMode == WriteMode.FAILING || channel.hasEnded; // who has gone takes nothing more
+            apply(Event.FLUSH);
+            for (int i = 0; !openSlots.isEmpty() && i < 100; i++) { apply(Event.ANSWER); }
+            advance(25_000);
+            assertThat(faults).isEmpty();
+            assertThat(openSlots).as("each has one end").isEmpty();
+            assertThat(answered + abandoned).isEqualTo(handled);
+            assertThat(crowd.size() + crowd.unflushedCount()).isZero();
+            assertThat(closeNotifications).as("told once that it has ended").isEqualTo(1);
+            assertThat(channel.closes).as("closed once").isEqualTo(1);
+            assertThat(channel.shutdowns).isLessThanOrEqualTo(1);
+            assertThat(server.readAheadBudget().heldBytes()).as("held for nobody").isZero();
+            String got = channel.written.toString(StandardCharsets.US_ASCII);
+            if (!fails && abandoned == 0) {
+                assertThat(got.split("\\$\\d+\r\nanswer \\d+\r\n", -1)).as("answers that were taken whole").hasSize(answered + 1);
+            }
+        }
+
+        @Override
+        public void close() {
+            loop.execute(server::close);
+            sockets.shutdown();
+        }
+    }
+
+    private static void run(WriteMode writes, List<Event> before, List<Event> events) throws IOException {
+        try (ScriptedConnection world = new ScriptedConnection()) {
+            world.channel.writeMode = writes;
+            for (Event event : before) { world.apply(event); }
+            for (Event event : events) { world.apply(event); }
+            world.assertAllEnded();
+        } catch (AssertionError e) {
+            throw new AssertionError(writes + " " + before + " " + events + ": " + e.getMessage(), e);
+        }
+    }
+
+    private static final List<List<Event>> PREFIXES = List.of(List.of(), List.of(Event.COMMAND), List.of(Event.COMMAND, Event.COMMAND),
+            List.of(Event.COMMAND, Event.ANSWER), List.of(Event.COMMAND, Event.HALF_COMMAND), List.of(Event.COMMAND, Event.COMMAND, Event.LAST_ANSWER));
+
+    @Test
+    void everyCommandEndsOnceForAllSequencesOfTwoAndThreeEvents() throws IOException {
+        for (WriteMode writes : new WriteMode[] {WriteMode.ACCEPTED, WriteMode.BLOCKED}) {
+            for (List<Event> before : PREFIXES) {
+                for (Event first : Event.values()) {
+                    for (Event second : Event.values()) {
+                        run(writes, before, List.of(first, second));
+                    }
+                }
+            }
+        }
+        for (Event first : Event.values()) {
+            for (Event second : Event.values()) {
+                for (Event third : Event.values()) {
+                    run(WriteMode.BLOCKED, List.of(Event.COMMAND, Event.COMMAND), List.of(first, second, third));
+                }
+            }
+        }
+    }
+
+    /** What was begun when the shutdown came has a moment to end, and is answered; later it is dropped, and the end is no reset. */
+    @Test
+    void aPartialCommandAtShutdownIsAnsweredIfItCompletesAtOnce() throws IOException {
+        for (double wait : new double[] {0, 250}) {
+            try (ScriptedConnection world = new ScriptedConnection()) {
+                world.channel.receive("*1\r\n$3\r\n".getBytes(StandardCharsets.US_ASCII));
+                world.apply(Event.SHUTDOWN);
+                assertThat(world.channel.shutdowns).isZero();
+                world.advance(wait);
+                world.channel.receive("ASK\r\n".getBytes(StandardCharsets.US_ASCII));
+                assertThat(world.handled).isEqualTo(wait > 0 ? 0 : 1);
+                if (wait == 0) {
+                    assertThat(world.channel.shutdowns).isZero();
+                    world.apply(Event.ANSWER);
+                    assertThat(world.channel.written.toString(StandardCharsets.US_ASCII)).isEqualTo("$8\r\nanswer 1\r\n");
+                }
+                assertThat(world.channel.shutdowns).isEqualTo(1);
+                assertThat(world.channel.closes).as("drained first").isZero();
+                world.assertAllEnded();
+            }
+        }
+    }
+
+    /** Pipelined commands that came before the last moments are answered, however long those before them take; what comes then is not. */
+    @Test
+    void pipelinedCommandsReadBeforeShutdownAreAnswered() throws IOException {
+        try (ScriptedConnection world = new ScriptedConnection()) {
+            for (int i = 0; i < 100; i++) { world.apply(Event.COMMAND); }
+            world.advance(200);                         // past its share of a turn
+            assertThat(world.handled).isEqualTo(64);
+            world.apply(Event.SHUTDOWN);
+            world.advance(200);
+            world.apply(Event.COMMAND);
+            for (int i = 0; i < 100; i++) {
+                world.apply(Event.ANSWER);
+                world.advance(50);
+            }
+            assertThat(world.answered).isEqualTo(100);
+            assertThat(world.handled).isEqualTo(100);
+            assertThat(world.channel.shutdowns).isEqualTo(1);
+            world.assertAllEnded();
+        }
+    }
+
+    /** Many that send much at once: together they hold no more than their part of the heap, and each has its one end. */
+    @Test
+    void readAheadOfAllConnectionsIsLimited() throws IOException {
+        try (ScriptedConnection world = new ScriptedConnection()) {
+            byte[] much = new byte[COMMAND.length * 20_000];
+            for (int i = 0; i < much.length; i++) { much[i] = COMMAND[i % COMMAND.length]; }
+            List<ScriptedChannel> channels = new ArrayList<>();
+            long most = RespServer.MAX_READ_AHEAD_BYTES;
+            for (int i = 0; i < most / 40_000; i++) {
+                ScriptedChannel channel = new ScriptedChannel();
+                channels.add(channel);
+                world.loop.execute(() -> new ClientConnection(channel, world.server, world.crowd, world.loop));
+                channel.receive(much);                 // 32 are followed, then it is the others' turn
+            }
+            assertThat(world.server.readAheadBudget().heldBytes()).isLessThan(most + 128 * 1024 + channels.size() * 8 * 1024L);
+            assertThat(world.faults).isEmpty();
+            for (ScriptedChannel channel : channels) { channel.endInput(true); }
+            world.advance(300);
+            for (ScriptedChannel channel : channels) { assertThat(channel.closes).isEqualTo(1); }
+            assertThat(world.server.readAheadBudget().heldBytes()).isZero();
+            assertThat(world.abandoned).isEqualTo(world.handled);
+        }
+    }
+
+    @Property(tries = 300)
+    void everyCommandEndsOnceForLongEventSequences(@ForAll WriteMode writes, @ForAll @Size(max = 12) List<Event> events) throws IOException {
+        run(writes, List.of(), events);
+    }
+}
--- a/src/test/java/yardusher/rates/RatesNet.java
+++ b/src/test/java/yardusher/rates/RatesNet.java
@@ -7,37 +7,37 @@
 /** Some {@link Rates} on scripted time with messages between them that take a while and may be lost, by seed. Times in ms. */
 final class RatesNet {
     static final double[] QUOTAS = {0, 4, 20, 1000};
-    static final int HEAD = 43, MOST = 1200;
+    static final int HEADER_BYTES = 43, MAX_BODY_BYTES = 1200;
 
-    private record Due(double at, long order, Runnable work) { }
+    private record ScheduledAction(double atMs, long sequence, Runnable action) { }
 
     final Rates[] all;
     final boolean[] gone;
     final SplittableRandom random;
-    private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
+    private final PriorityQueue<ScheduledAction> queue = new PriorityQueue<>(Comparator.comparingDouble(ScheduledAction::atMs).thenComparingLong(ScheduledAction::sequence));
     private final double bytesPerS;
     double loss;
     double now;
     long bytes;
-    private long order;
+    private long lastSequence;
 
     RatesNet(int size, double bytesPerS, long seed) {
         random = new SplittableRandom(seed);
         this.bytesPerS = bytesPerS;
         all = new Rates[size];
         gone = new boolean[size];
-        for (int i = 0; i < size; i++) { begin(i); }
-        view();
+        for (int i = 0; i < size; i++) { startIngress(i); }
+        updateMembers();
     }
 
-    void begin(int i) {
-        Rates one = new Rates(new Rates.Terms(bytesPerS, HEAD, MOST, QUOTAS, 20_000), i, random.nextLong(), now, (to, body) -> carry(i, (int) to, body));
+    void startIngress(int i) {
+        Rates one = new Rates(new Rates.Parameters(bytesPerS, HEADER_BYTES, MAX_BODY_BYTES, QUOTAS, 20_000), i, random.nextLong(), now, (to, body) -> deliver(i, (int) to, body));
         all[i] = one;
         tick(i, one);
     }
 
     private void tick(int i, Rates one) {
-        at(now + Rates.TICK_MS, () -> {
+        schedule(now + Rates.TICK_INTERVAL_MS, () -> {
             if (all[i] != one || gone[i]) { return; }
             one.tick(now);
             tick(i, one);
@@ -45,41 +45,41 @@
     }
 
     /** All see who is there. */
-    void view() {
-        long[] there = java.util.stream.LongStream.range(0, all.length).filter(i -> !gone[(int) i]).toArray();
+    void updateMembers() {
+        long[] active = java.util.stream.LongStream.range(0, all.length).filter(i -> !gone[(int) i]).toArray();
         for (int i = 0; i < all.length; i++) {
-            if (!gone[i]) { all[i].members(there); }
+            if (!gone[i]) { all[i].updateMembers(active); }
         }
     }
 
-    private void carry(int from, int to, byte[] body) {
-        bytes += HEAD + body.length;
-        if (body.length > MOST) { throw new AssertionError(body.length + " bytes"); }
+    private void deliver(int from, int to, byte[] body) {
+        bytes += HEADER_BYTES + body.length;
+        if (body.length > MAX_BODY_BYTES) { throw new AssertionError(body.length + " bytes"); }
         if (random.nextDouble() < loss) { return; }
-        at(now + 1 + 20 * random.nextDouble(), () -> {
-            if (!gone[to]) { all[to].heard(now, from, body); }
+        schedule(now + 1 + 20 * random.nextDouble(), () -> {
+            if (!gone[to]) { all[to].receive(now, from, body); }
         });
     }
 
-    void at(double time, Runnable work) { due.add(new Due(time, order++, work)); }
+    void schedule(double timeMs, Runnable action) { queue.add(new ScheduledAction(timeMs, lastSequence++, action)); }
 
     /** Tries of two units for a customer at all ingresses alike, from now until then. */
     void demand(long customer, int plan, double unitsPerS, double untilMs) {
         double next = now - Math.log(1 - random.nextDouble()) * 2000 / unitsPerS;
         if (next > untilMs) { return; }
-        at(next, () -> {
+        schedule(next, () -> {
             int i;
             do { i = random.nextInt(all.length); } while (gone[i]);
-            all[i].asked(now, customer, plan, 2);
+            all[i].recordDemand(now, customer, plan, 2);
             demand(customer, plan, unitsPerS, untilMs);
         });
     }
 
     RatesNet run(double untilMs) {
-        while (!due.isEmpty() && due.peek().at <= untilMs) {
-            Due next = due.poll();
-            now = next.at;
-            next.work.run();
+        while (!queue.isEmpty() && queue.peek().atMs <= untilMs) {
+            ScheduledAction next = queue.poll();
+            now = next.atMs;
+            next.action.run();
         }
         now = untilMs;
         return this;
@@ -88,7 +88,7 @@
     /** At how many ingresses that are there a customer is known to be asked more than its quota. */
     long knownAt(long customer, int plan) {
         long count = 0;
-        for (int i = 0; i < all.length; i++) { count += !gone[i] && all[i].askedPerS(now, customer, plan) > 0 ? 1 : 0; }
+        for (int i = 0; i < all.length; i++) { count += !gone[i] && all[i].overQuotaDemandPerS(now, customer, plan) > 0 ? 1 : 0; }
         return count;
     }
 }
