--- a/src/test/java/yardusher/resp/DecoderTest.java
+++ b/src/test/java/yardusher/resp/DecoderTest.java
@@ -16,48 +16,48 @@
 class DecoderTest {
     private static void feed(Decoder decoder, byte[] bytes, int from, int to) {
         for (int at = from; at < to;) {
-            var room = decoder.room();
+            var room = decoder.readBuffer();
             int count = Math.min(room.remaining(), to - at);
             room.put(bytes, at, count);
-            decoder.filled(count);
+            decoder.advance(count);
             at += count;
         }
     }
 
     @Test
-    void valuesCutAnywhereAreTheSameValues() throws Exception {
+    void valuesSplitAcrossReadsDecodeEqually() throws Exception {
         byte[] body = "x\r\n$5\r\n*".repeat(700).getBytes(StandardCharsets.US_ASCII);
-        byte[] bytes = new Encoder(16).array(3).bulk(body).raw("$-1\r\n:-42\r\n".getBytes()).failure("BUSY 7\r\nno").simple("OK").toBytes();
+        byte[] bytes = new Encoder(16).array(3).bulk(body).raw("$-1\r\n:-42\r\n".getBytes()).error("BUSY 7\r\nno").simpleString("OK").toBytes();
         for (int cut = 0; cut < bytes.length; cut += cut < 40 || cut > bytes.length - 40 ? 1 : 97) {
             Decoder decoder = new Decoder();
             feed(decoder, bytes, 0, cut);
-            Value first = decoder.value();
+            Value first = decoder.nextValue();
             feed(decoder, bytes, cut, bytes.length);
-            Value.Many many = (Value.Many) (first != null ? first : decoder.value());
-            assertThat(((Value.Bulk) many.items().get(0)).bytes()).isEqualTo(body);
-            assertThat(((Value.Bulk) many.items().get(1)).bytes()).isNull();
-            assertThat(many.items().get(2)).isEqualTo(new Value.Whole(-42));
-            if (cut < bytes.length - 5) { assertThat(decoder.value()).isEqualTo(new Value.Failure("BUSY 7  no")); }
+            Value.ArrayValue many = (Value.ArrayValue) (first != null ? first : decoder.nextValue());
+            assertThat(((Value.BulkString) many.items().get(0)).bytes()).isEqualTo(body);
+            assertThat(((Value.BulkString) many.items().get(1)).bytes()).isNull();
+            assertThat(many.items().get(2)).isEqualTo(new Value.IntegerValue(-42));
+            if (cut < bytes.length - 5) { assertThat(decoder.nextValue()).isEqualTo(new Value.ErrorReply("BUSY 7  no")); }
         }
     }
 
     @Test
-    void nothingGrowsWithoutBound() {
+    void oversizedInputIsRejected() {
         for (String endless : new String[] {"*1\r\n$4194305\r\n", "$65537\r\n", "*2\r\n$1\r\na\r\n$65537\r\n", "*1\r\n*1\r\n$65537\r\n", "+" + "a".repeat(2000), "*1\r\n".repeat(10), "*65\r\n",
             "*2\r\n$60000\r\n" + "a".repeat(60000) + "\r\n$60000\r\n" + "a".repeat(20000), "$-2\r\n", "?", ":1x\r\n", "+a\n"}) {
             byte[] bytes = endless.getBytes(StandardCharsets.US_ASCII);
             Decoder decoder = new Decoder();
             feed(decoder, bytes, 0, bytes.length);
-            assertThatThrownBy(decoder::value).as(endless.substring(0, Math.min(20, endless.length())))
-                    .isInstanceOf(Malformed.class);
+            assertThatThrownBy(decoder::nextValue).as(endless.substring(0, Math.min(20, endless.length())))
+                    .isInstanceOf(MalformedRespException.class);
         }
     }
 
     @Test
-    void onlyTheWaitOfACallChanges() {
+    void encodingACallChangesOnlyItsWaitTime() {
         for (String list : new String[] {"c=a,t=b,d=480,units=2,spread=3,first=1", "d=480,c=a,t=b,units=1.5,spread=1,first=0",
             "c=a,units=1,spread=1,k=00000000000000d1,first=0,t=d=2,d=480"}) {
-            Call call = Call.of(new byte[][] {"CALL.GET".getBytes(), "000000000000000f".getBytes(),
+            Call call = Call.parse(new byte[][] {"CALL.GET".getBytes(), "000000000000000f".getBytes(),
                 "0000000000000001".getBytes(), list.getBytes()});
             assertThat(call.waitMs).isEqualTo(480);
             assertThat(new String(call.encoded(7)[0].array(), StandardCharsets.US_ASCII)).contains("\r\n" + list.replace("d=480", "d=7") + "\r\n");
@@ -65,18 +65,18 @@
     }
 
     /** Pieces that commands are made of, whole and spoilt. */
-    private static final String[] PIECES = {"*", "$", "\r\n", "\n", "-1", "0", "1", "2", "5", "64", "65", "4194304", "70000", "99999999999999999999",
+    private static final String[] FRAGMENTS = {"*", "$", "\r\n", "\n", "-1", "0", "1", "2", "5", "64", "65", "4194304", "70000", "99999999999999999999",
         "*1\r\n$4\r\nPING\r\n", "*5\r\n$9\r\nCALL.POST\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n", "$70000\r\n", "\0", "PING\r\n", "+OK\r\n", ":1\r\n"};
 
     /** Whatever comes and however it is cut: commands, an end or a plain error, and no more held than the bound. */
     @Property(tries = 3000)
-    void anyBytesCutAnywhereGiveCommandsOrAPlainError(@ForAll @Size(max = 40) List<@IntRange(min = -2, max = 20) Integer> pieces,
+    void arbitraryInputYieldsCommandsOrAFormatError(@ForAll @Size(max = 40) List<@IntRange(min = -2, max = 20) Integer> pieces,
             @ForAll Random random, @ForAll boolean adds) {
         java.io.ByteArrayOutputStream all = new java.io.ByteArrayOutputStream();
         for (int piece : pieces) {
             byte[] noise = new byte[random.nextInt(piece == -2 ? 40_000 : 20)];
             random.nextBytes(noise);
-            all.writeBytes(piece < 0 ? noise : PIECES[piece].getBytes(StandardCharsets.ISO_8859_1));
+            all.writeBytes(piece < 0 ? noise : FRAGMENTS[piece].getBytes(StandardCharsets.ISO_8859_1));
         }
         byte[] bytes = all.toByteArray();
         Decoder decoder = new Decoder();
@@ -84,30 +84,30 @@
             for (int at = 0; at < bytes.length;) {
                 int count = Math.min(bytes.length - at, 1 + random.nextInt(random.nextBoolean() ? 3 : 5000));
                 if (adds && random.nextBoolean()) {
-                    count = Math.min(count, Decoder.ROOM);
+                    count = Math.min(count, Decoder.MAX_ADD_BYTES);
                     decoder.add(Arrays.copyOfRange(bytes, at, at + count), count);
                 } else {
-                    var room = decoder.room();
+                    var room = decoder.readBuffer();
                     count = Math.min(room.remaining(), count);
                     room.put(bytes, at, count);
-                    decoder.filled(count);
+                    decoder.advance(count);
                 }
                 at += count;
-                for (byte[][] words; (words = decoder.command()) != null;) {
+                for (byte[][] words; (words = decoder.nextCommand()) != null;) {
                     assertThat(words.length).isBetween(1, 64);
                     for (byte[] word : words) { assertThat(word).isNotNull(); }
                 }
-                if (decoder.bodyLength() > 0 && random.nextBoolean()) { decoder.openBody(); }
-                assertThat(decoder.held()).isLessThanOrEqualTo(72 * 1024 + 5000);
+                if (decoder.bodyLength() > 0 && random.nextBoolean()) { decoder.allocateBody(); }
+                assertThat(decoder.bufferedBytes()).isLessThanOrEqualTo(72 * 1024 + 5000);
             }
-        } catch (Malformed e) {
+        } catch (MalformedRespException e) {
             assertThat(e.getMessage()).isNotEmpty();
         }
     }
 
     /** Read ahead or not, before its room is there or after: a large body is the same. */
     @Property(tries = 300)
-    void aLargeBodyCutAnywhereIsTheSame(@ForAll Random random) throws Exception {
+    void aLargeBodySplitAcrossReadsIsIntact(@ForAll Random random) throws Exception {
         byte[] body = new byte[65_537 + random.nextInt(200_000)];
         random.nextBytes(body);
         byte[] bytes = new Encoder(body.length + 256).array(5).bulk("CALL.POST").bulk("0000000000000001").bulk("0000000000000001").bulk("c=x").bulk(body)
@@ -120,29 +120,29 @@
         for (int at = 0; at < bytes.length;) {
             int count = Math.min(bytes.length - at, 1 + random.nextInt(20_000));
             boolean adds = random.nextBoolean();
-            java.nio.ByteBuffer room = adds ? null : decoder.room();
+            java.nio.ByteBuffer room = adds ? null : decoder.readBuffer();
             // Room may come while a read is under way.
             if (!opened && decoder.bodyLength() > 0 && at > roomAt) {
-                decoder.openBody();
+                decoder.allocateBody();
                 opened = true;
             }
             if (adds) {
-                count = Math.min(count, Decoder.ROOM);
+                count = Math.min(count, Decoder.MAX_ADD_BYTES);
                 decoder.add(Arrays.copyOfRange(bytes, at, at + count), count);
             } else {
                 count = Math.min(room.remaining(), count);
                 room.put(bytes, at, count);
-                decoder.filled(count);
+                decoder.advance(count);
             }
             at += count;
-            byte[][] words = call == null ? decoder.command() : null;
+            byte[][] words = call == null ? decoder.nextCommand() : null;
             if (words != null) { call = words; }
         }
         if (!opened) {
-            decoder.openBody();
-            call = decoder.command();
+            decoder.allocateBody();
+            call = decoder.nextCommand();
         }
-        ping = decoder.command();
+        ping = decoder.nextCommand();
         assertThat(call[4]).isEqualTo(body);
         assertThat(ping[0]).isEqualTo("PING".getBytes(StandardCharsets.US_ASCII));
         assertThat(decoder.isEmpty()).isTrue();
--- a/src/test/java/yardusher/servers/DrainTest.java
+++ b/src/test/java/yardusher/servers/DrainTest.java
@@ -12,12 +12,12 @@
 import org.junit.jupiter.api.Test;
 import yardusher.Api;
 import yardusher.core.Attempt;
-import yardusher.core.Cargo;
+import yardusher.core.BackendCommand;
 import yardusher.core.Counters;
 import yardusher.core.EventLoop;
 import yardusher.core.Ingress;
-import yardusher.core.Order;
-import yardusher.core.OrderLog;
+import yardusher.core.IncomingRequest;
+import yardusher.core.RequestLog;
 import yardusher.core.Request;
 import yardusher.core.Terminal;
 import yardusher.net.Sockets;
@@ -27,18 +27,18 @@
     private final List<String> answers = new ArrayList<>();
     private final List<Consumer<Boolean>> parked = new ArrayList<>();
 
-    private final class Parks implements OrderLog {
+    private final class Parks implements RequestLog {
         @Override
-        public Admission take(Request request) { return Admission.RECORDED; }
+        public Admission admit(Request request) { return Admission.RECORDED; }
 
         @Override
-        public void intend(Attempt attempt, Consumer<Boolean> then) { parked.add(then); }
+        public void recordIntent(Attempt attempt, Consumer<Boolean> then) { parked.add(then); }
 
         @Override
-        public void written(Attempt attempt) { }
+        public void attemptWritten(Attempt attempt) { }
 
         @Override
-        public void ended(Attempt attempt, Api.Outcome outcome) { }
+        public void attemptEnded(Attempt attempt, Api.Outcome outcome) { }
 
         @Override
         public void answered(Request request, Answer answer) { }
@@ -47,8 +47,8 @@
         public double retryAfterMs() { return 0; }
     }
 
-    private Order order() {
-        return new Order(0, 0, 7, 1, 0, 1, 2000, new Cargo() {
+    private IncomingRequest order() {
+        return new IncomingRequest(0, 0, 7, 1, 0, 1, 2000, new BackendCommand() {
             @Override
             public ByteBuffer[] encoded(long waitMs) { return new ByteBuffer[] {ByteBuffer.wrap(new byte[] {'x'})}; }
 
@@ -59,7 +59,7 @@
             public String key() { return null; }
 
             @Override
-            public long print() { return 1; }
+            public long fingerprint() { return 1; }
         }, new Terminal() {
             @Override
             public void served(byte[] value) { answers.add("served"); }
@@ -82,24 +82,24 @@
                 new Api.Limits(6, true, false, 2000), new Api.Rules(0.2, 1000, 3, 3000, 10_000), List.of(), false, 100, 2, 0, 0);
         try (ServerSocket door = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
             InetSocketAddress at = new InetSocketAddress("127.0.0.1", door.getLocalPort());
-            loop.turn(() -> {
+            loop.execute(() -> {
                 BackendPool pool = new BackendPool(sockets, counters, List.of(), 250, 30_000, 8000, 10);
                 Ingress ingress = new Ingress(settings, 1, loop, pool, (to, body) -> { }, counters, new Parks());
                 pool.serve(ingress);
                 pool.place(5, at);
-                ingress.tell(new Api.ServerList(Api.ListKind.FULL, List.of(new Api.Server(5, 0, 0, 1, 0, Api.Readiness.READY))));
-                ingress.take(order());
+                ingress.deliver(new Api.ServerList(Api.ListKind.FULL, List.of(new Api.Server(5, 0, 0, 1, 0, Api.Readiness.READY))));
+                ingress.accept(order());
                 assertThat(parked).hasSize(1);
                 pool.leave(5, false);
-                assertThat(pool.knows(5)).as("drains").isFalse();
-                ingress.tell(new Api.ServerList(Api.ListKind.DELTA, List.of(new Api.Server(5, 0, 0, 1, 0, Api.Readiness.DRAINING))));
+                assertThat(pool.isAvailable(5)).as("drains").isFalse();
+                ingress.deliver(new Api.ServerList(Api.ListKind.DELTA, List.of(new Api.Server(5, 0, 0, 1, 0, Api.Readiness.DRAINING))));
                 parked.remove(0).accept(true);
                 assertThat(counters.connectionsOpened).as("dials").isZero();
                 pool.place(5, at);
-                assertThat(pool.knows(5)).as("ready again").isTrue();
+                assertThat(pool.isAvailable(5)).as("ready again").isTrue();
             });
             assertThat(answers).containsExactly("refused");
-            assertThat(counters.outcomes[Api.Outcome.NOT_SENT.ordinal()]).isEqualTo(1);
+            assertThat(counters.attemptsByOutcome[Api.Outcome.NOT_SENT.ordinal()]).isEqualTo(1);
         } finally {
             sockets.shutdown();
         }
--- a/src/test/java/yardusher/story/AdminStoryTest.java
+++ b/src/test/java/yardusher/story/AdminStoryTest.java
@@ -63,7 +63,7 @@
         return caller;
     }
 
-    private Client client() throws IOException { return new Client(serve.front().answers().address()); }
+    private Client client() throws IOException { return new Client(serve.front().server().address()); }
 
     /** Asks until a call answers so; bounded. */
     private void await(String call, String wanted) throws IOException {
--- a/src/test/java/yardusher/story/AgentStoryTest.java
+++ b/src/test/java/yardusher/story/AgentStoryTest.java
@@ -56,7 +56,7 @@
             assertThat(client.ask("AGENT.RELOAD", "n0")).isEqualTo("+OK");
             String address = first.replaceAll("(?s).*n0 \\S+ address=(\\S+).*", "$1");
             for (String counters = ""; !counters.contains(" reloads=1 ");) { // it goes on, with the file read anew
-                try (Client instance = new Client(yardusher.net.Sockets.address(address))) { counters = instance.ask("INFO"); }
+                try (Client instance = new Client(yardusher.net.Sockets.parseAddress(address))) { counters = instance.ask("INFO"); }
             }
             ProcessHandle.of(pid(first, "n0")).orElseThrow().destroyForcibly(); // a crash
             String second = await(client, told -> told.matches("n0 ready .* restarts=1 .*n1 ready .*"));
--- a/src/test/java/yardusher/story/BackendEndsStoryTest.java
+++ b/src/test/java/yardusher/story/BackendEndsStoryTest.java
@@ -78,7 +78,7 @@
     }
 
     private Client client() throws Exception {
-        Client client = new Client((InetSocketAddress) serve.front().answers().address());
+        Client client = new Client((InetSocketAddress) serve.front().server().address());
         all.add(client);
         return client;
     }
@@ -91,7 +91,7 @@
 
     private void move(double ms) {
         now += ms;
-        serve.loop().turn(() -> { });
+        serve.loop().execute(() -> { });
     }
 
     private void awaits(String counter) { StandIn.patiently().until(() -> serve.countersLine().contains(counter)); }
@@ -160,7 +160,7 @@
         yardusher.resp.Decoder decoder = new yardusher.resp.Decoder();
         kept.setSoTimeout(20_000);
         byte[][] words;
-        while ((words = decoder.command()) == null) { StandIn.fill(decoder, kept.getInputStream()); }
+        while ((words = decoder.nextCommand()) == null) { StandIn.fill(decoder, kept.getInputStream()); }
         assertThat(new String(words[1], StandardCharsets.US_ASCII)).as("the next one's customer").isEqualTo("0000000000000008");
         kept.getOutputStream().write(Region.served("made here"));
         assertThat(client.told()).isEqualTo("made here");
@@ -248,7 +248,7 @@
 
     private int deadlines() {
         int[] size = new int[1];
-        serve.loop().turn(() -> size[0] = serve.loop().deadlines().size());
+        serve.loop().execute(() -> size[0] = serve.loop().deadlines().size());
         return size[0];
     }
 }
--- a/src/test/java/yardusher/story/BulkStoryTest.java
+++ b/src/test/java/yardusher/story/BulkStoryTest.java
@@ -62,7 +62,7 @@
         void talk(Socket guest) throws Exception {
             yardusher.resp.Decoder decoder = new yardusher.resp.Decoder();
             for (byte[][] words;;) {
-                if ((words = decoder.command()) != null) {
+                if ((words = decoder.nextCommand()) != null) {
                     script.answer(Long.parseUnsignedLong(new String(words[2], StandardCharsets.US_ASCII), 16), guest.getOutputStream(), guest);
                 } else {
                     StandIn.fill(decoder, guest.getInputStream());
@@ -207,7 +207,7 @@
                 out.write(StandIn.Region.served("small"));
             }
         }));
-        try (Client large = new Client(serve.front().answers().address()); Client small = new Client(serve.front().answers().address())) {
+        try (Client large = new Client(serve.front().server().address()); Client small = new Client(serve.front().server().address())) {
             ask(large, 1);
             assertThat(large.socket.getInputStream().readNBytes(19)).hasSize(19); // its head and ten bytes
             large.send("PING");                      // behind it, in order
@@ -239,7 +239,7 @@
                 bad.answer(id, out, guest);
             });
             Serve serve = ingress(region, region);
-            try (Client client = new Client(serve.front().answers().address())) {
+            try (Client client = new Client(serve.front().server().address())) {
                 ask(client, 7);
                 byte[] all = client.socket.getInputStream().readAllBytes();
                 assertThat(all.length).isLessThan("$80000\r\n".length() + 80_000 + 2);
@@ -257,7 +257,7 @@
             guest.close();
         });
         Serve serve = ingress(region);
-        try (Client client = new Client(serve.front().answers().address())) {
+        try (Client client = new Client(serve.front().server().address())) {
             ask(client, 1);
             client.send("PING");
             assertThat(client.told()).isEqualTo("-ERR failed");
@@ -272,7 +272,7 @@
             value(id, 0, 4 * MIB, 9999, new Random(SEED), out); // far more than the buffers between hold
         });
         Serve serve = ingress(region);
-        try (Client client = new Client(serve.front().answers().address())) {
+        try (Client client = new Client(serve.front().server().address())) {
             ask(client, 7);
             assertThat(client.socket.getInputStream().read()).isEqualTo('$');
         }
@@ -287,7 +287,7 @@
             out.write(new byte[1000]);
         });
         Serve serve = ingress(region);
-        try (Client client = new Client(serve.front().answers().address())) {
+        try (Client client = new Client(serve.front().server().address())) {
             ask(client, 7);
             assertThat(client.told()).startsWith("-");
             assertThat(serve.countersLine()).contains("large=0").containsPattern("attempts_server_error=[1-9]");
@@ -349,7 +349,7 @@
             for (int i = 0; i < 8; i++) {
                 long id = 70 + i;
                 told.add(clients.submit(() -> {
-                    try (Client client = new Client(serve.front().answers().address())) {
+                    try (Client client = new Client(serve.front().server().address())) {
                         sendCut(client, order(id, id % 2 == 0 ? 4 * MIB : 65_537), 50_000, new Random(SEED + id));
                         sendCut(client, "*1\r\n$4\r\nPING\r\n".getBytes(StandardCharsets.US_ASCII), 3, new Random(SEED));
                         return client.told() + " " + client.told();
@@ -367,14 +367,14 @@
     @Test
     void aLargeBodyThatIsNeverEndedOrTooLargeHoldsNothing() throws Exception {
         Serve serve = ingress(new Bulk((id, out, guest) -> { }));
-        try (Client gone = new Client(serve.front().answers().address())) {
+        try (Client gone = new Client(serve.front().server().address())) {
             gone.raw(java.util.Arrays.copyOf(order(1, 4 * MIB), MIB));
         }
-        try (Client over = new Client(serve.front().answers().address())) {
+        try (Client over = new Client(serve.front().server().address())) {
             over.raw("*5\r\n$9\r\nCALL.POST\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$4194305\r\n".getBytes(StandardCharsets.US_ASCII));
             assertThat(over.told()).startsWith("-ERR Protocol error");
         }
-        try (Client other = new Client(serve.front().answers().address())) {
+        try (Client other = new Client(serve.front().server().address())) {
             other.raw("*5\r\n$4\r\nPING\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$70000\r\n".getBytes(StandardCharsets.US_ASCII));
             assertThat(other.told()).startsWith("-ERR Protocol error");
         }
--- a/src/test/java/yardusher/story/ConnectionStoryTest.java
+++ b/src/test/java/yardusher/story/ConnectionStoryTest.java
@@ -46,13 +46,13 @@
 
     /** Both fronts, in an ingress that may hold few descriptors. */
     private void start(int sockets) throws Exception {
-        LimitsConfig limits = new LimitsConfig(Sockets.address("127.0.0.1:0"), "lookup", 1000, 200, java.util.Map.of(), null);
+        LimitsConfig limits = new LimitsConfig(Sockets.parseAddress("127.0.0.1:0"), "lookup", 1000, 200, java.util.Map.of(), null);
         serve = StandIn.ingress(json -> json.replace("\"sockets\": 1024", "\"sockets\": " + sockets), discovery.address(),
                 limits, member("s-1", region.address(), "Ready"));
     }
 
     private List<Client> bothFronts() throws Exception {
-        return List.of(new Client(serve.front().answers().address()), new Client(serve.limitsFront().answers().address()));
+        return List.of(new Client(serve.front().server().address()), new Client(serve.limitsFront().server().address()));
     }
 
     @Test
@@ -61,7 +61,7 @@
         List<Client> kept = new ArrayList<>();
         try {
             for (int i = 0; i < 200; i++) {          // far more than find room at once
-                Client client = new Client(serve.front().answers().address());
+                Client client = new Client(serve.front().server().address());
                 kept.add(client);
                 assertThat(client.ask("PING")).isEqualTo("+PONG");
             }
@@ -78,14 +78,14 @@
         List<Client> kept = new ArrayList<>();
         try {
             for (int i = 0; i < 60; i++) {           // there is room for all of them at once
-                Client client = new Client(serve.front().answers().address());
+                Client client = new Client(serve.front().server().address());
                 kept.add(client);
                 client.ask("PING");
             }
             long begun = System.nanoTime();
             while (System.nanoTime() - begun < 150_000_000L) { kept.get(59).ask("PING"); }
             for (int i = 0; i < 20; i++) {
-                Client client = new Client(serve.front().answers().address());
+                Client client = new Client(serve.front().server().address());
                 kept.add(client);
                 client.ask("PING");
             }
@@ -103,10 +103,10 @@
         List<Client> kept = new ArrayList<>();
         try {
             do {
-                Client client = new Client(serve.front().answers().address());
+                Client client = new Client(serve.front().server().address());
                 kept.add(client);
                 client.ask("PING");
-            } while (serve.front().answers().terminalCount() == kept.size());
+            } while (serve.front().server().terminalCount() == kept.size());
             Client first = kept.get(0);
             first.sendLookup(1, 2000);
             first.sendLookup(2, 2000);
@@ -131,7 +131,7 @@
         int answer = new yardusher.resp.Encoder(word.length + 64).bulk(word).toBytes().length;
         try (Socket slow = new Socket()) {
             slow.setReceiveBufferSize(4096);
-            slow.connect(serve.front().answers().address(), StandIn.PATIENCE_S * 1000);
+            slow.connect(serve.front().server().address(), StandIn.PATIENCE_S * 1000);
             slow.setSoTimeout(StandIn.PATIENCE_S * 1000);
             AtomicInteger written = new AtomicInteger();
             int all = 300;
@@ -153,7 +153,7 @@
             });
             assertThat(written.get()).isLessThan(all);
             for (int i = 0; i < 200; i++) {          // far more than find room at once
-                Client client = new Client(serve.front().answers().address());
+                Client client = new Client(serve.front().server().address());
                 kept.add(client);
                 assertThat(client.ask("PING")).isEqualTo("+PONG");
             }
@@ -206,7 +206,7 @@
         next(discovery.asked);
         Path file = Files.createTempFile("ingress", ".json");
         try (Discovery newer = new Discovery(); Region other = new Region();
-                Client client = new Client(serve.front().answers().address())) {
+                Client client = new Client(serve.front().server().address())) {
             other.script = command -> Region.served("elsewhere");
             String json = Files.readString(Path.of("src/test/resources/ingress.json"));
             Files.writeString(file, json.substring(0, json.length() / 2));
--- a/src/test/java/yardusher/story/EndStoryTest.java
+++ b/src/test/java/yardusher/story/EndStoryTest.java
@@ -45,7 +45,7 @@
         if (serve != null) { serve.close(); }
         serve = StandIn.ingress(edit, config -> LongServing.of(config, null, Settings.OFF, clock), discovery.address(),
                 member("s-1", region.address(), "Ready"));
-        door = (InetSocketAddress) serve.front().answers().address();
+        door = (InetSocketAddress) serve.front().server().address();
         Serve drained = serve;
         drain = new Thread(() -> {
             try { drained.drain(); } catch (InterruptedException e) { /* ends */ }
@@ -59,17 +59,17 @@
 
     private void goOn(int ms) {
         later += ms;
-        serve.loop().turn(() -> { });
+        serve.loop().execute(() -> { });
     }
 
     /** SIGTERM, up to the first moment of the drain. */
     private void terminate() throws Exception {
         int[] before = new int[1];
-        serve.loop().turn(() -> before[0] = serve.loop().deadlines().size());
+        serve.loop().execute(() -> before[0] = serve.loop().deadlines().size());
         drain.start();
         StandIn.patiently().until(() -> {
             int[] now = new int[1];
-            serve.loop().turn(() -> now[0] = serve.loop().deadlines().size());
+            serve.loop().execute(() -> now[0] = serve.loop().deadlines().size());
             return now[0] > before[0];
         });
     }
@@ -159,7 +159,7 @@
         List<Client> guests = new ArrayList<>();
         try {
             while (guests.size() < PLACES) { guests.add(new Client(door)); }
-            StandIn.patiently().until(() -> serve.front().answers().terminalCount() == PLACES);
+            StandIn.patiently().until(() -> serve.front().server().terminalCount() == PLACES);
             Client waits = new Client(door);
             guests.add(waits);
             waits.sendLookup(7, 2000);
@@ -181,7 +181,7 @@
             assertThat(idle.ask("PING")).isEqualTo("+PONG");
             half.raw("*1\r\n$4\r\nPI".getBytes());
             assertThat(idle.ask("PING")).isEqualTo("+PONG");
-            StandIn.patiently().until(() -> serve.front().answers().terminalCount() == 2);
+            StandIn.patiently().until(() -> serve.front().server().terminalCount() == 2);
             terminate();
             goOn(500);
             assertThat(idle.ended()).isTrue();
--- a/src/test/java/yardusher/story/FinalAnswerStoryTest.java
+++ b/src/test/java/yardusher/story/FinalAnswerStoryTest.java
@@ -37,7 +37,7 @@
     }
 
     private Client client() throws Exception {
-        Client client = new Client((InetSocketAddress) serve.front().answers().address());
+        Client client = new Client((InetSocketAddress) serve.front().server().address());
         all.add(client);
         return client;
     }
@@ -50,7 +50,7 @@
 
     private void move(double ms) {
         now += ms;
-        serve.loop().turn(() -> { });
+        serve.loop().execute(() -> { });
     }
 
     /**
--- a/src/test/java/yardusher/story/GoneStoryTest.java
+++ b/src/test/java/yardusher/story/GoneStoryTest.java
@@ -38,7 +38,7 @@
         // However long the machine takes, nothing is given up meanwhile: no aim or deadline has a part in these.
         serve = StandIn.ingress(json -> json.replaceAll("\"(aim_ms|hard_limit_ms)\": [0-9.]+", "\"$1\": 300000.0"), config -> LongServing.of(config, null, Settings.OFF, this::clock), "127.0.0.1:9",
                 member("s-1", region.address(), "Ready"));
-        door = (InetSocketAddress) serve.front().answers().address();
+        door = (InetSocketAddress) serve.front().server().address();
     }
 
     @AfterEach
@@ -146,7 +146,7 @@
         } finally {
             gate.release();
         }
-        StandIn.patiently().until(() -> serve.front().answers().terminalCount(), left -> left == 0);
+        StandIn.patiently().until(() -> serve.front().server().terminalCount(), left -> left == 0);
         assertThat(serve.countersLine()).contains("taken_in=0 ");
         assertThat(region.seen).isEmpty();
     }
--- a/src/test/java/yardusher/story/HangupStoryTest.java
+++ b/src/test/java/yardusher/story/HangupStoryTest.java
@@ -138,7 +138,7 @@
         List<ProcessHandle> instances = agent.process.children().toList();
         assertThat(instances).hasSize(1);
         try {
-            try (Client client = new Client(yardusher.net.Sockets.address("127.0.0.1:" + ports[0]))) {
+            try (Client client = new Client(yardusher.net.Sockets.parseAddress("127.0.0.1:" + ports[0]))) {
                 assertThat(client.ask("AGENT.RELOAD", "n0")).isEqualTo("+OK");
             }
             agent.await("n0 reloaded: ");
@@ -213,7 +213,7 @@
         Path config = pipe("n0.json");
         Serve serve = StandIn.ingress("127.0.0.1:9", null);
         try (Discovery before = new Discovery(); Discovery after = new Discovery(); Region region = new Region();
-                Client client = new Client((InetSocketAddress) serve.front().answers().address())) {
+                Client client = new Client((InetSocketAddress) serve.front().server().address())) {
             Thread first = new Thread(() -> serve.reload(config.toString()));
             first.start();
             try (OutputStream out = new FileOutputStream(config.toFile())) {
--- a/src/test/java/yardusher/story/KeysStoryTest.java
+++ b/src/test/java/yardusher/story/KeysStoryTest.java
@@ -47,7 +47,7 @@
         region.close();
     }
 
-    private Client client() throws Exception { return new Client(serve.front().answers().address()); }
+    private Client client() throws Exception { return new Client(serve.front().server().address()); }
 
     private static void order(Client client, int id, String body) throws Exception {
         client.send("CALL.POST", "0000000000000007", String.format("%016x", id), "c=place-order,t=groot,d=4000,k=00000000000000ab,units=1,spread=1,first=0",
--- a/src/test/java/yardusher/story/LastAnswersStoryTest.java
+++ b/src/test/java/yardusher/story/LastAnswersStoryTest.java
@@ -35,7 +35,7 @@
         discovery = new Discovery();
         serve = StandIn.ingress(json -> json, config -> LongServing.of(config, null, Settings.OFF, () -> 1.7e12 + later + (System.nanoTime() - start) / 1e6),
                 discovery.address(), member("s-1", region.address(), "Ready"));
-        door = (InetSocketAddress) serve.front().answers().address();
+        door = (InetSocketAddress) serve.front().server().address();
         drain = new Thread(() -> {
             try { serve.drain(); } catch (InterruptedException e) { /* ends */ }
         });
@@ -51,7 +51,7 @@
     /** Danger: two commands come together, the first is answered at once and its connection ends: the second was sent on all the same. */
     @Test
     void whatWasReadBehindAnAnswerIsAnsweredBeforeItsConnectionEnds() throws Exception {
-        serve.front().answers().away(true);
+        serve.front().server().setDraining(true);
         assertThat(serve.countersLine()).contains("taken_in=0 ");
         later += 600;                                // connections close behind their answers by now
         region.script = command -> Region.served("made for " + command.split(" ")[2]);
--- a/src/test/java/yardusher/story/LimitsStoryTest.java
+++ b/src/test/java/yardusher/story/LimitsStoryTest.java
@@ -53,7 +53,7 @@
                 spread = 2
                 """.formatted(queries));
         serve = StandIn.ingress("127.0.0.1:9", LimitsConfig.read(file), member("s-1", region.address(), "Ready"));
-        client = new Client(serve.limitsFront().answers().address());
+        client = new Client(serve.limitsFront().server().address());
     }
 
     @AfterEach
@@ -103,7 +103,7 @@
             assertThat(told[2]).isZero();
             assertThat(told[3]).isBetween(1L, 5L);
         }
-        try (Client shop = new Client(serve.front().answers().address())) {
+        try (Client shop = new Client(serve.front().server().address())) {
             shop.send("CALL.POST", "0000000000000099", "0000000000000001", "c=place-order,t=plus,d=5000,k=0000000000000001,units=2,spread=1,first=0", "order");
             assertThat(shop.told()).isEqualTo("made here");
         }
@@ -158,13 +158,13 @@
         for (int i = 0; i < 60; i++) { client.send("CL.THROTTLE", "north", "7", "19", "10", "0"); }
         assertThat(client.told()).isEqualTo("0 8 8 -1 0");
         assertThat(client.told()).startsWith("-ERR too many limit queries");
-        try (Client shop = new Client(serve.front().answers().address())) { // while the flood waits
+        try (Client shop = new Client(serve.front().server().address())) { // while the flood waits
             shop.send("CALL.POST", "0000000000000099", "0000000000000001", "c=place-order,t=plus,d=5000,k=0000000000000001,units=2,spread=1,first=0", "order");
             assertThat(shop.told()).isEqualTo("made here");
             assertThat(serve.countersLine()).containsPattern("limit_queries=[12] ");
         }
         client.close();
-        client = new Client(serve.limitsFront().answers().address());
+        client = new Client(serve.limitsFront().server().address());
         assertThat(throttle("north", "1")[0]).isZero(); // transactions are not counted as queries
     }
 
--- a/src/test/java/yardusher/story/OtherSettingsStoryTest.java
+++ b/src/test/java/yardusher/story/OtherSettingsStoryTest.java
@@ -58,7 +58,7 @@
 
     private Client start(UnaryOperator<String> edit) throws Exception {
         serve = StandIn.ingress(edit, discovery.address(), null, member("s-1", region.address(), "Ready"));
-        return new Client(serve.front().answers().address());
+        return new Client(serve.front().server().address());
     }
 
     /** Asks, each time for another customer, until it is served: a dial or an attempt may be late on a busy machine. */
@@ -239,7 +239,7 @@
     void withNothingKnownItServesOnceDiscoveryHasSpoken() throws Exception {
         for (String none : new String[] {"\"known\": null, \"x\": {", "\"known_gone\": {", "\"known\": {}, \"x\": {", "\"known\": {\"members\": null}, \"x\": {"}) {
             serve = StandIn.ingress(json -> replaced(json, "\"known\": \\{", none), discovery.address(), null);
-            try (Client client = new Client(serve.front().answers().address())) {
+            try (Client client = new Client(serve.front().server().address())) {
                 assertThat(client.lookup(1, 2000)).startsWith("-BUSY");
                 assertThat(next(discovery.asked)).contains("since=0 ");
                 discovery.tell(list(7, true, member("s-1", region.address(), "Ready")));
@@ -292,7 +292,7 @@
         Settings own = Settings.read(file);
         serve = StandIn.ingress(json -> replaced(json, "\"zones\": \\[[^]]*]", "\"zones\": []"), config -> LongServing.of(config, null, own, System::currentTimeMillis),
                 discovery.address(), member("s-1", region.address(), "Ready"));
-        try (Client client = new Client(serve.front().answers().address())) { served(client); }
+        try (Client client = new Client(serve.front().server().address())) { served(client); }
     }
 
     /** A configuration of another customer is checked without a word on the limits front, which is off. */
@@ -315,7 +315,7 @@
         Files.writeString(file, "listen = \"127.0.0.1:0\"\n[others]\nplan = \"st\u00f3r\"\n");
         serve = StandIn.ingress(json -> json.replace("\"lookup\"", "\"leit n\u00fa\"").replace("\"basis\"", "\"st\u00f3r\"")
                 .replace("\"most_units\": 2", "\"most_units\": 0"), discovery.address(), LimitsConfig.read(file), member("s-1", region.address(), "Ready"));
-        try (Client client = new Client(serve.limitsFront().answers().address())) {
+        try (Client client = new Client(serve.limitsFront().server().address())) {
             assertThat(client.ask("CL.THROTTLE", "0000000000000007", "7", "19", "10", "3")).startsWith("0 8 5 ");
             assertThat(next(region.seen)).contains("c=leit n\u00fa,t=st\u00f3r,d=").contains(",units=3,");
         }
--- a/src/test/java/yardusher/story/PeersStoryTest.java
+++ b/src/test/java/yardusher/story/PeersStoryTest.java
@@ -49,7 +49,7 @@
         long start = System.nanoTime();
         DoubleSupplier slow = () -> 4_000_000 * SLOT_MS + (System.nanoTime() - start) / 1e6 / 20;
         LimitsConfig limits = new LimitsConfig(new InetSocketAddress(here, 0), "lookup", 1000, 100_000,
-                Map.of("wide", new LimitsConfig.Partner(17, "basis", 0, 2)), null);
+                Map.of("wide", new LimitsConfig.Customer(17, "basis", 0, 2)), null);
         Serve[] serves = new Serve[2];
         StandIn.Client[] clients = new StandIn.Client[2];
         try (StandIn.Region region = new StandIn.Region()) {
@@ -60,7 +60,7 @@
                         .replace("127.0.0.1:1\"", "127.0.0.1:" + ports[0] + "\"")
                         .replace("127.0.0.1:2\"", "127.0.0.1:" + ports[1] + "\""), config -> LongServing.of(config, limits, Settings.OFF, slow), "127.0.0.1:9",
                         StandIn.member("s-1", region.address(), "Ready"));
-                clients[i] = new StandIn.Client(serves[i].limitsFront().answers().address());
+                clients[i] = new StandIn.Client(serves[i].limitsFront().server().address());
             }
             for (StandIn.Client client : clients) { await(client, "0 8 8 .*"); } // each has been greeted by the other
             for (int i = 0; i < 6; i++) { clients[0].ask("CL.THROTTLE", "wide", "7", "19", "10"); }
@@ -90,10 +90,10 @@
             PeerSocket socket = new PeerSocket(new InetSocketAddress(here, 0),
                     List.of(new InetSocketAddress(here, peer.getLocalPort())), new EventLoop(() -> 0, e -> { }));
             socket.open((from, body) -> { });
-            socket.tell(0, "x".repeat(257));
-            socket.tell(0, "\u00e9".repeat(129));    // short in characters, too long in bytes
-            socket.tell(7, "nobody");
-            socket.tell(0, "y".repeat(256));
+            socket.send(0, "x".repeat(257));
+            socket.send(0, "\u00e9".repeat(129));    // short in characters, too long in bytes
+            socket.send(7, "nobody");
+            socket.send(0, "y".repeat(256));
             DatagramPacket got = new DatagramPacket(new byte[1000], 1000);
             peer.receive(got);
             assertThat(new String(got.getData(), 0, got.getLength(), StandardCharsets.UTF_8)).isEqualTo("y".repeat(256));
--- a/src/test/java/yardusher/story/PlatformStoryTest.java
+++ b/src/test/java/yardusher/story/PlatformStoryTest.java
@@ -41,7 +41,7 @@
 
     private Client start(String... members) throws Exception {
         serve = StandIn.ingress(discovery.address(), null, members);
-        return new Client(serve.front().answers().address());
+        return new Client(serve.front().server().address());
     }
 
     private Client start() throws Exception { return start(member("s-1", region.address(), "Ready")); }
@@ -146,7 +146,7 @@
             }
             for (String lost : new String[] {"GET / HTTP/1.1\r\n\r\n", "*1\r\n$99999999\r\n", "*-1\r\n", "*2\r\n$1\r\nabc\r\n",
                 "*99999999999999999999\r\n", "*1\r\n$4\r\nPINGxx", "\0\1\2\3"}) {
-                try (Client bad = new Client(serve.front().answers().address())) {
+                try (Client bad = new Client(serve.front().server().address())) {
                     bad.raw(lost.getBytes(StandardCharsets.ISO_8859_1));
                     assertThat(bad.told()).as(lost).startsWith("-ERR Protocol error");
                     assertThat(bad.ended()).isTrue();
@@ -189,7 +189,7 @@
                 return null;
             }
         };
-        try (Client idle = start(); Client busy = new Client(serve.front().answers().address())) {
+        try (Client idle = start(); Client busy = new Client(serve.front().server().address())) {
             busy.send("CALL.POST", "0000000000000001", "0000000000000001",
                     "c=place-order,t=basis,d=8000,k=0000000000000002,units=1,spread=1,first=0", "order");
             next(region.seen);
@@ -197,7 +197,7 @@
                 try { serve.drain(); } catch (InterruptedException e) { /* ends */ }
             });
             drain.start();
-            try (Client late = new Client(serve.front().answers().address())) { // connections go on coming a while
+            try (Client late = new Client(serve.front().server().address())) { // connections go on coming a while
                 assertThat(late.ask("PING")).isEqualTo("+PONG");
                 assertThat(late.ended()).isTrue();
             }
--- a/src/test/java/yardusher/story/ReadyStoryTest.java
+++ b/src/test/java/yardusher/story/ReadyStoryTest.java
@@ -17,7 +17,7 @@
     private static void servesAndEnds(String discovery) throws Exception {
         try (Region region = new Region()) {
             Serve serve = StandIn.ingress(discovery, null, member("s-1", region.address(), "Ready"));
-            try (Client client = new Client((InetSocketAddress) serve.front().answers().address())) {
+            try (Client client = new Client((InetSocketAddress) serve.front().server().address())) {
                 assertThat(client.ask("PING")).isEqualTo("+PONG");
                 assertThat(client.lookup(1, 2000)).isEqualTo("made here");
                 Thread drain = new Thread(() -> {
--- a/src/test/java/yardusher/story/SpoiltStoryTest.java
+++ b/src/test/java/yardusher/story/SpoiltStoryTest.java
@@ -39,7 +39,7 @@
         region.close();
     }
 
-    private Client client() throws Exception { return new Client(serve.front().answers().address()); }
+    private Client client() throws Exception { return new Client(serve.front().server().address()); }
 
     @Test
     void aCommandThatNoClientSendsReachesNoRegion() throws Exception {
--- a/src/test/java/yardusher/story/StandIn.java
+++ b/src/test/java/yardusher/story/StandIn.java
@@ -107,13 +107,13 @@
             return new Encoder(64).array(3).bulk(value).raw("$-1\r\n$-1\r\n".getBytes()).toBytes();
         }
 
-        static byte[] says(String error) { return new Encoder(32).failure(error).toBytes(); }
+        static byte[] says(String error) { return new Encoder(32).error(error).toBytes(); }
 
         @Override
         void talk(Socket guest) throws Exception {
             Decoder decoder = new Decoder();
             for (byte[][] words;;) {
-                if ((words = decoder.command()) == null) {
+                if ((words = decoder.nextCommand()) == null) {
                     fill(decoder, guest.getInputStream());
                     continue;
                 }
@@ -132,10 +132,10 @@
     }
 
     static void fill(Decoder decoder, InputStream in) throws IOException {
-        ByteBuffer room = decoder.room();
+        ByteBuffer room = decoder.readBuffer();
         int count = in.read(room.array(), room.position(), room.remaining());
         if (count < 0) { throw new IOException("ended"); }
-        decoder.filled(count);
+        decoder.advance(count);
     }
 
     /**
@@ -209,7 +209,7 @@
 
         Value answer() throws Exception {
             for (Value value;;) {
-                if ((value = decoder.value()) != null) { return value; }
+                if ((value = decoder.nextValue()) != null) { return value; }
                 fill(decoder, socket.getInputStream());
             }
         }
@@ -218,11 +218,11 @@
         String told() throws Exception { return text(answer()); }
 
         private static String text(Value value) {
-            if (value instanceof Value.Bulk bulk) { return bulk.text(); }
-            if (value instanceof Value.Failure failure) { return "-" + failure.text(); }
-            if (value instanceof Value.Simple simple) { return "+" + simple.text(); }
-            if (value instanceof Value.Whole whole) { return Long.toString(whole.number()); }
-            return ((Value.Many) value).items().stream().map(Client::text).collect(Collectors.joining(" "));
+            if (value instanceof Value.BulkString bulk) { return bulk.text(); }
+            if (value instanceof Value.ErrorReply failure) { return "-" + failure.text(); }
+            if (value instanceof Value.SimpleString simple) { return "+" + simple.text(); }
+            if (value instanceof Value.IntegerValue whole) { return Long.toString(whole.number()); }
+            return ((Value.ArrayValue) value).items().stream().map(Client::text).collect(Collectors.joining(" "));
         }
 
         String ask(String... words) throws Exception {
--- a/src/test/java/yardusher/story/UpgradeStoryTest.java
+++ b/src/test/java/yardusher/story/UpgradeStoryTest.java
@@ -214,7 +214,7 @@
         start();
         awaitYes(1);
         first.destroyForcibly().waitFor();
-        try (StandIn.Client client = new StandIn.Client(Sockets.address("127.0.0.1:" + ports[0]))) {
+        try (StandIn.Client client = new StandIn.Client(Sockets.parseAddress("127.0.0.1:" + ports[0]))) {
             for (int i = 0; i < 20; i++) { assertThat(client.lookup(100 + i, 2000)).isEqualTo("made here"); }
         }
         assertThat(call(1, "uncordon s-2")).startsWith("200"); // nobody else has to hold it
@@ -236,7 +236,7 @@
         awaitYes(0);
         started.get(1).destroy();                    // the newer one ends first: the older goes on
         assertThat(started.get(1).waitFor(StandIn.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
-        try (StandIn.Client client = new StandIn.Client(Sockets.address("127.0.0.1:" + ports[0]))) {
+        try (StandIn.Client client = new StandIn.Client(Sockets.parseAddress("127.0.0.1:" + ports[0]))) {
             assertThat(client.lookup(1, 2000)).isEqualTo("made here");
         }
         assertThat(region.seen).isEmpty();
@@ -251,7 +251,7 @@
         start();
         awaitYes(1);
         assertThat(log(1)).contains("starts without the process before why=it is gone");
-        try (StandIn.Client client = new StandIn.Client(Sockets.address("127.0.0.1:" + ports[0]))) {
+        try (StandIn.Client client = new StandIn.Client(Sockets.parseAddress("127.0.0.1:" + ports[0]))) {
             assertThat(client.lookup(1, 2000)).isEqualTo("made here");
         }
     }
--- a/src/test/java/yardusher/story/WatchStoryTest.java
+++ b/src/test/java/yardusher/story/WatchStoryTest.java
@@ -126,13 +126,13 @@
 
     private void start(String... members) throws Exception {
         serve = StandIn.ingress(json -> json, config -> LongServing.of(config, null, Settings.OFF, () -> now), agent.address(), members);
-        client = new Client((InetSocketAddress) serve.front().answers().address());
+        client = new Client((InetSocketAddress) serve.front().server().address());
         settle();
     }
 
     private long count(ToLongFunction<Counters> figure) {
         long[] count = new long[1];
-        serve.loop().turn(() -> count[0] = figure.applyAsLong(serve.ingress().counters()));
+        serve.loop().execute(() -> count[0] = figure.applyAsLong(serve.ingress().counters()));
         return count[0];
     }
 
@@ -144,12 +144,12 @@
     private void settle() throws Exception {
         int quiet = 0;
         for (long before = -1; quiet < 3; quiet++) {
-            long asks = count(counters -> counters.listAsks);
+            long asks = count(counters -> counters.listWatches);
             if (agent.held.availablePermits() == 0) { return; }
             await(() -> agent.seen.get() + newer.seen.get() >= asks);
             await(() -> count(counters -> counters.listChanges) >= agent.told.get() + newer.told.get());
             assertThat(client.ask("PING")).isEqualTo("+PONG");
-            if (count(counters -> counters.listAsks) != before) { quiet = 0; }
+            if (count(counters -> counters.listWatches) != before) { quiet = 0; }
             before = asks;
         }
     }
@@ -159,7 +159,7 @@
         double from = now;
         while (!done.getAsBoolean() && now - from < limitMs) {
             now += STEP_MS;
-            serve.loop().turn(() -> { });
+            serve.loop().execute(() -> { });
             settle();
         }
         return now - from;
@@ -188,7 +188,7 @@
             agent.tell(agent.open.get(0), indented(list(200, false, member("s-2", second.address(), "Gone"), member("s-1", first.address(), "Ready"))));
             await(() -> count(counters -> counters.listChanges) == 2);
             assertThat(client.lookup(3, 2000)).isEqualTo("made here");
-            assertThat(count(counters -> counters.listBad)).isZero();
+            assertThat(count(counters -> counters.malformedListLines)).isZero();
             assertThat(agent.asks).hasSize(1);
         }
     }
@@ -272,7 +272,7 @@
             agent.open.get(1).close();
             await(() -> count(counters -> counters.listChanges) == 3);
             assertThat(client.lookup(3, 2000)).isEqualTo("third");
-            assertThat(count(counters -> counters.listBad)).isZero();
+            assertThat(count(counters -> counters.malformedListLines)).isZero();
         }
     }
 
@@ -286,7 +286,7 @@
             List<Boolean> shut = new CopyOnWriteArrayList<>();
             agent.script = ask -> {
                 try {
-                    shut.add(made[0].front().answers().address() == null);
+                    shut.add(made[0].front().server().address() == null);
                 } catch (IOException e) {
                     throw new java.io.UncheckedIOException(e);
                 }
@@ -294,7 +294,7 @@
             };
             serve = StandIn.ingress(json -> json, config -> made[0] = LongServing.of(config, null, Settings.OFF, () -> now), 1500, agent.address(),
                     member("s-1", first.address(), "Ready"));
-            client = new Client((InetSocketAddress) serve.front().answers().address());
+            client = new Client((InetSocketAddress) serve.front().server().address());
             assertThat(shut).as("when it was asked for").containsExactly(true);
             for (int i = 0; i < 20; i++) { assertThat(client.lookup(i, 2000)).isEqualTo("elsewhere"); }
             assertThat(first.seen).isEmpty();
@@ -329,19 +329,19 @@
         starter.start();
         await(() -> made[0] != null && (starter.getState() == Thread.State.TIMED_WAITING || start.isDone())); // it waits for the door
         serve = made[0];
-        await(() -> count(counters -> counters.listAsks) > 0 || !discovery.equals(agent.address()));
+        await(() -> count(counters -> counters.listWatches) > 0 || !discovery.equals(agent.address()));
         while (!start.isDone() && now - from < 5000) {
-            long asks = count(counters -> counters.listAsks);
+            long asks = count(counters -> counters.listWatches);
             await(() -> discovery.equals("127.0.0.1:9") || agent.seen.get() >= asks);
             await(() -> count(counters -> counters.listChanges) >= agent.told.get());
             if (now - from >= waitAtMs) { await(this::isOpen); }
             if (isOpen()) { break; }
             now += STEP_MS;
-            serve.loop().turn(() -> { });
+            serve.loop().execute(() -> { });
         }
         double took = now - from;
         serve = start.get(20, TimeUnit.SECONDS);
-        client = new Client((InetSocketAddress) serve.front().answers().address());
+        client = new Client((InetSocketAddress) serve.front().server().address());
         return took;
     }
 
@@ -355,7 +355,7 @@
             start(member("s-1", first.address(), "Ready"));
             client.sendLookup(1, 2000);
             StandIn.next(first.seen);
-            try (Client half = new Client((InetSocketAddress) serve.front().answers().address())) {
+            try (Client half = new Client((InetSocketAddress) serve.front().server().address())) {
                 byte[] call = new Encoder(128).array(4).bulk("CALL.GET").bulk("0000000000000002").bulk("00000000000000aa")
                         .bulk("c=lookup,t=basis,d=2000,units=1,spread=1,first=0").toBytes();
                 half.raw(Arrays.copyOf(call, call.length / 2));
@@ -384,7 +384,7 @@
 
     private boolean isOpen() {
         try {
-            return serve.front().answers().address() != null;
+            return serve.front().server().address() != null;
         } catch (IOException e) {
             return false;
         }
@@ -429,12 +429,12 @@
                     list(9, true, "7", member("s-1", region.address(), "Ready")), list(9, true, member("s-1", "nowhere", "Ready")))) {
                 start(member("s-1", region.address(), "Ready"));
                 Agent.chunk(agent.open.get(0), rubbish + "\n");
-                await(() -> count(counters -> counters.listBad) == 1);
+                await(() -> count(counters -> counters.malformedListLines) == 1);
                 agent.script = ask -> ask == 2 ? Word.HEAD : Word.LIST;
                 until(SILENT_MS, () -> agent.seen.get() > 1);
                 assertThat(agent.asks.get(1)).as(rubbish).contains("since=101 ");
                 Agent.chunk(agent.open.get(1), rubbish + "\n");
-                await(() -> count(counters -> counters.listBad) == 2);
+                await(() -> count(counters -> counters.malformedListLines) == 2);
                 assertThat(untilTold(9000)).as(rubbish).isLessThan(SILENT_MS);
                 assertThat(agent.asks.get(2)).as(rubbish).contains("since=0 ");
                 assertThat(client.lookup(1, 2000)).as(rubbish).isEqualTo("made here");
@@ -464,7 +464,7 @@
     @Test
     void anAddressThatCannotBeTriedIsOneThatRefuses() throws Exception {
         serve = StandIn.ingress(json -> json, config -> LongServing.of(elsewhere(config), null, Settings.OFF, () -> now), agent.address());
-        client = new Client((InetSocketAddress) serve.front().answers().address());
+        client = new Client((InetSocketAddress) serve.front().server().address());
         until(2000, () -> false);
         move();
         assertThat(until(4000, () -> newer.told.get() > 0)).isLessThan(SILENT_MS);
--- a/src/test/java/yardusher/view/ViewSettingsTest.java
+++ b/src/test/java/yardusher/view/ViewSettingsTest.java
@@ -25,10 +25,10 @@
     }
 
     @Test
-    void theDefaultsAreThere() throws IOException {
+    void defaultsApply() throws IOException {
         ViewSettings view = read(GOOD).view();
         assertThat(view.probeMs()).isEqualTo(300);
-        assertThat(view.suspicion()).isEqualTo(4);
+        assertThat(view.suspicionRounds()).isEqualTo(4);
         assertThat(view.rememberS()).isEqualTo(600);
         assertThat(view.settleMs()).isEqualTo(300);
         assertThat(view.advertise()).isNull();
@@ -40,13 +40,13 @@
     @CsvSource(delimiter = '|', value = {"probe_ms = 10|view.probe_ms", "probe_ms = \"x\"|view.probe_ms", "suspicion = 1|view.suspicion", "remember_s = 0|view.remember_s",
         "settle_ms = -1|view.settle_ms", "hall = \"a b\"|view.hall", "advertise = \"host:1\"|view.advertise", "advertise = \"127.0.0.1:0\"|view.advertise",
         "probe = 3|view.probe"})
-    void aBadValueIsOnePlainLineThatNamesFileAndKey(String line, String key) {
+    void invalidValueIsReportedInOneLineWithFileAndKey(String line, String key) {
         assertThatThrownBy(() -> read(GOOD + line + "\n")).hasMessageMatching("[ -~]+").hasMessageContaining("own.toml").hasMessageContaining(key);
     }
 
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {"127.0.0.1:7946|nonsense", "127.0.0.2:7946|127.0.0.2:0", "site|", "127.0.0.1:7946|0.0.0.0:7946"})
-    void aBadAddressOrInstallationIsSaid(String good, String bad) {
+    void invalidAddressOrInstallationIsReported(String good, String bad) {
         assertThatThrownBy(() -> read(GOOD.replace(good, bad == null ? "" : bad))).hasMessageMatching("[ -~]+").hasMessageContaining("view.");
     }
 }
--- a/src/test/java/yardusher/wire/SettingsKeysTest.java
+++ b/src/test/java/yardusher/wire/SettingsKeysTest.java
@@ -19,10 +19,10 @@
 
 /** Every key that the platform's pages name: it changes what the program decides by, or is told as not used, or is a name alone. */
 class SettingsKeysTest {
-    private static final Path GIVEN = Path.of("src/test/resources/ingress.json");
+    private static final Path BASE_CONFIG = Path.of("src/test/resources/ingress.json");
 
     /** Keys that are read, each with a value other than that of the resource. */
-    private static final Map<String, String> READ = new TreeMap<>(Map.ofEntries(
+    private static final Map<String, String> READ_KEYS = new TreeMap<>(Map.ofEntries(
             Map.entry("settings.me", "1"), Map.entry("settings.peers_total", "4"), Map.entry("settings.zone", "1"),
             Map.entry("settings.zones", "[\"hall-a\",\"hall-b\"]"),
             Map.entry("settings.membership_mode", "\"ask\""),
@@ -50,53 +50,53 @@
             Map.entry("peer_listen", "\"127.0.0.2:0\""), Map.entry("peers", "[\"127.0.0.1:3\",\"127.0.0.1:4\",\"127.0.0.1:5\"]")));
 
     /** Keys that nothing is decided by, each with a value for which that is told, and the words that tell it. */
-    private static final Map<String, String[]> TOLD = new TreeMap<>(Map.ofEntries(
-            told("settings.classes[0].aim_stretch", "2", "classes.lookup.aim_stretch"),
-            told("settings.clients.marks_retry", "true", "clients.marks_retry"),
-            told("settings.contracts[0].beyond_earns", "0.2", "contracts.basis.beyond_earns"),
-            told("settings.domain.cost_after", "true", "domain.cost_after"), told("settings.domain.count_fee", "0.1", "domain.counter, with count_fee"),
-            told("settings.domain.count_limit_ms", "40", "count_limit_ms"), told("settings.domain.counter", "true", "domain.counter"),
-            told("settings.domain.meter_ms", "1000", "domain.meter_ms"),
-            told("settings.goal.whole", "0.4", "goal.whole"), told("settings.goal.worst_class", "0.4", "worst_class"),
-            told("settings.goal.worst_tenant", "0.4", "worst_tenant"), told("settings.goal.worst_window", "0.4", "worst_window"),
-            told("settings.limits.cpu_us_per_request", "9", "limits.cpu_us_per_request"), told("settings.limits.cpu_us_per_s", "9", "limits.cpu_us_per_s"),
-            told("settings.limits.max_open", "9", "limits.max_open"), told("settings.limits.max_streams", "9", "limits.max_streams"),
-            told("settings.limits.probes", "true", "limits.probes"), told("settings.limits.retry_after", "false", "limits.retry_after false"),
-            told("settings.limits.second_copies", "true", "limits.second_copies"),
-            told("settings.prices.connection", "0.1", "prices.connection"), told("settings.prices.fleet", "0.1", "fleet"),
-            told("settings.prices.handshake", "0.1", "handshake"), told("settings.prices.late_fail", "0.1", "late_fail"),
-            told("settings.prices.membership_mode", "0.1", "membership_mode"), told("settings.prices.moves", "0.1", "moves"),
-            told("settings.prices.origin", "0.1", "origin"), told("settings.prices.probe", "0.1", "probe"), told("settings.prices.waste", "0.1", "waste"),
-            told("settings.report.how", "\"on_probe\"", "report (reports come on probes alone)"),
-            told("settings.rules.answer_slack_ms", "3", "rules.answer_slack_ms"), told("settings.rules.drain_grace_ms", "3", "rules.drain_grace_ms"),
-            told("settings.resolution_ms", "5", "resolution_ms (what comes on sockets"), told("settings.service_type", "\"mesh\"", "service_type mesh"), told("settings.weights", "\"live\"", "weights live"),
-            told("settings.misspelt", "3", "misspelt (not known here)"), told("settings.limits.max_attemps", "3", "limits.max_attemps (not known here)"),
-            told("settings.classes[1].efect", "3", "classes.efect (not known here)"),
-            told("misspelt", "3", "misspelt (not known here)"), told("limits.socket", "3", "limits.socket (of the machine; not known here)"),
-            told("peers", "[\"127.0.0.1:3\"]", "peers (1 addresses for 3 ingresses")));
+    private static final Map<String, String[]> REPORTED_KEYS = new TreeMap<>(Map.ofEntries(
+            reported("settings.classes[0].aim_stretch", "2", "classes.lookup.aim_stretch"),
+            reported("settings.clients.marks_retry", "true", "clients.marks_retry"),
+            reported("settings.contracts[0].beyond_earns", "0.2", "contracts.basis.beyond_earns"),
+            reported("settings.domain.cost_after", "true", "domain.cost_after"), reported("settings.domain.count_fee", "0.1", "domain.counter, with count_fee"),
+            reported("settings.domain.count_limit_ms", "40", "count_limit_ms"), reported("settings.domain.counter", "true", "domain.counter"),
+            reported("settings.domain.meter_ms", "1000", "domain.meter_ms"),
+            reported("settings.goal.whole", "0.4", "goal.whole"), reported("settings.goal.worst_class", "0.4", "worst_class"),
+            reported("settings.goal.worst_tenant", "0.4", "worst_tenant"), reported("settings.goal.worst_window", "0.4", "worst_window"),
+            reported("settings.limits.cpu_us_per_request", "9", "limits.cpu_us_per_request"), reported("settings.limits.cpu_us_per_s", "9", "limits.cpu_us_per_s"),
+            reported("settings.limits.max_open", "9", "limits.max_open"), reported("settings.limits.max_streams", "9", "limits.max_streams"),
+            reported("settings.limits.probes", "true", "limits.probes"), reported("settings.limits.retry_after", "false", "limits.retry_after false"),
+            reported("settings.limits.second_copies", "true", "limits.second_copies"),
+            reported("settings.prices.connection", "0.1", "prices.connection"), reported("settings.prices.fleet", "0.1", "fleet"),
+            reported("settings.prices.handshake", "0.1", "handshake"), reported("settings.prices.late_fail", "0.1", "late_fail"),
+            reported("settings.prices.membership_mode", "0.1", "membership_mode"), reported("settings.prices.moves", "0.1", "moves"),
+            reported("settings.prices.origin", "0.1", "origin"), reported("settings.prices.probe", "0.1", "probe"), reported("settings.prices.waste", "0.1", "waste"),
+            reported("settings.report.how", "\"on_probe\"", "report (reports come on probes alone)"),
+            reported("settings.rules.answer_slack_ms", "3", "rules.answer_slack_ms"), reported("settings.rules.drain_grace_ms", "3", "rules.drain_grace_ms"),
+            reported("settings.resolution_ms", "5", "resolution_ms (what comes on sockets"), reported("settings.service_type", "\"mesh\"", "service_type mesh"), reported("settings.weights", "\"live\"", "weights live"),
+            reported("settings.misspelt", "3", "misspelt (not known here)"), reported("settings.limits.max_attemps", "3", "limits.max_attemps (not known here)"),
+            reported("settings.classes[1].efect", "3", "classes.efect (not known here)"),
+            reported("misspelt", "3", "misspelt (not known here)"), reported("limits.socket", "3", "limits.socket (of the machine; not known here)"),
+            reported("peers", "[\"127.0.0.1:3\"]", "peers (1 addresses for 3 ingresses")));
 
     /** Names alone, or the system's: the start script reads the memory, and the system holds the program to its part of a core. */
-    private static final Set<String> NAMES = Set.of("settings.kinds", "settings.layers", "settings.tier", "limits.cores", "limits.memory_mb",
+    private static final Set<String> NAME_KEYS = Set.of("settings.kinds", "settings.layers", "settings.tier", "limits.cores", "limits.memory_mb",
             "counter", "peers_all", "known.revision", "known.complete", "known.members");
 
     @TempDir
     Path folder;
 
-    private static Map.Entry<String, String[]> told(String key, String value, String words) { return Map.entry(key, new String[] {value, words}); }
+    private static Map.Entry<String, String[]> reported(String key, String value, String words) { return Map.entry(key, new String[] {value, words}); }
 
     /** The file with one value set: replaced where the key is there, else added to the object that it stands in. */
-    private Config with(String key, String value) throws IOException {
-        String text = Files.readString(GIVEN);
+    private Config configWith(String key, String value) throws IOException {
+        String text = Files.readString(BASE_CONFIG);
         Path file = folder.resolve("config.json");
         Files.writeString(file, Edit.set(text, key, value));
         return Config.read(file.toString());
     }
 
     @Test
-    void aKeyThatIsReadChangesWhatTheProgramGoesBy() throws IOException {
-        Config given = Config.read(GIVEN.toString());
-        for (Map.Entry<String, String> one : READ.entrySet()) {
-            Config other = with(one.getKey(), one.getValue());
+    void aKeyThatIsReadChangesTheConfiguration() throws IOException {
+        Config given = Config.read(BASE_CONFIG.toString());
+        for (Map.Entry<String, String> one : READ_KEYS.entrySet()) {
+            Config other = configWith(one.getKey(), one.getValue());
             assertThat(List.of(other.settings(), other.classes(), other.plans(), other.zones(), other.idleMs(), other.dialMs(), other.name(), other.listen(),
                     other.discovery(), String.valueOf(other.admin()), other.seed(), other.sockets(), other.peerListen(), other.peers()))
                     .as(one.getKey()).isNotEqualTo(List.of(given.settings(), given.classes(), given.plans(), given.zones(), given.idleMs(), given.dialMs(),
@@ -105,15 +105,15 @@
     }
 
     @Test
-    void aKeyThatIsNotReadIsTold() throws IOException {
-        for (Map.Entry<String, String[]> one : TOLD.entrySet()) {
-            assertThat(with(one.getKey(), one.getValue()[0]).unused()).as(one.getKey()).anyMatch(note -> note.contains(one.getValue()[1]));
+    void aKeyThatIsNotReadIsReported() throws IOException {
+        for (Map.Entry<String, String[]> one : REPORTED_KEYS.entrySet()) {
+            assertThat(configWith(one.getKey(), one.getValue()[0]).unused()).as(one.getKey()).anyMatch(note -> note.contains(one.getValue()[1]));
         }
     }
 
     @Test
-    void noteworthyIsOnlyWhatIsAskedFor() throws IOException {
-        String text = Files.readString(GIVEN);
+    void disabledSettingsAreNotReported() throws IOException {
+        String text = Files.readString(BASE_CONFIG);
         for (Map.Entry<String, String> one : Map.of("settings.clients", "null", "settings.domain.counter", "false", "settings.goal", "null",
                 "settings.report", "{\"how\":\"inline\",\"names\":[\"pending\",\"cpu_share\"]}", "settings.prices", "{\"cross_zone\":0.1,\"waste\":0}",
                 "settings.limits.retry_after", "true", "settings.limits.max_streams", "1", "settings.limits.probes", "false",
@@ -128,23 +128,23 @@
 
     /** Guards the lists above: a key of the resource that stands in none of them is one that nobody has looked at. */
     @Test
-    void everyKeyOfAConfigurationStandsInOneOfTheLists() throws IOException {
-        Set<String> listed = new TreeSet<>(NAMES);
-        for (String key : READ.keySet()) { listed.add(key.replaceAll("\\[\\d+]", "[]")); }
-        for (String key : TOLD.keySet()) { listed.add(key.replaceAll("\\[\\d+]", "[]")); }
-        try (JsonParser parser = new JsonFactory().createParser(Files.readString(GIVEN))) {
+    void everyConfigurationKeyIsInOneOfTheLists() throws IOException {
+        Set<String> listed = new TreeSet<>(NAME_KEYS);
+        for (String key : READ_KEYS.keySet()) { listed.add(key.replaceAll("\\[\\d+]", "[]")); }
+        for (String key : REPORTED_KEYS.keySet()) { listed.add(key.replaceAll("\\[\\d+]", "[]")); }
+        try (JsonParser parser = new JsonFactory().createParser(Files.readString(BASE_CONFIG))) {
             parser.nextToken();
             List<String> found = new ArrayList<>();
-            walk("", (Codec.Fields) Codec.read(parser), found);
+            walk("", (Codec.JsonObject) Codec.readValue(parser), found);
             assertThat(found).hasSizeGreaterThan(70).allSatisfy(key -> assertThat(listed).contains(key));
         }
     }
 
-    private static void walk(String at, Codec.Fields of, List<String> found) {
+    private static void walk(String at, Codec.JsonObject of, List<String> found) {
         for (String key : of.keys()) {
             String path = at + key;
             if (path.equals("settings.classes") || path.equals("settings.contracts")) {
-                for (Codec.Fields one : of.objects(key)) { walk(path + "[].", one, found); }
+                for (Codec.JsonObject one : of.objects(key)) { walk(path + "[].", one, found); }
             } else if (Set.of("settings", "limits", "known", "settings.limits", "settings.clients", "settings.domain", "settings.goal", "settings.prices",
                     "settings.report", "settings.rules").contains(path)) {
                 walk(path + ".", of.object(key), found);
--- a/src/test/java/yardusher/wire/SettingsNotesTest.java
+++ b/src/test/java/yardusher/wire/SettingsValidatorTest.java
@@ -15,13 +15,13 @@
 import yardusher.error.YardusherError;
 
 /** Settings that no deployment can have, and what is told of those that are not used. */
-class SettingsNotesTest {
-    private static Codec.Fields settings(String from, String to) throws IOException {
+class SettingsValidatorTest {
+    private static Codec.JsonObject settings(String from, String to) throws IOException {
         String text = Files.readString(Path.of("src/test/resources/ingress.json"));
         assertThat(text).containsPattern(from);
         try (JsonParser parser = new JsonFactory().createParser(text.replaceFirst(from, to))) {
             parser.nextToken();
-            return ((Codec.Fields) Codec.read(parser)).object("settings");
+            return ((Codec.JsonObject) Codec.readValue(parser)).object("settings");
         }
     }
 
@@ -34,14 +34,14 @@
         "\"aim_ms\": 1000.0        | \"aim_ms\": -1         | classes[0].aim_ms is -1, allowed is",
         "\"peak_units\": 8.0       | \"peak_units\": 0      | contracts[0].peak_units is 0, allowed is",
         "\"effect\": \"idempotent\" | \"effect\": \"odd\"   | unknown effect"})
-    void whatNoDeploymentCanHaveIsNamedWithWhatIsAllowed(String from, String to, String message) throws IOException {
-        Codec.Fields config = settings(from, to);
-        assertThatThrownBy(() -> SettingsNotes.verified(Codec.settings(config), 3)).isInstanceOf(YardusherError.class).hasMessageContaining(message);
+    void outOfRangeSettingsAreRejectedWithTheAllowedRange(String from, String to, String message) throws IOException {
+        Codec.JsonObject config = settings(from, to);
+        assertThatThrownBy(() -> SettingsValidator.validate(Codec.parseSettings(config), 3)).isInstanceOf(YardusherError.class).hasMessageContaining(message);
     }
 
     @Test
-    void whatIsNotUsedIsToldAndNothingElse() throws IOException {
-        List<String> notes = SettingsNotes.unused(settings("\"second_copies\": false", "\"second_copies\": true"));
+    void onlyUnusedSettingsAreReported() throws IOException {
+        List<String> notes = SettingsValidator.listUnused(settings("\"second_copies\": false", "\"second_copies\": true"));
         assertThat(notes).anyMatch(note -> note.startsWith("limits.second_copies"))
                 .anyMatch(note -> note.startsWith("domain.counter")).anyMatch(note -> note.startsWith("clients.marks_retry"))
                 .noneMatch(note -> note.startsWith("domain.meter_ms") || note.contains("aim_stretch"));
