--- a/lab/src/yardusher/lab/capacity/Rows.java
+++ b/lab/src/yardusher/lab/capacity/Rows.java
@@ -2,7 +2,7 @@
 
 /** Counts the rows in a message between ingresses of a fleet of 120 to 14,399, of plans without a cap on open requests. */
 final class Rows {
-    private static final int FIRST = 7, KINDS = 4, FAULT = 2; // see yardusher.Digits and RowText
+    private static final int FIRST = 7, KINDS = 4, FAULT = 2; // see yardusher.Digits and RowMessage
     private static final int HEAD = 4, FIXED = 5 + 2 + 2 + 1, FAULT_FIXED = 6; // behind its tag: number, set, asked; a server and a class
 
     private Rows() { }
