--- a/src/main/java/yardusher/servers/Allowance.java
+++ b/src/main/java/yardusher/servers/Allowance.java
@@ -1,20 +1,20 @@
 package yardusher.servers;
 
 /**
- * How many connections there may be to each backend, and who is told of each. A connection counts from before it is dialled
- * until the backend has closed its side too: a close of ours alone does not prove that the backend has taken note of it. Where
- * nobody is asked, there are as many as the descriptors allow, and a close of ours is the end. In turns only.
+ * Limits the number of connections to each backend and is notified of each one. A connection counts from before it is dialled
+ * until the backend has closed its side too, because a local close does not prove that the backend has noticed it. Without an
+ * implementation, only the descriptor limit applies and a local close ends the connection. Called on the event loop only.
  */
 public interface Allowance {
-    /** A connection is to be dialled; false where none may be. */
+    /** Reserves a connection before it is dialled; false if the limit is reached. */
     boolean take(long backend);
 
-    /** A connection begins to close, or a dial is given up; its end is told later, however long the backend takes. */
+    /** A connection begins to close, or a dial is abandoned; {@link #ended} follows, however long the backend takes. */
     void leaving(long backend);
 
-    /** A connection is over at both ends, or a dial has come to nothing. */
+    /** A connection is closed at both ends, or a dial has failed. */
     void ended(long backend, boolean wasLeaving);
 
-    /** Whether a connection that has just answered is to be closed rather than kept. */
+    /** Whether a connection that has just delivered a response must be closed instead of being kept idle. */
     boolean isSurplus(long backend);
 }
--- a/src/main/java/yardusher/servers/BackendLink.java
+++ b/src/main/java/yardusher/servers/BackendLink.java
@@ -12,28 +12,28 @@
 import yardusher.resp.MalformedRespException;
 import yardusher.resp.Value;
 
-/** One connection to a backend, with at most one attempt on it. */
+/** One connection to a backend, carrying at most one attempt at a time. */
 final class BackendLink implements Connection.Owner {
     private final BackendPool pool;
     final BackendPool.Place place;
     final long backend;
     double idleSince;
-    /** An answer that has begun moves on soon, and is whole soon after; one that is not has a length that does not fit. */
+    /** A response that has begun must make progress in this time and complete in {@code WHOLE_MS}, else its length is wrong. */
     private static final double MOVES_MS = 250;
-    private static final double LOOK_MS = 50;        // and what came while nothing was read is read first
+    private static final double LOOK_MS = 50;        // extra time to read what arrived while the process was stalled
     private static final double WHOLE_MS = 1000;
 
     private Connection link;
     private Attempt attempt;
     private Deadlines.Entry wholeBy;
-    private ResponseStream flow;                               // a large value that is passed on as it comes
-    private long left;                               // bytes of it that have not come
-    private boolean carried;                         // a part is on its way to the terminal
-    private double startedAt;                        // when the first bytes of an answer came that is not whole
-    private double movedAt;                          // when the last part came or was taken
+    private ResponseStream flow;                               // a large value that is streamed to the client
+    private long left;                               // bytes of it not yet received
+    private boolean carried;                         // a chunk is being written to the terminal
+    private double startedAt;                        // when the first bytes of an incomplete response arrived
+    private double movedAt;                          // when the last chunk arrived or was accepted by the terminal
     private boolean used;
-    private boolean over;                            // closed from this side; the backend may not have closed yet
-    private boolean kept;                            // the attempt found it used by one before
+    private boolean over;                            // closed locally; the backend may not have closed yet
+    private boolean kept;                            // the current attempt reuses a connection that carried an earlier one
 
     BackendLink(BackendPool pool, BackendPool.Place place, long backend) {
         this.pool = pool;
@@ -46,10 +46,10 @@
         link.readMore();
     }
 
-    /** Whether it has carried an attempt. */
+    /** Whether this connection has carried an attempt. */
     boolean isUsed() { return used; }
 
-    /** Carries an attempt that was handed over: from here on it may have run, until its write fails. */
+    /** Writes an attempt to the connection: from here on it may have run, unless its write fails. */
     void carry(Attempt next, ByteBuffer... cargo) {
         attempt = next;
         kept = used;
@@ -58,7 +58,7 @@
         for (ByteBuffer part : cargo) { link.write(part); }
     }
 
-    /** Ends the connection from this side: to a backend that gives the attempt up. */
+    /** Closes the connection locally; the backend takes this as a cancellation of the attempt. */
     void close() {
         attempt = null;
         flow = null;
@@ -68,7 +68,7 @@
         pool.leaves(place, backend, link);
     }
 
-    /** A connection that nobody waits for any more by the time it is there. */
+    /** Closes a connection that no attempt needs any more by the time it is established. */
     static void drop(BackendPool pool, AsynchronousSocketChannel channel, Runnable then) {
         new Connection(channel, pool.sockets.loop(), new Connection.Owner() {
             @Override
@@ -97,7 +97,7 @@
         pool.sockets.loop().deadlines().cancel(wholeBy);
         wholeBy = null;
         Attempt.Result result = attempt == null ? null : result(value);
-        if (result == null) {                        // nobody asked, or not what this protocol answers
+        if (result == null) {                        // unsolicited, or not a valid response of this protocol
             spoilt();
             return false;
         }
@@ -106,8 +106,8 @@
     }
 
     /**
-     * Guards against an answer that never ends: its attempt would hold out till its deadline. A long one that keeps coming over a
-     * slow way, or is read late, is no such.
+     * Detects a response that never completes, which would otherwise hold its attempt until the deadline. A long response that keeps
+     * arriving over a slow path, or is read late, is not affected.
      */
     private void expectMore() {
         Deadlines deadlines = pool.sockets.loop().deadlines();
@@ -118,24 +118,24 @@
         wholeBy = endless ? deadlines.schedule(now, this::spoilt) : deadlines.schedule(now + MOVES_MS, this::look);
     }
 
-    /** Guards against a process that was held up: what came meanwhile is read before this time is over. */
+    /** Grants extra time in case this process was stalled: bytes that arrived meanwhile are read before it is over. */
     private void look() {
         Deadlines deadlines = pool.sockets.loop().deadlines();
         wholeBy = deadlines.schedule(pool.sockets.loop().now() + LOOK_MS, this::spoilt);
     }
 
-    /** The attempt has its answer: the connection waits for the next. */
+    /** The attempt has its response: the connection becomes idle. */
     private void served(Attempt.Result result) {
         Attempt ended = attempt;
         attempt = null;
         ended.abort = () -> { };
         pool.noteLost(kept, false);
-        // Guards the next attempt: what is behind the answer is no one's, and a command that is not written whole still goes out.
+        // Protects the next attempt: bytes behind the response belong to nobody, and a partly written command would still go out.
         if (link.decoder().isEmpty() && link.queuedBytes() == 0) { pool.rest(this); } else { close(); }
         pool.end(ended, result);
     }
 
-    /** A value too large to be held: it goes on as it comes. */
+    /** Starts streaming a value that is too large to buffer. */
     private boolean begins() {
         Deadlines deadlines = pool.sockets.loop().deadlines();
         deadlines.cancel(wholeBy);
@@ -153,8 +153,8 @@
     private void moved() { movedAt = pool.sockets.loop().now(); }
 
     /**
-     * Guards against a value that never ends, and against a terminal that takes no more of it: where nothing has moved
-     * for longer than any request is waited for, it is given up.
+     * Guards against a value that never ends, and against a terminal that stops reading it: the stream is abandoned if
+     * nothing has moved for longer than the longest deadline of any request.
      */
     private void watchFlow() {
         if (flow == null) { return; }
@@ -168,7 +168,7 @@
         pool.end(ended, Attempt.Result.of(carried ? Api.Outcome.CANCELLED : Api.Outcome.TIMED_OUT));
     }
 
-    /** Brings what has come to the terminal; nothing more is read until it has taken that. */
+    /** Forwards the received bytes to the terminal; nothing more is read until the terminal has accepted them. */
     private boolean flows() {
         if (carried) { return false; }
         if (left > 0) {
@@ -222,7 +222,7 @@
         }
     }
 
-    /** The attempt may have run and its answer is lost; what comes here next belongs to nobody. */
+    /** Fails the attempt, which may have run, and closes the connection: later bytes on it cannot be attributed. */
     private void spoilt() {
         Attempt ended = attempt;
         place.idle.remove(this);
@@ -231,8 +231,8 @@
     }
 
     /**
-     * What an answer means, or null for one of no known form. Guards against serving what was not made for the
-     * request, and against taking a spoilt line for a backend's word that it never ran.
+     * Interprets a response; null if its form is unknown. Guards against serving a value that does not belong to the
+     * request, and against taking a corrupted line for the backend's statement that the attempt never ran.
      */
     private Attempt.Result result(Value value) {
         if (value instanceof Value.ArrayValue many && many.items() != null && many.items().size() == 3
@@ -259,8 +259,8 @@
     }
 
     /**
-     * A report such as {@code inflight=7,queue=2,util=0.61}, in the order of the settings; null for one that cannot
-     * be read. Guards against a backend that looks idle because a figure is missing or no number.
+     * Parses a load report such as {@code inflight=7,queue=2,util=0.61} into the order of the settings; null if it is
+     * malformed. Guards against a backend that looks idle because a figure is missing or not a number.
      */
     private double[] load(String text) {
         List<Api.Metric> wanted = pool.report;
--- a/src/main/java/yardusher/servers/BackendPool.java
+++ b/src/main/java/yardusher/servers/BackendPool.java
@@ -20,19 +20,19 @@
 import yardusher.net.Sockets;
 
 /**
- * Connections to all backends. One attempt at a time on each: answers come in order, so a slow one would hold up
- * those behind it, and giving one up closes the connection. The most recently used is taken first.
+ * Connections to all backends. Each carries one attempt at a time: responses arrive in order, so a slow one would delay
+ * those behind it, and cancelling an attempt closes the connection. The most recently used idle connection is taken first.
  */
 public final class BackendPool implements Backends {
-    private static final double RETIRED_PART = 0.7;  // of the told idle time: never race the backend's own close
+    private static final double RETIRED_PART = 0.7;  // fraction of the configured idle time, so as not to race the backend's own close
     private static final double UPKEEP_MS = 1000;
-    private static final double SETTLED_MS = 30;     // a connection rests so long before it is used again
-    private static final double LATE_MS = 2000;      // a dial that nobody waits for any more may come up so long after it began
-    private static final int MOST_LATE = 2;          // such dials, and connections kept from them, at each backend
-    private static final double SECOND_PART = 0.2;   // of the dial's time: then a second one is begun beside it
-    private static final double NOTED = 0.05;        // weight of one attempt in what connections are held to lose
-    private static final double WORSE = 0.05;        // kept ones may lose so much more than new ones
-    private static final int LOOKS = 8;              // else one in so many attempts tries a kept one all the same
+    private static final double SETTLED_MS = 30;     // an idle connection is not reused before this time
+    private static final double LATE_MS = 2000;      // time limit of a dial that no attempt waits for any more
+    private static final int MOST_LATE = 2;          // such dials, and idle connections kept from them, per backend
+    private static final double SECOND_PART = 0.2;   // fraction of the dial timeout after which a second dial starts in parallel
+    private static final double NOTED = 0.05;        // weight of one attempt in the moving average of lost attempts
+    private static final double WORSE = 0.05;        // tolerated excess of the loss rate of reused connections over that of new ones
+    private static final int LOOKS = 8;              // beyond that, one in this many attempts still tries a reused connection
 
     final Sockets sockets;
     final Counters counters;
@@ -42,30 +42,30 @@
     private int mostConnections;
     final List<Api.Metric> report;
     private final Map<Long, Place> places = new HashMap<>();
-    private final Set<Long> banned = new HashSet<>(); // by hand
-    private double keptLost;                         // part of the attempts lost, lately, on kept connections
-    private double newLost;                          // and on new ones
+    private final Set<Long> banned = new HashSet<>(); // by an operator
+    private double keptLost;                         // recent fraction of attempts lost on reused connections
+    private double newLost;                          // and on new connections
     private int begun;
     private Ingress ingress;
-    private Allowance allowance;                     // null where connections are not divided
+    private Allowance allowance;                     // null if connections are not limited per backend
     int connections;
-    private int leaving;                             // of those, closed from this side and not yet by the backend
+    private int leaving;                             // of these, closed locally and not yet by the backend
 
-    /** A backend of the service table, the connections that stand idle there, and the attempts that wait for one. */
+    /** A backend of the service table, its idle connections, and the attempts that wait for a connection. */
     static final class Place {
         InetSocketAddress address;
         boolean draining;
         final ArrayDeque<BackendLink> idle = new ArrayDeque<>();
-        final Set<Attempt> dialling = new HashSet<>(); // where connections are divided
-        final ArrayDeque<Wait> waiting = new ArrayDeque<>(); // the longest first
+        final Set<Attempt> dialling = new HashSet<>(); // with an allowance only
+        final ArrayDeque<Wait> waiting = new ArrayDeque<>(); // the longest waiting first
         final ArrayDeque<Dial> dials = new ArrayDeque<>(); // the oldest first
-        int open;                                    // connections, from before the dial to the end
+        int open;                                    // connections, counted from before the dial to the close
         int leaving;
 
         Place(InetSocketAddress address) { this.address = address; }
     }
 
-    /** An attempt that waits for a connection of its backend, whichever comes first. */
+    /** An attempt that waits for the next available connection to its backend. */
     private static final class Wait {
         final Attempt attempt;
         final ByteBuffer[] cargo;
@@ -79,7 +79,7 @@
         }
     }
 
-    /** A connection on its way, for the attempt that asked for it, or whoever waits when it comes up. */
+    /** A dial in progress, for the attempt that started it or for whichever attempt waits once it succeeds. */
     private static final class Dial {
         final Wait owner;
         Runnable drop;
@@ -87,7 +87,7 @@
         Dial(Wait owner) { this.owner = owner; }
     }
 
-    /** {@code stallMs}: a large value of which nothing moves for so long is given up. */
+    /** {@code stallMs}: time without progress after which a streamed value is abandoned. */
     public BackendPool(Sockets sockets, Counters counters, List<Api.Metric> report, double dialMs, double idleMs,
             double stallMs, int mostConnections) {
         this.stallMs = stallMs;
@@ -100,25 +100,25 @@
         sockets.loop().deadlines().schedule(sockets.loop().now() + UPKEEP_MS, this::upkeep);
     }
 
-    /** How many connections are held at the most; idle ones beyond that close. */
+    /** Sets the maximum number of connections and closes idle ones in excess of it. */
     public void limit(int most) {
         mostConnections = most;
         while (connections - leaving > mostConnections && closeOneIdle()) { /* one by one */ }
     }
 
-    /** Connections held, also those on their way up or down. */
+    /** Open connections, including those being dialled or closed. */
     public int held() { return connections; }
 
-    /** From now on no connection is opened without a word of this; before any is. */
+    /** Consults the allowance for each connection from now on; must be set before the first connection is opened. */
     public void allow(Allowance by) { allowance = by; }
 
-    /** Connections to a backend that carry an attempt, or are dialled for one. */
+    /** Connections to a backend that carry an attempt or are being dialled for one. */
     public int busy(long backend) {
         Place place = places.get(backend);
         return place == null ? 0 : place.open - place.leaving - place.idle.size();
     }
 
-    /** Closes so many connections of a backend that stand idle, the longest idle first; the result says how many there were. */
+    /** Closes up to {@code count} idle connections of a backend, the longest idle first, and returns the number closed. */
     public int shed(long backend, int count) {
         Place place = places.get(backend);
         int closed = 0;
@@ -128,7 +128,7 @@
 
     public void serve(Ingress core) { ingress = core; }
 
-    /** The service table names a backend, at this address now. */
+    /** Adds a backend of the service table, or updates its address. */
     public void place(long backend, InetSocketAddress address) {
         Place place = places.computeIfAbsent(backend, r -> new Place(address));
         place.draining = false;
@@ -140,8 +140,8 @@
     }
 
     /**
-     * A backend drains or is gone: what stands idle there is closed at once, and what is still being dialled has sent
-     * nothing and goes elsewhere. Guards against a dial that comes up after the grace of a drain, and is then written to.
+     * A backend drains or is gone: its idle connections are closed at once, and attempts still being dialled, which have sent
+     * nothing, are retried elsewhere. Otherwise a dial could succeed after the grace period of the drain and be written to.
      */
     public void leave(long backend, boolean forget) {
         Place place = forget ? places.remove(backend) : places.get(backend);
@@ -151,7 +151,7 @@
         dropDialling(place);
     }
 
-    /** Told once this turn's news have reached the module: it must not choose by the list before. */
+    /** Reports the failures after the current event-loop task, so that the module does not choose by the outdated list. */
     private void dropDialling(Place place) {
         for (Attempt attempt : Set.copyOf(place.dialling)) {
             attempt.abort.run();
@@ -171,8 +171,8 @@
     }
 
     /**
-     * A backend is kept out by hand, or no longer. What is out there already ends as in a drain; what is still being
-     * dialled has sent nothing and ends at once.
+     * Bans a backend on an operator's command, or lifts the ban. Attempts in flight end as in a drain; attempts still being
+     * dialled have sent nothing and end at once.
      */
     public void ban(long backend, boolean out) {
         if (!out) {
@@ -188,7 +188,7 @@
     @Override
     public boolean isAvailable(long backend) { return isOpen(places.get(backend), backend); }
 
-    /** Whether attempts may begin there: it is listed, does not drain, and is not out by hand. */
+    /** Whether attempts may start there: the backend is listed, not draining and not banned. */
     private boolean isOpen(Place place, long backend) {
         return place != null && places.get(backend) == place && !place.draining && !banned.contains(backend);
     }
@@ -203,7 +203,7 @@
             return;
         }
         if (connections - leaving >= mostConnections && !closeOneIdle()) {
-            // Guards the descriptor limit: past the budget nothing was sent, so the module may go elsewhere.
+            // Keeps to the descriptor limit: nothing was sent, so the module may try another backend.
             sockets.loop().defer(() -> end(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED)));
             return;
         }
@@ -217,14 +217,14 @@
         place.waiting.addLast(wait);
         attempt.abort = () -> stop(place, wait);
         wait.limit = deadlines.schedule(now + dialMs, () -> fails(place, wait));
-        // A dial that does not come up is often lost alone: a second one beside it comes up sooner than the first would fail.
+        // A lost handshake often affects one dial only: a second one in parallel succeeds sooner than the first would fail.
         wait.second = deadlines.schedule(now + dialMs * SECOND_PART, () -> {
             if (!wait.over && connections < mostConnections) { dial(place, wait); }
         });
         dial(place, wait);
     }
 
-    /** Hands an attempt to a connection; false where nothing of it may be sent any more, and it ends as never sent. */
+    /** Hands an attempt to a connection; false if it may no longer be sent, and then it ends as never sent. */
     private boolean carries(BackendLink link, Attempt attempt, ByteBuffer... cargo) {
         double now = sockets.loop().now();
         if (attempt.handToSocket(now)) {
@@ -260,7 +260,7 @@
         };
     }
 
-    /** A new connection goes to who asked for it, else to who has waited for longest, else it is kept: it has cost its dial. */
+    /** Gives a new connection to the attempt that dialled it, else to the longest waiting one, else keeps it idle. */
     private void cameUp(BackendLink link, Wait owner) {
         Place place = link.place;
         for (Wait next = owner.over ? place.waiting.peek() : owner; next != null; next = place.waiting.peek()) {
@@ -275,7 +275,7 @@
         }
     }
 
-    /** An attempt waits no more; dials that nobody waits for may still come up, as many as are of use. */
+    /** Removes a waiting attempt; up to {@code MOST_LATE} dials without an owner may still complete. */
     private void stop(Place place, Wait wait) {
         wait.over = true;
         sockets.loop().deadlines().cancel(wait.limit);
@@ -293,7 +293,7 @@
         end(wait.attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED));
     }
 
-    /** A connection has rested: who waits for a dial has it instead. */
+    /** Gives a connection that may be reused again to an attempt that waits for a dial. */
     private void serveWaiting(Place place) {
         if (place.waiting.isEmpty() || keepingLoses()) { return; }
         BackendLink link = settled(place);
@@ -303,13 +303,13 @@
     }
 
     /**
-     * Dials where each connection counts until its very end. One that has just answered is used rather than none; a dial that is
-     * given up goes on, since a backend may have accepted it already, and closes once it is there.
+     * Dials under an allowance, where each connection counts until both ends have closed it. If none may be dialled, an idle
+     * connection is reused without waiting. An abandoned dial continues, since the backend may have accepted it, and then closes.
      */
     private void counted(Place place, Attempt attempt, ByteBuffer... cargo) {
         if (!allowance.take(attempt.backend)) {
             BackendLink resting = place.idle.pollFirst();
-            if (resting == null) {                   // known before the choice, but for what this very turn changed
+            if (resting == null) {                   // the module checks this beforehand; only a change within this task leads here
                 sockets.loop().defer(() -> end(attempt, Attempt.Result.of(Api.Outcome.NOT_SENT)));
             } else {
                 counters.connectionsReused++;
@@ -357,7 +357,7 @@
         };
     }
 
-    /** A connection is closed from this side. */
+    /** Closes a connection locally. */
     void leaves(Place place, long backend, Connection link) {
         if (allowance == null) {
             over(place, backend, false);
@@ -374,7 +374,7 @@
         allowance.leaving(backend);
     }
 
-    /** A connection is over, or a dial came to nothing. */
+    /** A connection is closed, or a dial has failed. */
     void over(Place place, long backend, boolean wasLeaving) {
         connections--;
         place.open--;
@@ -385,21 +385,22 @@
         if (allowance != null) { allowance.ended(backend, wasLeaving); }
     }
 
-    /** How an attempt's connection ended, or that it did not. */
+    /** Records whether an attempt was lost with its connection. */
     void noteLost(boolean kept, boolean lost) {
         double now = lost ? 1 : 0;
         if (kept) { keptLost += NOTED * (now - keptLost); } else { newLost += NOTED * (now - newLost); }
     }
 
     /**
-     * Guards against backends, or what stands before them, that reset a kept connection at its next request: each
-     * time it may have run. A new connection costs a handshake, and one that is refused proves that nothing ran.
+     * Whether reused connections lose clearly more attempts than new ones. Some backends, or proxies before them, reset a kept
+     * connection at its next request, which may have run by then. A new connection costs a handshake, but a refused one proves
+     * that nothing ran.
      */
     private boolean keepingLoses() { return keptLost > newLost + WORSE; }
 
     /**
-     * The most recently used connection that has rested. Guards against a second copy or noise right behind an
-     * answer: it would be taken for the answer to what is written next.
+     * Takes the most recently used connection that has been idle for {@code SETTLED_MS}. A duplicate or stray bytes right behind
+     * a response would otherwise be taken for the response to the next command.
      */
     private BackendLink settled(Place place) {
         double before = sockets.loop().now() - SETTLED_MS;
@@ -414,7 +415,7 @@
     }
 
     private boolean closeOneIdle() {
-        for (Place place : places.values()) {        // a dial that may never come up gives way first
+        for (Place place : places.values()) {        // a dial that may never succeed is closed first
             Dial oldest = place.dials.peek();
             if (oldest != null && oldest.owner.over && place.waiting.isEmpty()) {
                 oldest.drop.run();
@@ -437,7 +438,7 @@
 
     void end(Attempt attempt, Attempt.Result result) { ingress.attemptEnded(attempt, result); }
 
-    /** An attempt ended in order: its connection waits for the next. */
+    /** An attempt completed normally: its connection becomes idle. */
     void rest(BackendLink link) {
         link.idleSince = sockets.loop().now();
         boolean enough = keepingLoses() && !link.place.idle.isEmpty() || allowance != null && allowance.isSurplus(link.backend);
