--- a/src/main/java/yardusher/discovery/Backoff.java
+++ b/src/main/java/yardusher/discovery/Backoff.java
@@ -3,8 +3,8 @@
 import java.util.SplittableRandom;
 
 /**
- * How long a watch waits before it asks again: doubling from the first wait up to the most, each drawn from half to one
- * and a half times that. Guards discovery against all ingresses of a fleet that lost it at the same moment.
+ * Exponential backoff with jitter: the delay doubles up to the maximum, and each is drawn from 0.5 to 1.5 times its value.
+ * Keeps the ingresses of a fleet, which lose discovery at the same moment, from reconnecting at the same moment.
  */
 final class Backoff {
     private final double firstMs;
@@ -19,16 +19,16 @@
         waitMs = firstMs;
     }
 
-    /** The next wait, in milliseconds. */
+    /** The next delay, in milliseconds. */
     double next() {
         double wait = spread(waitMs);
         waitMs = Math.min(mostMs, 2 * waitMs);
         return wait;
     }
 
-    /** A time of about so long, another for each who asks. */
+    /** Applies the jitter to a duration. */
     double spread(double ms) { return ms * (0.5 + random.nextDouble()); }
 
-    /** Discovery speaks: the next loss begins anew. */
+    /** Discovery has responded: the next loss starts with the first delay. */
     void reset() { waitMs = firstMs; }
 }
--- a/src/main/java/yardusher/discovery/ChunkedLines.java
+++ b/src/main/java/yardusher/discovery/ChunkedLines.java
@@ -19,14 +19,14 @@
 import org.apache.hc.core5.util.CharArrayBuffer;
 
 /**
- * Reads the lines of an HTTP/1.x answer as its bytes come: of a chunked one, of one with a length, and of one without any, which
- * lasts until its connection ends. Heads and chunks are read by HttpCore's parsers, which need no transport of theirs: the bytes
- * are those of our own reads. Bounded: 64 lines of 8 KiB of a head, 8 interim heads (1xx) before the answer's, 4 MiB of a line of
- * the list. What is not such an answer, or not of code 200, is an {@link IOException}; after one, nothing more is fed.
+ * Incremental reader for the lines of an HTTP/1.x response: chunked, with a Content-Length, or without either, in which case it
+ * lasts until the connection ends. HttpCore's parsers read heads and chunks from the bytes that are fed, without its transport.
+ * Bounds: 64 head lines of 8 KiB, 8 interim (1xx) heads before the final one, 4 MiB per line of the body. Anything else, or a
+ * status other than 200, is an {@link IOException}, after which nothing more may be fed.
  */
 final class ChunkedLines {
     private static final int MOST_HEAD_LINE = 8 * 1024;
-    private static final int MOST_FED = 8 * 1024;    // bytes at a time; more is fed in parts
+    private static final int MOST_FED = 8 * 1024;    // bytes; longer input is split
     private static final int MOST_LINE = 4 << 20;
     private static final int MOST_INTERIM = 8;
     private static final long UNSTATED = Long.MAX_VALUE;
@@ -34,10 +34,10 @@
 
     private final Bytes bytes = new Bytes();
     private final DefaultHttpResponseParser<HttpResponse> head = new DefaultHttpResponseParser<>(DefaultHttpResponseFactory.INSTANCE, LIMITS);
-    private int interim;                             // heads before the answer's own
-    private boolean begun;                           // the head is whole
-    private ChunkDecoder chunks;                     // null where the body is not chunked
-    private long left;                               // bytes of a body that is not chunked, UNSTATED up to its connection's end
+    private int interim;                             // interim (1xx) heads received
+    private boolean begun;                           // the head is complete
+    private ChunkDecoder chunks;                     // null if the body is not chunked
+    private long left;                               // remaining bytes of a body that is not chunked, or UNSTATED
     private final ByteBuffer part = ByteBuffer.allocate(4096);
     private final ByteArrayOutputStream line = new ByteArrayOutputStream(4096);
     private final ArrayDeque<String> lines = new ArrayDeque<>();
@@ -48,8 +48,8 @@
             try {
                 if (!begun) { head(); }
                 if (begun) { body(); }
-            } catch (HttpException | RuntimeException e) { // the latter of a chunk's size below nothing
-                throw new IOException("no answer of HTTP/1.1: " + e.getMessage(), e);
+            } catch (HttpException | RuntimeException e) { // the latter for a negative chunk size
+                throw new IOException("malformed HTTP/1.1 response: " + e.getMessage(), e);
             }
         }
     }
@@ -57,7 +57,7 @@
     private void head() throws IOException, HttpException {
         HttpResponse answer = head.parse(bytes, false);
         while (answer != null && answer.getCode() >= 100 && answer.getCode() < 200 && answer.getCode() != 101) {
-            if (++interim > MOST_INTERIM) { throw new IOException("answered " + answer.getCode() + " over and over"); }
+            if (++interim > MOST_INTERIM) { throw new IOException("too many interim responses, the last " + answer.getCode()); }
             head.reset();
             answer = head.parse(bytes, false);
         }
@@ -68,23 +68,23 @@
         if (coding.equalsIgnoreCase("chunked")) {
             chunks = new ChunkDecoder(bytes, bytes, LIMITS, new BasicHttpTransportMetrics());
         } else if (!coding.equalsIgnoreCase("identity")) {
-            throw new IOException("answer is coded as " + coding);
+            throw new IOException("unsupported Transfer-Encoding " + coding);
         } else if (answer.containsHeader("Content-Length")) {
             String length = header(answer, "Content-Length");
-            if (!length.matches("[0-9]{1,18}")) { throw new IOException("answer has the length " + length); }
+            if (!length.matches("[0-9]{1,18}")) { throw new IOException("invalid Content-Length " + length); }
             left = Long.parseLong(length);
         } else {
             left = UNSTATED;
         }
     }
 
-    /** A header's one value, without its parameters; the same one twice is one. */
+    /** The single value of a header without its parameters; equal repeated values count as one. */
     private static String header(HttpResponse answer, String name) throws IOException {
         String value = null;
         for (Header header : answer.getHeaders(name)) {
             for (String one : header.getValue().split(",", -1)) {
                 String next = one.split(";", 2)[0].strip();
-                if (value != null && !value.equalsIgnoreCase(next)) { throw new IOException("answer has two of " + name); }
+                if (value != null && !value.equalsIgnoreCase(next)) { throw new IOException("conflicting values of header " + name); }
                 value = next;
             }
         }
@@ -114,10 +114,10 @@
 
     String next() { return lines.poll(); }
 
-    /** Whether the answer is whole. One of no stated length never is by itself. */
+    /** Whether the response is complete; never true for one of unstated length. */
     boolean ended() { return begun && (chunks != null ? chunks.isCompleted() : left == 0); }
 
-    /** Takes what stands without a line's end, once no more will come; null for nothing. */
+    /** Takes the last, unterminated line once no more input will come; null if there is none. */
     String rest() {
         if (line.size() == 0) { return null; }
         String rest = line.toString(StandardCharsets.UTF_8);
@@ -125,7 +125,7 @@
         return rest;
     }
 
-    /** What was fed and not yet read: never more than a line of a head or of a chunk's size, and one feed. It is filled by us alone. */
+    /** Bytes fed and not yet parsed: at most one line of a head or chunk size plus one feed. Only {@link #add} fills it. */
     private static final class Bytes implements SessionInputBuffer, ReadableByteChannel {
         private final ByteBuffer buffer = ByteBuffer.allocate(MOST_HEAD_LINE + MOST_FED).flip();
 
@@ -140,7 +140,7 @@
                 buffer.position(i + 1);
                 return true;
             }
-            if (buffer.remaining() >= MOST_HEAD_LINE) { throw new IOException("answer's head too long"); }
+            if (buffer.remaining() >= MOST_HEAD_LINE) { throw new IOException("response head too long"); }
             return false;
         }
 
@@ -177,6 +177,6 @@
         public boolean isOpen() { return true; }
 
         @Override
-        public void close() { /* nothing is held */ }
+        public void close() { /* holds no resource */ }
     }
 }
--- a/src/main/java/yardusher/discovery/DiscoveredBackends.java
+++ b/src/main/java/yardusher/discovery/DiscoveredBackends.java
@@ -19,21 +19,21 @@
 import yardusher.servers.BackendPool;
 import yardusher.wire.Codec;
 
-/** The service table: discovery's list as it was last told, and what each word of it means to the module. */
+/** The service table: the backends last reported by discovery, decoded into the module's messages. */
 public final class DiscoveredBackends {
     private static final JsonFactory JSON = new JsonFactory();
-    private static final int MOST_TOLD = 4096;       // ids remembered, also of regions that have gone
+    private static final int MOST_TOLD = 4096;       // ids remembered, including those of removed regions
     private static final double MOST_REVISION = 0x1p62;
 
     private final List<String> zones;
     private final BackendPool pool;
     private final Map<Long, InetSocketAddress> known = new LinkedHashMap<>();
-    /** Ids as they were told, for as long as there are no more than MOST_TOLD newer ones. */
+    /** The last MOST_TOLD ids that were reported, oldest first. */
     private final Set<String> told = new LinkedHashSet<>();
     private final Map<Long, Api.Server> listed = new LinkedHashMap<>();
-    private Runnable follower;                       // null for none
+    private Runnable follower;                       // null if there is none
     private long revision;
-    private int unread;                              // entries of the last news
+    private int unread;                              // unreadable entries of the last update
 
     public DiscoveredBackends(List<String> zones, BackendPool pool) {
         this.zones = zones;
@@ -42,30 +42,30 @@
 
     public long revision() { return revision; }
 
-    /** How many regions are listed now. */
+    /** Number of regions listed now. */
     public int size() { return known.size(); }
 
-    /** The regions listed now, as they were told last. */
+    /** The regions listed now, as last reported. */
     public Map<Long, Api.Server> listed() { return listed; }
 
-    /** Runs after each change, before the module is told of it. */
+    /** Sets a listener that runs after each change, before the module is notified. */
     public void follow(Runnable next) { follower = next; }
 
-    /** A region as it was last told, null where it is not listed. */
+    /** A region as last reported, null if it is not listed. */
     public Api.Server listed(long id) { return listed.get(id); }
 
-    /** Whether a zone has a region listed that is not on its way out. */
+    /** Whether a zone has a listed region that is ready. */
     public boolean hasZone(int zone) {
         return listed.values().stream().anyMatch(one -> one.zone() == zone && one.readiness() == Api.Readiness.READY);
     }
 
-    /** Whether a region of this id is listed or was once, among the last 4,096 told. */
+    /** Whether a region of this id is listed or was among the last 4,096 reported. */
     public boolean everListed(String id) { return told.contains(id); }
 
-    /** Reads one JSON object of a watch and takes it in; an {@link IOException} where nothing in it can be used, which changes nothing. */
+    /** Parses and applies one JSON object of a watch; an {@link IOException} if it is unusable, and then nothing changes. */
     public Api.ServerList line(String text) throws IOException { return take(read(text)); }
 
-    /** One JSON object of a watch, with a version that can be asked for. */
+    /** Parses one JSON object of a watch and checks its revision. */
     static Codec.JsonObject read(String text) throws IOException {
         try (JsonParser parser = JSON.createParser(text)) {
             if (parser.nextToken() != JsonToken.START_OBJECT || !(Codec.readValue(parser) instanceof Codec.JsonObject fields)) {
@@ -77,33 +77,33 @@
             }
             return fields;
         } catch (RuntimeException e) {
-            throw new IOException("bad news: " + e.getMessage(), e);
+            throw new IOException("invalid update: " + e.getMessage(), e);
         }
     }
 
-    /** The version that news tell, or the one known where they name none. */
+    /** The revision of an update, or the known one if it names none. */
     long revision(Codec.JsonObject news) { return news.has("revision") ? news.wholeNumber("revision") : revision; }
 
-    /** How many entries of the last news could not be read. */
+    /** Number of entries of the last update that could not be read. */
     int unread() { return unread; }
 
-    /** Takes news in, as {@link #take(Codec.Fields, Api.ListKind)} does with {@code as} null. */
+    /** Applies an update as {@link #take(Codec.JsonObject, Api.ListKind)} does with {@code as} null. */
     Api.ServerList take(Codec.JsonObject news) throws IOException { return takeBut(news, Set.of()); }
 
-    /** The same of news that are older than what is known of these backends: they go untouched, and nobody is forgotten for being absent. */
+    /** The same for an update older than what is known of the {@code newer} backends: these stay unchanged, and absent ones are kept. */
     Api.ServerList takeBut(Codec.JsonObject news, Set<Long> newer) throws IOException {
         try {
             return take(news, null, newer);
         } catch (RuntimeException e) {
-            throw new IOException("bad entry: " + e.getMessage(), e);
+            throw new IOException("invalid entry: " + e.getMessage(), e);
         }
     }
 
     /**
-     * Takes news in; {@code as} null goes by the object's own word on whether it is complete. Entries that cannot be read are passed
-     * over and counted in {@link #unread}; nothing is forgotten then, the version known stays, and a backend known by such an entry's
-     * id gets nothing new until it is told of again. Where {@code as} is given, where no entry can be read, or where a complete list without entries
-     * would end all that is known, it is a {@link yardusher.error.YardusherError} that changes nothing.
+     * Applies an update; with {@code as} null the object's own field says whether it is complete. Unreadable entries are skipped and
+     * counted in {@link #unread}; then no backend is removed, the known revision stays, and a known backend with such an entry gets no
+     * new attempts until it is reported again. If {@code as} is given, no entry is readable, or a complete list without entries would
+     * remove all backends, a {@link yardusher.error.YardusherError} is thrown and nothing changes.
      */
     public Api.ServerList take(Codec.JsonObject news, Api.ListKind as) { return take(news, as, Set.of()); }
 
@@ -116,7 +116,7 @@
         List<?> members = as == Api.ListKind.CACHED ? news.objectsOrEmpty("members") : news.list("members");
         RuntimeException bad = null;
         int unreadable = 0;
-        for (Object member : members) {              // read whole before anything is changed
+        for (Object member : members) {              // everything is parsed before anything is changed
             try {
                 Codec.JsonObject entry = entry(member);
                 Api.Server server = checked(entry, zone(entry));
@@ -130,16 +130,16 @@
             }
         }
         if (bad != null && (as != null || unreadable == members.size())) { throw bad; }
-        // Guards the service against a list that was lost and not emptied: who has lost it tells of nothing at all.
-        if (complete && as == null && members.isEmpty() && !known.isEmpty()) { throw new WireError.Malformed(null, "lists nothing at all"); }
+        // An empty complete list more likely means that discovery lost its data than that all backends are gone.
+        if (complete && as == null && members.isEmpty() && !known.isEmpty()) { throw new WireError.Malformed(null, "complete list without entries"); }
         unread = unreadable;
         if (bad != null) {
             complete = false;
-            next = revision;                         // what could not be read is told again
+            next = revision;                         // so that unreadable entries are sent again
             doubtful(members, ids, servers, addresses);
         }
         for (String id : ids) {
-            told.remove(id);                         // the newest stand last
+            told.remove(id);                         // moves it to the newest end
             told.add(id);
             if (told.size() > MOST_TOLD) { told.remove(told.iterator().next()); }
         }
@@ -168,7 +168,7 @@
         throw new WireError.Malformed(null, "needs objects in \"members\"");
     }
 
-    /** Adds as draining who is known and whose entry, of a legible id, was not read. */
+    /** Adds, as draining, each known backend whose entry has a readable id but could not be read otherwise. */
     private void doubtful(List<?> members, List<String> read, List<Api.Server> servers, List<InetSocketAddress> addresses) {
         Set<String> named = new HashSet<>(read);
         for (Object member : members) {
@@ -189,8 +189,8 @@
     }
 
     /**
-     * Guards against attempts for a region that has gone which reach the one that has its address now: where a new
-     * id comes at the address of a known one that these news do not name, the known one is gone.
+     * Marks a known backend as gone if a new id appears at its address and the update does not name the known one. Otherwise
+     * attempts for the former region would reach the one that has its address now.
      */
     private void replaced(List<Api.Server> servers, List<InetSocketAddress> addresses) {
         Map<InetSocketAddress, List<Long>> at = null;
@@ -199,7 +199,7 @@
         for (int i = servers.size() - 1; i >= 0; i--) {
             InetSocketAddress address = addresses.get(i);
             if (address == null || known.containsKey(servers.get(i).id())) { continue; }
-            if (at == null) {                        // once: each entry of a long list may be new
+            if (at == null) {                        // built once: each entry of a long list may be new
                 at = new HashMap<>();
                 for (Map.Entry<Long, InetSocketAddress> one : known.entrySet()) {
                     at.computeIfAbsent(one.getValue(), none -> new ArrayList<>()).add(one.getKey());
@@ -219,7 +219,7 @@
         pool.leave(id, true);
     }
 
-    /** An entry that cannot be used is a {@link yardusher.error.YardusherError} that says why. */
+    /** Validates an entry; a {@link yardusher.error.YardusherError} says why it is unusable. */
     public static void checked(Codec.JsonObject member) {
         if (checked(member, 0).readiness() != Api.Readiness.GONE) { Sockets.parseAddress(member.text("host_port")); }
         if (member.has("locality")) { member.text("locality"); }
@@ -229,49 +229,49 @@
         Api.Readiness readiness = switch (member.text("phase")) {
             case "Ready" -> Api.Readiness.READY;
             case "Gone" -> Api.Readiness.GONE;
-            default -> Api.Readiness.DRAINING;       // also a phase not known yet: send it nothing new
+            default -> Api.Readiness.DRAINING;       // also for an unknown phase: no new attempts
         };
         long id = id(member.text("id"));
-        // Guards against repeats to a backend that never saw the key: those of which no cell is told share none.
+        // Backends without a cell share none, so that no retry goes to a backend that never saw the key.
         int cell = member.has("cell") ? (int) member.number("cell") : alone(id);
         return new Api.Server(id, zone, cell, member.number("size", 1), member.number("up_since_ms", 0), readiness);
     }
 
     /**
-     * Ids are the same at every ingress; as numbers they fit the module's messages. Ids of the platform's form are their
-     * digits. Any other is drawn whole: of {@code web-1} and {@code db-1} each is itself.
+     * Converts an id to the number used in the module's messages, the same at every ingress. An id of the platform's form
+     * is its hex digits; any other is hashed as a whole, so that {@code web-1} and {@code db-1} differ.
      */
     public static long id(String text) {
         if (text.startsWith("s-") && text.length() > 2 && text.length() <= 10) {
             try {
                 return Long.parseUnsignedLong(text, 2, text.length(), 16);
-            } catch (NumberFormatException e) { /* of another form */ }
+            } catch (NumberFormatException e) { /* not of the platform's form */ }
         }
         return drawn(text);
     }
 
-    /** 32 bits that tell one text from another, the same everywhere. */
+    /** A 32-bit hash of a text, the same at every ingress. */
     private static long drawn(String text) {
-        long bits = 0xCBF29CE484222325L;             // FNV-1a, mixed at the end
+        long bits = 0xCBF29CE484222325L;             // FNV-1a with a final mix
         for (int i = 0; i < text.length(); i++) { bits = (bits ^ text.charAt(i)) * 0x100000001B3L; }
         bits = (bits ^ bits >>> 32) * 0xD6E8FEB86659FD93L;
         return bits >>> 32;
     }
 
-    /** A zone or cell that no other backend has, far beyond the told ones. */
+    /** A zone or cell number that no other backend has, far above the reported ones. */
     private static int alone(long id) { return 1 << 30 | (int) (id & 0x3FFFFFFF); }
 
     /**
-     * The number of a backend's zone. A locality is the zone's name, or the end of just one zone's name behind a dash, or,
-     * where no name tells, its letter in the alphabet. One that the settings don't name is a zone of its own, the same at
-     * every ingress; a backend with none is alone in its zone, unless there is only one.
+     * The number of a backend's zone. A locality matches a zone by its full name, or as the suffix behind a dash of exactly one
+     * zone's name, or, if no zone's name carries a letter, by its position in the alphabet. An unmatched locality is a zone of its
+     * own, the same at every ingress; a backend without a locality is alone in its zone, unless at most one zone is configured.
      */
     private int zone(Codec.JsonObject member) {
         if (!member.has("locality")) { return zones.size() <= 1 ? 0 : alone(id(member.text("id"))); }
         String locality = member.text("locality");
         int named = zones.indexOf(locality), ends = 0, at = -1;
         if (named >= 0) { return named; }
-        boolean lettered = false;                    // some zone's name tells its letter
+        boolean lettered = false;                    // some zone's name ends in a letter behind a dash or is one letter
         for (int i = 0; i < zones.size(); i++) {
             String zone = zones.get(i);
             if (zone.endsWith("-" + locality)) {
--- a/src/main/java/yardusher/discovery/ObjectLines.java
+++ b/src/main/java/yardusher/discovery/ObjectLines.java
@@ -3,19 +3,19 @@
 import java.io.IOException;
 
 /**
- * Puts the lines of a watch together to whole JSON objects: a list may come on one line or indented over several. An empty
- * line between objects says that nothing has changed. Holds one object at the most, of 4 MiB and 64 levels at the most.
+ * Assembles the lines of a watch into JSON objects: a list may come on one line or be indented over several. An empty line
+ * between objects is a keep-alive. Holds at most one object, of at most 4 MiB and 64 levels.
  */
 final class ObjectLines {
     private static final int MOST_OBJECT = 4 << 20;
-    private static final int MOST_DEPTH = 64;        // a list has three
+    private static final int MOST_DEPTH = 64;        // a list of backends has three levels
 
     private final StringBuilder part = new StringBuilder();
     private int depth;
 
-    /** The object that ends with this line, or an empty text for an empty line between objects; null while one is not whole. */
+    /** The object that ends with this line, or an empty text for an empty line between objects; null while one is incomplete. */
     String add(String line) throws IOException {
-        if (depth == 0 && (line.isBlank() || !line.stripLeading().startsWith("{"))) { return line; } // nothing, or nothing that can be read
+        if (depth == 0 && (line.isBlank() || !line.stripLeading().startsWith("{"))) { return line; } // a keep-alive, or not an object
         boolean inText = false;
         for (int i = 0; i < line.length(); i++) {
             char c = line.charAt(i);
@@ -24,12 +24,12 @@
             } else if (c == '"') {
                 inText = true;
             } else if (c == '{' || c == '[') {
-                if (++depth > MOST_DEPTH) { throw new IOException("object too deep"); } // guards the stack of who reads it
+                if (++depth > MOST_DEPTH) { throw new IOException("object too deep"); } // protects the parser's stack
             } else if (c == '}' || c == ']') {
                 depth--;
             }
         }
-        if (inText) { throw new IOException("object is cut off within a text"); } // no text of JSON goes over a line's end
+        if (inText) { throw new IOException("line ends inside a JSON string"); } // a JSON string cannot span lines
         if (part.length() + line.length() > MOST_OBJECT) { throw new IOException("object too long"); }
         if (depth <= 0 && part.isEmpty()) {
             depth = 0;
--- a/src/main/java/yardusher/discovery/Watch.java
+++ b/src/main/java/yardusher/discovery/Watch.java
@@ -19,9 +19,9 @@
 import yardusher.wire.Codec;
 
 /**
- * The watch on discovery: one HTTP answer that stays open. When it ends or falls silent, or discovery is to be found
- * at another address, it is asked for anew; the old one is heard until the new one has spoken. {@link WatchClock} decides
- * when; this is its sockets.
+ * The watch on discovery: a long-lived HTTP response. When it ends or falls silent, or discovery moves to another address, a
+ * new one is requested; the old one stays in use until the new one has delivered its first object. {@link WatchClock} decides
+ * when to connect; this class does the socket I/O.
  */
 public final class Watch {
     private static final double AGAIN_MS = 100;
@@ -34,11 +34,11 @@
     private final Counters counters;
     private InetSocketAddress address;
     private final WatchClock clock;
-    private final Map<Integer, Stream> streams = new HashMap<>(); // three at the most
-    private Deadlines.Entry pending;                 // the clock's next look
+    private final Map<Integer, Stream> streams = new HashMap<>(); // at most three
+    private Deadlines.Entry pending;                 // the next call of the clock
     private double pendingAt = Double.POSITIVE_INFINITY;
-    private Runnable awaits;                         // the first news, or null
-    private boolean spoken;                          // discovery has told something
+    private Runnable awaits;                         // runs after the first update, or null
+    private boolean spoken;                          // discovery has sent an update
     private boolean stopped;
 
     public Watch(Sockets sockets, InetSocketAddress address, DiscoveredBackends table, Ingress ingress, long seed) {
@@ -65,7 +65,7 @@
         look();
     }
 
-    /** Discovery is found there from now on. */
+    /** Discovery has moved to another address. */
     public void move(InetSocketAddress to) {
         if (to.equals(address)) { return; }
         address = to;
@@ -74,8 +74,8 @@
     }
 
     /**
-     * Runs that once: when discovery has first told of its backends, and the module knows, or after so many milliseconds at the
-     * latest. Not at all once the watch has stopped. One waits at a time.
+     * Runs an action once: after the first update from discovery has reached the module, or after {@code withinMs} at the latest.
+     * Not at all once the watch has stopped. Holds one action at a time.
      */
     public void whenTold(double withinMs, Runnable then) {
         if (spoken || withinMs <= 0) {
@@ -86,7 +86,7 @@
         loop.deadlines().schedule(loop.now() + withinMs, this::awaitNoLonger);
     }
 
-    /** Runs what waits for the first news, without them. */
+    /** Runs the action that waits for the first update, without waiting any longer. */
     public void awaitNoLonger() {
         Runnable then = awaits;
         awaits = null;
@@ -99,7 +99,7 @@
         look();
     }
 
-    /** Sees to it that the clock is looked at in time: sooner does no harm, so a later time waits for the look that stands. */
+    /** Schedules the clock's next call. Too early is harmless, so a later time waits for the call already scheduled. */
     private void look() {
         double next = clock.next();
         if (next >= pendingAt) { return; }
@@ -112,17 +112,17 @@
         });
     }
 
-    /** One watch, from its dial on. */
+    /** One watch connection, from its dial on. */
     private final class Stream {
         private final int number;
         private final ChunkedLines lines = new ChunkedLines();
         private final ObjectLines objects = new ObjectLines();
         private final ByteBuffer in = ByteBuffer.allocate(8192);
-        private Runnable dial = () -> { };           // gives up the connection under way
+        private Runnable dial = () -> { };           // cancels the dial in progress
         private AsynchronousSocketChannel channel;
-        private long knew;                           // the version known when it was asked
-        private long asked;                          // the version asked from, 0 for all there is
-        private final Set<Long> newer = new HashSet<>(); // who was told of since it was dialled, at most what is told in LIFE_MS
+        private long knew;                           // the revision known when the request was sent
+        private long asked;                          // the revision requested from, 0 for the full list
+        private final Set<Long> newer = new HashSet<>(); // backends that other watches updated since the dial, at most LIFE_MS worth
         private boolean closed;
 
         Stream(int number) {
@@ -133,7 +133,7 @@
                     ask();
                 }, this::fail);
             } catch (RuntimeException e) {
-                // Guards the clock's next look: an address that the system cannot even try is one that refuses.
+                // An address that the system cannot even try counts as refused, so that the clock goes on.
                 loop.defer(this::fail);
             }
         }
@@ -191,7 +191,7 @@
             if (lines.ended()) { end(); } else { read(); }
         }
 
-        /** The answer is over, or broken off: an object that is whole without its line's end counts, half a one does not. */
+        /** The response ended or broke off: a complete last object counts even without its line end. */
         private void end() {
             if (closed) { return; }
             String rest = lines.rest();
@@ -209,7 +209,7 @@
                 bad(e);
                 spoilt();
             } catch (RuntimeException e) {
-                fail();                              // guards against a watch that stays open and is read no more
+                fail();                              // otherwise the watch would stay open without being read
                 throw e;
             }
         }
@@ -223,8 +223,8 @@
             Codec.JsonObject fields = DiscoveredBackends.read(object);
             boolean first = clock.isHeir(number);
             long version = table.revision(fields);
-            // Guards against an answer that was written before what the old watch has told meanwhile, and would undo it. The
-            // versions of another address say nothing.
+            // A response written before the old watch's latest updates must not undo them. Revisions of another address are not
+            // comparable.
             boolean late = first && !clock.isMoved() && version >= knew && version < table.revision();
             Api.ServerList news = late ? table.takeBut(fields, newer) : table.take(fields);
             for (Stream other : streams.values()) {
@@ -240,9 +240,9 @@
                 System.err.println("service table: " + table.unread() + " entries cannot be read");
             }
             if (table.unread() > 0 && !(first && asked == 0)) {
-                spoilt();                            // what could not be read is asked for again, up to all there is
+                spoilt();                            // requests the unreadable entries again, in the end the full list
             } else if (first && news.kind() != Api.ListKind.FULL && version < asked) {
-                clock.empty(number, loop.now());     // changes after a version of another count: some are missing
+                clock.empty(number, loop.now());     // changes after a revision that is not ours: some are missing
             } else {
                 clock.object(number, loop.now());
                 newer.clear();
@@ -274,7 +274,7 @@
             }
             try {
                 channel.close();
-            } catch (IOException e) { /* it is gone either way */ }
+            } catch (IOException e) { /* closed either way */ }
         }
     }
 }
--- a/src/main/java/yardusher/discovery/WatchClock.java
+++ b/src/main/java/yardusher/discovery/WatchClock.java
@@ -1,37 +1,37 @@
 package yardusher.discovery;
 
 /**
- * When discovery is asked, and which of its watches is believed. Free of I/O and clock: what happened comes in with its time in
- * milliseconds, what is to be done goes out through {@link Hands}. At most three watches stand at once, numbered from 1: the one
- * whose news hold, and two that are to follow it.
+ * Decides when to connect to discovery and which watch is active. Free of I/O and clock: events come in with their time in
+ * milliseconds, actions go out through {@link Hands}. At most three watches exist at once, numbered from 1: the active one, whose
+ * updates apply, and two candidates to replace it.
  *
- * <p>A watch is believed from its first object on, not from an empty line: an agent that has nothing to say of what was missed may
- * be one that has not got it. One whose empty lines stop for {@code SILENT_MS} is in doubt until another has spoken, and is heard
- * meanwhile. A new one is due to speak within {@code PATIENCE_MS} of its dial; then a second is dialled and the first kept, for
- * {@code LIFE_MS} in all, so that who is merely slow is heard too. Bounds, with dials that are answered at once: 3.45 s from the
- * start of a silence to the first dial, 2.25 s at most from one dial to the next, three dials within 5.4 s of a silence and four
- * within 3.3 s of a move or a start (docs/measurements/standing.md), 0.35 s more for each where this process itself was held up.
+ * <p>A watch becomes active with its first object, not with an empty line (keep-alive): an agent without news of what was missed may
+ * be one that does not have it. An active watch without keep-alives for {@code SILENT_MS} is suspect until a candidate has sent an
+ * object, and is still read meanwhile. A candidate is due to send within {@code PATIENCE_MS} of its dial; then a second is dialled and
+ * the first kept, for {@code LIFE_MS} in all, so that a slow one still counts. Bounds, with dials that are answered at once: 3.45 s
+ * from the start of a silence to the first dial, 2.25 s at most from one dial to the next, three dials within 5.4 s of a silence, four
+ * within 3.3 s of a move or a start (docs/measurements/standing.md), 0.35 s more for each if this process itself was stalled.
  */
 final class WatchClock {
-    static final double SILENT_MS = 3000;            // an empty line comes every 2 s
+    static final double SILENT_MS = 3000;            // a keep-alive line comes every 2 s
     static final double SILENT_SPREAD_MS = 300;
-    static final double PATIENCE_MS = 750;           // what an agent has is there at once
-    static final double LIFE_MS = 3000;              // of a watch that has not spoken
-    static final double STEADY_MS = 1000;            // of a watch whose end is one by itself
-    static final double LATE_MS = 100;               // a look this late says more about this process than about discovery
+    static final double PATIENCE_MS = 750;           // an agent sends what it has at once
+    static final double LIFE_MS = 3000;              // of a candidate that has sent no object
+    static final double STEADY_MS = 1000;            // an active watch that lasted this long resets the backoff when it ends
+    static final double LATE_MS = 100;               // a call this late means that this process was stalled
     static final double GRACE_MS = 250;
     private static final double NEVER = Double.POSITIVE_INFINITY;
 
-    /** What a decision does; neither call comes back with an event before it has returned. */
+    /** The actions of the clock; neither calls back with an event before it has returned. */
     interface Hands {
-        /** Opens a watch of this number, which asks as {@link #asksWhole} says once it is connected. */
+        /** Opens a watch of this number, which requests what {@link #asksWhole} says once it is connected. */
         void dial(int watch);
 
-        /** Gives up the watch, whatever has become of it. */
+        /** Closes the watch, whatever its state. */
         void close(int watch);
     }
 
-    /** A watch that has not spoken. */
+    /** A watch that has not sent an object yet. */
     private static final class Heir {
         final int watch;
         final double since;
@@ -47,14 +47,14 @@
 
     private final Hands hands;
     private final Backoff backoff;
-    private int watches;                             // numbers given away
-    private int told;                                // whose news hold, 0 for none
+    private int watches;                             // the last number assigned
+    private int told;                                // number of the active watch, 0 for none
     private double heardAt;
-    private double believedAt;                       // since when it is that one
-    private boolean doubted;                         // it has fallen silent
-    private boolean moved;                           // nothing has been told by the present address yet
-    private boolean unclear;                         // an heir has said an empty line and no object, or one that cannot be read
-    private Heir first;                              // the elder of two
+    private double believedAt;                       // since when that watch is active
+    private boolean doubted;                         // the active watch has fallen silent
+    private boolean moved;                           // the present address has sent no object yet
+    private boolean unclear;                         // a candidate has sent only a keep-alive, or an unreadable object
+    private Heir first;                              // the older of two
     private Heir second;
     private double dialAt = NEVER;
     private boolean stopped;
@@ -64,16 +64,16 @@
         this.backoff = backoff;
     }
 
-    /** Whether nothing has been told by the present address yet. */
+    /** Whether the present address has sent no object yet. */
     boolean isMoved() { return moved; }
 
-    /** Whether this watch is asked, and its news are not the ones that hold. */
+    /** Whether this watch is a candidate: open, but not the active one. */
     boolean isHeir(int watch) { return first != null && first.watch == watch || second != null && second.watch == watch; }
 
-    /** Whether a watch asks for all there is: another service's versions mean nothing, and all there is always begins with an object. */
+    /** Whether a watch requests the full list: revisions of another service mean nothing, and a full list begins with an object. */
     boolean asksWhole() { return moved || unclear; }
 
-    /** When {@link #look} is wanted next, if nothing happens before; infinity for never. */
+    /** When {@link #look} is due next, if nothing happens before; infinity for never. */
     double next() {
         double next = dialAt;
         if (told != 0 && !doubted && !moved) { next = Math.min(next, heardAt + SILENT_MS); }
@@ -88,7 +88,7 @@
         look(now);
     }
 
-    /** Discovery is found elsewhere from now on; the old one is heard until the new one has told its list. */
+    /** Discovery has moved; the old watch is read until the new address has sent its list. */
     void move(double now) {
         if (stopped) { return; }
         moved = true;
@@ -105,13 +105,13 @@
         told = 0;
     }
 
-    /** An empty line: nothing has changed. */
+    /** A keep-alive (empty line): nothing has changed. */
     void empty(int watch, double now) {
         if (watch == told) { heardAt = now; } else { unclear = unclear || isHeir(watch); }
         look(now);
     }
 
-    /** An object: who says it is believed from now on. */
+    /** An object: a candidate that sends one becomes the active watch. */
     void object(int watch, double now) {
         if (isHeir(watch)) {
             if (told != 0) { hands.close(told); }
@@ -129,13 +129,13 @@
         look(now);
     }
 
-    /** It said news that cannot be read, and is given up; of one that was just asked, all there is may be told better. */
+    /** A watch sent an unreadable update and was closed; if it was a candidate, the next one requests the full list. */
     void spoilt(int watch, double now) {
         unclear = unclear || isHeir(watch);
         ended(watch, now);
     }
 
-    /** It was refused, never came up, or ended. */
+    /** A watch was refused, never connected, or ended. */
     void ended(int watch, double now) {
         if (watch == told) {
             told = 0;
@@ -149,13 +149,13 @@
         look(now);
     }
 
-    /** Does what is due. */
+    /** Takes the actions that are due. */
     void look(double now) {
         if (stopped) { return; }
         if (told != 0 && !doubted && !moved && now >= heardAt + SILENT_MS) {
             doubted = true;
             steady(now);
-            // Guards discovery: a silence falls on all at once, and they would ask in the same moment.
+            // A silence hits all ingresses at once: the jitter keeps them from reconnecting at the same moment.
             if (dialAt == NEVER && first == null) { dialAt = now + backoff.spread(SILENT_SPREAD_MS); }
         }
         if (first != null && now >= first.since + LIFE_MS) {
@@ -172,10 +172,10 @@
         hands.dial(heir.watch);
     }
 
-    /** Whether there is an heir that may still speak in time. */
+    /** Whether there is a candidate that may still send in time. */
     private static boolean waits(Heir heir, double now) {
         if (heir == null) { return false; }
-        // Guards against asking twice where this process was held up and the answer lies unread.
+        // If this process was stalled, the response may be waiting unread: grant it extra time once before dialling again.
         if (now >= heir.lookAt + LATE_MS && !heir.excused) {
             heir.excused = true;
             heir.lookAt = now + GRACE_MS;
@@ -189,7 +189,7 @@
 
     private Heir newest() { return second != null ? second : first; }
 
-    /** Guards discovery against a watch that speaks and ends at once, over and over: only one that lasted ends the backing off. */
+    /** Resets the backoff only for a watch that lasted, so that watches which send and end at once are retried less and less often. */
     private void steady(double now) {
         if (now - believedAt >= STEADY_MS) { backoff.reset(); }
     }
