--- a/src/main/java/yardusher/handover/Handover.java
+++ b/src/main/java/yardusher/handover/Handover.java
@@ -19,13 +19,14 @@
 import yardusher.net.Sockets;
 
 /**
- * Two processes of one ingress while a new version takes over: finds the process that serves already, is asked by the one
- * that comes after, and says which of the two owns what; see docs/design/upgrade.md. In turns only, but for its making.
+ * Coordinates two processes of one ingress during an upgrade: finds the process that already serves, answers the one that
+ * succeeds it, and decides which of the two owns what; see docs/design/upgrade.md. Used on the event loop only, but for its
+ * construction.
  */
 public final class Handover implements PeerSender, Other.Ear {
-    /** What this program does on its way. */
+    /** What the handover asks of this process. */
     public interface Program {
-        /** A region is out by hand, or no longer; here only. */
+        /** Bans a region in this process only, or lifts the ban. */
         void ban(String region, boolean out);
 
         Collection<String> banned();
@@ -34,44 +35,44 @@
 
         boolean isAway();
 
-        /** The module hears what an ingress says, this one's other process too. */
+        /** Delivers a message of another ingress, or of this one's other process, to the module. */
         void hear(int from, String body);
 
-        /** Another process of this ingress is there or not; this one owns what the ingress earns, or not. */
+        /** Whether another process of this ingress runs, and whether this one owns the ingress's shares of ceilings. */
         void shares(boolean other, boolean owns);
 
-        /** Speaks and listens to the other ingresses at the port of this one; an {@link IOException} where it cannot. */
+        /** Opens the peer port of this ingress; an {@link IOException} if it cannot. */
         void takePort() throws IOException;
 
         void givePort();
 
-        /** Sends by the port. */
+        /** Sends a datagram from the peer port. */
         void send(int to, String body);
 
-        /** Listens for clients and takes them, now or in a later turn, and then runs that; an {@link java.io.UncheckedIOException} where it cannot. */
+        /** Starts to accept clients, now or later on the event loop, and then runs {@code then}; an {@link java.io.UncheckedIOException} if it cannot. */
         void takeClients(Runnable then);
     }
 
-    // To all that the process before has to tell, which may be short of processor time: what it does not tell in time is
-    // lost, bans with it. Half of the 6 s in which a new version is to take clients.
+    // Until the previous process, which may be short of processor time, has sent its whole state: what it does not send in time
+    // is lost, bans included. Half of the 6 s within which a new version must accept clients.
     private static final double FOUND_MS = 3000;
-    private static final double HELD_MS = 500;       // to the word that a ban holds there too: half a caller's patience
+    private static final double HELD_MS = 500;       // for the other process to confirm a ban: half of a caller's timeout
 
     private final Sockets sockets;
     private final EventLoop loop;
     private final Program program;
     private final int self;
     private final String name;
-    private final Path folder;                       // null: neither finds nor is found
+    private final Path folder;                       // null: neither finds another process nor can be found
     private final Events events;
     private Note own;
     private Other other;
-    private boolean elder;                           // the other came after this one
-    private boolean port;                            // this one owns the peers' port
+    private boolean elder;                           // the other process is the newer one
+    private boolean port;                            // this process owns the peer port
     private boolean serving;
     private Deadlines.Entry foundBy;
 
-    /** {@code folder} is where notes lie, null for none; {@code self} this ingress's number. */
+    /** {@code folder} is where notes are stored, null for none; {@code self} this ingress's number. */
     public Handover(Sockets sockets, Program program, int self, String name, Path folder, Events events) {
         this.sockets = sockets;
         this.loop = sockets.loop();
@@ -82,15 +83,15 @@
         this.events = events;
     }
 
-    /** Whether another process of this ingress is there. */
+    /** Whether another process of this ingress is connected. */
     public boolean hasOther() { return other != null; }
 
-    /** Whether the other process came after this one and takes clients, so that this one is to end. */
+    /** Whether the other process is the newer one and accepts clients, so that this one must end. */
     public boolean hasHeir() { return other != null && elder && !port; }
 
     /**
-     * Takes clients at once, or once the process that serves already has told what it knows. {@code at} is the second
-     * address of this process, null for none.
+     * Accepts clients at once, or after the process that already serves has sent its state. {@code at} is the admin address
+     * of this process, null for none.
      */
     public void start(InetSocketAddress at) {
         Note before = null;
@@ -123,7 +124,7 @@
         if (serving) { drop.run(); }
     }
 
-    /** Nothing can be learned: as after a restart. */
+    /** Starts without the state of a previous process, as after a restart. */
     private void alone(String why) {
         if (serving) { return; }
         events.warn("starts without the process before", "why", why);
@@ -151,16 +152,16 @@
         });
     }
 
-    /** This process ends: it is not to be found any more. */
+    /** This process ends and must no longer be found. */
     public void end() {
         Other last = other;
-        other = null;                                // nothing is taken back from it
+        other = null;                                // so that its close does not count as a failed takeover
         if (last != null) { last.close(); } else if (own != null) { own.remove(folder, name); }
     }
 
     /**
-     * The next version asks for what is known, with this line; what it says afterwards comes to the result. An
-     * {@link CommandError} for one that may not.
+     * The next version requests the state with this line; what it sends afterwards goes to the returned owner. A
+     * {@link CommandError} if it may not.
      */
     public Connection.Owner succeed(String line, LineReader lines, Connection link) {
         String[] words = line.split(" ", -1);
@@ -177,12 +178,12 @@
         events.info("is asked by its next version");
         for (String region : program.banned()) { heir.ban(new Word.Ban(region, true), () -> { }); }
         if (program.isAway()) { heir.say(new Word.Drain(true)); }
-        program.shares(true, true);                  // the module tells its sums at this
+        program.shares(true, true);                  // makes the module send its totals
         heir.say(new Word.Whole());
         return heir;
     }
 
-    /** Tells the other process of a ban that holds here; {@code then} runs when it holds there too, once, in half a second at the most. */
+    /** Forwards a ban to the other process; {@code then} runs once, when it holds there too or after half a second. */
     public void tellBan(String region, boolean out, Runnable then) {
         if (other == null) {
             then.run();
@@ -204,7 +205,7 @@
         if (other != null) { other.say(new Word.Drain(away)); }
     }
 
-    /** A datagram came to the port. */
+    /** A datagram arrived at the peer port. */
     public void datagram(int from, String body) {
         program.hear(from, body);
         if (other != null) { other.say(new Word.Heard(from, body)); }
@@ -236,7 +237,7 @@
             if (port && send.to() != self) { program.send(send.to(), send.body()); }
         } else if (word instanceof Word.Whole) {
             if (!elder) { serve(); }
-        } else if (elder) {                          // it serves
+        } else if (elder) {                          // Word.Serving
             port = false;
             program.givePort();
             program.shares(true, false);
@@ -254,12 +255,12 @@
             return;
         }
         if (before) {
-            // The new version died: this one goes on as if nothing had been. Also where its word that it serves is not
-            // known here, since a reset destroys what is not yet read.
+            // The new version died: this process continues. This holds even if its Serving message was not received, since
+            // a reset destroys unread bytes.
             port = true;
             try {
                 program.takePort();
-                own.write(folder, name);             // the other's note leads nowhere now
+                own.write(folder, name);             // the other process's note is stale now
             } catch (IOException e) {
                 events.warn("the peers' port or the note cannot be taken back", "why", e.getMessage());
             } catch (YardusherError e) {
--- a/src/main/java/yardusher/handover/Note.java
+++ b/src/main/java/yardusher/handover/Note.java
@@ -15,15 +15,15 @@
 import yardusher.net.Sockets;
 
 /**
- * The small file by which a running ingress is found by its next version: where it is asked, and the token that proves
- * that who asks may read its files. Owner-only, and written aside and renamed, so that it is never seen half written.
+ * The file by which the next version finds a running ingress: its admin address, and a token that proves that the caller
+ * may read its files. Readable by its owner only, and written to a temporary file and renamed, so that it is never seen half written.
  */
 public record Note(InetSocketAddress address, String token) {
-    /** The version of the note and of what is said on the link. */
+    /** The version of the file and of the protocol on the link. */
     public static final int VERSION = 1;
     private static final int MOST_BYTES = 512;
 
-    /** A note for this address with a token of its own. */
+    /** A note for this address with a new random token. */
     public static Note at(InetSocketAddress address) {
         byte[] random = new byte[16];
         new SecureRandom().nextBytes(random);
@@ -34,7 +34,7 @@
         return folder.resolve("yardusher-" + name.replaceAll("[^A-Za-z0-9._-]", "_") + ".handover");
     }
 
-    /** Writes it for the instance of this name; an {@link IOException} where the folder cannot be written. */
+    /** Writes the note of the instance of this name; an {@link IOException} if the folder cannot be written. */
     public void write(Path folder, String name) throws IOException {
         Path file = file(folder, name);
         Path aside = Files.createTempFile(folder, "yardusher", ".new",
@@ -48,13 +48,13 @@
         }
     }
 
-    /** The note of the instance of this name; null where there is none. A {@link WireError} says what is wrong with one. */
+    /** Reads the note of the instance of this name; null if there is none. A {@link WireError} says what is wrong with it. */
     public static Note read(Path folder, String name) throws IOException {
         Path file = file(folder, name);
         if (!Files.exists(file)) { return null; }
-        if (Files.size(file) > MOST_BYTES) { throw new WireError.Malformed(file, "is no note of an ingress"); }
+        if (Files.size(file) > MOST_BYTES) { throw new WireError.Malformed(file, "is not a hand-over note"); }
         List<String> lines = new String(Files.readAllBytes(file), StandardCharsets.ISO_8859_1).lines().toList();
-        if (lines.isEmpty() || !lines.get(0).startsWith("yardusher ")) { throw new WireError.Malformed(file, "is no note of an ingress"); }
+        if (lines.isEmpty() || !lines.get(0).startsWith("yardusher ")) { throw new WireError.Malformed(file, "is not a hand-over note"); }
         if (!lines.get(0).equals("yardusher " + VERSION)) { throw new WireError.Version(file, "is of another version"); }
         if (lines.size() != 4 || !lines.get(3).equals("end") || !lines.get(2).matches("[0-9a-f]{32}")) {
             throw new WireError.Malformed(file, "is torn");
@@ -66,10 +66,10 @@
         }
     }
 
-    /** Takes it away again, if it is still this one's. */
+    /** Deletes the file if it still holds this note. */
     public void remove(Path folder, String name) {
         try {
             if (equals(read(folder, name))) { Files.delete(file(folder, name)); }
-        } catch (IOException | WireError e) { /* whoever reads it finds nobody there */ }
+        } catch (IOException | WireError e) { /* a reader of a stale note finds no process there */ }
     }
 }
--- a/src/main/java/yardusher/handover/Other.java
+++ b/src/main/java/yardusher/handover/Other.java
@@ -6,13 +6,13 @@
 import yardusher.net.LineReader;
 import yardusher.net.Connection;
 
-/** The link to the other process of this ingress: words in, words out. In turns only. */
+/** The link to the other process of this ingress, which exchanges {@link Word}s. Used on the event loop only. */
 public final class Other implements Connection.Owner {
-    /** What is done with what the other says. */
+    /** Receives the messages of the other process. */
     public interface Ear {
         void heard(Other from, Word word);
 
-        /** The other process has ended, or says what cannot be understood. */
+        /** The other process has ended, or sent a malformed message. */
         void gone(Other other);
     }
 
@@ -26,20 +26,20 @@
         this.ear = ear;
     }
 
-    /** The connection that carries it, whose lines are those given before. */
+    /** Sets the connection, whose input goes to the line reader given to the constructor. */
     public void on(Connection carried) { link = carried; }
 
     public void say(Word word) { raw(word.line()); }
 
     void raw(String line) { link.write((line + "\n").getBytes(StandardCharsets.ISO_8859_1)); }
 
-    /** Says a ban; {@code then} runs once it holds there, or the other has gone. */
+    /** Sends a ban; {@code then} runs once it holds there, or the other process is gone. */
     void ban(Word.Ban ban, Runnable then) {
         unheld.add(then);
         say(ban);
     }
 
-    /** The oldest ban said holds there. */
+    /** The other process confirmed the oldest unconfirmed ban. */
     void held() {
         Runnable then = unheld.poll();
         if (then != null) { then.run(); }
@@ -59,7 +59,7 @@
     @Override
     public void onClosed(Connection from) { over(); }
 
-    /** Ends the link from this side. */
+    /** Closes the link locally. */
     public void close() {
         link.close();
         over();
--- a/src/main/java/yardusher/handover/Word.java
+++ b/src/main/java/yardusher/handover/Word.java
@@ -4,29 +4,29 @@
 import java.util.Base64;
 import yardusher.error.WireError;
 
-/** One line that two processes of one ingress say to each other, decoded once. */
+/** A message between two processes of one ingress, encoded as one line. */
 public sealed interface Word {
-    /** A region is out by hand, or no longer; told back once it holds. */
+    /** A region is banned, or no longer; confirmed by {@link Held} once it holds. */
     record Ban(String region, boolean out) implements Word { }
 
-    /** The oldest ban not yet told back holds. */
+    /** Confirms the oldest unconfirmed ban. */
     record Held() implements Word { }
 
     record Drain(boolean away) implements Word { }
 
-    /** What another ingress, or the other process itself, says to the module. */
+    /** A message for the module from another ingress or from the other process itself. */
     record Heard(int from, String body) implements Word { }
 
-    /** To be sent to another ingress from the port that the sender gave up. */
+    /** A datagram to be sent to another ingress from the peer port, which the sender no longer owns. */
     record Send(int to, String body) implements Word { }
 
-    /** All that was known has been told; what follows are changes. */
+    /** The whole state has been sent; changes follow. */
     record Whole() implements Word { }
 
-    /** The newer process takes clients and owns the port of the peers. */
+    /** The newer process accepts clients and owns the peer port. */
     record Serving() implements Word { }
 
-    /** Bytes of a line at the most: a datagram in base 64 and what names it. */
+    /** Maximum bytes of a line: a datagram in Base64 and its header. */
     int MOST_LINE = 512;
 
     /** The line, without its end. */
@@ -40,7 +40,7 @@
 
     private static String coded(String body) { return Base64.getEncoder().encodeToString(body.getBytes(StandardCharsets.UTF_8)); }
 
-    /** Reads a line without its end; a {@link WireError.MalformedRespException} for one that is none of these. */
+    /** Decodes a line without its end; a {@link WireError.Malformed} if it is none of these. */
     static Word of(String line) {
         String[] words = line.split(" ", -1);
         String name = words[0] + " " + (words.length - 1);
@@ -55,11 +55,11 @@
                     int number = Integer.parseInt(words[1]);
                     String body = new String(Base64.getDecoder().decode(words[2]), StandardCharsets.UTF_8);
                     return words[0].equals("heard") ? new Heard(number, body) : new Send(number, body);
-                } catch (IllegalArgumentException e) { // no number, or no Base64
-                    throw new WireError.Malformed(null, "no datagram in a word between two processes of an ingress", e);
+                } catch (IllegalArgumentException e) { // not a number, or not Base64
+                    throw new WireError.Malformed(null, "malformed datagram in a hand-over message", e);
                 }
             }
-            default -> throw new WireError.Malformed(null, "no word between two processes of an ingress");
+            default -> throw new WireError.Malformed(null, "unknown hand-over message");
         }
     }
 }
