--- a/src/main/java/yardusher/admin/AdminCall.java
+++ b/src/main/java/yardusher/admin/AdminCall.java
@@ -6,34 +6,34 @@
 import yardusher.error.CommandError;
 
 /**
- * One call at the second address, decoded once: a word, and where the word needs one, a region's id. A call of the fleet's
- * work carries its token as well, 0 for none, and the revision of the order.
+ * A call at the admin address: a verb and, if the verb needs one, a region's id. A call of a fleet operation also carries its
+ * fencing token, 0 for none, and the revision of the ban.
  */
 public record AdminCall(Verb verb, String id, long token, long revision) {
-    /** A call of an operator's own. */
+    /** A call made by an operator, without a token. */
     public AdminCall(Verb verb, String id) { this(verb, id, 0, 0); }
 
-    /** What can be asked for. */
+    /** The calls that exist. */
     public enum Verb {
         HEALTH, COUNTERS, CORDON, UNCORDON, QUIESCE, RESUME, MEMBERS, UNITS, PARTS;
 
         /** Whether a region's id follows. */
         public boolean namesRegion() { return this == CORDON || this == UNCORDON; }
 
-        /** Whether a subsystem answers, the one that knows the word. */
+        /** Whether a subsystem answers the call. */
         public boolean isReport() { return this == MEMBERS || this == UNITS || this == PARTS; }
 
-        /** The word as it is written on the line. */
+        /** The verb as written on the line. */
         public String word() { return name().toLowerCase(Locale.ROOT); }
     }
 
-    /** Bytes of a line without its end; ids of regions are far shorter. */
+    /** Maximum bytes of a line without its end; ids of regions are far shorter. */
     public static final int MOST_LINE = 256;
 
-    /** Reads a line without its end; a {@link CommandError} says in a few words what is wrong with it. */
+    /** Parses a line without its end; a {@link CommandError} says what is wrong with it. */
     public static AdminCall of(String line) {
         if (line.length() > MOST_LINE) { throw new CommandError.Argument("line longer than " + MOST_LINE + " bytes"); }
-        // Guards log lines and terminals against bytes that are no text.
+        // Keeps control characters and binary data out of log lines and terminals.
         if (!line.chars().allMatch(c -> c >= ' ' && c <= '~')) { throw new CommandError.Argument("not a line of text"); }
         String[] words = line.split(" ", -1);
         Verb verb = Arrays.stream(Verb.values()).filter(one -> one.word().equals(words[0])).findFirst()
@@ -46,8 +46,8 @@
     }
 
     /**
-     * The same where the fleet's work may speak: also {@code cordon ID TOKEN REVISION}, {@code uncordon ID TOKEN REVISION}
-     * and {@code fence bans TOKEN}, whose verb is null.
+     * The same where calls of fleet operations are accepted: also {@code cordon ID TOKEN REVISION},
+     * {@code uncordon ID TOKEN REVISION} and {@code fence bans TOKEN}, whose verb is null.
      */
     public static AdminCall ofFleet(String line) {
         String[] words = line.length() > MOST_LINE ? new String[0] : line.split(" ", -1);
@@ -62,10 +62,10 @@
         return Long.parseLong(word);
     }
 
-    /** The line that asks for this, without its end. */
+    /** Encodes the call as a line, without its end. */
     public String line() { return id == null ? verb.word() : verb.word() + " " + id; }
 
-    /** All words, for messages. */
+    /** All verbs with their arguments, for messages. */
     public static String words() {
         return Arrays.stream(Verb.values()).map(one -> one.word() + (one.namesRegion() ? " ID" : "")).collect(Collectors.joining(", "));
     }
--- a/src/main/java/yardusher/admin/AdminFront.java
+++ b/src/main/java/yardusher/admin/AdminFront.java
@@ -15,21 +15,21 @@
 import yardusher.net.Sockets;
 
 /**
- * The second address: one line to a connection, answered by a line that begins with 200 or 400, and then the end. It
- * has a small number of connections of its own, so that clients, however many, never take its room.
+ * Serves the admin address: one line per connection, answered by a line that begins with 200 or 400, then the connection
+ * closes. It has a small connection limit of its own, so that clients, however many, never use it up.
  */
 public final class AdminFront {
-    /** Connections held at the most, also those that get their last bytes. */
+    /** Maximum open connections, including those still being flushed. */
     public static final int MOST_CALLERS = 16;
-    /** Bytes of a line at the most; ids of regions are far shorter, words between two processes no longer. */
+    /** Maximum bytes of a line; ids of regions are far shorter, messages between two processes no longer. */
     private static final int MOST_LINE = 512;
     private static final String HANDOVER = "handover ";
-    private static final double CALL_MS = 2000;      // to the end of the line: twice what a caller waits for its answer
+    private static final double CALL_MS = 2000;      // until the line is complete: twice a caller's timeout
 
     private final Operator operator;
     private final EventLoop loop;
     private final Sockets.Listener door;
-    /** Callers without an answer, and those that get theirs; the longest so first. */
+    /** Callers without an answer, and those whose answer is being flushed; the oldest first. */
     private final Set<Caller> asking = new LinkedHashSet<>();
     private final Set<Caller> answered = new LinkedHashSet<>();
 
@@ -43,21 +43,21 @@
 
     public void open() { door.accept(); }
 
-    /** Nobody is heard any more. */
+    /** Closes the listener and all connections. */
     public void close() {
         door.close();
         for (Caller caller : Set.copyOf(asking)) { caller.end(); }
         for (Caller caller : Set.copyOf(answered)) { caller.end(); }
     }
 
-    /** Follows a call; the answer given to the caller ends in a line end. */
+    /** Executes a call; the answer given to the caller ends in a line end. */
     private void follow(AdminCall call, Caller caller) {
         if (call.verb() == null) {
             operator.fence().learn(call.token());
             caller.told("200 done\n");
             return;
         }
-        // In the turn that follows it: nothing waits between the look and the act.
+        // Checked in the same event-loop task as the execution: nothing can change in between.
         if (call.token() != 0 && !operator.fence().isNew(call.id(), call.token(), call.revision())) {
             caller.told("200 a later order holds\n");
             return;
@@ -83,12 +83,12 @@
 
     private final class Caller implements Connection.Owner {
         private final LineReader lines = new LineReader(MOST_LINE);
-        private Connection.Owner heir;                     // whose connection this has become: the next version's
+        private Connection.Owner heir;                     // the next version's handover, which took over this connection
         private final Connection link;
         private final Deadlines.Entry lineBy;
 
         Caller(AsynchronousSocketChannel channel) {
-            // Guards callers who ask against those who connect and say nothing: the longest so gives way.
+            // Protects active callers from idle connections: the oldest connection is closed.
             if (asking.size() + answered.size() >= MOST_CALLERS) {
                 (answered.isEmpty() ? asking : answered).iterator().next().end();
             }
@@ -118,7 +118,7 @@
             return false;
         }
 
-        /** Answers, once, and lets the caller go. */
+        /** Sends the answer, once, and closes the connection after it. */
         private void told(String told) {
             if (!asking.contains(this)) { return; }
             loop.deadlines().cancel(lineBy);
--- a/src/main/java/yardusher/admin/Figures.java
+++ b/src/main/java/yardusher/admin/Figures.java
@@ -3,13 +3,13 @@
 import java.util.List;
 import yardusher.core.Counters;
 
-/** The figures as the second address tells them: StatsD lines, counts since this process started, and gauges. */
+/** The counters as the admin address reports them: StatsD lines with counts since this process started, and gauges. */
 public final class Figures {
     private Figures() { }
 
     /**
-     * A line for each figure, every line ended. {@code outstanding}: transactions taken and not ended; {@code listed}:
-     * regions of the service table; {@code avoided}: those of them that get no attempts now.
+     * One terminated line per figure. {@code outstanding}: requests accepted and not ended; {@code listed}: regions of the
+     * service table; {@code avoided}: those of them that get no attempts now.
      */
     public static String lines(Counters counters, List<String> classes, int outstanding, int listed, int avoided) {
         StringBuilder out = new StringBuilder(512);
--- a/src/main/java/yardusher/admin/Operator.java
+++ b/src/main/java/yardusher/admin/Operator.java
@@ -5,31 +5,31 @@
 import yardusher.net.Connection;
 
 /**
- * What an ingress does at the calls of its second address. In turns only. A call that cannot be followed is an
- * {@link yardusher.error.YardusherError} whose message is a few plain words.
+ * What an ingress does for the calls at its admin address. Called on the event loop only. A call that fails throws a
+ * {@link yardusher.error.YardusherError} with a short message.
  */
 public interface Operator {
-    /** Whether this process takes clients now. */
+    /** Whether this process accepts clients now. */
     boolean takesClients();
 
-    /** The figures, a line each, every line ended. */
+    /** The counters, one terminated line each. */
     String figures();
 
-    /** What a subsystem says to a call of its own, lines that are each ended; null where none has such a call. */
+    /** The terminated lines with which a subsystem answers a call; null if no subsystem has such a call. */
     String report(String call);
 
-    /** Keeps a region out by hand, or ends that; {@code then} runs once it holds. */
+    /** Bans a region or lifts the ban; {@code then} runs once it holds. */
     void ban(String region, boolean out, Runnable then);
 
-    /** Whether calls of the fleet's work are taken, which carry a token. */
+    /** Whether calls of fleet operations, which carry a fencing token, are accepted. */
     boolean isFenced();
 
-    /** The fence against old owners of the fleet's work; asked only where it is on. */
+    /** The fence against former owners of fleet operations; called only if {@link #isFenced}. */
     InstanceFence fence();
 
-    /** Sends the clients away, or takes them again. */
+    /** Redirects the clients away, or accepts them again. */
     void drain(boolean away);
 
-    /** The next version of this program speaks, with this line; what it says afterwards is the result's to hear. */
+    /** The next version of this program connects with this line; what it sends afterwards goes to the returned owner. */
     Connection.Owner succeed(String line, LineReader lines, Connection link);
 }
