--- a/src/main/java/yardusher/cli/AdminCommand.java
+++ b/src/main/java/yardusher/cli/AdminCommand.java
@@ -12,14 +12,14 @@
 import yardusher.error.WireError;
 import yardusher.net.Sockets;
 
-/** The sub-command admin: one call at the second address of a running instance, or of all that an agent's file names. */
+/** The sub-command admin: one call at the admin address of a running instance, or of all that an agent's file names. */
 final class AdminCommand {
     private static final int PATIENCE_MS = 2000;
     private static final int MOST_ANSWER = 1 << 20;  // bytes
 
     private AdminCommand() { }
 
-    /** {@code admin HOST:PORT CALL [ID]}: the answer; 1 where it is a no. */
+    /** {@code admin HOST:PORT CALL [ID]}: prints the answer; exit code 1 for a refusal. */
     static int run(List<String> words) {
         if (words.size() < 2) {
             throw new CommandError.Usage("usage: yardusher admin HOST:PORT CALL [ID]; calls are " + AdminCall.words());
@@ -30,7 +30,7 @@
         return answer.startsWith("400") ? 1 : 0;
     }
 
-    /** {@code agent admin FILE CALL [ID]}: the call at every instance of the file, a line for each; 1 where one says no. */
+    /** {@code agent admin FILE CALL [ID]}: the call at every instance of the file, one line each; exit code 1 if any refuses. */
     static int all(AgentConfig agent, List<String> words) {
         AdminCall call = call(words);
         int status = 0;
--- a/src/main/java/yardusher/cli/AgentCommand.java
+++ b/src/main/java/yardusher/cli/AgentCommand.java
@@ -13,7 +13,7 @@
 import yardusher.error.WireError;
 import yardusher.resp.Value;
 
-/** The sub-command agent: without a running agent, start becomes one; all else asks the running one. */
+/** The sub-command agent: start without names becomes the agent; all else is sent to the running one. */
 final class AgentCommand {
     private static final int PATIENCE_MS = 5000;
 
@@ -41,7 +41,7 @@
         return 0;
     }
 
-    /** A line an instance; where it is ready, with its counters. Exit 1 when one is not ready. */
+    /** Prints a line per instance, and the counters of those that are ready. Exit code 1 if any is not ready. */
     private static int status(AgentConfig config, List<Value> lines) {
         int status = 0;
         for (Value line : lines) {
@@ -61,7 +61,7 @@
         return status;
     }
 
-    /** The second address of an instance, as its configuration says; null where that names none or cannot be read now. */
+    /** The admin address in an instance's configuration; null if it names none or cannot be read now. */
     private static java.net.InetSocketAddress admin(AgentConfig.Entry entry) {
         try {
             return Config.read(entry.config()).admin();
--- a/src/main/java/yardusher/cli/Asking.java
+++ b/src/main/java/yardusher/cli/Asking.java
@@ -12,7 +12,7 @@
 import yardusher.resp.MalformedRespException;
 import yardusher.resp.Value;
 
-/** Asks one RESP command and waits for its answer: for sub-commands, which have nothing else to do. No answer is a {@link WireError}. */
+/** A blocking client for one RESP command, for the sub-commands. A missing answer is a {@link WireError}. */
 public final class Asking {
     private Asking() { }
 
--- a/src/main/java/yardusher/cli/Config.java
+++ b/src/main/java/yardusher/cli/Config.java
@@ -17,7 +17,7 @@
 import yardusher.wire.Codec;
 import yardusher.wire.SettingsValidator;
 
-/** What an ingress is told at its start: the JSON file that RELAY_CONFIG names. {@code admin} may be null. */
+/** The configuration of an ingress: the JSON file that RELAY_CONFIG names. {@code admin} may be null. */
 public record Config(String name, InetSocketAddress listen, InetSocketAddress admin, InetSocketAddress discovery, long seed, int sockets,
         InetSocketAddress peerListen, List<InetSocketAddress> peers, Codec.JsonObject known, Api.Settings settings,
         List<String> classes, List<String> plans, List<String> zones, double idleMs, double dialMs, List<String> unused) {
@@ -27,13 +27,13 @@
             "peers_all", "counter", "known", "settings");
     private static final Set<String> MACHINE_KEYS = Set.of("cores", "memory_mb", "sockets");
 
-    /** Reads the file; a {@link ConfigError} names it and says in one line what is wrong. */
+    /** Reads the file; a {@link ConfigError} names it and describes the problem in one line. */
     public static Config read(String file) {
         try (JsonParser parser = new JsonFactory().createParser(text(Path.of(file)))) {
             if (parser.nextToken() == null || !(Codec.readValue(parser) instanceof Codec.JsonObject json)) {
                 throw new ConfigError.Syntax(file, "not a JSON object");
             }
-            // Guards against half of a new file over an old one: what would be read is not what was meant.
+            // Trailing content means a new file that was partly written over an old one.
             if (parser.nextToken() != null) { throw new ConfigError.Syntax(file, "not one JSON object: more follows it"); }
             return of(json);
         } catch (JsonProcessingException e) {
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Guards a small heap, also a running ingress's: a file that is no configuration at all must not end it. */
+    /** Limits the size, so that a file which is no configuration cannot exhaust a small heap, also of a running ingress. */
     private static String text(Path file) throws IOException {
         if (Files.size(file) > MOST_BYTES) { throw new ConfigError.Syntax(null, "larger than " + MOST_BYTES / (1 << 20) + " MB: not a configuration"); }
         return Files.readString(file);
@@ -74,7 +74,7 @@
                 SettingsValidator.requireRange("settings.limits.dial_timeout_ms", limits.number("dial_timeout_ms", 250), 1, 600_000), unused(json, settings));
     }
 
-    /** What of the whole file is not used, in a few words each. */
+    /** The settings of the whole file that are not used, with a short reason each. */
     private static List<String> unused(Codec.JsonObject json, Codec.JsonObject settings) {
         List<String> notes = SettingsValidator.listUnused(settings);
         int peers = json.has("peers") ? json.list("peers").size() : 0;
@@ -99,7 +99,7 @@
         }
     }
 
-    /** The list as it was last held; where none is told, nothing is known and the watch asks for all there is. */
+    /** The list of backends as last known; without one, nothing is known and the watch requests the full list. */
     private static Codec.JsonObject known(Codec.JsonObject known) {
         known.number("revision", 0);
         known.flag("complete");
@@ -107,7 +107,7 @@
         return known;
     }
 
-    /** Whether all that holds from the start to the end is the same in another reading of the file. */
+    /** Whether everything that a reload cannot change is the same in another reading of the file. */
     boolean sameBut(Config next) {
         return name.equals(next.name) && listen.equals(next.listen) && java.util.Objects.equals(admin, next.admin) && sockets == next.sockets
                 && java.util.Objects.equals(peerListen, next.peerListen) && peers.equals(next.peers)
@@ -115,7 +115,7 @@
                 && zones.equals(next.zones) && idleMs == next.idleMs && dialMs == next.dialMs;
     }
 
-    /** How many backends the configuration knows. */
+    /** Number of backends listed in the configuration. */
     int members() { return known.objectsOrEmpty("members").size(); }
 
     private static long seed(String hex) {
--- a/src/main/java/yardusher/cli/FleetCommand.java
+++ b/src/main/java/yardusher/cli/FleetCommand.java
@@ -23,9 +23,9 @@
 import yardusher.resp.Value;
 
 /**
- * The sub-command fleet: work for all instances of an installation, asked of any one agent. Exits 0 when it was done or
- * told, 1 when it was refused or failed, 3 when no majority of the agents answers: then nobody knows whether an order was
- * taken, and the same command with the same {@code --id} may be given again.
+ * The sub-command fleet: operations on all instances of an installation, sent to any one agent. Exit code 0 if it was done or
+ * answered, 1 if it was refused or failed, 3 if no majority of the agents answers: then it is unknown whether a command was
+ * accepted, and the same command may be repeated with the same {@code --id}.
  */
 final class FleetCommand {
     private static final int PATIENCE_MS = 15_000;
@@ -100,7 +100,7 @@
         return line.hasOption("wait") ? await(config, verb.equals("roll") ? "roll" : "bans") : 0;
     }
 
-    /** Follows a work to its end, with a line for each step of its progress. */
+    /** Polls an operation until it ends and prints a line for each change of its progress. */
     private static int await(AgentConfig config, String kind) {
         for (String last = "";;) {
             Map<String, String> work = table(config).stream().filter(one -> one.get("").equals("work") && one.get("kind").equals(kind))
@@ -121,7 +121,7 @@
         }
     }
 
-    /** The agent's report: a map a line, the line's kind under the empty name. */
+    /** The agent's report: one map per line, with the line's kind under the empty key. */
     private static List<Map<String, String>> table(AgentConfig config) {
         Value answer = Asking.ask(config.control(), PATIENCE_MS, "FLEET.READ", config.fleet().installation());
         if (!(answer instanceof Value.BulkString told)) { throw new WireError.Refused(config.control(), answer instanceof Value.ErrorReply no ? no.text() : "no report"); }
--- a/src/main/java/yardusher/cli/Main.java
+++ b/src/main/java/yardusher/cli/Main.java
@@ -21,7 +21,7 @@
 import yardusher.settings.Settings;
 import yardusher.wire.SimulatorHost;
 
-/** The command line. Bad arguments and configurations: one plain line on standard error, exit 2. */
+/** The command line. Bad arguments and configurations print one line on standard error and exit with 2. */
 public final class Main {
     public static final String VERSION = "0.1.0";
     private static final String USAGE = "usage: yardusher serve [CONFIG] | simhost | version | agent start|status|restart|reload|"
@@ -37,16 +37,16 @@
             status = tell(e, args.length > 0 && args[0].equals("check"));
         } catch (ParseException e) {
             status = tell(new CommandError.Usage(line(e)), false);
-        } catch (IllegalArgumentException e) {       // of a library, such as a path that cannot be one
+        } catch (IllegalArgumentException e) {       // from a library, such as an invalid path
             status = tell(new CommandError.Argument(line(e)), false);
-        } catch (IOException e) {                    // of the machine, where no part knows better what it means
+        } catch (IOException e) {                    // from the system, not translated further in
             System.err.println("yardusher: " + line(e));
             status = YardusherError.FAILED;
         }
         if (status != 0) { System.exit(status); }
     }
 
-    /** The one place where an error becomes a line and an exit code; whoever checks is told what to do as well. */
+    /** The one place that turns an error into a line and an exit code; with {@code advice}, also prints what to do. */
     private static int tell(YardusherError e, boolean advice) {
         System.err.println("yardusher: " + e.getMessage());
         if (advice) { System.err.println("what to do: " + e.advice()); }
@@ -115,7 +115,7 @@
         }
     }
 
-    /** The file of our own settings: the one named, else deploy/yardusher.toml where it is there; null for none. */
+    /** The yardusher settings file: the one named, else deploy/yardusher.toml if it exists; null for none. */
     private static Path settings(CommandLine line) {
         String named = line.getOptionValue("settings");
         if ("none".equals(named)) { return null; }
@@ -129,7 +129,7 @@
         if (words.size() < least || words.size() > most) { throw new CommandError.Usage(USAGE); }
     }
 
-    /** Reads a configuration as serve would, and the limits file against it. */
+    /** Validates a configuration as serve would, and the limits and settings files with it. */
     private static int check(String file, String limitsFile, Path settingsFile) {
         Config config = Config.read(file);
         Path limits = Path.of(limitsFile == null ? "deploy/limits.toml" : limitsFile);
@@ -137,7 +137,7 @@
         if (limitsFile != null && !there) { throw new ConfigError.Unreadable(limitsFile); }
         if (there) {
             LimitsConfig front = LimitsConfig.read(limits);
-            // As serve does: a front that is off need not fit the classes and plans of these settings.
+            // As serve does: a limits front that is off need not match the classes and plans of these settings.
             if (front.listen() != null) { LimitsFrontend.validate(front, config.settings(), config.classes(), config.plans()); }
         }
         Settings own = Settings.read(settingsFile);
@@ -150,7 +150,7 @@
         return 0;
     }
 
-    /** Writes the configuration; what could not be taken over goes to standard error, a line each. */
+    /** Converts an nginx file and writes the configuration; directives without a counterpart go to standard error, a line each. */
     private static int importNginx(String file, CommandLine line) throws IOException {
         String text;
         try {
@@ -174,7 +174,7 @@
         return 0;
     }
 
-    /** Asks a running ingress of this machine about its keys. */
+    /** Queries a running ingress about its keys. */
     private static int keys(List<String> words) {
         boolean stats = words.size() == 2 && words.get(0).equals("stats");
         if (!stats && !(words.size() == 3 && words.get(0).equals("show"))) {
@@ -188,7 +188,7 @@
         return 0;
     }
 
-    /** Asks one limit of a running ingress and prints the five figures in words. */
+    /** Queries one limit of a running ingress and prints the five figures with their names. */
     private static int limits(List<String> words) {
         String[] command = words.toArray(new String[0]);
         command[0] = "CL.THROTTLE";
--- a/src/main/java/yardusher/cli/OrdersCommand.java
+++ b/src/main/java/yardusher/cli/OrdersCommand.java
@@ -19,7 +19,7 @@
 import yardusher.journal.Orders;
 import yardusher.settings.Settings;
 
-/** The sub-command orders: asks the journals of running and dead instances. */
+/** The sub-command orders: queries the journals of running and stopped instances. */
 final class OrdersCommand {
     private static final String USAGE = "usage: yardusher orders list|show|open|verify|export FOLDER ... | --agent FILE "
             + "[--key HEX] [--customer HEX] [--id HEX] [--region ID] [--state STATE,...] [--from TIME] [--to TIME] "
--- a/src/main/java/yardusher/cli/Serve.java
+++ b/src/main/java/yardusher/cli/Serve.java
@@ -46,24 +46,24 @@
 import yardusher.settings.Settings;
 import yardusher.subsystem.Site;
 
-/** One real ingress: all parts put together, from the start to an orderly end. */
+/** A complete ingress process: builds and connects all components and runs them from the start to a graceful shutdown. */
 public final class Serve {
-    private static final double ACCEPT_ON_MS = 500;  // after SIGTERM connections keep coming 0.2 to 0.4 s
-    private static final double READ_ON_MS = 100;    // then what is on its way on those that are open is still taken
-    private static final double LEAST_END_MS = 3000; // a kill comes at the longest deadline, or this, and 0.7 s
-    private static final double LAST_MS = 50;        // after the last deadline, for its answer
-    private static final long HELD_UP_MS = 10_000;   // so much longer by the machine's own clock, where turns do not come
-    private static final long START_MS = 6000;       // a new version is due to take clients by then
-    // Two dials of the watch (0.9 s), 0.35 s where this process itself was held up, and 0.2 s to read a list: the first of 200
-    // backends takes 30 to 70 ms of a core, and there may be 0.3 of one.
+    private static final double ACCEPT_ON_MS = 500;  // after SIGTERM new connections keep arriving for 0.2 to 0.4 s
+    private static final double READ_ON_MS = 100;    // then requests already in flight on open connections are still read
+    private static final double LEAST_END_MS = 3000; // the platform kills 0.7 s after the longest deadline or this, whichever is later
+    private static final double LAST_MS = 50;        // after the last deadline, to deliver its answer
+    private static final long HELD_UP_MS = 10_000;   // extra wall-clock time if the event loop is starved
+    private static final long START_MS = 6000;       // a new version must accept clients within this time
+    // Two dials of the watch (0.9 s), 0.35 s if this process itself was stalled, and 0.2 s to read a list: the first one, of 200
+    // backends, takes 30 to 70 ms of a core, and only 0.3 of a core may be available.
     private static final double FIRST_LIST_MS = 1500;
-    private static final int OWN_DESCRIPTORS = 64;   // of the JVM, the listeners, the watch and the second address
-    // Measured: 12 of a JVM that serves with a second address and peers; 3 watches, 16 callers there, the next version, a file
-    // that is read, a guest at each door. Where there are few in all, clients and backends get no more than is left by these.
+    private static final int OWN_DESCRIPTORS = 64;   // used by the JVM, the listeners, the watch and the admin address
+    // 12 of a JVM with an admin address and peers; 3 watches, 16 admin callers, the next version, a file being read, and one
+    // connection at each listener. With few descriptors, clients and backends share what these leave.
     private static final int OWN_LEAST = 40;
     private static final int LEAST_BUDGET = 8;
 
-    private static final int BODIES_PART = 8;        // of the heap, for large bodies, but one always fits
+    private static final int BODIES_PART = 8;        // fraction (1/8) of the heap for large bodies; at least one body always fits
 
     private final EventLoop loop;
     private final BodyBudget bodies = new BodyBudget(Math.max(Decoder.MAX_LARGE_BYTES, Runtime.getRuntime().maxMemory() / BODIES_PART));
@@ -75,35 +75,35 @@
     private final LimitsFrontend limitsFront;
     private final Watch watch;
     private final DiscoveredBackends table;
-    private final AdminFront admin;                  // null where no second address is named
+    private final AdminFront admin;                  // null without an admin address
     private final Subsystems parts;
-    private final InstanceFence fence;               // null where the fleet's work has no say here
-    private final PeerSocket peers;                  // null where this site has none
+    private final InstanceFence fence;               // null if calls of fleet operations are not accepted
+    private final PeerSocket peers;                  // null if this site has no peers
     private final Handover handover;
     private final Events events;
     private final InetSocketAddress adminAt;
     private final int budget;                        // descriptors for clients and regions
-    private final Set<String> banned = new LinkedHashSet<>(); // ids of regions out by hand
+    private final Set<String> banned = new LinkedHashSet<>(); // ids of regions banned by an operator
     private final CountDownLatch ready = new CountDownLatch(1);
-    private volatile Exception unready;            // why no clients can be taken
+    private volatile Exception unready;            // why no clients can be accepted
     private final CountDownLatch drained = new CountDownLatch(1);
     private final double longestMs;
-    private Config config;                           // as it was last read
-    private boolean serving;                         // clients are taken
-    private boolean ending;                          // and none will be any more
-    private double firstListMs;                      // waited at the most for discovery's first word
+    private Config config;                           // as last read
+    private boolean serving;                         // clients are accepted
+    private boolean ending;                          // no clients will be accepted any more
+    private double firstListMs;                      // maximum wait for the first update from discovery
 
-    /** Takes the limits front's file, or null where it is off. */
+    /** Creates an ingress; {@code limits} is null if the limits front is off. */
     public Serve(Config config, LimitsConfig limits) throws IOException { this(config, limits, Settings.OFF, clock()); }
 
-    /** The clock gives milliseconds of Unix time and never goes back. */
+    /** The same with a clock that gives milliseconds of Unix time and never goes back. */
     public Serve(Config config, LimitsConfig limits, Settings own, DoubleSupplier clock) throws IOException {
         this(config, config.admin(), null, limits, own, clock, clock.getAsDouble());
     }
 
     /**
-     * With a second address other than the configuration's, null for none, and a folder in which the next version finds
-     * this process and this one finds the one before, null for none. {@code bornMs}: when this process began.
+     * The same with an admin address other than the configuration's, null for none, and the folder in which this process and
+     * its predecessor and successor find each other, null for none. {@code bornMs}: when this process started.
      */
     public Serve(Config config, InetSocketAddress adminAt, Path notes, LimitsConfig limits, Settings own,
             DoubleSupplier clock, double bornMs) throws IOException {
@@ -161,7 +161,7 @@
                 pool, table, clients, events, parts.mesh(), parts.view());
     }
 
-    /** What the calls at the second address do. */
+    /** Implements the calls at the admin address. */
     private final class Calls implements Operator {
         @Override
         public boolean takesClients() { return serving && !front.server().isDraining(); }
@@ -197,7 +197,7 @@
         public Connection.Owner succeed(String line, LineReader lines, Connection link) { return handover.succeed(line, lines, link); }
     }
 
-    /** This process's part where another version of it takes over. */
+    /** Implements what the handover to another version asks of this process. */
     private final class Part implements Handover.Program {
         @Override
         public void ban(String region, boolean out) { banHere(region, out); }
@@ -241,7 +241,7 @@
 
         @Override
         public void takeClients(Runnable then) {
-            // Guards the first requests: what the agent has counts as told from the first moment, also against the known list.
+            // The first requests must see the backends that the agent reports, not only the configured list.
             watch.whenTold(firstListMs, () -> {
                 if (ending) { return; }
                 try {
@@ -261,14 +261,14 @@
             limitsFront.server().bind();
             limitsFront.server().startAccepting();
         }
-        front.server().startAccepting();                      // last: a PING is answered once all else is ready
+        front.server().startAccepting();                      // last, since an answered PING means that all else is ready
         serving = true;
     }
 
     private void banHere(String region, boolean out) {
         long id = DiscoveredBackends.id(region);
         if (out) { banned.add(region); } else { banned.remove(region); }
-        ingress.deliver(new Api.Ban(id, out));          // the module first: it places anew what the pool gives up
+        ingress.deliver(new Api.Ban(id, out));          // the module first: it retries what the pool aborts
         pool.ban(id, out);
     }
 
@@ -277,10 +277,10 @@
         if (limitsFront != null) { limitsFront.server().setDraining(away); }
     }
 
-    /** How many of so many descriptors are for clients and backends. */
+    /** The number of descriptors, out of {@code sockets}, for clients and backends. */
     static int budget(int sockets) { return Math.max(Math.max(LEAST_BUDGET, Math.min(64, sockets - OWN_LEAST)), sockets - OWN_DESCRIPTORS); }
 
-    /** Takes the descriptors, or the half of them that the other process of this ingress leaves. */
+    /** Sets the connection limits: all descriptors, or half of them while another process of this ingress runs. */
     private void share(boolean other) {
         int mine = other ? budget / 2 : budget;
         front.server().setMaxConnections(mine * 3 / 5 - (limitsFront == null ? 0 : LimitsFrontend.MAX_TERMINALS));
@@ -289,7 +289,7 @@
 
     public Ingress ingress() { return ingress; }
 
-    /** Null where no second address is named. */
+    /** The admin address's server, null without one. */
     public AdminFront admin() { return admin; }
 
     public EventLoop loop() { return loop; }
@@ -298,7 +298,7 @@
 
     public LimitsFrontend limitsFront() { return limitsFront; }
 
-    /** Milliseconds of Unix time that go on evenly: slots of all ingresses turn together, and nothing goes back. */
+    /** A monotonic clock in milliseconds of Unix time, so that the time slots of all ingresses coincide. */
     private static DoubleSupplier clock() {
         Instant start = Instant.now();
         double startMs = start.getEpochSecond() * 1e3 + start.getNano() / 1e6;
@@ -308,7 +308,7 @@
 
     private void fault(Throwable e) {
         if ((e instanceof UncheckedIOException || e instanceof YardusherError) && ready.getCount() > 0) {
-            // An address that cannot be had, or a part that cannot start, ends the start.
+            // An address that cannot be bound, or a component that cannot start, fails the start.
             unready = e instanceof UncheckedIOException cause ? cause.getCause() : (YardusherError) e;
             ready.countDown();
             return;
@@ -317,10 +317,10 @@
         if (counters.faults <= 20) { e.printStackTrace(); }
     }
 
-    /** Takes clients before it returns; an {@link IOException} where an address cannot be listened at. */
+    /** Starts and accepts clients before it returns; an {@link IOException} if an address cannot be bound. */
     public void start() throws IOException { start(FIRST_LIST_MS); }
 
-    /** The same, with the time in milliseconds that the first word of discovery is waited for at the most, 0 for not at all. */
+    /** The same, with the maximum wait in milliseconds for the first update from discovery, 0 for none. */
     public void start(double waitMs) throws IOException {
         loop.startTimer();
         loop.execute(() -> {
@@ -337,7 +337,7 @@
             }
         });
         try {
-            // Guards a start that is short of processor time: what it waits for in time it goes without.
+            // If the start is short of processor time, it goes on without the first update from discovery.
             if (!ready.await(START_MS, TimeUnit.MILLISECONDS)) { loop.execute(watch::awaitNoLonger); }
             if (ready.getCount() > 0 || unready != null) {
                 if (unready instanceof YardusherError why) { throw why; }
@@ -349,13 +349,13 @@
     }
 
     /**
-     * Takes over what a configuration file read anew can change while all goes on: where discovery is found. The
-     * counter is not asked by these decisions. A file that cannot be used changes nothing. The result says which.
+     * Applies what a configuration file can change at run time: the address of discovery. The counter's address is not used by
+     * these decisions. An unusable file changes nothing. The result says which.
      */
     public String reload(String file) { return reload(file, null); }
 
-    /** The same, with the file of our own settings, null for none. What each subsystem cannot take over it says itself. */
-    public synchronized String reload(String file, Path settingsFile) { // one by one: an older reading must not come last
+    /** The same, with the yardusher settings file, null for none. Each subsystem reports what it cannot apply. */
+    public synchronized String reload(String file, Path settingsFile) { // serialized, so that an older reading is not applied last
         Config next;
         Settings own;
         try {
@@ -379,8 +379,8 @@
     }
 
     /**
-     * Accepts for a while, answers all that was taken, and returns just before the platform would kill it: at the latest when
-     * the last request that can have been taken has had its whole time.
+     * Accepts for a while, answers all accepted requests, and returns just before the platform would kill the process: at the
+     * latest after the deadline of the last request that can have been accepted.
      */
     public void drain() throws InterruptedException {
         double mostMs = ACCEPT_ON_MS + READ_ON_MS + Math.max(longestMs, LEAST_END_MS) + LAST_MS;
@@ -388,7 +388,7 @@
             loop.deadlines().schedule(loop.now() + ACCEPT_ON_MS, () -> {
                 if (handover.hasHeir()) { serving = false; } else { closeFronts(); }
                 loop.deadlines().schedule(loop.now() + READ_ON_MS, () -> {
-                    if (!handover.hasHeir()) { closeFronts(); } // whoever came at the last moment and has said nothing
+                    if (!handover.hasHeir()) { closeFronts(); } // connections that arrived at the last moment and sent nothing
                     waitForOpen();
                 });
             });
@@ -405,7 +405,7 @@
     private void closeFronts() {
         serving = false;
         ending = true;
-        // Guards who waits at the door of a full process: they are let in before it closes, with half of what the backends leave.
+        // Clients waiting for a full process are accepted before it closes, with half of what the backends leave unused.
         int spare = Math.max(0, budget * 2 / 5 - pool.held()) / 2;
         pool.limit(budget * 2 / 5 - spare);
         front.server().setMaxConnections(budget * 3 / 5 + spare - (limitsFront == null ? 0 : LimitsFrontend.MAX_TERMINALS));
@@ -414,9 +414,9 @@
     }
 
     private void waitForOpen() {
-        // Guards answers that the system has not taken, or that a close over unread bytes would destroy: a connection is over
-        // once its client has ended it too, or has had its time for that. Guards who comes between that and the halt: while a door
-        // is open, the next client is let in, sent on, and cut off with its answer on the way.
+        // Waits for answers still in the send buffer, or that a close with unread bytes would destroy: a connection is finished
+        // once its client has closed it too, or its time for that is over. The listeners are closed by then: a client accepted
+        // between this and the halt would be redirected and cut off with its answer on the way.
         if (ingress.openCount() == 0 && !parts.isBusy() && front.server().isFinished()
                 && (limitsFront == null || limitsFront.server().isFinished())) {
             drained.countDown();
@@ -453,19 +453,19 @@
         }
     }
 
-    /** Where the two versions of one ingress find each other: the platform's private folder. */
+    /** The folder in which two versions of one ingress find each other: the platform's private one. */
     private static Path notes() {
         String folder = System.getenv("TMPDIR");
         return folder == null || folder.isEmpty() ? null : Path.of(folder);
     }
 
-    /** Whether the limits file opens the front at all. A plain look, so that the platform's start loads no parser. */
+    /** Whether the limits file turns the limits front on. A text search, so that the usual start loads no TOML parser. */
     private static boolean listens(Path limitsFile) throws IOException {
         return limitsFile != null && Files.exists(limitsFile)
                 && Files.readString(limitsFile).lines().anyMatch(line -> line.strip().startsWith("listen"));
     }
 
-    /** Each asking is followed by a reading that began after it; the line says what became of it. */
+    /** Reloads if requested since the last reload began, and prints the result. */
     private static void reloadIfAsked(Serve serve, AtomicBoolean asked, String file, Path settingsFile) {
         if (serve != null && asked.getAndSet(false)) { System.err.println(serve.config.name() + " " + serve.reload(file, settingsFile)); }
     }
@@ -474,7 +474,7 @@
     static int run(String file, Path limitsFile, Path settingsFile) throws IOException {
         DoubleSupplier clock = clock();
         double bornMs = clock.getAsDouble();
-        // First of all: the default of this signal would end the process. One that comes before there is anything to reload waits.
+        // First of all, since SIGHUP would end the process by default. One that arrives before the start is complete is deferred.
         AtomicReference<Serve> reloads = new AtomicReference<>();
         AtomicBoolean asked = new AtomicBoolean();
         Signal.handle(new Signal("HUP"), hup -> {
@@ -482,7 +482,7 @@
             reloadIfAsked(reloads.get(), asked, file, settingsFile);
         });
         Config config = Config.read(file);
-        String adminAt = System.getenv("RELAY_ADMIN_ADDR"); // goes before the file's: it is this very process's
+        String adminAt = System.getenv("RELAY_ADMIN_ADDR"); // overrides the file: it belongs to this process
         Serve serve = new Serve(config, adminAt == null || adminAt.isEmpty() ? config.admin() : address(adminAt), notes(), listens(limitsFile) ? LimitsConfig.read(limitsFile) : null, Settings.read(settingsFile),
                 clock, bornMs);
         Thread end = new Thread(() -> {
@@ -498,7 +498,7 @@
                 System.err.println(config.name() + " ends: " + serve.countersLine());
                 System.err.flush();
             } finally {
-                Runtime.getRuntime().halt(0);        // whatever a part says at its end: all that was taken is answered
+                Runtime.getRuntime().halt(0);        // even if a component fails to close: all accepted requests are answered
             }
         }, "drain");
         Runtime.getRuntime().addShutdownHook(end);
@@ -508,7 +508,7 @@
         try {
             serve.start();
         } catch (IOException | RuntimeException e) {
-            // Danger: the hook's end is 0, as of a process that served and was asked to end.
+            // The hook would exit with 0, like a process that served and was told to end.
             if (!end.isAlive()) { Runtime.getRuntime().removeShutdownHook(end); }
             serve.close();
             throw e;
--- a/src/main/java/yardusher/cli/Subsystems.java
+++ b/src/main/java/yardusher/cli/Subsystems.java
@@ -22,27 +22,27 @@
 import yardusher.view.ViewSubsystem;
 
 /**
- * The subsystems that our settings turn on, in the order in which they are made, started and asked; they are drained and
- * closed the other way round. {@code mesh} and {@code view} are null where the view is off.
+ * The subsystems that the settings turn on, in the order in which they are created, started and called; they are drained and
+ * closed in reverse order. {@code mesh} and {@code view} are null if the view is off.
  */
 record Subsystems(List<Subsystem> all, Mesh mesh, View view) {
-    /** Makes those whose tables are there; a {@link yardusher.error.YardusherError} where one cannot be made as it is set. */
+    /** Creates those whose tables are present; a {@link yardusher.error.YardusherError} if one cannot be created. */
     static Subsystems of(Settings own, Config config, EventLoop loop) throws IOException {
         List<Subsystem> all = new ArrayList<>();
         ViewSubsystem view = null;
-        if (own.view() != null) {                    // made first, so closed last: others say their last words over its mesh
+        if (own.view() != null) {                    // created first and closed last: the others send their last messages over its mesh
             view = new ViewSubsystem(own.view(), config.name(), config.zones().isEmpty() ? "" : config.zones().get(config.settings().zone()), config.seed(), loop,
                     Logs.of(own.log(), config.name()));
             all.add(view);
         }
-        if (own.rates() != null) { all.add(new RatesSubsystem(own.rates())); } // innermost: repeats that a key answers ask for nothing
+        if (own.rates() != null) { all.add(new RatesSubsystem(own.rates())); } // innermost: retries answered from a key consume no rate
         if (own.journal() != null) {
             all.add(new JournalSubsystem(own.journal(), own.keys() != null, config.name(), config.settings(), config.classes(),
                     config.plans(), loop, Logs.of(own.log(), config.name())));
         }
         if (own.keys() != null) { all.add(new KeysSubsystem(own.keys(), own.journal())); }
         if (own.parts() != null) { all.add(new ConnectionQuotaSubsystem(own.parts())); }
-        if (own.units() != null) { all.add(new UnitsSubsystem(own.units())); } // outermost: what belongs together, then each key
+        if (own.units() != null) { all.add(new UnitsSubsystem(own.units())); } // outermost: a unit is checked before each key
         return new Subsystems(all, view == null ? null : view.mesh(), view == null ? null : view.view());
     }
 
@@ -66,16 +66,16 @@
         for (Subsystem one : all) { one.start(); }
     }
 
-    /** What the parts say of settings read anew, each behind a semicolon; empty for nothing. */
+    /** What the subsystems report about reloaded settings, each behind a semicolon; empty for nothing. */
     String reload(Settings next) {
         return all.stream().map(one -> Objects.toString(one.reload(next), "")).filter(said -> !said.isEmpty()).map(said -> "; " + said)
                 .collect(Collectors.joining());
     }
 
-    /** Names and values of all parts, each part's behind a space. */
+    /** The counters of all subsystems, each subsystem's behind a space. */
     String line() { return all.stream().map(Subsystem::line).filter(said -> !said.isEmpty()).map(said -> " " + said).collect(Collectors.joining()); }
 
-    /** The answer of the part whose call it is; null for nobody's. */
+    /** The answer of the subsystem that has this call; null if none has. */
     String report(String call) { return all.stream().map(one -> one.report(call)).filter(Objects::nonNull).findFirst().orElse(null); }
 
     void drain() {
