--- a/src/main/java/yardusher/error/CommandError.java
+++ b/src/main/java/yardusher/error/CommandError.java
@@ -1,6 +1,6 @@
 package yardusher.error;
 
-/** What was asked of this process, by its command line or by a call: it may be sent by anybody, thousands a second. */
+/** A bad request to this process, by command line or by a call. Anybody can send calls, thousands a second. */
 public abstract sealed class CommandError extends YardusherError {
     private static final long serialVersionUID = 1L;
 
@@ -8,7 +8,7 @@
         super(code, exit, true, "command", command, what, advice, cause, details);
     }
 
-    /** Words that make no command. */
+    /** Arguments that form no command. */
     public static final class Usage extends CommandError {
         private static final long serialVersionUID = 1L;
 
@@ -17,7 +17,7 @@
         }
     }
 
-    /** A call that is not known here. */
+    /** An unknown call. */
     public static final class Unknown extends CommandError {
         private static final long serialVersionUID = 1L;
 
@@ -26,7 +26,7 @@
         }
     }
 
-    /** One of its words cannot be used; the text says which and what is allowed. */
+    /** An invalid argument; the text says which and what is allowed. */
     public static final class Argument extends CommandError {
         private static final long serialVersionUID = 1L;
 
@@ -39,7 +39,7 @@
         }
     }
 
-    /** It can be read, and is not done in the present state. */
+    /** A valid request that is refused in the present state. */
     public static final class Refused extends CommandError {
         private static final long serialVersionUID = 1L;
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /** What it asks for is not there. */
+    /** The requested item does not exist. */
     public static final class NotFound extends CommandError {
         private static final long serialVersionUID = 1L;
 
@@ -59,7 +59,7 @@
         }
     }
 
-    /** The result cannot be written where it was to go. */
+    /** The result cannot be written to its destination. */
     public static final class Output extends CommandError {
         private static final long serialVersionUID = 1L;
 
--- a/src/main/java/yardusher/error/ConfigError.java
+++ b/src/main/java/yardusher/error/ConfigError.java
@@ -1,6 +1,6 @@
 package yardusher.error;
 
-/** What an operator wrote in a file, an option or the environment and what cannot be used. The file may be null at first. */
+/** An invalid setting in a file, an option or the environment. The file may be null at first. */
 public abstract sealed class ConfigError extends YardusherError {
     private static final long serialVersionUID = 1L;
 
@@ -8,7 +8,7 @@
         super(code, BAD_INPUT, false, "file", file, what, advice, cause, details);
     }
 
-    /** The file is not there, or may not be read. */
+    /** The file does not exist, or may not be read. */
     public static final class Unreadable extends ConfigError {
         private static final long serialVersionUID = 1L;
 
@@ -19,7 +19,7 @@
         }
     }
 
-    /** It is not of the form that it has to be of: JSON, TOML, the grammar of nginx. */
+    /** A syntax error: not valid JSON, TOML or nginx configuration. */
     public static final class Syntax extends ConfigError {
         private static final long serialVersionUID = 1L;
 
@@ -30,7 +30,7 @@
         }
     }
 
-    /** A key that is not known: a misspelt one must not pass for a default. */
+    /** An unknown key: a misspelt one must not silently take the default. */
     public static final class UnknownKey extends ConfigError {
         private static final long serialVersionUID = 1L;
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Something that has to be there is not; {@code needs} such as "a text in name". */
+    /** A required setting is missing; {@code needs} such as "a text in name". */
     public static final class Missing extends ConfigError {
         private static final long serialVersionUID = 1L;
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /** A value out of what is allowed; {@code allowed} such as "a whole number from 1 to 64". */
+    /** A value that is not allowed; {@code allowed} such as "a whole number from 1 to 64". */
     public static final class Value extends ConfigError {
         private static final long serialVersionUID = 1L;
 
@@ -60,7 +60,7 @@
         }
     }
 
-    /** A figure out of its range, named with the value that stands there. */
+    /** A number out of its range, reported with its value. */
     public static final class Range extends ConfigError {
         private static final long serialVersionUID = 1L;
 
@@ -70,7 +70,7 @@
         }
     }
 
-    /** A name that stands for nothing known, such as a class, a plan, an instance. */
+    /** A reference to an unknown name, such as a class, a plan, an instance. */
     public static final class UnknownName extends ConfigError {
         private static final long serialVersionUID = 1L;
 
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Each value is allowed, but not together. */
+    /** Values that are allowed each, but not together. */
     public static final class Conflict extends ConfigError {
         private static final long serialVersionUID = 1L;
 
@@ -88,7 +88,7 @@
         }
     }
 
-    /** No address; names are not looked up, since a resolver may be out at the worst moment. */
+    /** Not a numeric address; names are not resolved, since a resolver may be unavailable when it is needed most. */
     public static final class Address extends ConfigError {
         private static final long serialVersionUID = 1L;
 
--- a/src/main/java/yardusher/error/JournalError.java
+++ b/src/main/java/yardusher/error/JournalError.java
@@ -1,6 +1,6 @@
 package yardusher.error;
 
-/** A journal of orders: its folder at the start, and what it holds when it is read. */
+/** A problem with a journal: with its folder at the start, or with its content when it is read. */
 public abstract sealed class JournalError extends YardusherError {
     private static final long serialVersionUID = 1L;
 
@@ -19,7 +19,7 @@
         }
     }
 
-    /** Another process, or another instance of this one, writes there. */
+    /** Another process, or another journal in this one, holds the folder. */
     public static final class Held extends JournalError {
         private static final long serialVersionUID = 1L;
 
@@ -30,7 +30,7 @@
         }
     }
 
-    /** It holds no journal. */
+    /** The folder holds no journal. */
     public static final class None extends JournalError {
         private static final long serialVersionUID = 1L;
 
@@ -39,7 +39,7 @@
         }
     }
 
-    /** What it holds cannot be read to its end. */
+    /** The journal cannot be read to its end. */
     public static final class Damaged extends JournalError {
         private static final long serialVersionUID = 1L;
 
--- a/src/main/java/yardusher/error/PartError.java
+++ b/src/main/java/yardusher/error/PartError.java
@@ -1,6 +1,6 @@
 package yardusher.error;
 
-/** This ingress's part of the connections that a region may hold. */
+/** A problem with this ingress's share of the connections that a region may hold. */
 public abstract sealed class PartError extends YardusherError {
     private static final long serialVersionUID = 1L;
 
@@ -8,7 +8,7 @@
         super(code, FAILED, true, "region", region, what, advice, null, details);
     }
 
-    /** Part of a holder whose end is not proven: kept back. */
+    /** A share is reserved because the end of its holder is not proven. */
     public static final class Unproven extends PartError {
         private static final long serialVersionUID = 1L;
 
@@ -18,7 +18,7 @@
         }
     }
 
-    /** A message that cannot be read or believed; counted. */
+    /** A message that is malformed or not trusted; counted. */
     public static final class Message extends PartError {
         private static final long serialVersionUID = 1L;
 
--- a/src/main/java/yardusher/error/RegisterError.java
+++ b/src/main/java/yardusher/error/RegisterError.java
@@ -1,6 +1,6 @@
 package yardusher.error;
 
-/** The register of the agents: a member's store, and the tokens under which its orders are followed. */
+/** A problem with the agents' replicated register: a member's store, or the fencing token of a command. */
 public abstract sealed class RegisterError extends YardusherError {
     private static final long serialVersionUID = 1L;
 
@@ -19,7 +19,7 @@
         }
     }
 
-    /** No store of the member is there, and none is made unasked: an empty one would forget what was promised. */
+    /** The member's store is missing. None is created implicitly: an empty one would forget what was promised. */
     public static final class Empty extends RegisterError {
         private static final long serialVersionUID = 1L;
 
@@ -30,7 +30,7 @@
         }
     }
 
-    /** A store is there already. */
+    /** A store exists already. */
     public static final class Occupied extends RegisterError {
         private static final long serialVersionUID = 1L;
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /** The store is another member's or installation's. */
+    /** The store belongs to another member or installation. */
     public static final class Foreign extends RegisterError {
         private static final long serialVersionUID = 1L;
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /** The store cannot be read, so the member must not speak for it. */
+    /** The store cannot be read, so the member must not vote. */
     public static final class Damaged extends RegisterError {
         private static final long serialVersionUID = 1L;
 
@@ -62,7 +62,7 @@
         }
     }
 
-    /** An order under a token that is not the one known here. */
+    /** A command under a token that is not the one known here. */
     public static final class Token extends RegisterError {
         private static final long serialVersionUID = 1L;
 
@@ -71,7 +71,7 @@
         }
     }
 
-    /** What was asked for cannot be agreed on. */
+    /** The proposed change cannot be agreed on. */
     public static final class Refused extends RegisterError {
         private static final long serialVersionUID = 1L;
 
--- a/src/main/java/yardusher/error/UnitError.java
+++ b/src/main/java/yardusher/error/UnitError.java
@@ -1,6 +1,6 @@
 package yardusher.error;
 
-/** A unit of work whose part or boundary cannot be carried: refused at once, never carried silently. */
+/** A request or boundary of a unit of work that cannot be executed: refused at once, never ignored silently. */
 public abstract sealed class UnitError extends YardusherError {
     private static final long serialVersionUID = 1L;
 
@@ -8,7 +8,7 @@
         super(code, FAILED, true, "unit", unit, what, advice, null, details);
     }
 
-    /** A part out of its order. */
+    /** A request out of sequence. */
     public static final class Order extends UnitError {
         private static final long serialVersionUID = 1L;
 
@@ -27,7 +27,7 @@
         }
     }
 
-    /** Nobody here or among the peers asked knows it. */
+    /** Neither this ingress nor the peers that were asked know the unit. */
     public static final class Unknown extends UnitError {
         private static final long serialVersionUID = 1L;
 
@@ -36,7 +36,7 @@
         }
     }
 
-    /** What it was bound to is gone. */
+    /** The resource that the unit was bound to is gone. */
     public static final class Binding extends UnitError {
         private static final long serialVersionUID = 1L;
 
@@ -45,7 +45,7 @@
         }
     }
 
-    /** What it asks for has no counterpart in this ingress's mode. */
+    /** The requested operation is not supported in this ingress's mode. */
     public static final class Mode extends UnitError {
         private static final long serialVersionUID = 1L;
 
@@ -55,7 +55,7 @@
         }
     }
 
-    /** A boundary that is nested, doubled, missing or crosses another. */
+    /** A boundary that is nested, duplicated, missing or crosses another. */
     public static final class Boundary extends UnitError {
         private static final long serialVersionUID = 1L;
 
@@ -64,7 +64,7 @@
         }
     }
 
-    /** No room for another one. */
+    /** The maximum number of units is reached. */
     public static final class Full extends UnitError {
         private static final long serialVersionUID = 1L;
 
@@ -73,7 +73,7 @@
         }
     }
 
-    /** The ingress that holds its state does not answer. */
+    /** The ingress that holds the unit's state does not answer. */
     public static final class Holder extends UnitError {
         private static final long serialVersionUID = 1L;
 
--- a/src/main/java/yardusher/error/ViewError.java
+++ b/src/main/java/yardusher/error/ViewError.java
@@ -1,6 +1,6 @@
 package yardusher.error;
 
-/** The ingresses' view of their fleet. None of them stops an ingress from serving; the peer may be null. */
+/** A problem with the cluster membership view. None stops an ingress from serving; the peer may be null. */
 public abstract sealed class ViewError extends YardusherError {
     private static final long serialVersionUID = 1L;
 
@@ -8,7 +8,7 @@
         super(code, exit, true, "peer", peer, what, advice, cause, details);
     }
 
-    /** Two processes claim one name: {@code peer} is the other one's address. */
+    /** Two processes claim the same name: {@code peer} is the other one's address. */
     public static final class NameTaken extends ViewError {
         private static final long serialVersionUID = 1L;
 
@@ -18,7 +18,7 @@
         }
     }
 
-    /** No seed answers: the ingress serves alone and goes on asking. */
+    /** No seed answers: the ingress serves alone and keeps retrying. */
     public static final class NoSeed extends ViewError {
         private static final long serialVersionUID = 1L;
 
@@ -28,7 +28,7 @@
         }
     }
 
-    /** A newer life of this name is known to the others. */
+    /** The other members know a newer incarnation of this name. */
     public static final class Replaced extends ViewError {
         private static final long serialVersionUID = 1L;
 
@@ -39,7 +39,7 @@
         }
     }
 
-    /** A message that cannot be read or believed; counted, and told once in a while. */
+    /** A message that is malformed or not trusted; counted, and logged at a limited rate. */
     public static final class Message extends ViewError {
         private static final long serialVersionUID = 1L;
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /** The address of the view cannot be listened at. */
+    /** The address of the view cannot be bound. */
     public static final class Listen extends ViewError {
         private static final long serialVersionUID = 1L;
 
--- a/src/main/java/yardusher/error/WireError.java
+++ b/src/main/java/yardusher/error/WireError.java
@@ -1,6 +1,6 @@
 package yardusher.error;
 
-/** What another process said or did not say. The peer is its address or name; it may be null at first. */
+/** A failed exchange with another process. The peer is its address or name; it may be null at first. */
 public abstract sealed class WireError extends YardusherError {
     private static final long serialVersionUID = 1L;
 
@@ -8,7 +8,7 @@
         super(code, FAILED, true, "peer", peer, what, advice, cause, details);
     }
 
-    /** Nothing listens at the address. */
+    /** Connection refused: nothing listens at the address. */
     public static final class Nobody extends WireError {
         private static final long serialVersionUID = 1L;
 
@@ -17,7 +17,7 @@
         }
     }
 
-    /** It takes the connection, and no answer comes in time. */
+    /** Timeout: the peer accepts the connection, but no answer comes in time. */
     public static final class Silent extends WireError {
         private static final long serialVersionUID = 1L;
 
@@ -26,7 +26,7 @@
         }
     }
 
-    /** It ended the connection before an answer. */
+    /** The peer closed the connection before an answer. */
     public static final class Closed extends WireError {
         private static final long serialVersionUID = 1L;
 
@@ -37,7 +37,7 @@
         }
     }
 
-    /** What it said cannot be read. */
+    /** The peer sent a malformed message. */
     public static final class Malformed extends WireError {
         private static final long serialVersionUID = 1L;
 
@@ -49,7 +49,7 @@
         }
     }
 
-    /** It answered with an error. */
+    /** The peer answered with an error. */
     public static final class Refused extends WireError {
         private static final long serialVersionUID = 1L;
 
@@ -58,7 +58,7 @@
         }
     }
 
-    /** It speaks a version that is not spoken here. */
+    /** The peer uses an unsupported protocol version. */
     public static final class Version extends WireError {
         private static final long serialVersionUID = 1L;
 
@@ -67,7 +67,7 @@
         }
     }
 
-    /** An address of this process cannot be listened at. */
+    /** An address of this process cannot be bound. */
     public static final class Listen extends WireError {
         private static final long serialVersionUID = 1L;
 
--- a/src/main/java/yardusher/error/YardusherError.java
+++ b/src/main/java/yardusher/error/YardusherError.java
@@ -1,19 +1,19 @@
 package yardusher.error;
 
 /**
- * What went wrong, where, and what an operator can do about it. Exit code, the fields of a log event and the short code,
- * which stays the same from version to version, come from the type; {@code docs/errors.md} lists them all. Unchecked:
- * whoever throws one means the edge (the command line, a call's answer, a log event) to tell it, in one plain line.
+ * Base of all errors reported to an operator: what went wrong, where, and what can be done about it. The type determines the exit
+ * code, the fields of a log event and the short code, which is stable across versions; {@code docs/errors.md} lists them all.
+ * Unchecked: it is reported in one line at the edge (the command line, a call's answer, a log event).
  *
- * <p>The place (a file, a folder, a peer, a unit) is often known further out than where the fault is seen, so
- * {@link #in} names it on the way. An error has one owner at a time and is not shared between threads before it is told.
+ * <p>The place (a file, a folder, a peer, a unit) is often known further up the call stack than where the error is detected, so
+ * {@link #in} adds it on the way. An error has one owner at a time and is not shared between threads before it is reported.
  */
 public abstract sealed class YardusherError extends RuntimeException
         permits ConfigError, WireError, JournalError, RegisterError, ViewError, UnitError, PartError, CommandError {
     private static final long serialVersionUID = 1L;
-    /** Exit code where the work was begun and failed. */
+    /** Exit code for an operation that started and failed. */
     public static final int FAILED = 1;
-    /** Exit code where what an operator wrote cannot be used. */
+    /** Exit code for invalid input of an operator. */
     public static final int BAD_INPUT = 2;
 
     private final String code;
@@ -24,8 +24,8 @@
     private String place;
 
     /**
-     * Of what others send there may be thousands a second: {@code sent} says that no stack is walked for it. The details
-     * are names and values in turn, up to a few; {@code place} may be null.
+     * {@code sent} marks an error caused by input from others, of which there may be thousands a second: it records no stack
+     * trace. The details are alternating names and values; {@code place} may be null.
      */
     YardusherError(String code, int exitCode, boolean sent, String placeName, Object place, String what, String advice,
             Throwable cause, Object... details) {
@@ -38,28 +38,28 @@
         this.details = details;
     }
 
-    /** Names the place, where none is named yet. */
+    /** Sets the place if none is set yet. */
     public final YardusherError in(Object where) {
         if (place == null && where != null) { place = oneLine(where.toString()); }
         return this;
     }
 
-    /** Where and what, in one line; the place stands before a colon. */
+    /** Place and problem in one line, separated by a colon. */
     @Override
     public final String getMessage() { return place == null ? what() : place + ": " + what(); }
 
-    /** What happened, without the place. */
+    /** The problem, without the place. */
     public final String what() { return super.getMessage(); }
 
     /** What an operator can do: one or two plain sentences, the same for all errors of a type. */
     public final String advice() { return advice; }
 
-    /** Capitals, digits and underscores; stable, for scripts and alarms. */
+    /** A stable code of capitals, digits and underscores, for scripts and alarms. */
     public final String code() { return code; }
 
     public final int exitCode() { return exitCode; }
 
-    /** Names and values in turn, as a log event takes them: the code, the place where it is known, the details. */
+    /** Alternating names and values for a log event: the code, the place if known, the details. */
     public final Object[] fields() {
         int first = place == null ? 2 : 4;
         Object[] fields = new Object[first + details.length];
@@ -73,7 +73,7 @@
         return fields;
     }
 
-    /** Guards logs and answers: what came from outside must not begin a line of its own. */
+    /** Prevents log and response injection: outside input must not start a line of its own. */
     private static String oneLine(String text) {
         for (int i = 0; i < text.length(); i++) {
             if (text.charAt(i) < ' ' || text.charAt(i) == 127) { return text.replaceAll("\\p{Cntrl}+", " ").strip(); }
