--- a/src/main/java/yardusher/settings/Settings.java
+++ b/src/main/java/yardusher/settings/Settings.java
@@ -15,19 +15,19 @@
 import yardusher.view.ViewSettings;
 
 /**
- * Our own settings, deploy/yardusher.toml: a table for each subsystem, which is off where its table is left out. The
- * platform's file says nothing of them.
+ * The yardusher settings, deploy/yardusher.toml: a table for each subsystem, which is off if its table is absent. The
+ * platform's configuration file does not cover them.
  */
 public record Settings(JournalSettings journal, KeySettings keys, LogSettings log, boolean fenced, ViewSettings view,
         UnitSettings units, ConnectionQuotaSettings parts, RateSettings rates) {
-    /** Everything off. */
+    /** All subsystems off. */
     public static final Settings OFF = new Settings(null, null, null, false, null, null, null, null);
     private static final Set<String> TABLES = Set.of("journal", "keys", "log", "fleet", "view", "units", "parts", "rates");
 
     /**
-     * Reads a file; null and a file that says nothing are {@link #OFF}, and load no parser.
+     * Reads a file; null and a file of comments only are {@link #OFF}, and load no parser.
      *
-     * @throws yardusher.error.ConfigError in one plain line that names the file, the key and what is allowed
+     * @throws yardusher.error.ConfigError in one line that names the file, the key and what is allowed
      */
     public static Settings read(Path file) {
         if (file == null || isSilent(file)) { return OFF; }
@@ -40,7 +40,7 @@
         });
     }
 
-    /** Whether this ingress takes orders of the fleet's work at its second address. */
+    /** Whether this ingress accepts calls of fleet operations at its admin address. */
     private static boolean fenced(Toml file) {
         Toml table = file.table("fleet");
         return table != null && table.only(Set.of("orders")).flag("orders", true);
