--- a/src/main/java/yardusher/subsystem/Subsystem.java
+++ b/src/main/java/yardusher/subsystem/Subsystem.java
@@ -6,47 +6,47 @@
 import yardusher.settings.Settings;
 
 /**
- * One part of an ingress that a table of our settings turns on. The program holds them in a list, in the order in which they
- * are made, and knows no more of them than this. Where the table is left out, the part is not made and none of its classes is
- * loaded. All calls but {@link #end} are made in loop.
+ * An optional component of an ingress, turned on by a table of the yardusher settings. The program holds them in a list in order of
+ * creation and knows only this interface. Without its table, a subsystem is not created and none of its classes is loaded. All
+ * methods but {@link #end} are called on the event loop.
  */
 public interface Subsystem {
-    /** The name of its table. */
+    /** The name of its settings table. */
     String name();
 
-    /** Writes down the core's orders, over what {@code inner} does; by default nothing is added. Before the core is made. */
+    /** Wraps the request log of the core; by default returns {@code inner}. Called before the core is created. */
     default RequestLog orders(RequestLog inner) { return inner; }
 
-    /** Stands between the fronts and the core; by default it does not. Once, when the core is there and the fronts are not. */
+    /** Wraps the acceptor between fronts and core; by default returns {@code inner}. Called once, between the creation of both. */
     default RequestAcceptor intake(Site site, RequestAcceptor inner) throws IOException { return inner; }
 
-    /** Gets what it needs of the ingress, once all of it is made and nothing has been taken yet. */
+    /** Receives the components of the ingress, once all are created and before any request is accepted. */
     default void join(Site site) throws IOException { }
 
-    /** Begins its work; an {@link IOException} ends the start of the program. Before clients are taken. */
+    /** Starts, before clients are accepted; an {@link IOException} fails the start of the program. */
     default void start() throws IOException { }
 
     /**
-     * The settings were read anew, null where they cannot be used. Takes over what it can and gives what it took, or what
-     * waits for a restart, in a few words; null where nothing differs.
+     * Applies reloaded settings as far as possible; {@code next} is null if they are unusable. Returns a short text on what was
+     * applied or needs a restart; null if nothing differs.
      */
     default String reload(Settings next) { return null; }
 
-    /** Names and values for the counters line, such as {@code orders_open=3}; empty for none. */
+    /** Names and values for the counters line, such as {@code orders_open=3}; empty if there are none. */
     default String line() { return ""; }
 
-    /** What it answers to a call of its own at the second address, lines that are each ended; null where it has no such call. */
+    /** The terminated lines that answer a call at the admin address; null if this subsystem has no such call. */
     default String report(String call) { return null; }
 
-    /** The process is told to end: what it holds open for others is handed over from now on, in bounded time. */
+    /** The process is shutting down: from now on hands over the state it holds for others, in bounded time. */
     default void drain() { }
 
-    /** Whether it has something left to hand over; asked again and again after {@link #drain}, for a bounded time. */
+    /** Whether state is left to hand over; polled after {@link #drain}, for a bounded time. */
     default boolean isBusy() { return false; }
 
-    /** The last turn: sockets close. */
+    /** Closes the sockets, as the last call on the event loop. */
     default void close() { }
 
-    /** Outside loop, once all is over; may wait for a disk for a bounded time. */
+    /** Finishes outside the event loop, after {@link #close}; may wait for a disk for a bounded time. */
     default void end() { }
 }
