--- a/src/main/java/yardusher/log/Events.java
+++ b/src/main/java/yardusher/log/Events.java
@@ -4,16 +4,16 @@
 import yardusher.error.YardusherError;
 
 /**
- * What a part of the program has to tell an operator: a text that is the same for each event of a kind, and names and
- * values in turn. Without a table {@code log} in our settings it is a plain line on standard error and nothing is loaded;
- * with one, SLF4J and Logback take it.
+ * Log events for operators: a constant text per kind of event, and alternating names and values. Without a table {@code log}
+ * in the settings an event is a plain line on standard error and no logging library is loaded; with one, events go through
+ * SLF4J to Logback.
  */
 public interface Events {
     void info(String text, Object... pairs);
 
     void warn(String text, Object... pairs);
 
-    /** The same with what the error's type knows: its code, where, its details, and its words under {@code why}. */
+    /** The same with the fields of an error: its code, place and details, and its message under {@code why}. */
     default void warn(String text, YardusherError error) {
         Object[] fields = error.fields();
         Object[] pairs = Arrays.copyOf(fields, fields.length + 2);
@@ -22,7 +22,7 @@
         warn(text, pairs);
     }
 
-    /** Lines such as {@code n3 journal: torn tail cut off file=orders-1.seg bytes=17}. */
+    /** Writes plain lines such as {@code n3 journal: torn tail cut off file=orders-1.seg bytes=17}. */
     static Events plain(String instance) {
         return new Events() {
             @Override
@@ -33,7 +33,7 @@
         };
     }
 
-    /** One line; line ends in a value become spaces, so that an event is never more than a line. */
+    /** Formats an event as one line; line ends in a value become spaces. */
     static String line(String instance, String text, Object... pairs) {
         StringBuilder line = new StringBuilder(instance).append(' ').append(text);
         for (int i = 0; i + 1 < pairs.length; i += 2) {
--- a/src/main/java/yardusher/log/LogSettings.java
+++ b/src/main/java/yardusher/log/LogSettings.java
@@ -3,9 +3,9 @@
 import java.util.Set;
 import yardusher.file.Toml;
 
-/** What deploy/yardusher.toml says in its table {@code log}. */
+/** The table {@code log} of deploy/yardusher.toml. */
 public record LogSettings(boolean json, String level) {
-    /** Reads the table; a {@link yardusher.error.ConfigError} names the key and what is allowed. Null where it is left out. */
+    /** Reads the table; a {@link yardusher.error.ConfigError} names the key and what is allowed. Null if it is absent. */
     public static LogSettings of(Toml file) {
         Toml table = file.table("log");
         if (table == null) { return null; }
--- a/src/main/java/yardusher/log/Logs.java
+++ b/src/main/java/yardusher/log/Logs.java
@@ -1,13 +1,13 @@
 package yardusher.log;
 
-/** Gives a process its events' way out. */
+/** Creates the event log of a process. */
 public final class Logs {
     private Logs() { }
 
-    /** Libraries that log by themselves say errors alone, on standard error. Loads the logging library. */
+    /** Limits the logging of libraries to errors, on standard error. Loads the logging library. */
     public static void quietLibraries() { Structured.of(new LogSettings(false, "error"), "libraries"); }
 
-    /** Plain where the settings are null: then no class of a logging library is loaded. */
+    /** Plain lines if the settings are null; then no class of a logging library is loaded. */
     public static Events of(LogSettings settings, String instance) {
         return settings == null ? Events.plain(instance) : Structured.of(settings, instance);
     }
--- a/src/main/java/yardusher/log/Structured.java
+++ b/src/main/java/yardusher/log/Structured.java
@@ -12,13 +12,13 @@
 import org.slf4j.LoggerFactory;
 import org.slf4j.spi.LoggingEventBuilder;
 
-/** Events through SLF4J to Logback, set up here and not by a file: lines for people, or a JSON object a line. */
+/** Events through SLF4J to Logback, configured here and not by a file: text lines, or one JSON object per line. */
 final class Structured implements Events {
     private final Logger logger;
 
     private Structured(Logger logger) { this.logger = logger; }
 
-    /** Sets the whole process's logging up; the last call counts. */
+    /** Configures the logging of the whole process; the last call wins. */
     static Events of(LogSettings settings, String instance) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
