--- a/src/main/java/yardusher/nginx/Directive.java
+++ b/src/main/java/yardusher/nginx/Directive.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 
-/** One nginx directive: its words, the line it begins on, and its block, or null where it has none. */
+/** An nginx directive: its words, the line it begins on, and its block, or null if it has none. */
 record Directive(List<String> words, int line, List<Directive> block) {
     String name() { return words.get(0); }
 
-    /** The word at a place after the name, or null. */
+    /** The argument at an index, counted from 1, or null. */
     String word(int at) { return at < words.size() ? words.get(at) : null; }
 
     /** The value of a parameter of the form name=value, or null. */
--- a/src/main/java/yardusher/nginx/Importer.java
+++ b/src/main/java/yardusher/nginx/Importer.java
@@ -16,9 +16,9 @@
 import yardusher.error.ConfigError;
 
 /**
- * EventLoop nginx's upstream and location blocks into a configuration of ours: the servers of one upstream become
+ * Converts nginx's upstream and location blocks into a yardusher configuration: the servers of one upstream become
  * the known regions, each location that passes to it a class, each limit_req_zone a plan. Whatever has no
- * counterpart is named with its line; nothing is dropped in silence.
+ * counterpart is reported with its line; nothing is dropped silently.
  */
 public final class Importer {
     private static final double NGINX_READ_TIMEOUT_MS = 60_000;
@@ -36,7 +36,7 @@
 
     private record ServiceClass(String name, double timeoutMs, boolean repeatable) { }
 
-    /** A plan: its burst is what the locations that use the zone allow. */
+    /** A plan; its burst is the largest that the locations using the zone allow. */
     private static final class Plan {
         final String name;
         final double ratePerS;
@@ -48,12 +48,12 @@
         }
     }
 
-    /** The configuration as JSON, and what could not be taken over, a line each. */
+    /** The configuration as JSON, and one note per directive that could not be converted. */
     public record Result(String json, List<String> notes) { }
 
     private Importer() { }
 
-    /** Imports a file's text; {@code wanted} names the upstream, null where there is but one in use. */
+    /** Imports a file's text; {@code wanted} names the upstream, null if only one is in use. */
     public static Result run(String text, String wanted) throws IOException {
         Importer importer = new Importer();
         importer.walk(NginxParser.parse(text));
@@ -112,7 +112,7 @@
         double perS = Double.parseDouble(rate.group(1)) / (rate.group(2).equals("m") ? 60 : 1);
         String name = zone.split(":")[0];
         zones.put(name, new Plan(name, perS));
-        note(d, "becomes the plan " + name + "; its key " + d.word(1) + " does not: transactions name their partner");
+        note(d, "becomes the plan " + name + "; its key " + d.word(1) + " does not: requests name their customer");
     }
 
     private static final Pattern TIME = Pattern.compile("([0-9]+)(ms|s|m|h)?");
@@ -227,7 +227,7 @@
         String name = plain.isEmpty() ? "root" : plain;
         for (int i = 2; !names.add(name); i++) { name = (plain.isEmpty() ? "root" : plain) + "-" + i; }
         if (location.words().size() > 2 || !path.startsWith("/")) {
-            note(location, "becomes the class " + name + "; its match does not: transactions name their class");
+            note(location, "becomes the class " + name + "; its match does not: requests name their class");
         }
         return new ServiceClass(name, timeout, repeatable);
     }
@@ -241,7 +241,7 @@
         String burst = d.parameter("burst");
         if (burst != null && burst.matches("[0-9]{1,9}")) { plan.burst = Math.max(plan.burst, Double.parseDouble(burst) + 1); }
         for (String extra : d.words().subList(1, d.words().size())) {
-            if (extra.equals("nodelay")) { continue; } // what is over is refused at once here too
+            if (extra.equals("nodelay")) { continue; } // requests over the limit are refused at once here too
             if (!extra.startsWith("zone=") && !extra.matches("burst=[0-9]{1,9}")) { note(d, extra + " is not supported"); }
         }
     }
--- a/src/main/java/yardusher/nginx/NginxParser.java
+++ b/src/main/java/yardusher/nginx/NginxParser.java
@@ -4,11 +4,11 @@
 import java.util.List;
 import yardusher.error.ConfigError;
 
-/** Reads nginx's configuration language: words, quotes, comments, semicolons and blocks. Bounded in depth. */
+/** Parses nginx's configuration language: words, quotes, comments, semicolons and blocks. The nesting depth is bounded. */
 final class NginxParser {
     private static final int MOST_DEPTH = 32;
 
-    /** A file that is not in nginx's form; the message names the line. */
+    /** A syntax error; the message names the line. */
     static ConfigError bad(int line, String what) { return new ConfigError.Syntax(null, "line " + line + ": " + what); }
 
     private final String text;
--- a/src/test/java/yardusher/nginx/ImporterTest.java
+++ b/src/test/java/yardusher/nginx/ImporterTest.java
@@ -29,7 +29,7 @@
         assertThat(config.known().objects("members")).extracting(m -> m.text("host_port") + " " + m.number("size"))
                 .containsExactly("127.0.0.1:7001 2.0", "127.0.0.1:7002 1.0");
         assertThat(result.notes()).containsExactly(
-                "line 2: limit_req_zone: becomes the plan basis; its key $http_x_partner does not: transactions name their partner",
+                "line 2: limit_req_zone: becomes the plan basis; its key $http_x_partner does not: requests name their customer",
                 "line 5: least_conn: not supported; the decision module chooses the region",
                 "line 6: server: max_fails=3 is not supported",
                 "line 23: proxy_set_header: not supported");
