--- a/src/main/java/yardusher/admin/Operator.java
+++ b/src/main/java/yardusher/admin/AdminHandler.java
@@ -8,12 +8,12 @@
  * What an ingress does for the calls at its admin address. Called on the event loop only. A call that fails throws a
  * {@link yardusher.error.YardusherError} with a short message.
  */
-public interface Operator {
+public interface AdminHandler {
     /** Whether this process accepts clients now. */
-    boolean takesClients();
+    boolean acceptsClients();
 
     /** The counters, one terminated line each. */
-    String figures();
+    String counterLines();
 
     /** The terminated lines with which a subsystem answers a call; null if no subsystem has such a call. */
     String report(String call);
@@ -31,5 +31,5 @@
     void drain(boolean away);
 
     /** The next version of this program connects with this line; what it sends afterwards goes to the returned owner. */
-    Connection.Owner succeed(String line, LineReader lines, Connection link);
+    Connection.Owner acceptSuccessor(String line, LineReader lines, Connection link);
 }
--- a/src/main/java/yardusher/admin/Figures.java
+++ b/src/main/java/yardusher/admin/StatsdReport.java
@@ -4,8 +4,8 @@
 import yardusher.core.Counters;
 
 /** The counters as the admin address reports them: StatsD lines with counts since this process started, and gauges. */
-public final class Figures {
-    private Figures() { }
+public final class StatsdReport {
+    private StatsdReport() { }
 
     /**
      * One terminated line per figure. {@code outstanding}: requests accepted and not ended; {@code listed}: regions of the
--- a/src/main/java/yardusher/cli/Asking.java
+++ b/src/main/java/yardusher/cli/RespClient.java
@@ -13,10 +13,10 @@
 import yardusher.resp.Value;
 
 /** A blocking client for one RESP command, for the sub-commands. A missing answer is a {@link WireError}. */
-public final class Asking {
-    private Asking() { }
+public final class RespClient {
+    private RespClient() { }
 
-    public static Value ask(String address, int withinMs, String... words) {
+    public static Value call(String address, int withinMs, String... words) {
         try (Socket socket = new Socket()) {
             socket.connect(Sockets.parseAddress(address), withinMs);
             socket.setSoTimeout(withinMs);
--- a/src/main/java/yardusher/connectionquota/ConnectionQuotaSubsystem.java
+++ b/src/main/java/yardusher/connectionquota/ConnectionQuotaSubsystem.java
@@ -13,9 +13,9 @@
 import yardusher.error.ConfigError;
 import yardusher.error.PartError;
 import yardusher.mesh.Mesh;
-import yardusher.servers.Allowance;
+import yardusher.servers.ConnectionAllowance;
 import yardusher.settings.Settings;
-import yardusher.subsystem.Site;
+import yardusher.subsystem.SubsystemContext;
 import yardusher.subsystem.Subsystem;
 import yardusher.view.View;
 
@@ -23,14 +23,14 @@
  * Connection quotas that the ingresses of an installation negotiate at the regions that they share: docs/parts.md. Until this
  * process has its ingress's claim it opens no connection at all.
  */
-public final class ConnectionQuotaSubsystem implements Subsystem, Allowance, Negotiator.Environment {
+public final class ConnectionQuotaSubsystem implements Subsystem, ConnectionAllowance, Negotiator.Environment {
     private static final double CLAIM_RETRY_MS = 200;      // between two looks whether the process before has ended
     private static final double SUCCESSOR_POLL_MS = 50;      // between two looks at what a process beside is given
     private static final double TICK_DELAY_MS = 1;         // news of one moment are looked at together
 
     private ConnectionQuotaSettings settings;
     private final Path folder;
-    private Site site;
+    private SubsystemContext site;
     private EventLoop loop;
     private Counters counters;
     private ClaimFile claim;
@@ -62,7 +62,7 @@
     public String name() { return "parts"; }
 
     @Override
-    public void join(Site joined) throws IOException {
+    public void attach(SubsystemContext joined) throws IOException {
         site = joined;
         loop = joined.loop();
         counters = joined.ingress().counters();
@@ -76,8 +76,8 @@
         } catch (IOException | RuntimeException e) {
             throw new ConfigError.Value(null, "parts.folder", "a folder that can be written, which " + folder + " is not");
         }
-        joined.pool().allow(this);
-        joined.table().follow(() -> loop.defer(this::updateRegions)); // once the module has the list
+        joined.pool().setAllowance(this);
+        joined.table().setChangeListener(() -> loop.defer(this::updateRegions)); // once the module has the list
         joined.mesh().setHandler(Mesh.Kind.PARTS, this::receive);
         if (joined.view() != null) { joined.view().subscribe(change -> updateMembers(change.snapshot())); }
         updateRegions();
@@ -235,7 +235,7 @@
 
     @Override
     public String reload(Settings next) {
-        ConnectionQuotaSettings updated = next == null ? null : next.parts();
+        ConnectionQuotaSettings updated = next == null ? null : next.connectionQuota();
         if (updated == null || updated.equals(settings)) { return null; }
         boolean limitsChanged = updated.connections() != settings.connections() || !updated.overrides().equals(settings.overrides()) || updated.coldPercent() != settings.coldPercent();
         ConnectionQuotaSettings kept = new ConnectionQuotaSettings(updated.connections(), updated.overrides(), settings.minUnits(), settings.weight(), settings.maxMovesPerS(), settings.crashDetectionMs(),
@@ -253,18 +253,18 @@
     // What the pool asks and tells.
 
     @Override
-    public boolean take(long region) {
+    public boolean tryAcquire(long region) {
         if (isClosed) { return false; }
         return negotiator != null ? negotiator.tryAcquire(region) : successorQuota != null && successorQuota.tryAcquire(region);
     }
 
     @Override
-    public void leaving(long region) {
+    public void closing(long region) {
         if (negotiator != null) { negotiator.connectionClosing(region); } else if (successorQuota != null) { successorQuota.connectionClosing(region); }
     }
 
     @Override
-    public void ended(long region, boolean wasClosing) {
+    public void closed(long region, boolean wasClosing) {
         if (negotiator == null) {
             if (successorQuota != null) { successorQuota.connectionClosed(region, wasClosing); }
             return;
@@ -280,7 +280,7 @@
     // What the negotiator sees and does.
 
     @Override
-    public int busy(long region) { return site.pool().busy(region); }
+    public int busy(long region) { return site.pool().busyConnections(region); }
 
     @Override
     public long refusedRequests() { return counters.refusalsByReason[Api.Reason.NO_SERVER.ordinal()]; }
@@ -294,7 +294,7 @@
     }
 
     @Override
-    public int closeIdle(long region, int count) { return site.pool().shed(region, count); }
+    public int closeIdle(long region, int count) { return site.pool().closeIdle(region, count); }
 
     @Override
     public void send(InetSocketAddress to, byte[] body) { site.mesh().send(to, Mesh.Kind.PARTS, body); }
@@ -307,7 +307,7 @@
     // What operators see.
 
     @Override
-    public String line() {
+    public String countersLine() {
         if (negotiator == null) { return "parts_claimed=0"; }
         Negotiator current = negotiator;
         int allowance = 0;
--- a/src/main/java/yardusher/discovery/ChunkedLines.java
+++ b/src/main/java/yardusher/discovery/HttpLineReader.java
@@ -24,46 +24,46 @@
  * Bounds: 64 head lines of 8 KiB, 8 interim (1xx) heads before the final one, 4 MiB per line of the body. Anything else, or a
  * status other than 200, is an {@link IOException}, after which nothing more may be fed.
  */
-final class ChunkedLines {
-    private static final int MOST_HEAD_LINE = 8 * 1024;
-    private static final int MOST_FED = 8 * 1024;    // bytes; longer input is split
-    private static final int MOST_LINE = 4 << 20;
-    private static final int MOST_INTERIM = 8;
-    private static final long UNSTATED = Long.MAX_VALUE;
-    private static final Http1Config LIMITS = Http1Config.custom().setMaxLineLength(MOST_HEAD_LINE).setMaxHeaderCount(64).build();
-
-    private final Bytes bytes = new Bytes();
+final class HttpLineReader {
+    private static final int MAX_HEAD_LINE_BYTES = 8 * 1024;
+    private static final int MAX_FEED_BYTES = 8 * 1024;    // bytes; longer input is split
+    private static final int MAX_LINE_BYTES = 4 << 20;
+    private static final int MAX_INTERIM_HEADS = 8;
+    private static final long UNKNOWN_LENGTH = Long.MAX_VALUE;
+    private static final Http1Config LIMITS = Http1Config.custom().setMaxLineLength(MAX_HEAD_LINE_BYTES).setMaxHeaderCount(64).build();
+
+    private final InputBuffer bytes = new InputBuffer();
     private final DefaultHttpResponseParser<HttpResponse> head = new DefaultHttpResponseParser<>(DefaultHttpResponseFactory.INSTANCE, LIMITS);
-    private int interim;                             // interim (1xx) heads received
-    private boolean begun;                           // the head is complete
+    private int interimHeads;                             // interim (1xx) heads received
+    private boolean headComplete;                           // the head is complete
     private ChunkDecoder chunks;                     // null if the body is not chunked
-    private long left;                               // remaining bytes of a body that is not chunked, or UNSTATED
+    private long bodyBytesLeft;                               // remaining bytes of a body that is not chunked, or UNSTATED
     private final ByteBuffer part = ByteBuffer.allocate(4096);
     private final ByteArrayOutputStream line = new ByteArrayOutputStream(4096);
     private final ArrayDeque<String> lines = new ArrayDeque<>();
 
     void feed(byte[] fed, int count) throws IOException {
-        for (int from = 0; from < count; from += MOST_FED) {
-            bytes.add(fed, from, Math.min(MOST_FED, count - from));
+        for (int from = 0; from < count; from += MAX_FEED_BYTES) {
+            bytes.add(fed, from, Math.min(MAX_FEED_BYTES, count - from));
             try {
-                if (!begun) { head(); }
-                if (begun) { body(); }
+                if (!headComplete) { parseHead(); }
+                if (headComplete) { parseBody(); }
             } catch (HttpException | RuntimeException e) { // the latter for a negative chunk size
                 throw new IOException("malformed HTTP/1.1 response: " + e.getMessage(), e);
             }
         }
     }
 
-    private void head() throws IOException, HttpException {
+    private void parseHead() throws IOException, HttpException {
         HttpResponse answer = head.parse(bytes, false);
         while (answer != null && answer.getCode() >= 100 && answer.getCode() < 200 && answer.getCode() != 101) {
-            if (++interim > MOST_INTERIM) { throw new IOException("too many interim responses, the last " + answer.getCode()); }
+            if (++interimHeads > MAX_INTERIM_HEADS) { throw new IOException("too many interim responses, the last " + answer.getCode()); }
             head.reset();
             answer = head.parse(bytes, false);
         }
         if (answer == null) { return; }
         if (answer.getCode() != 200) { throw new IOException("answered " + answer.getCode() + " " + answer.getReasonPhrase()); }
-        begun = true;
+        headComplete = true;
         String coding = answer.containsHeader("Transfer-Encoding") ? header(answer, "Transfer-Encoding") : "identity";
         if (coding.equalsIgnoreCase("chunked")) {
             chunks = new ChunkDecoder(bytes, bytes, LIMITS, new BasicHttpTransportMetrics());
@@ -72,9 +72,9 @@
         } else if (answer.containsHeader("Content-Length")) {
             String length = header(answer, "Content-Length");
             if (!length.matches("[0-9]{1,18}")) { throw new IOException("invalid Content-Length " + length); }
-            left = Long.parseLong(length);
+            bodyBytesLeft = Long.parseLong(length);
         } else {
-            left = UNSTATED;
+            bodyBytesLeft = UNKNOWN_LENGTH;
         }
     }
 
@@ -91,34 +91,34 @@
         return value;
     }
 
-    private void body() throws IOException {
-        while (!ended()) {
+    private void parseBody() throws IOException {
+        while (!isComplete()) {
             part.clear();
-            if (chunks == null) { part.limit((int) Math.min(part.limit(), left)); }
+            if (chunks == null) { part.limit((int) Math.min(part.limit(), bodyBytesLeft)); }
             if ((chunks == null ? bytes.read(part) : chunks.read(part)) <= 0) { return; }
             part.flip();
-            if (chunks == null && left != UNSTATED) { left -= part.remaining(); }
-            while (part.hasRemaining()) { data(part.get()); }
+            if (chunks == null && bodyBytesLeft != UNKNOWN_LENGTH) { bodyBytesLeft -= part.remaining(); }
+            while (part.hasRemaining()) { appendByte(part.get()); }
         }
     }
 
-    private void data(byte b) throws IOException {
+    private void appendByte(byte b) throws IOException {
         if (b == '\n') {
             lines.add(line.toString(StandardCharsets.UTF_8));
             line.reset();
             return;
         }
         line.write(b);
-        if (line.size() > MOST_LINE) { throw new IOException("line too long"); }
+        if (line.size() > MAX_LINE_BYTES) { throw new IOException("line too long"); }
     }
 
-    String next() { return lines.poll(); }
+    String nextLine() { return lines.poll(); }
 
     /** Whether the response is complete; never true for one of unstated length. */
-    boolean ended() { return begun && (chunks != null ? chunks.isCompleted() : left == 0); }
+    boolean isComplete() { return headComplete && (chunks != null ? chunks.isCompleted() : bodyBytesLeft == 0); }
 
     /** Takes the last, unterminated line once no more input will come; null if there is none. */
-    String rest() {
+    String takeUnterminatedLine() {
         if (line.size() == 0) { return null; }
         String rest = line.toString(StandardCharsets.UTF_8);
         line.reset();
@@ -126,8 +126,8 @@
     }
 
     /** Bytes fed and not yet parsed: at most one line of a head or chunk size plus one feed. Only {@link #add} fills it. */
-    private static final class Bytes implements SessionInputBuffer, ReadableByteChannel {
-        private final ByteBuffer buffer = ByteBuffer.allocate(MOST_HEAD_LINE + MOST_FED).flip();
+    private static final class InputBuffer implements SessionInputBuffer, ReadableByteChannel {
+        private final ByteBuffer buffer = ByteBuffer.allocate(MAX_HEAD_LINE_BYTES + MAX_FEED_BYTES).flip();
 
         void add(byte[] fed, int from, int count) { buffer.compact().put(fed, from, count).flip(); }
 
@@ -140,7 +140,7 @@
                 buffer.position(i + 1);
                 return true;
             }
-            if (buffer.remaining() >= MOST_HEAD_LINE) { throw new IOException("response head too long"); }
+            if (buffer.remaining() >= MAX_HEAD_LINE_BYTES) { throw new IOException("response head too long"); }
             return false;
         }
 
--- a/src/main/java/yardusher/discovery/ObjectLines.java
+++ b/src/main/java/yardusher/discovery/JsonObjectAssembler.java
@@ -6,9 +6,9 @@
  * Assembles the lines of a watch into JSON objects: a list may come on one line or be indented over several. An empty line
  * between objects is a keep-alive. Holds at most one object, of at most 4 MiB and 64 levels.
  */
-final class ObjectLines {
-    private static final int MOST_OBJECT = 4 << 20;
-    private static final int MOST_DEPTH = 64;        // a list of backends has three levels
+final class JsonObjectAssembler {
+    private static final int MAX_OBJECT_CHARS = 4 << 20;
+    private static final int MAX_DEPTH = 64;        // a list of backends has three levels
 
     private final StringBuilder part = new StringBuilder();
     private int depth;
@@ -24,13 +24,13 @@
             } else if (c == '"') {
                 inText = true;
             } else if (c == '{' || c == '[') {
-                if (++depth > MOST_DEPTH) { throw new IOException("object too deep"); } // protects the parser's stack
+                if (++depth > MAX_DEPTH) { throw new IOException("object too deep"); } // protects the parser's stack
             } else if (c == '}' || c == ']') {
                 depth--;
             }
         }
         if (inText) { throw new IOException("line ends inside a JSON string"); } // a JSON string cannot span lines
-        if (part.length() + line.length() > MOST_OBJECT) { throw new IOException("object too long"); }
+        if (part.length() + line.length() > MAX_OBJECT_CHARS) { throw new IOException("object too long"); }
         if (depth <= 0 && part.isEmpty()) {
             depth = 0;
             return line;
--- a/src/main/java/yardusher/handover/Handover.java
+++ b/src/main/java/yardusher/handover/Handover.java
@@ -23,9 +23,9 @@
  * succeeds it, and decides which of the two owns what; see docs/design/upgrade.md. Used on the event loop only, but for its
  * construction.
  */
-public final class Handover implements PeerSender, Other.Ear {
+public final class Handover implements PeerSender, SiblingLink.Listener {
     /** What the handover asks of this process. */
-    public interface Program {
+    public interface ProcessActions {
         /** Bans a region in this process only, or lifts the ban. */
         void ban(String region, boolean out);
 
@@ -33,50 +33,50 @@
 
         void drain(boolean away);
 
-        boolean isAway();
+        boolean isDraining();
 
         /** Delivers a message of another ingress, or of this one's other process, to the module. */
-        void hear(int from, String body);
+        void deliver(int from, String body);
 
         /** Whether another process of this ingress runs, and whether this one owns the ingress's shares of ceilings. */
-        void shares(boolean other, boolean owns);
+        void siblingChanged(boolean other, boolean owns);
 
         /** Opens the peer port of this ingress; an {@link IOException} if it cannot. */
-        void takePort() throws IOException;
+        void openPeerPort() throws IOException;
 
-        void givePort();
+        void closePeerPort();
 
         /** Sends a datagram from the peer port. */
         void send(int to, String body);
 
         /** Starts to accept clients, now or later on the event loop, and then runs {@code then}; an {@link java.io.UncheckedIOException} if it cannot. */
-        void takeClients(Runnable then);
+        void acceptClients(Runnable then);
     }
 
     // Until the previous process, which may be short of processor time, has sent its whole state: what it does not send in time
     // is lost, bans included. Half of the 6 s within which a new version must accept clients.
-    private static final double FOUND_MS = 3000;
-    private static final double HELD_MS = 500;       // for the other process to confirm a ban: half of a caller's timeout
+    private static final double STATE_TIMEOUT_MS = 3000;
+    private static final double BAN_CONFIRM_TIMEOUT_MS = 500;       // for the other process to confirm a ban: half of a caller's timeout
 
     private final Sockets sockets;
     private final EventLoop loop;
-    private final Program program;
+    private final ProcessActions process;
     private final int self;
     private final String name;
     private final Path folder;                       // null: neither finds another process nor can be found
     private final Events events;
-    private Note own;
-    private Other other;
-    private boolean elder;                           // the other process is the newer one
-    private boolean port;                            // this process owns the peer port
+    private HandoverFile ownFile;
+    private SiblingLink sibling;
+    private boolean siblingIsNewer;                           // the other process is the newer one
+    private boolean ownsPeerPort;                            // this process owns the peer port
     private boolean serving;
-    private Deadlines.Entry foundBy;
+    private Deadlines.Entry stateTimeout;
 
     /** {@code folder} is where notes are stored, null for none; {@code self} this ingress's number. */
-    public Handover(Sockets sockets, Program program, int self, String name, Path folder, Events events) {
+    public Handover(Sockets sockets, ProcessActions process, int self, String name, Path folder, Events events) {
         this.sockets = sockets;
         this.loop = sockets.loop();
-        this.program = program;
+        this.process = process;
         this.self = self;
         this.name = name;
         this.folder = folder;
@@ -84,21 +84,21 @@
     }
 
     /** Whether another process of this ingress is connected. */
-    public boolean hasOther() { return other != null; }
+    public boolean hasSibling() { return sibling != null; }
 
     /** Whether the other process is the newer one and accepts clients, so that this one must end. */
-    public boolean hasHeir() { return other != null && elder && !port; }
+    public boolean hasSuccessor() { return sibling != null && siblingIsNewer && !ownsPeerPort; }
 
     /**
      * Accepts clients at once, or after the process that already serves has sent its state. {@code at} is the admin address
      * of this process, null for none.
      */
     public void start(InetSocketAddress at) {
-        Note before = null;
+        HandoverFile before = null;
         if (folder != null && at != null) {
-            own = Note.at(at);
+            ownFile = HandoverFile.create(at);
             try {
-                before = Note.read(folder, name);
+                before = HandoverFile.read(folder, name);
             } catch (IOException e) {
                 events.warn("starts without the process before", "why", e.getMessage());
             } catch (WireError e) {
@@ -106,86 +106,86 @@
             }
         }
         if (before == null) {
-            serve();
+            startServing();
             return;
         }
-        foundBy = loop.deadlines().schedule(loop.now() + FOUND_MS, () -> alone("it does not answer"));
-        String call = "handover " + Note.VERSION + " " + before.token() + "\n";
-        Runnable drop = sockets.connect(before.address(), FOUND_MS, channel -> {
+        stateTimeout = loop.deadlines().schedule(loop.now() + STATE_TIMEOUT_MS, () -> startWithoutPredecessor("it does not answer"));
+        String call = "handover " + HandoverFile.VERSION + " " + before.token() + "\n";
+        Runnable drop = sockets.connect(before.address(), STATE_TIMEOUT_MS, channel -> {
             if (serving) { return; }
-            LineReader lines = new LineReader(Word.MOST_LINE);
-            other = new Other(lines, this);
-            Connection link = new Connection(channel, loop, other, lines);
-            other.on(link);
+            LineReader lines = new LineReader(HandoverMessage.MAX_LINE_BYTES);
+            sibling = new SiblingLink(lines, this);
+            Connection link = new Connection(channel, loop, sibling, lines);
+            sibling.setConnection(link);
             link.write(call.getBytes(StandardCharsets.US_ASCII));
             link.readMore();
-            program.shares(true, false);
-        }, () -> alone("it is gone"));
+            process.siblingChanged(true, false);
+        }, () -> startWithoutPredecessor("it is gone"));
         if (serving) { drop.run(); }
     }
 
     /** Starts without the state of a previous process, as after a restart. */
-    private void alone(String why) {
+    private void startWithoutPredecessor(String why) {
         if (serving) { return; }
         events.warn("starts without the process before", "why", why);
-        serve();
+        startServing();
     }
 
-    private void serve() {
+    private void startServing() {
         if (serving) { return; }
         serving = true;
-        port = true;
-        loop.deadlines().cancel(foundBy);
+        ownsPeerPort = true;
+        loop.deadlines().cancel(stateTimeout);
         try {
-            program.takePort();
-            program.shares(other != null, true);
+            process.openPeerPort();
+            process.siblingChanged(sibling != null, true);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        program.takeClients(() -> {
+        process.acceptClients(() -> {
             try {
-                if (own != null) { own.write(folder, name); }
+                if (ownFile != null) { ownFile.write(folder, name); }
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
-            if (other != null) { other.say(new Word.Serving()); }
+            if (sibling != null) { sibling.send(new HandoverMessage.Serving()); }
         });
     }
 
     /** This process ends and must no longer be found. */
-    public void end() {
-        Other last = other;
-        other = null;                                // so that its close does not count as a failed takeover
-        if (last != null) { last.close(); } else if (own != null) { own.remove(folder, name); }
+    public void close() {
+        SiblingLink last = sibling;
+        sibling = null;                                // so that its close does not count as a failed takeover
+        if (last != null) { last.close(); } else if (ownFile != null) { ownFile.remove(folder, name); }
     }
 
     /**
      * The next version requests the state with this line; what it sends afterwards goes to the returned owner. A
      * {@link CommandError} if it may not.
      */
-    public Connection.Owner succeed(String line, LineReader lines, Connection link) {
+    public Connection.Owner acceptSuccessor(String line, LineReader lines, Connection link) {
         String[] words = line.split(" ", -1);
-        if (words.length != 3 || own == null || !MessageDigest.isEqual(words[2].getBytes(StandardCharsets.ISO_8859_1),
-                own.token().getBytes(StandardCharsets.ISO_8859_1))) {
+        if (words.length != 3 || ownFile == null || !MessageDigest.isEqual(words[2].getBytes(StandardCharsets.ISO_8859_1),
+                ownFile.token().getBytes(StandardCharsets.ISO_8859_1))) {
             throw new CommandError.Unknown("no such call");
         }
-        if (!words[1].equals(Integer.toString(Note.VERSION))) { throw new CommandError.Refused("another version is spoken here"); }
-        if (other != null) { throw new CommandError.Refused("another process is there already"); }
-        Other heir = new Other(lines, this);
-        heir.on(link);
-        other = heir;
-        elder = true;
+        if (!words[1].equals(Integer.toString(HandoverFile.VERSION))) { throw new CommandError.Refused("another version is spoken here"); }
+        if (sibling != null) { throw new CommandError.Refused("another process is there already"); }
+        SiblingLink heir = new SiblingLink(lines, this);
+        heir.setConnection(link);
+        sibling = heir;
+        siblingIsNewer = true;
         events.info("is asked by its next version");
-        for (String region : program.banned()) { heir.ban(new Word.Ban(region, true), () -> { }); }
-        if (program.isAway()) { heir.say(new Word.Drain(true)); }
-        program.shares(true, true);                  // makes the module send its totals
-        heir.say(new Word.Whole());
+        for (String region : process.banned()) { heir.sendBan(new HandoverMessage.Ban(region, true), () -> { }); }
+        if (process.isDraining()) { heir.send(new HandoverMessage.Drain(true)); }
+        process.siblingChanged(true, true);                  // makes the module send its totals
+        heir.send(new HandoverMessage.StateComplete());
         return heir;
     }
 
     /** Forwards a ban to the other process; {@code then} runs once, when it holds there too or after half a second. */
-    public void tellBan(String region, boolean out, Runnable then) {
-        if (other == null) {
+    public void forwardBan(String region, boolean out, Runnable then) {
+        if (sibling == null) {
             then.run();
             return;
         }
@@ -194,79 +194,79 @@
             if (!over[0]) { then.run(); }
             over[0] = true;
         };
-        Deadlines.Entry limit = loop.deadlines().schedule(loop.now() + HELD_MS, once);
-        other.ban(new Word.Ban(region, out), () -> {
+        Deadlines.Entry limit = loop.deadlines().schedule(loop.now() + BAN_CONFIRM_TIMEOUT_MS, once);
+        sibling.sendBan(new HandoverMessage.Ban(region, out), () -> {
             loop.deadlines().cancel(limit);
             once.run();
         });
     }
 
-    public void tellDrain(boolean away) {
-        if (other != null) { other.say(new Word.Drain(away)); }
+    public void forwardDrain(boolean away) {
+        if (sibling != null) { sibling.send(new HandoverMessage.Drain(away)); }
     }
 
     /** A datagram arrived at the peer port. */
-    public void datagram(int from, String body) {
-        program.hear(from, body);
-        if (other != null) { other.say(new Word.Heard(from, body)); }
+    public void onDatagram(int from, String body) {
+        process.deliver(from, body);
+        if (sibling != null) { sibling.send(new HandoverMessage.PeerDatagram(from, body)); }
     }
 
     @Override
     public void send(int to, String body) {
         if (to == self) {
-            if (other != null) { other.say(new Word.Heard(self, body)); }
-        } else if (port || other == null) {
-            program.send(to, body);
+            if (sibling != null) { sibling.send(new HandoverMessage.PeerDatagram(self, body)); }
+        } else if (ownsPeerPort || sibling == null) {
+            process.send(to, body);
         } else {
-            other.say(new Word.Send(to, body));
+            sibling.send(new HandoverMessage.SendDatagram(to, body));
         }
     }
 
     @Override
-    public void heard(Other from, Word word) {
-        if (word instanceof Word.Ban ban) {
-            program.ban(ban.region(), ban.out());
-            from.say(new Word.Held());
-        } else if (word instanceof Word.Held) {
-            from.held();
-        } else if (word instanceof Word.Drain drain) {
-            program.drain(drain.away());
-        } else if (word instanceof Word.Heard heard) {
-            program.hear(heard.from(), heard.body());
-        } else if (word instanceof Word.Send send) {
-            if (port && send.to() != self) { program.send(send.to(), send.body()); }
-        } else if (word instanceof Word.Whole) {
-            if (!elder) { serve(); }
-        } else if (elder) {                          // Word.Serving
-            port = false;
-            program.givePort();
-            program.shares(true, false);
+    public void onMessage(SiblingLink from, HandoverMessage word) {
+        if (word instanceof HandoverMessage.Ban ban) {
+            process.ban(ban.region(), ban.banned());
+            from.send(new HandoverMessage.BanConfirmed());
+        } else if (word instanceof HandoverMessage.BanConfirmed) {
+            from.confirmOldestBan();
+        } else if (word instanceof HandoverMessage.Drain drain) {
+            process.drain(drain.away());
+        } else if (word instanceof HandoverMessage.PeerDatagram heard) {
+            process.deliver(heard.from(), heard.body());
+        } else if (word instanceof HandoverMessage.SendDatagram send) {
+            if (ownsPeerPort && send.to() != self) { process.send(send.to(), send.body()); }
+        } else if (word instanceof HandoverMessage.StateComplete) {
+            if (!siblingIsNewer) { startServing(); }
+        } else if (siblingIsNewer) {                          // Word.Serving
+            ownsPeerPort = false;
+            process.closePeerPort();
+            process.siblingChanged(true, false);
         }
     }
 
     @Override
-    public void gone(Other from) {
-        if (from != other) { return; }
-        other = null;
-        boolean before = elder;
-        elder = false;
+    public void onSiblingGone(SiblingLink from) {
+        if (from != sibling) { return; }
+        sibling = null;
+        boolean before = siblingIsNewer;
+        siblingIsNewer = false;
         if (!serving) {
-            alone("it has ended");
+            startWithoutPredecessor("it has ended");
             return;
         }
         if (before) {
             // The new version died: this process continues. This holds even if its Serving message was not received, since
             // a reset destroys unread bytes.
-            port = true;
+            ownsPeerPort = true;
             try {
-                program.takePort();
-                own.write(folder, name);             // the other process's note is stale now
+                process.openPeerPort();
+                ownFile.write(folder, name);             // the other process's note is stale now
             } catch (IOException e) {
                 events.warn("the peers' port or the note cannot be taken back", "why", e.getMessage());
             } catch (YardusherError e) {
                 events.warn("the peers' port or the note cannot be taken back", e);
             }
         }
-        program.shares(false, true);
+        process.siblingChanged(false, true);
     }
 }
--- a/src/main/java/yardusher/keys/KeysSubsystem.java
+++ b/src/main/java/yardusher/keys/KeysSubsystem.java
@@ -5,7 +5,7 @@
 import yardusher.core.RequestAcceptor;
 import yardusher.journal.Journal;
 import yardusher.journal.JournalSettings;
-import yardusher.subsystem.Site;
+import yardusher.subsystem.SubsystemContext;
 import yardusher.subsystem.Subsystem;
 
 /** Idempotency keys as a part of an ingress: stand between the fronts and the core, with what the journal knows of earlier lives. */
@@ -24,7 +24,7 @@
     public String name() { return "keys"; }
 
     @Override
-    public RequestAcceptor intake(Site site, RequestAcceptor inner) throws IOException {
+    public RequestAcceptor wrapAcceptor(SubsystemContext site, RequestAcceptor inner) throws IOException {
         List<String> classes = site.classes();
         intake = new KeyedIntake(inner, site.loop(), settings, site.settings().classes(), classes);
         if (journal != null) {
@@ -35,8 +35,8 @@
     }
 
     @Override
-    public void join(Site site) { site.front().enableKeyCommands(intake::told, intake::line); }
+    public void attach(SubsystemContext site) { site.front().enableKeyCommands(intake::told, intake::line); }
 
     @Override
-    public String line() { return intake.line(); }
+    public String countersLine() { return intake.line(); }
 }
--- a/src/main/java/yardusher/log/Structured.java
+++ b/src/main/java/yardusher/log/StructuredEvents.java
@@ -13,10 +13,10 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /** Events through SLF4J to Logback, configured here and not by a file: text lines, or one JSON object per line. */
-final class Structured implements Events {
+final class StructuredEvents implements Events {
     private final Logger logger;
 
-    private Structured(Logger logger) { this.logger = logger; }
+    private StructuredEvents(Logger logger) { this.logger = logger; }
 
     /** Configures the logging of the whole process; the last call wins. */
     static Events of(LogSettings settings, String instance) {
@@ -45,7 +45,7 @@
         ch.qos.logback.classic.Logger root = context.getLogger(Logger.ROOT_LOGGER_NAME);
         root.setLevel(Level.toLevel(settings.level()));
         root.addAppender(appender);
-        return new Structured(LoggerFactory.getLogger(instance));
+        return new StructuredEvents(LoggerFactory.getLogger(instance));
     }
 
     @Override
--- a/src/main/java/yardusher/subsystem/Subsystem.java
+++ b/src/main/java/yardusher/subsystem/Subsystem.java
@@ -15,13 +15,13 @@
     String name();
 
     /** Wraps the request log of the core; by default returns {@code inner}. Called before the core is created. */
-    default RequestLog orders(RequestLog inner) { return inner; }
+    default RequestLog wrapRequestLog(RequestLog inner) { return inner; }
 
     /** Wraps the acceptor between fronts and core; by default returns {@code inner}. Called once, between the creation of both. */
-    default RequestAcceptor intake(Site site, RequestAcceptor inner) throws IOException { return inner; }
+    default RequestAcceptor wrapAcceptor(SubsystemContext site, RequestAcceptor inner) throws IOException { return inner; }
 
     /** Receives the components of the ingress, once all are created and before any request is accepted. */
-    default void join(Site site) throws IOException { }
+    default void attach(SubsystemContext site) throws IOException { }
 
     /** Starts, before clients are accepted; an {@link IOException} fails the start of the program. */
     default void start() throws IOException { }
@@ -33,7 +33,7 @@
     default String reload(Settings next) { return null; }
 
     /** Names and values for the counters line, such as {@code orders_open=3}; empty if there are none. */
-    default String line() { return ""; }
+    default String countersLine() { return ""; }
 
     /** The terminated lines that answer a call at the admin address; null if this subsystem has no such call. */
     default String report(String call) { return null; }
