--- a/src/main/java/yardusher/admin/AdminServer.java
+++ b/src/main/java/yardusher/admin/AdminServer.java
@@ -83,7 +83,7 @@
 
     private final class Caller implements Connection.Owner {
         private final LineReader lines = new LineReader(MAX_LINE_BYTES);
-        private Connection.Owner successor;                     // the next version's handover, which took over this connection
+        private Connection.Owner successor;          // the next version's handover, which took over this connection
         private final Connection link;
         private final Deadlines.Entry lineTimeout;
 
@@ -119,12 +119,12 @@
         }
 
         /** Sends the answer, once, and closes the connection after it. */
-        private void answer(String told) {
+        private void answer(String text) {
             if (!asking.contains(this)) { return; }
             loop.deadlines().cancel(lineTimeout);
             asking.remove(this);
             answered.add(this);
-            link.write(told.getBytes(StandardCharsets.US_ASCII));
+            link.write(text.getBytes(StandardCharsets.US_ASCII));
             link.finish(() -> answered.remove(this));
         }
 
--- a/src/main/java/yardusher/cli/AdminCommand.java
+++ b/src/main/java/yardusher/cli/AdminCommand.java
@@ -15,7 +15,7 @@
 /** The sub-command admin: one call at the admin address of a running instance, or of all that an agent's file names. */
 final class AdminCommand {
     private static final int TIMEOUT_MS = 2000;
-    private static final int MAX_ANSWER_BYTES = 1 << 20;  // bytes
+    private static final int MAX_ANSWER_BYTES = 1 << 20; // bytes
 
     private AdminCommand() { }
 
--- a/src/main/java/yardusher/cli/FleetCommand.java
+++ b/src/main/java/yardusher/cli/FleetCommand.java
@@ -96,7 +96,7 @@
             System.err.println("yardusher: " + failure.text());
             return failure.text().startsWith("TRYAGAIN") ? EXIT_UNKNOWN : failure.text().startsWith("ERR") ? 2 : 1;
         }
-        System.out.println(answer instanceof Value.BulkString told ? told.text() : "ok");
+        System.out.println(answer instanceof Value.BulkString report ? report.text() : "ok");
         return line.hasOption("wait") ? await(config, verb.equals("roll") ? "roll" : "bans") : 0;
     }
 
@@ -124,9 +124,9 @@
     /** The agent's report: one map per line, with the line's kind under the empty key. */
     private static List<Map<String, String>> table(AgentConfig config) {
         Value answer = RespClient.call(config.control(), TIMEOUT_MS, "FLEET.READ", config.fleet().installation());
-        if (!(answer instanceof Value.BulkString told)) { throw new WireError.Refused(config.control(), answer instanceof Value.ErrorReply no ? no.text() : "no report"); }
+        if (!(answer instanceof Value.BulkString report)) { throw new WireError.Refused(config.control(), answer instanceof Value.ErrorReply no ? no.text() : "no report"); }
         List<Map<String, String>> table = new ArrayList<>();
-        for (String line : told.text().split("\n")) {
+        for (String line : report.text().split("\n")) {
             Map<String, String> one = new LinkedHashMap<>();
             String[] cells = line.split("\t");
             one.put("", cells[0]);
--- a/src/main/java/yardusher/cli/IngressConfig.java
+++ b/src/main/java/yardusher/cli/IngressConfig.java
@@ -21,8 +21,8 @@
 public record IngressConfig(String name, InetSocketAddress listen, InetSocketAddress admin, InetSocketAddress discovery, long seed, int sockets,
         InetSocketAddress peerListen, List<InetSocketAddress> peers, Codec.JsonObject known, Api.Settings settings,
         List<String> classes, List<String> plans, List<String> zones, double idleMs, double dialMs, List<String> unused) {
-    private static final long MAX_FILE_BYTES = 4 << 20;  // 10,000 backends and as many peers fit
-    private static final int MIN_SOCKETS = 32;     // of which the JVM, the listeners and the watch need half
+    private static final long MAX_FILE_BYTES = 4 << 20; // 10,000 backends and as many peers fit
+    private static final int MIN_SOCKETS = 32;       // of which the JVM, the listeners and the watch need half
     private static final Set<String> KEYS = Set.of("name", "listen", "admin_addr", "discovery", "seed", "limits", "peer_listen", "peers",
             "peers_all", "counter", "known", "settings");
     private static final Set<String> MACHINE_KEYS = Set.of("cores", "memory_mb", "sockets");
--- a/src/main/java/yardusher/cli/IngressProcess.java
+++ b/src/main/java/yardusher/cli/IngressProcess.java
@@ -48,12 +48,12 @@
 
 /** A complete ingress process: builds and connects all components and runs them from the start to a graceful shutdown. */
 public final class IngressProcess {
-    private static final double DRAIN_ACCEPT_MS = 500;  // after SIGTERM new connections keep arriving for 0.2 to 0.4 s
-    private static final double DRAIN_READ_MS = 100;    // then requests already in flight on open connections are still read
+    private static final double DRAIN_ACCEPT_MS = 500; // after SIGTERM new connections keep arriving for 0.2 to 0.4 s
+    private static final double DRAIN_READ_MS = 100; // then requests already in flight on open connections are still read
     private static final double MIN_DRAIN_MS = 3000; // the platform kills 0.7 s after the longest deadline or this, whichever is later
-    private static final double FINAL_ANSWER_MS = 50;        // after the last deadline, to deliver its answer
-    private static final long STARVED_LOOP_EXTRA_MS = 10_000;   // extra wall-clock time if the event loop is starved
-    private static final long START_TIMEOUT_MS = 6000;       // a new version must accept clients within this time
+    private static final double FINAL_ANSWER_MS = 50; // after the last deadline, to deliver its answer
+    private static final long STARVED_LOOP_EXTRA_MS = 10_000; // extra wall-clock time if the event loop is starved
+    private static final long START_TIMEOUT_MS = 6000; // a new version must accept clients within this time
     // Two dials of the watch (0.9 s), 0.35 s if this process itself was stalled, and 0.2 s to read a list: the first one, of 200
     // backends, takes 30 to 70 ms of a core, and only 0.3 of a core may be available.
     private static final double FIRST_LIST_MS = 1500;
@@ -63,7 +63,7 @@
     private static final int MIN_OWN_DESCRIPTORS = 40;
     private static final int MIN_DESCRIPTOR_BUDGET = 8;
 
-    private static final int BODY_HEAP_DIVISOR = 8;        // fraction (1/8) of the heap for large bodies; at least one body always fits
+    private static final int BODY_HEAP_DIVISOR = 8;  // fraction (1/8) of the heap for large bodies; at least one body always fits
 
     private final EventLoop loop;
     private final BodyBudget bodies = new BodyBudget(Math.max(Decoder.MAX_LARGE_BYTES, Runtime.getRuntime().maxMemory() / BODY_HEAP_DIVISOR));
@@ -75,20 +75,20 @@
     private final LimitsFrontend limitsFront;
     private final DiscoveryWatch watch;
     private final DiscoveredBackends table;
-    private final AdminServer admin;                  // null without an admin address
+    private final AdminServer admin;                 // null without an admin address
     private final Subsystems subsystems;
     private final InstanceFence fence;               // null if calls of fleet operations are not accepted
     private final PeerSocket peers;                  // null if this site has no peers
     private final Handover handover;
     private final Events events;
     private final InetSocketAddress adminAt;
-    private final int descriptorBudget;                        // descriptors for clients and regions
+    private final int descriptorBudget;              // descriptors for clients and regions
     private final Set<String> banned = new LinkedHashSet<>(); // ids of regions banned by an operator
     private final CountDownLatch ready = new CountDownLatch(1);
-    private volatile Exception startFailure;            // why no clients can be accepted
+    private volatile Exception startFailure;         // why no clients can be accepted
     private final CountDownLatch drained = new CountDownLatch(1);
     private final double longestDeadlineMs;
-    private IngressConfig config;                           // as last read
+    private IngressConfig config;                    // as last read
     private boolean serving;                         // clients are accepted
     private boolean ending;                          // no clients will be accepted any more
     private double firstListMs;                      // maximum wait for the first update from discovery
@@ -261,14 +261,14 @@
             limitsFront.server().bind();
             limitsFront.server().startAccepting();
         }
-        front.server().startAccepting();                      // last, since an answered PING means that all else is ready
+        front.server().startAccepting();             // last, since an answered PING means that all else is ready
         serving = true;
     }
 
     private void banLocally(String region, boolean out) {
         long id = DiscoveredBackends.numericId(region);
         if (out) { banned.add(region); } else { banned.remove(region); }
-        ingress.deliver(new Api.Ban(id, out));          // the module first: it retries what the pool aborts
+        ingress.deliver(new Api.Ban(id, out));       // the module first: it retries what the pool aborts
         pool.setBanned(id, out);
     }
 
--- a/src/main/java/yardusher/cli/Main.java
+++ b/src/main/java/yardusher/cli/Main.java
@@ -181,10 +181,10 @@
             throw new CommandError.Usage("usage: yardusher keys stats HOST:PORT | show HOST:PORT KEY");
         }
         Value answer = stats ? RespClient.call(words.get(1), 10_000, "KEYS.STATS") : RespClient.call(words.get(1), 10_000, "KEYS.SHOW", words.get(2));
-        if (!(answer instanceof Value.BulkString told)) {
+        if (!(answer instanceof Value.BulkString report)) {
             throw new WireError.Refused(words.get(1), answer instanceof Value.ErrorReply failure ? failure.text() + "; are keys on there?" : "not an answer about keys");
         }
-        System.out.println(stats ? told.text().replace(' ', '\n') : told.text());
+        System.out.println(stats ? report.text().replace(' ', '\n') : report.text());
         return 0;
     }
 
--- a/src/main/java/yardusher/discovery/DiscoveredBackends.java
+++ b/src/main/java/yardusher/discovery/DiscoveredBackends.java
@@ -22,18 +22,18 @@
 /** The service table: the backends last reported by discovery, decoded into the module's messages. */
 public final class DiscoveredBackends {
     private static final JsonFactory JSON = new JsonFactory();
-    private static final int MAX_REMEMBERED_IDS = 4096;       // ids remembered, including those of removed regions
+    private static final int MAX_REMEMBERED_IDS = 4096; // ids remembered, including those of removed regions
     private static final double MAX_REVISION = 0x1p62;
 
     private final List<String> zones;
     private final BackendPool pool;
     private final Map<Long, InetSocketAddress> addressById = new LinkedHashMap<>();
-    /** The last MOST_TOLD ids that were reported, oldest first. */
+    /** The last MAX_REMEMBERED_IDS ids that were reported, oldest first. */
     private final Set<String> reportedIds = new LinkedHashSet<>();
     private final Map<Long, Api.Server> serverById = new LinkedHashMap<>();
-    private Runnable changeListener;                       // null if there is none
+    private Runnable changeListener;                 // null if there is none
     private long revision;
-    private int unreadableEntries;                              // unreadable entries of the last update
+    private int unreadableEntries;                   // unreadable entries of the last update
 
     public DiscoveredBackends(List<String> zones, BackendPool pool) {
         this.zones = zones;
@@ -82,38 +82,38 @@
     }
 
     /** The revision of an update, or the known one if it names none. */
-    long revision(Codec.JsonObject news) { return news.has("revision") ? news.wholeNumber("revision") : revision; }
+    long revision(Codec.JsonObject update) { return update.has("revision") ? update.wholeNumber("revision") : revision; }
 
     /** Number of entries of the last update that could not be read. */
     int unreadableEntries() { return unreadableEntries; }
 
-    /** Applies an update as {@link #take(Codec.JsonObject, Api.ListKind)} does with {@code as} null. */
-    Api.ServerList apply(Codec.JsonObject news) throws IOException { return applyExcept(news, Set.of()); }
+    /** Applies an update as {@link #take(Codec.JsonObject, Api.ListKind)} does with {@code forcedKind} null. */
+    Api.ServerList apply(Codec.JsonObject update) throws IOException { return applyExcept(update, Set.of()); }
 
     /** The same for an update older than what is known of the {@code newer} backends: these stay unchanged, and absent ones are kept. */
-    Api.ServerList applyExcept(Codec.JsonObject news, Set<Long> newer) throws IOException {
+    Api.ServerList applyExcept(Codec.JsonObject update, Set<Long> newer) throws IOException {
         try {
-            return apply(news, null, newer);
+            return apply(update, null, newer);
         } catch (RuntimeException e) {
             throw new IOException("invalid entry: " + e.getMessage(), e);
         }
     }
 
     /**
-     * Applies an update; with {@code as} null the object's own field says whether it is complete. Unreadable entries are skipped and
+     * Applies an update; with {@code forcedKind} null the object's own field says whether it is complete. Unreadable entries are skipped and
      * counted in {@link #unread}; then no backend is removed, the known revision stays, and a known backend with such an entry gets no
-     * new attempts until it is reported again. If {@code as} is given, no entry is readable, or a complete list without entries would
+     * new attempts until it is reported again. If {@code forcedKind} is given, no entry is readable, or a complete list without entries would
      * remove all backends, a {@link yardusher.error.YardusherError} is thrown and nothing changes.
      */
-    public Api.ServerList apply(Codec.JsonObject news, Api.ListKind as) { return apply(news, as, Set.of()); }
+    public Api.ServerList apply(Codec.JsonObject update, Api.ListKind forcedKind) { return apply(update, forcedKind, Set.of()); }
 
-    private Api.ServerList apply(Codec.JsonObject news, Api.ListKind as, Set<Long> newer) {
-        boolean complete = news.flag("complete") && newer.isEmpty();
-        long next = newer.isEmpty() ? revision(news) : revision;
+    private Api.ServerList apply(Codec.JsonObject update, Api.ListKind forcedKind, Set<Long> newer) {
+        boolean complete = update.flag("complete") && newer.isEmpty();
+        long next = newer.isEmpty() ? revision(update) : revision;
         List<Api.Server> servers = new ArrayList<>();
         List<InetSocketAddress> addresses = new ArrayList<>();
         List<String> ids = new ArrayList<>();
-        List<?> members = as == Api.ListKind.CACHED ? news.objectsOrEmpty("members") : news.list("members");
+        List<?> members = forcedKind == Api.ListKind.CACHED ? update.objectsOrEmpty("members") : update.list("members");
         RuntimeException bad = null;
         int unreadable = 0;
         for (Object member : members) {              // everything is parsed before anything is changed
@@ -129,9 +129,9 @@
                 unreadable++;
             }
         }
-        if (bad != null && (as != null || unreadable == members.size())) { throw bad; }
+        if (bad != null && (forcedKind != null || unreadable == members.size())) { throw bad; }
         // An empty complete list more likely means that discovery lost its data than that all backends are gone.
-        if (complete && as == null && members.isEmpty() && !addressById.isEmpty()) { throw new WireError.Malformed(null, "complete list without entries"); }
+        if (complete && forcedKind == null && members.isEmpty() && !addressById.isEmpty()) { throw new WireError.Malformed(null, "complete list without entries"); }
         unreadableEntries = unreadable;
         if (bad != null) {
             complete = false;
@@ -139,7 +139,7 @@
             addUnreadableAsDraining(members, ids, servers, addresses);
         }
         for (String id : ids) {
-            reportedIds.remove(id);                         // moves it to the newest end
+            reportedIds.remove(id);                  // moves it to the newest end
             reportedIds.add(id);
             if (reportedIds.size() > MAX_REMEMBERED_IDS) { reportedIds.remove(reportedIds.iterator().next()); }
         }
@@ -160,7 +160,7 @@
         absent.forEach(this::remove);
         revision = next;
         if (changeListener != null) { changeListener.run(); }
-        return new Api.ServerList(as != null ? as : complete ? Api.ListKind.FULL : Api.ListKind.DELTA, servers);
+        return new Api.ServerList(forcedKind != null ? forcedKind : complete ? Api.ListKind.FULL : Api.ListKind.DELTA, servers);
     }
 
     private static Codec.JsonObject asObject(Object member) {
--- a/src/main/java/yardusher/discovery/DiscoveryWatch.java
+++ b/src/main/java/yardusher/discovery/DiscoveryWatch.java
@@ -35,10 +35,10 @@
     private InetSocketAddress address;
     private final WatchScheduler scheduler;
     private final Map<Integer, Stream> streams = new HashMap<>(); // at most three
-    private Deadlines.Entry schedulerTimer;                 // the next call of the clock
+    private Deadlines.Entry schedulerTimer;          // the next call of the clock
     private double schedulerTimerAtMs = Double.POSITIVE_INFINITY;
-    private Runnable firstUpdateAction;                         // runs after the first update, or null
-    private boolean updateReceived;                          // discovery has sent an update
+    private Runnable firstUpdateAction;              // runs after the first update, or null
+    private boolean updateReceived;                  // discovery has sent an update
     private boolean stopped;
 
     public DiscoveryWatch(Sockets sockets, InetSocketAddress address, DiscoveredBackends table, Ingress ingress, long seed) {
@@ -118,11 +118,11 @@
         private final HttpLineReader lines = new HttpLineReader();
         private final JsonObjectAssembler objects = new JsonObjectAssembler();
         private final ByteBuffer buffer = ByteBuffer.allocate(8192);
-        private Runnable cancelDial = () -> { };           // cancels the dial in progress
+        private Runnable cancelDial = () -> { };     // cancels the dial in progress
         private AsynchronousSocketChannel channel;
-        private long revisionAtRequest;                           // the revision known when the request was sent
-        private long requestedRevision;                          // the revision requested from, 0 for the full list
-        private final Set<Long> updatedElsewhere = new HashSet<>(); // backends that other watches updated since the dial, at most LIFE_MS worth
+        private long revisionAtRequest;              // the revision known when the request was sent
+        private long requestedRevision;              // the revision requested from, 0 for the full list
+        private final Set<Long> updatedElsewhere = new HashSet<>(); // backends that other watches updated since the dial, bounded by the watch's lifetime
         private boolean closed;
 
         Stream(int number) {
@@ -226,23 +226,23 @@
             // A response written before the old watch's latest updates must not undo them. Revisions of another address are not
             // comparable.
             boolean late = first && !scheduler.isAddressChanged() && version >= revisionAtRequest && version < table.revision();
-            Api.ServerList news = late ? table.applyExcept(fields, updatedElsewhere) : table.apply(fields);
+            Api.ServerList update = late ? table.applyExcept(fields, updatedElsewhere) : table.apply(fields);
             for (Stream other : streams.values()) {
                 if (other == this || !scheduler.isCandidate(other.number)) { continue; }
-                for (Api.Server server : news.servers()) { other.updatedElsewhere.add(server.id()); }
+                for (Api.Server server : update.servers()) { other.updatedElsewhere.add(server.id()); }
             }
             counters.listChanges++;
-            counters.completeLists += news.kind() == Api.ListKind.FULL ? 1 : 0;
-            ingress.deliver(news);
+            counters.completeLists += update.kind() == Api.ListKind.FULL ? 1 : 0;
+            ingress.deliver(update);
             updateReceived = true;
             if (table.unreadableEntries() > 0) {
                 counters.malformedListLines += table.unreadableEntries();
                 System.err.println("service table: " + table.unreadableEntries() + " entries cannot be read");
             }
             if (table.unreadableEntries() > 0 && !(first && requestedRevision == 0)) {
-                closeMalformed();                            // requests the unreadable entries again, in the end the full list
-            } else if (first && news.kind() != Api.ListKind.FULL && version < requestedRevision) {
-                scheduler.keepAliveReceived(number, loop.now());     // changes after a revision that is not ours: some are missing
+                closeMalformed();                    // requests the unreadable entries again, in the end the full list
+            } else if (first && update.kind() != Api.ListKind.FULL && version < requestedRevision) {
+                scheduler.keepAliveReceived(number, loop.now()); // changes after a revision that is not ours: some are missing
             } else {
                 scheduler.objectReceived(number, loop.now());
                 updatedElsewhere.clear();
--- a/src/main/java/yardusher/discovery/HttpLineReader.java
+++ b/src/main/java/yardusher/discovery/HttpLineReader.java
@@ -26,7 +26,7 @@
  */
 final class HttpLineReader {
     private static final int MAX_HEAD_LINE_BYTES = 8 * 1024;
-    private static final int MAX_FEED_BYTES = 8 * 1024;    // bytes; longer input is split
+    private static final int MAX_FEED_BYTES = 8 * 1024; // bytes; longer input is split
     private static final int MAX_LINE_BYTES = 4 << 20;
     private static final int MAX_INTERIM_HEADS = 8;
     private static final long UNKNOWN_LENGTH = Long.MAX_VALUE;
@@ -34,11 +34,11 @@
 
     private final InputBuffer bytes = new InputBuffer();
     private final DefaultHttpResponseParser<HttpResponse> head = new DefaultHttpResponseParser<>(DefaultHttpResponseFactory.INSTANCE, LIMITS);
-    private int interimHeads;                             // interim (1xx) heads received
-    private boolean headComplete;                           // the head is complete
+    private int interimHeads;                        // interim (1xx) heads received
+    private boolean headComplete;                    // the head is complete
     private ChunkDecoder chunks;                     // null if the body is not chunked
-    private long bodyBytesLeft;                               // remaining bytes of a body that is not chunked, or UNSTATED
-    private final ByteBuffer part = ByteBuffer.allocate(4096);
+    private long bodyBytesLeft;                      // remaining bytes of a body that is not chunked, or UNKNOWN_LENGTH
+    private final ByteBuffer chunk = ByteBuffer.allocate(4096);
     private final ByteArrayOutputStream line = new ByteArrayOutputStream(4096);
     private final ArrayDeque<String> lines = new ArrayDeque<>();
 
@@ -93,12 +93,12 @@
 
     private void parseBody() throws IOException {
         while (!isComplete()) {
-            part.clear();
-            if (chunks == null) { part.limit((int) Math.min(part.limit(), bodyBytesLeft)); }
-            if ((chunks == null ? bytes.read(part) : chunks.read(part)) <= 0) { return; }
-            part.flip();
-            if (chunks == null && bodyBytesLeft != UNKNOWN_LENGTH) { bodyBytesLeft -= part.remaining(); }
-            while (part.hasRemaining()) { appendByte(part.get()); }
+            chunk.clear();
+            if (chunks == null) { chunk.limit((int) Math.min(chunk.limit(), bodyBytesLeft)); }
+            if ((chunks == null ? bytes.read(chunk) : chunks.read(chunk)) <= 0) { return; }
+            chunk.flip();
+            if (chunks == null && bodyBytesLeft != UNKNOWN_LENGTH) { bodyBytesLeft -= chunk.remaining(); }
+            while (chunk.hasRemaining()) { appendByte(chunk.get()); }
         }
     }
 
@@ -145,8 +145,8 @@
         }
 
         @Override
-        public int read(ByteBuffer into, int most) {
-            int count = Math.min(Math.min(into.remaining(), most), buffer.remaining());
+        public int read(ByteBuffer into, int max) {
+            int count = Math.min(Math.min(into.remaining(), max), buffer.remaining());
             into.put(buffer.slice(buffer.position(), count));
             buffer.position(buffer.position() + count);
             return count;
@@ -168,7 +168,7 @@
         public int fill(ReadableByteChannel from) { return 0; }
 
         @Override
-        public int read(WritableByteChannel into, int most) { throw new UnsupportedOperationException(); }
+        public int read(WritableByteChannel into, int max) { throw new UnsupportedOperationException(); }
 
         @Override
         public int read(WritableByteChannel into) { throw new UnsupportedOperationException(); }
--- a/src/main/java/yardusher/discovery/JsonObjectAssembler.java
+++ b/src/main/java/yardusher/discovery/JsonObjectAssembler.java
@@ -8,7 +8,7 @@
  */
 final class JsonObjectAssembler {
     private static final int MAX_OBJECT_CHARS = 4 << 20;
-    private static final int MAX_DEPTH = 64;        // a list of backends has three levels
+    private static final int MAX_DEPTH = 64;         // a list of backends has three levels
 
     private final StringBuilder part = new StringBuilder();
     private int depth;
--- a/src/main/java/yardusher/discovery/WatchScheduler.java
+++ b/src/main/java/yardusher/discovery/WatchScheduler.java
@@ -6,19 +6,19 @@
  * updates apply, and two candidates to replace it.
  *
  * <p>A watch becomes active with its first object, not with an empty line (keep-alive): an agent without news of what was missed may
- * be one that does not have it. An active watch without keep-alives for {@code SILENT_MS} is suspect until a candidate has sent an
- * object, and is still read meanwhile. A candidate is due to send within {@code PATIENCE_MS} of its dial; then a second is dialled and
- * the first kept, for {@code LIFE_MS} in all, so that a slow one still counts. Bounds, with dials that are answered at once: 3.45 s
+ * be one that does not have it. An active watch without keep-alives for {@code SILENCE_TIMEOUT_MS} is suspect until a candidate has sent an
+ * object, and is still read meanwhile. A candidate is due to send within {@code RESPONSE_DUE_MS} of its dial; then a second is dialled and
+ * the first kept, for {@code CANDIDATE_LIFETIME_MS} in all, so that a slow one still counts. Bounds, with dials that are answered at once: 3.45 s
  * from the start of a silence to the first dial, 2.25 s at most from one dial to the next, three dials within 5.4 s of a silence, four
  * within 3.3 s of a move or a start (docs/measurements/standing.md), 0.35 s more for each if this process itself was stalled.
  */
 final class WatchScheduler {
-    static final double SILENCE_TIMEOUT_MS = 3000;            // a keep-alive line comes every 2 s
+    static final double SILENCE_TIMEOUT_MS = 3000;   // a keep-alive line comes every 2 s
     static final double RECONNECT_JITTER_MS = 300;
-    static final double RESPONSE_DUE_MS = 750;           // an agent sends what it has at once
-    static final double CANDIDATE_LIFETIME_MS = 3000;              // of a candidate that has sent no object
-    static final double MIN_STEADY_MS = 1000;            // an active watch that lasted this long resets the backoff when it ends
-    static final double STALL_THRESHOLD_MS = 100;               // a call this late means that this process was stalled
+    static final double RESPONSE_DUE_MS = 750;       // an agent sends what it has at once
+    static final double CANDIDATE_LIFETIME_MS = 3000; // of a candidate that has sent no object
+    static final double MIN_STEADY_MS = 1000;        // an active watch that lasted this long resets the backoff when it ends
+    static final double STALL_THRESHOLD_MS = 100;    // a call this late means that this process was stalled
     static final double STALL_GRACE_MS = 250;
     private static final double NEVER = Double.POSITIVE_INFINITY;
 
@@ -47,14 +47,14 @@
 
     private final Actions actions;
     private final Backoff backoff;
-    private int lastWatch;                             // the last number assigned
-    private int active;                                // number of the active watch, 0 for none
+    private int lastWatch;                           // the last number assigned
+    private int active;                              // number of the active watch, 0 for none
     private double lastHeardAtMs;
-    private double activeSinceMs;                       // since when that watch is active
+    private double activeSinceMs;                    // since when that watch is active
     private boolean suspect;                         // the active watch has fallen silent
-    private boolean addressChanged;                           // the present address has sent no object yet
-    private boolean needsFullList;                         // a candidate has sent only a keep-alive, or an unreadable object
-    private Candidate first;                              // the older of two
+    private boolean addressChanged;                  // the present address has sent no object yet
+    private boolean needsFullList;                   // a candidate has sent only a keep-alive, or an unreadable object
+    private Candidate first;                         // the older of two
     private Candidate second;
     private double nextDialAtMs = NEVER;
     private boolean stopped;
@@ -167,21 +167,21 @@
         if (now < nextDialAtMs) { return; }
         nextDialAtMs = NEVER;
         if (second != null) { actions.close(second.watch); }
-        Candidate heir = new Candidate(++lastWatch, now);
-        if (first == null) { first = heir; } else { second = heir; }
-        actions.dial(heir.watch);
+        Candidate candidate = new Candidate(++lastWatch, now);
+        if (first == null) { first = candidate; } else { second = candidate; }
+        actions.dial(candidate.watch);
     }
 
     /** Whether there is a candidate that may still send in time. */
-    private static boolean isStillDue(Candidate heir, double now) {
-        if (heir == null) { return false; }
+    private static boolean isStillDue(Candidate candidate, double now) {
+        if (candidate == null) { return false; }
         // If this process was stalled, the response may be waiting unread: grant it extra time once before dialling again.
-        if (now >= heir.dueAtMs + STALL_THRESHOLD_MS && !heir.graceGranted) {
-            heir.graceGranted = true;
-            heir.dueAtMs = now + STALL_GRACE_MS;
+        if (now >= candidate.dueAtMs + STALL_THRESHOLD_MS && !candidate.graceGranted) {
+            candidate.graceGranted = true;
+            candidate.dueAtMs = now + STALL_GRACE_MS;
         }
-        if (now < heir.dueAtMs) { return true; }
-        heir.graceGranted = true;
+        if (now < candidate.dueAtMs) { return true; }
+        candidate.graceGranted = true;
         return false;
     }
 
--- /dev/null
+++ b/src/main/java/yardusher/error/package-info.java
@@ -0,0 +1,2 @@
+/** Typed errors with a stable code, an exit code and advice for the operator. */
+package yardusher.error;
--- a/src/main/java/yardusher/handover/Handover.java
+++ b/src/main/java/yardusher/handover/Handover.java
@@ -56,7 +56,7 @@
     // Until the previous process, which may be short of processor time, has sent its whole state: what it does not send in time
     // is lost, bans included. Half of the 6 s within which a new version must accept clients.
     private static final double STATE_TIMEOUT_MS = 3000;
-    private static final double BAN_CONFIRM_TIMEOUT_MS = 500;       // for the other process to confirm a ban: half of a caller's timeout
+    private static final double BAN_CONFIRM_TIMEOUT_MS = 500; // for the other process to confirm a ban: half of a caller's timeout
 
     private final Sockets sockets;
     private final EventLoop loop;
@@ -67,8 +67,8 @@
     private final Events events;
     private HandoverFile ownFile;
     private SiblingLink sibling;
-    private boolean siblingIsNewer;                           // the other process is the newer one
-    private boolean ownsPeerPort;                            // this process owns the peer port
+    private boolean siblingIsNewer;                  // the other process is the newer one
+    private boolean ownsPeerPort;                    // this process owns the peer port
     private boolean serving;
     private Deadlines.Entry stateTimeout;
 
@@ -155,7 +155,7 @@
     /** This process ends and must no longer be found. */
     public void close() {
         SiblingLink last = sibling;
-        sibling = null;                                // so that its close does not count as a failed takeover
+        sibling = null;                              // so that its close does not count as a failed takeover
         if (last != null) { last.close(); } else if (ownFile != null) { ownFile.remove(folder, name); }
     }
 
@@ -171,16 +171,16 @@
         }
         if (!words[1].equals(Integer.toString(HandoverFile.VERSION))) { throw new CommandError.Refused("another version is spoken here"); }
         if (sibling != null) { throw new CommandError.Refused("another process is there already"); }
-        SiblingLink heir = new SiblingLink(lines, this);
-        heir.setConnection(link);
-        sibling = heir;
+        SiblingLink successor = new SiblingLink(lines, this);
+        successor.setConnection(link);
+        sibling = successor;
         siblingIsNewer = true;
         events.info("is asked by its next version");
-        for (String region : process.banned()) { heir.sendBan(new HandoverMessage.Ban(region, true), () -> { }); }
-        if (process.isDraining()) { heir.send(new HandoverMessage.Drain(true)); }
-        process.siblingChanged(true, true);                  // makes the module send its totals
-        heir.send(new HandoverMessage.StateComplete());
-        return heir;
+        for (String region : process.banned()) { successor.sendBan(new HandoverMessage.Ban(region, true), () -> { }); }
+        if (process.isDraining()) { successor.send(new HandoverMessage.Drain(true)); }
+        process.siblingChanged(true, true);          // makes the module send its totals
+        successor.send(new HandoverMessage.StateComplete());
+        return successor;
     }
 
     /** Forwards a ban to the other process; {@code then} runs once, when it holds there too or after half a second. */
@@ -237,7 +237,7 @@
             if (ownsPeerPort && send.to() != self) { process.send(send.to(), send.body()); }
         } else if (word instanceof HandoverMessage.StateComplete) {
             if (!siblingIsNewer) { startServing(); }
-        } else if (siblingIsNewer) {                          // Word.Serving
+        } else if (siblingIsNewer) {                 // Word.Serving
             ownsPeerPort = false;
             process.closePeerPort();
             process.siblingChanged(true, false);
@@ -260,7 +260,7 @@
             ownsPeerPort = true;
             try {
                 process.openPeerPort();
-                ownFile.write(folder, name);             // the other process's note is stale now
+                ownFile.write(folder, name);         // the other process's note is stale now
             } catch (IOException e) {
                 events.warn("the peers' port or the note cannot be taken back", "why", e.getMessage());
             } catch (YardusherError e) {
--- /dev/null
+++ b/src/main/java/yardusher/handover/package-info.java
@@ -0,0 +1,2 @@
+/** Hand-over between two processes of one ingress during an upgrade. */
+package yardusher.handover;
--- /dev/null
+++ b/src/main/java/yardusher/nginx/package-info.java
@@ -0,0 +1,2 @@
+/** Conversion of nginx configurations into yardusher ones. */
+package yardusher.nginx;
--- a/src/main/java/yardusher/servers/BackendConnection.java
+++ b/src/main/java/yardusher/servers/BackendConnection.java
@@ -18,26 +18,26 @@
     final BackendPool.PooledBackend pooledBackend;
     final long backend;
     double idleSinceMs;
-    /** A response that has begun must make progress in this time and complete in {@code WHOLE_MS}, else its length is wrong. */
+    /** A response that has begun must make progress in this time and complete in {@code RESPONSE_TIMEOUT_MS}, else its length is wrong. */
     private static final double PROGRESS_TIMEOUT_MS = 250;
-    private static final double STALL_GRACE_MS = 50;        // extra time to read what arrived while the process was stalled
+    private static final double STALL_GRACE_MS = 50; // extra time to read what arrived while the process was stalled
     private static final double RESPONSE_TIMEOUT_MS = 1000;
 
     private Connection connection;
     private Attempt attempt;
     private Deadlines.Entry timeout;
-    private ResponseStream stream;                               // a large value that is streamed to the client
-    private long bytesLeft;                               // bytes of it not yet received
-    private boolean chunkPending;                         // a chunk is being written to the terminal
-    private double responseStartedAtMs;                        // when the first bytes of an incomplete response arrived
-    private double progressAtMs;                          // when the last chunk arrived or was accepted by the terminal
+    private ResponseStream stream;                   // a large value that is streamed to the client
+    private long bytesLeft;                          // bytes of it not yet received
+    private boolean chunkPending;                    // a chunk is being written to the terminal
+    private double responseStartedAtMs;              // when the first bytes of an incomplete response arrived
+    private double progressAtMs;                     // when the last chunk arrived or was accepted by the terminal
     private boolean used;
-    private boolean closedLocally;                            // closed locally; the backend may not have closed yet
-    private boolean reused;                            // the current attempt reuses a connection that carried an earlier one
+    private boolean closedLocally;                   // closed locally; the backend may not have closed yet
+    private boolean reused;                          // the current attempt reuses a connection that carried an earlier one
 
-    BackendConnection(BackendPool pool, BackendPool.PooledBackend place, long backend) {
+    BackendConnection(BackendPool pool, BackendPool.PooledBackend pooled, long backend) {
         this.pool = pool;
-        this.pooledBackend = place;
+        this.pooledBackend = pooled;
         this.backend = backend;
     }
 
--- a/src/main/java/yardusher/servers/BackendPool.java
+++ b/src/main/java/yardusher/servers/BackendPool.java
@@ -24,15 +24,15 @@
  * those behind it, and cancelling an attempt closes the connection. The most recently used idle connection is taken first.
  */
 public final class BackendPool implements Backends {
-    private static final double MAX_IDLE_FRACTION = 0.7;  // fraction of the configured idle time, so as not to race the backend's own close
+    private static final double MAX_IDLE_FRACTION = 0.7; // fraction of the configured idle time, so as not to race the backend's own close
     private static final double IDLE_CHECK_INTERVAL_MS = 1000;
-    private static final double MIN_IDLE_MS = 30;     // an idle connection is not reused before this time
-    private static final double ORPHAN_DIAL_TIMEOUT_MS = 2000;      // time limit of a dial that no attempt waits for any more
-    private static final int MAX_ORPHAN_DIALS = 2;          // such dials, and idle connections kept from them, per backend
-    private static final double SECOND_DIAL_FRACTION = 0.2;   // fraction of the dial timeout after which a second dial starts in parallel
-    private static final double LOSS_WEIGHT = 0.05;        // weight of one attempt in the moving average of lost attempts
-    private static final double LOSS_TOLERANCE = 0.05;        // tolerated excess of the loss rate of reused connections over that of new ones
-    private static final int REUSE_PROBE_INTERVAL = 8;              // beyond that, one in this many attempts still tries a reused connection
+    private static final double MIN_IDLE_MS = 30;    // an idle connection is not reused before this time
+    private static final double ORPHAN_DIAL_TIMEOUT_MS = 2000; // time limit of a dial that no attempt waits for any more
+    private static final int MAX_ORPHAN_DIALS = 2;   // such dials, and idle connections kept from them, per backend
+    private static final double SECOND_DIAL_FRACTION = 0.2; // fraction of the dial timeout after which a second dial starts in parallel
+    private static final double LOSS_WEIGHT = 0.05;  // weight of one attempt in the moving average of lost attempts
+    private static final double LOSS_TOLERANCE = 0.05; // tolerated excess of the loss rate of reused connections over that of new ones
+    private static final int REUSE_PROBE_INTERVAL = 8; // beyond that, one in this many attempts still tries a reused connection
 
     final Sockets sockets;
     final Counters counters;
@@ -43,11 +43,11 @@
     final List<Api.Metric> report;
     private final Map<Long, PooledBackend> pooledBackends = new HashMap<>();
     private final Set<Long> banned = new HashSet<>(); // by an operator
-    private double reusedLossRate;                         // recent fraction of attempts lost on reused connections
-    private double newLossRate;                          // and on new connections
+    private double reusedLossRate;                   // recent fraction of attempts lost on reused connections
+    private double newLossRate;                      // and on new connections
     private int startedAttempts;
     private Ingress ingress;
-    private ConnectionAllowance allowance;                     // null if connections are not limited per backend
+    private ConnectionAllowance allowance;           // null if connections are not limited per backend
     int connections;
     private int closing;                             // of these, closed locally and not yet by the backend
 
@@ -114,15 +114,15 @@
 
     /** Connections to a backend that carry an attempt or are being dialled for one. */
     public int busyConnections(long backend) {
-        PooledBackend place = pooledBackends.get(backend);
-        return place == null ? 0 : place.open - place.closing - place.idle.size();
+        PooledBackend pooled = pooledBackends.get(backend);
+        return pooled == null ? 0 : pooled.open - pooled.closing - pooled.idle.size();
     }
 
     /** Closes up to {@code count} idle connections of a backend, the longest idle first, and returns the number closed. */
     public int closeIdle(long backend, int count) {
-        PooledBackend place = pooledBackends.get(backend);
+        PooledBackend pooled = pooledBackends.get(backend);
         int closed = 0;
-        for (BackendConnection link; place != null && closed < count && (link = place.idle.pollFirst()) != null; closed++) { link.close(); }
+        for (BackendConnection connection; pooled != null && closed < count && (connection = pooled.idle.pollFirst()) != null; closed++) { connection.close(); }
         return closed;
     }
 
@@ -130,12 +130,12 @@
 
     /** Adds a backend of the service table, or updates its address. */
     public void addOrUpdate(long backend, InetSocketAddress address) {
-        PooledBackend place = pooledBackends.computeIfAbsent(backend, r -> new PooledBackend(address));
-        place.draining = false;
-        if (!place.address.equals(address)) {
-            place.address = address;
-            dropIdle(place);
-            dropDialling(place);
+        PooledBackend pooled = pooledBackends.computeIfAbsent(backend, r -> new PooledBackend(address));
+        pooled.draining = false;
+        if (!pooled.address.equals(address)) {
+            pooled.address = address;
+            dropIdle(pooled);
+            dropDialling(pooled);
         }
     }
 
@@ -144,30 +144,30 @@
      * nothing, are retried elsewhere. Otherwise a dial could succeed after the grace period of the drain and be written to.
      */
     public void retire(long backend, boolean remove) {
-        PooledBackend place = remove ? pooledBackends.remove(backend) : pooledBackends.get(backend);
-        if (place == null) { return; }
-        place.draining = true;
-        dropIdle(place);
-        dropDialling(place);
+        PooledBackend pooled = remove ? pooledBackends.remove(backend) : pooledBackends.get(backend);
+        if (pooled == null) { return; }
+        pooled.draining = true;
+        dropIdle(pooled);
+        dropDialling(pooled);
     }
 
     /** Reports the failures after the current event-loop task, so that the module does not choose by the outdated list. */
-    private void dropDialling(PooledBackend place) {
-        for (Attempt attempt : Set.copyOf(place.dialling)) {
+    private void dropDialling(PooledBackend pooled) {
+        for (Attempt attempt : Set.copyOf(pooled.dialling)) {
             attempt.abort.run();
             attempt.abort = () -> { };
             sockets.loop().defer(() -> attemptEnded(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED)));
         }
-        for (WaitingAttempt wait; (wait = place.waiting.peek()) != null;) {
-            Attempt attempt = wait.attempt;
-            stopWaiting(place, wait);
+        for (WaitingAttempt waiting; (waiting = pooled.waiting.peek()) != null;) {
+            Attempt attempt = waiting.attempt;
+            stopWaiting(pooled, waiting);
             sockets.loop().defer(() -> attemptEnded(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED)));
         }
-        for (Dial dial; (dial = place.dials.peek()) != null;) { dial.cancel.run(); }
+        for (Dial dial; (dial = pooled.dials.peek()) != null;) { dial.cancel.run(); }
     }
 
-    private void dropIdle(PooledBackend place) {
-        for (BackendConnection link; (link = place.idle.poll()) != null;) { link.close(); }
+    private void dropIdle(PooledBackend pooled) {
+        for (BackendConnection connection; (connection = pooled.idle.poll()) != null;) { connection.close(); }
     }
 
     /**
@@ -179,27 +179,27 @@
             banned.remove(backend);
             return;
         }
-        PooledBackend place = pooledBackends.get(backend);
-        if (!banned.add(backend) || place == null) { return; }
-        dropIdle(place);
-        dropDialling(place);
+        PooledBackend pooled = pooledBackends.get(backend);
+        if (!banned.add(backend) || pooled == null) { return; }
+        dropIdle(pooled);
+        dropDialling(pooled);
     }
 
     @Override
     public boolean isAvailable(long backend) { return acceptsAttempts(pooledBackends.get(backend), backend); }
 
     /** Whether attempts may start there: the backend is listed, not draining and not banned. */
-    private boolean acceptsAttempts(PooledBackend place, long backend) {
-        return place != null && pooledBackends.get(backend) == place && !place.draining && !banned.contains(backend);
+    private boolean acceptsAttempts(PooledBackend pooled, long backend) {
+        return pooled != null && pooledBackends.get(backend) == pooled && !pooled.draining && !banned.contains(backend);
     }
 
     @Override
     public void start(Attempt attempt, ByteBuffer... cargo) {
-        PooledBackend place = pooledBackends.get(attempt.backend);
-        BackendConnection link = ++startedAttempts % REUSE_PROBE_INTERVAL == 0 || !prefersNewConnections() ? takeReusable(place) : null;
-        if (link != null) {
+        PooledBackend pooled = pooledBackends.get(attempt.backend);
+        BackendConnection connection = ++startedAttempts % REUSE_PROBE_INTERVAL == 0 || !prefersNewConnections() ? takeReusable(pooled) : null;
+        if (connection != null) {
             counters.connectionsReused++;
-            if (!trySend(link, attempt, cargo)) { link.close(); }
+            if (!trySend(connection, attempt, cargo)) { connection.close(); }
             return;
         }
         if (connections - closing >= maxConnections && !closeOneIdle()) {
@@ -208,124 +208,124 @@
             return;
         }
         if (allowance != null) {
-            startWithAllowance(place, attempt, cargo);
+            startWithAllowance(pooled, attempt, cargo);
             return;
         }
         Deadlines deadlines = sockets.loop().deadlines();
         double now = sockets.loop().now();
-        WaitingAttempt wait = new WaitingAttempt(attempt, cargo);
-        place.waiting.addLast(wait);
-        attempt.abort = () -> stopWaiting(place, wait);
-        wait.limit = deadlines.schedule(now + dialMs, () -> failWaiting(place, wait));
+        WaitingAttempt waiting = new WaitingAttempt(attempt, cargo);
+        pooled.waiting.addLast(waiting);
+        attempt.abort = () -> stopWaiting(pooled, waiting);
+        waiting.limit = deadlines.schedule(now + dialMs, () -> failWaiting(pooled, waiting));
         // A lost handshake often affects one dial only: a second one in parallel succeeds sooner than the first would fail.
-        wait.secondDial = deadlines.schedule(now + dialMs * SECOND_DIAL_FRACTION, () -> {
-            if (!wait.done && connections < maxConnections) { dial(place, wait); }
+        waiting.secondDial = deadlines.schedule(now + dialMs * SECOND_DIAL_FRACTION, () -> {
+            if (!waiting.done && connections < maxConnections) { dial(pooled, waiting); }
         });
-        dial(place, wait);
+        dial(pooled, waiting);
     }
 
     /** Hands an attempt to a connection; false if it may no longer be sent, and then it ends as never sent. */
-    private boolean trySend(BackendConnection link, Attempt attempt, ByteBuffer... cargo) {
+    private boolean trySend(BackendConnection connection, Attempt attempt, ByteBuffer... cargo) {
         double now = sockets.loop().now();
         if (attempt.handToSocket(now)) {
-            link.send(attempt, cargo);
+            connection.send(attempt, cargo);
             return true;
         }
-        Api.Outcome never = attempt.isTooLateToWrite(now) ? Api.Outcome.CONNECT_FAILED : Api.Outcome.NOT_SENT;
-        sockets.loop().defer(() -> attemptEnded(attempt, Attempt.Result.of(never)));
+        Api.Outcome outcome = attempt.isTooLateToWrite(now) ? Api.Outcome.CONNECT_FAILED : Api.Outcome.NOT_SENT;
+        sockets.loop().defer(() -> attemptEnded(attempt, Attempt.Result.of(outcome)));
         return false;
     }
 
-    private void dial(PooledBackend place, WaitingAttempt owner) {
+    private void dial(PooledBackend pooled, WaitingAttempt owner) {
         long backend = owner.attempt.backend;
         Dial dial = new Dial(owner);
         connections++;
-        place.open++;
+        pooled.open++;
         counters.connectionsOpened++;
-        place.dials.addLast(dial);
-        Runnable giveUp = sockets.connect(place.address, Math.max(dialMs, ORPHAN_DIAL_TIMEOUT_MS), channel -> {
-            place.dials.remove(dial);
-            BackendConnection fresh = new BackendConnection(this, place, backend);
-            fresh.open(channel);
-            assignNewConnection(fresh, dial.owner);
+        pooled.dials.addLast(dial);
+        Runnable giveUp = sockets.connect(pooled.address, Math.max(dialMs, ORPHAN_DIAL_TIMEOUT_MS), channel -> {
+            pooled.dials.remove(dial);
+            BackendConnection created = new BackendConnection(this, pooled, backend);
+            created.open(channel);
+            assignNewConnection(created, dial.owner);
         }, () -> {
-            recordClosed(place, backend, false);
-            place.dials.remove(dial);
-            if (!dial.owner.done) { failWaiting(place, dial.owner); }
+            recordClosed(pooled, backend, false);
+            pooled.dials.remove(dial);
+            if (!dial.owner.done) { failWaiting(pooled, dial.owner); }
         });
         dial.cancel = () -> {
-            recordClosed(place, backend, false);
-            place.dials.remove(dial);
+            recordClosed(pooled, backend, false);
+            pooled.dials.remove(dial);
             giveUp.run();
         };
     }
 
     /** Gives a new connection to the attempt that dialled it, else to the longest waiting one, else keeps it idle. */
-    private void assignNewConnection(BackendConnection link, WaitingAttempt owner) {
-        PooledBackend place = link.pooledBackend;
-        for (WaitingAttempt next = owner.done ? place.waiting.peek() : owner; next != null; next = place.waiting.peek()) {
-            stopWaiting(place, next);
-            if (trySend(link, next.attempt, next.cargo)) { return; }
+    private void assignNewConnection(BackendConnection connection, WaitingAttempt owner) {
+        PooledBackend pooled = connection.pooledBackend;
+        for (WaitingAttempt next = owner.done ? pooled.waiting.peek() : owner; next != null; next = pooled.waiting.peek()) {
+            stopWaiting(pooled, next);
+            if (trySend(connection, next.attempt, next.cargo)) { return; }
         }
-        if (acceptsAttempts(place, link.backend) && place.idle.size() < MAX_ORPHAN_DIALS && !link.isUsed()) {
-            link.idleSinceMs = sockets.loop().now();
-            place.idle.addLast(link);
+        if (acceptsAttempts(pooled, connection.backend) && pooled.idle.size() < MAX_ORPHAN_DIALS && !connection.isUsed()) {
+            connection.idleSinceMs = sockets.loop().now();
+            pooled.idle.addLast(connection);
         } else {
-            link.close();
+            connection.close();
         }
     }
 
-    /** Removes a waiting attempt; up to {@code MOST_LATE} dials without an owner may still complete. */
-    private void stopWaiting(PooledBackend place, WaitingAttempt wait) {
-        wait.done = true;
-        sockets.loop().deadlines().cancel(wait.limit);
-        sockets.loop().deadlines().cancel(wait.secondDial);
-        place.waiting.remove(wait);
-        long late = place.dials.stream().filter(dial -> dial.owner.done).count();
-        for (Dial dial : late > MAX_ORPHAN_DIALS ? List.copyOf(place.dials) : List.<Dial>of()) {
+    /** Removes a waiting attempt; up to {@code MAX_ORPHAN_DIALS} dials without an owner may still complete. */
+    private void stopWaiting(PooledBackend pooled, WaitingAttempt waiting) {
+        waiting.done = true;
+        sockets.loop().deadlines().cancel(waiting.limit);
+        sockets.loop().deadlines().cancel(waiting.secondDial);
+        pooled.waiting.remove(waiting);
+        long late = pooled.dials.stream().filter(dial -> dial.owner.done).count();
+        for (Dial dial : late > MAX_ORPHAN_DIALS ? List.copyOf(pooled.dials) : List.<Dial>of()) {
             if (dial.owner.done && late-- > MAX_ORPHAN_DIALS) { dial.cancel.run(); }
         }
     }
 
-    private void failWaiting(PooledBackend place, WaitingAttempt wait) {
-        stopWaiting(place, wait);
+    private void failWaiting(PooledBackend pooled, WaitingAttempt waiting) {
+        stopWaiting(pooled, waiting);
         counters.connectionsFailed++;
-        attemptEnded(wait.attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED));
+        attemptEnded(waiting.attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED));
     }
 
     /** Gives a connection that may be reused again to an attempt that waits for a dial. */
-    private void serveWaiting(PooledBackend place) {
-        if (place.waiting.isEmpty() || prefersNewConnections()) { return; }
-        BackendConnection link = takeReusable(place);
-        if (link == null) { return; }
+    private void serveWaiting(PooledBackend pooled) {
+        if (pooled.waiting.isEmpty() || prefersNewConnections()) { return; }
+        BackendConnection connection = takeReusable(pooled);
+        if (connection == null) { return; }
         counters.connectionsReused++;
-        assignNewConnection(link, place.waiting.peek());
+        assignNewConnection(connection, pooled.waiting.peek());
     }
 
     /**
      * Dials under an allowance, where each connection counts until both ends have closed it. If none may be dialled, an idle
      * connection is reused without waiting. An abandoned dial continues, since the backend may have accepted it, and then closes.
      */
-    private void startWithAllowance(PooledBackend place, Attempt attempt, ByteBuffer... cargo) {
+    private void startWithAllowance(PooledBackend pooled, Attempt attempt, ByteBuffer... cargo) {
         if (!allowance.tryAcquire(attempt.backend)) {
-            BackendConnection resting = place.idle.pollFirst();
-            if (resting == null) {                   // the module checks this beforehand; only a change within this task leads here
+            BackendConnection idle = pooled.idle.pollFirst();
+            if (idle == null) {                      // the module checks this beforehand; only a change within this task leads here
                 sockets.loop().defer(() -> attemptEnded(attempt, Attempt.Result.of(Api.Outcome.NOT_SENT)));
             } else {
                 counters.connectionsReused++;
-                if (!trySend(resting, attempt, cargo)) { resting.close(); }
+                if (!trySend(idle, attempt, cargo)) { idle.close(); }
             }
             return;
         }
         connections++;
-        place.open++;
+        pooled.open++;
         counters.connectionsOpened++;
-        place.dialling.add(attempt);
+        pooled.dialling.add(attempt);
         boolean[] dropped = new boolean[1];
         Runnable drop = () -> {
             dropped[0] = true;
-            place.dialling.remove(attempt);
-            recordClosing(place, attempt.backend);
+            pooled.dialling.remove(attempt);
+            recordClosing(pooled, attempt.backend);
         };
         Deadlines.Entry limit = sockets.loop().deadlines().schedule(sockets.loop().now() + dialMs, () -> {
             if (dropped[0]) { return; }
@@ -333,21 +333,21 @@
             counters.connectionsFailed++;
             attemptEnded(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED));
         });
-        sockets.dial(place.address, channel -> {
+        sockets.dial(pooled.address, channel -> {
             sockets.loop().deadlines().cancel(limit);
             if (dropped[0]) {
-                BackendConnection.discard(this, channel, () -> recordClosed(place, attempt.backend, true));
+                BackendConnection.discard(this, channel, () -> recordClosed(pooled, attempt.backend, true));
                 return;
             }
-            place.dialling.remove(attempt);
-            BackendConnection fresh = new BackendConnection(this, place, attempt.backend);
-            fresh.open(channel);
-            if (!trySend(fresh, attempt, cargo)) { returnIdle(fresh); }
+            pooled.dialling.remove(attempt);
+            BackendConnection created = new BackendConnection(this, pooled, attempt.backend);
+            created.open(channel);
+            if (!trySend(created, attempt, cargo)) { returnIdle(created); }
         }, () -> {
             sockets.loop().deadlines().cancel(limit);
-            recordClosed(place, attempt.backend, dropped[0]);
+            recordClosed(pooled, attempt.backend, dropped[0]);
             if (dropped[0]) { return; }
-            place.dialling.remove(attempt);
+            pooled.dialling.remove(attempt);
             counters.connectionsFailed++;
             attemptEnded(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED));
         });
@@ -358,28 +358,28 @@
     }
 
     /** Closes a connection locally. */
-    void closeLocally(PooledBackend place, long backend, Connection link) {
+    void closeLocally(PooledBackend pooled, long backend, Connection connection) {
         if (allowance == null) {
-            recordClosed(place, backend, false);
-            link.close();
+            recordClosed(pooled, backend, false);
+            connection.close();
             return;
         }
-        recordClosing(place, backend);
-        link.shutdownAndAwaitPeer(() -> recordClosed(place, backend, true));
+        recordClosing(pooled, backend);
+        connection.shutdownAndAwaitPeer(() -> recordClosed(pooled, backend, true));
     }
 
-    private void recordClosing(PooledBackend place, long backend) {
-        place.closing++;
+    private void recordClosing(PooledBackend pooled, long backend) {
+        pooled.closing++;
         closing++;
         allowance.closing(backend);
     }
 
     /** A connection is closed, or a dial has failed. */
-    void recordClosed(PooledBackend place, long backend, boolean wasLeaving) {
+    void recordClosed(PooledBackend pooled, long backend, boolean wasLeaving) {
         connections--;
-        place.open--;
+        pooled.open--;
         if (wasLeaving) {
-            place.closing--;
+            pooled.closing--;
             closing--;
         }
         if (allowance != null) { allowance.closed(backend, wasLeaving); }
@@ -399,31 +399,31 @@
     private boolean prefersNewConnections() { return reusedLossRate > newLossRate + LOSS_TOLERANCE; }
 
     /**
-     * Takes the most recently used connection that has been idle for {@code SETTLED_MS}. A duplicate or stray bytes right behind
+     * Takes the most recently used connection that has been idle for {@code MIN_IDLE_MS}. A duplicate or stray bytes right behind
      * a response would otherwise be taken for the response to the next command.
      */
-    private BackendConnection takeReusable(PooledBackend place) {
+    private BackendConnection takeReusable(PooledBackend pooled) {
         double before = sockets.loop().now() - MIN_IDLE_MS;
-        for (Iterator<BackendConnection> all = place.idle.descendingIterator(); all.hasNext();) {
-            BackendConnection link = all.next();
-            if (link.idleSinceMs <= before) {
+        for (Iterator<BackendConnection> all = pooled.idle.descendingIterator(); all.hasNext();) {
+            BackendConnection connection = all.next();
+            if (connection.idleSinceMs <= before) {
                 all.remove();
-                return link;
+                return connection;
             }
         }
         return null;
     }
 
     private boolean closeOneIdle() {
-        for (PooledBackend place : pooledBackends.values()) {        // a dial that may never succeed is closed first
-            Dial oldest = place.dials.peek();
-            if (oldest != null && oldest.owner.done && place.waiting.isEmpty()) {
+        for (PooledBackend pooled : pooledBackends.values()) { // a dial that may never succeed is closed first
+            Dial oldest = pooled.dials.peek();
+            if (oldest != null && oldest.owner.done && pooled.waiting.isEmpty()) {
                 oldest.cancel.run();
                 return true;
             }
         }
-        for (PooledBackend place : pooledBackends.values()) {
-            BackendConnection oldest = place.idle.pollFirst();
+        for (PooledBackend pooled : pooledBackends.values()) {
+            BackendConnection oldest = pooled.idle.pollFirst();
             if (oldest != null) {
                 oldest.close();
                 return true;
@@ -439,28 +439,28 @@
     void attemptEnded(Attempt attempt, Attempt.Result result) { ingress.attemptEnded(attempt, result); }
 
     /** An attempt completed normally: its connection becomes idle. */
-    void returnIdle(BackendConnection link) {
-        link.idleSinceMs = sockets.loop().now();
-        boolean enough = prefersNewConnections() && !link.pooledBackend.idle.isEmpty() || allowance != null && allowance.isSurplus(link.backend);
-        if (acceptsAttempts(link.pooledBackend, link.backend) && !enough) {
-            link.pooledBackend.idle.addLast(link);
-            if (!link.pooledBackend.waiting.isEmpty()) {
-                sockets.loop().deadlines().schedule(link.idleSinceMs + MIN_IDLE_MS, () -> serveWaiting(link.pooledBackend));
+    void returnIdle(BackendConnection connection) {
+        connection.idleSinceMs = sockets.loop().now();
+        boolean enough = prefersNewConnections() && !connection.pooledBackend.idle.isEmpty() || allowance != null && allowance.isSurplus(connection.backend);
+        if (acceptsAttempts(connection.pooledBackend, connection.backend) && !enough) {
+            connection.pooledBackend.idle.addLast(connection);
+            if (!connection.pooledBackend.waiting.isEmpty()) {
+                sockets.loop().deadlines().schedule(connection.idleSinceMs + MIN_IDLE_MS, () -> serveWaiting(connection.pooledBackend));
             }
         } else {
-            link.close();
+            connection.close();
         }
     }
 
     private void closeExpiredIdle() {
         double now = sockets.loop().now();
         sockets.loop().deadlines().schedule(now + IDLE_CHECK_INTERVAL_MS, this::closeExpiredIdle);
-        for (PooledBackend place : pooledBackends.values()) {
-            for (Iterator<BackendConnection> all = place.idle.iterator(); all.hasNext();) {
-                BackendConnection link = all.next();
-                if (now - link.idleSinceMs < maxIdleMs) { break; }
+        for (PooledBackend pooled : pooledBackends.values()) {
+            for (Iterator<BackendConnection> all = pooled.idle.iterator(); all.hasNext();) {
+                BackendConnection connection = all.next();
+                if (now - connection.idleSinceMs < maxIdleMs) { break; }
                 all.remove();
-                link.close();
+                connection.close();
             }
         }
     }
--- /dev/null
+++ b/src/main/java/yardusher/settings/package-info.java
@@ -0,0 +1,2 @@
+/** The yardusher settings file, deploy/yardusher.toml. */
+package yardusher.settings;
--- /dev/null
+++ b/src/main/java/yardusher/subsystem/package-info.java
@@ -0,0 +1,2 @@
+/** The interface between an ingress and its optional subsystems. */
+package yardusher.subsystem;
