--- a/src/test/java/yardusher/admin/AdminCallTest.java
+++ b/src/test/java/yardusher/admin/AdminCallTest.java
@@ -17,7 +17,7 @@
     private static AdminCall call(String line) { return AdminCall.parse(line); }
 
     @Test
-    void everyCallIsReadFromTheLineThatItWrites() {
+    void everyCallRoundTrips() {
         for (AdminCall.Verb verb : AdminCall.Verb.values()) {
             AdminCall call = new AdminCall(verb, verb.namesRegion() ? "s-5be2a07c" : null);
             assertThat(call(call.line())).isEqualTo(call);
@@ -27,12 +27,12 @@
     @ParameterizedTest
     @ValueSource(strings = {"", " ", "HEALTH", "healthy", "health ", "health now", "cordon", "cordon ", "cordon a b", "uncordon",
         "cordon  s-1", "h\u0000alth", "cordon \u00e9", "\u0001"})
-    void whatIsNoCallSaysWhy(String line) {
+    void invalidCallSaysWhy(String line) {
         assertThatThrownBy(() -> call(line)).isInstanceOf(CommandError.class).hasMessageMatching("[ -~]+");
     }
 
     @Test
-    void aLineIsWholeHoweverItIsCut() {
+    void lineDoesNotDependOnHowInputIsSplit() {
         for (String end : new String[] {"\n", "\r\n"}) {
             LineReader line = new LineReader(256);
             byte[] bytes = ("health" + end).getBytes(StandardCharsets.US_ASCII);
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void anOverlongLineIsToldAndLinesBehindEachOtherComeInTurn() {
+    void overlongLineIsReportedAndConsecutiveLinesComeInOrder() {
         LineReader two = new LineReader(256);
         two.readBuffer().put("health\r\nresume\nco".getBytes(StandardCharsets.US_ASCII));
         two.advance(17);
--- a/src/test/java/yardusher/admin/StatsdReportTest.java
+++ b/src/test/java/yardusher/admin/StatsdReportTest.java
@@ -98,7 +98,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
-    void everyRequestStandsOnceHoweverItEnds(long seed) throws Exception {
+    void everyRequestIsCountedOnce(long seed) throws Exception {
         Random random = new Random(seed);
         IngressConfig config = IngressConfig.read("src/test/resources/ingress.json");
         Backends regions = new Backends() {
--- a/src/test/java/yardusher/cli/AdminCommandTest.java
+++ b/src/test/java/yardusher/cli/AdminCommandTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void aCallIsAskedOfOneInstanceOrOfAll() throws Exception {
+    void callGoesToOneInstanceOrToAll() throws Exception {
         int[] ports = new int[2];
         for (int i = 0; i < 2; i++) {
             try (ServerSocket free = new ServerSocket(0)) { ports[i] = free.getLocalPort(); }
--- a/src/test/java/yardusher/discovery/BackoffTest.java
+++ b/src/test/java/yardusher/discovery/BackoffTest.java
@@ -8,7 +8,7 @@
 /** When the watches of a whole fleet, which lose discovery at the same moment, ask again. */
 class BackoffTest {
     @Test
-    void aFleetThatLosesDiscoveryAtOnceAsksSpreadOutAndSeldom() {
+    void fleetReconnectsSpreadOutAndAtALimitedRate() {
         int fleet = 48;
         TreeMap<Integer, Integer> asks = new TreeMap<>(); // by tenths of a second
         int all = 0;
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void whatIsHeardBeginsAnew() {
+    void resetStartsWithTheFirstDelay() {
         Backoff backoff = new Backoff(100, 1000, 1);
         for (int i = 0; i < 20; i++) { assertThat(backoff.nextDelayMs()).isBetween(50.0, 1500.0); }
         backoff.reset();
--- a/src/test/java/yardusher/discovery/DiscoveredBackendsTest.java
+++ b/src/test/java/yardusher/discovery/DiscoveredBackendsTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void aNewIdAtAnOldAddressMeansThatTheOldOneIsGone() throws Exception {
+    void newIdAtAKnownAddressRemovesTheKnownBackend() throws Exception {
         EventLoop loop = new EventLoop(() -> 0, e -> { throw new AssertionError(e); });
         Sockets sockets = new Sockets(loop);
         try {
@@ -50,7 +50,7 @@
 
     /** Danger: memory that grows with every region there ever was, over days of releases. */
     @Test
-    void regionsThatCameAndWentAreForgotten() throws Exception {
+    void memoryStaysBoundedOverManyRemovedRegions() throws Exception {
         EventLoop loop = new EventLoop(() -> 0, e -> { throw new AssertionError(e); });
         Sockets sockets = new Sockets(loop);
         try {
@@ -100,7 +100,7 @@
 
     /** Danger: a keyed request repeated in a zone that never saw its key, because two localities were taken for one zone. */
     @Test
-    void aLocalityIsTheZoneItNamesOrOneOfItsOwn() throws Exception {
+    void localityMatchesItsZoneOrIsAZoneOfItsOwn() throws Exception {
         List<String> halls = List.of("hall-a", "hall-b"), words = List.of("depot", "harbour"), numbered = List.of("north-1", "south-1", "1");
         assertThat(zone(halls, "b")).isEqualTo(1);
         assertThat(zone(halls, "hall-b")).isEqualTo(1);
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void backendsOfWhichNoCellIsToldShareNone() throws Exception {
+    void backendsWithoutACellShareNone() throws Exception {
         int one = told(List.of(), "s-1", "").cell(), other = told(List.of(), "s-2", "").cell();
         assertThat(one).isNotEqualTo(other).isGreaterThan(1_000_000);
         assertThat(told(List.of(), "s-1", "\"cell\":7,").cell()).isEqualTo(7);
@@ -132,7 +132,7 @@
 
     /** Danger: two backends taken for one, of which only one is then ever asked. */
     @Test
-    void idsOfAnyFormAreToldApart() {
+    void idsOfAnyFormAreDistinct() {
         assertThat(DiscoveredBackends.numericId("s-5be2a07c")).isEqualTo(0x5be2a07cL);
         assertThat(DiscoveredBackends.numericId("s-1")).isEqualTo(1);
         java.util.Set<Long> seen = new java.util.HashSet<>();
@@ -151,7 +151,7 @@
         "{\"revision\":\"9\",\"complete\":false,\"members\":[GONE]}", "{\"revision\":-1,\"complete\":false,\"members\":[GONE]}",
         "{\"revision\":1e300,\"complete\":false,\"members\":[GONE]}", "{\"revision\":99999999999999999999999999,\"complete\":false,\"members\":[GONE]}",
         "{\"revision\":9,\"complete\":false,\"members\":[GONE", "{\"members\":[[[[[[", "{\"error\":\"not ready\"}"})
-    void spoiltNewsChangeNothing(String text) throws Exception {
+    void unusableUpdatesChangeNothing(String text) throws Exception {
         table((table, pool) -> {
             table.applyLine(news(1, true, member("s-1", 81, "Ready"), member("s-2", 82, "Ready")));
             assertThatThrownBy(() -> table.applyLine(text.replace("GONE", member("s-1", 81, "Gone")))).isInstanceOf(IOException.class);
@@ -163,7 +163,7 @@
     }
 
     @Test
-    void anEmptyListIsBelievedWhereNothingIsKnown() throws Exception {
+    void emptyListIsAcceptedIfNothingIsKnown() throws Exception {
         table((table, pool) -> {
             assertThat(table.applyLine(news(1, true)).servers()).isEmpty();
             assertThat(table.revision()).isEqualTo(1);
@@ -172,7 +172,7 @@
 
     /** The entries that can be read count; nobody is forgotten, and one known by an entry that cannot be read gets nothing new. */
     @Test
-    void oneSpoiltEntryAmongOthersTakesNothingElseWithIt() throws Exception {
+    void unreadableEntryDoesNotAffectTheOthers() throws Exception {
         for (String bad : List.of(member("s-3", 83, "Ready").replace("127.0.0.1:83", "nowhere"), member("s-3", 83, "Ready").replace("\"Ready\"", "7"),
                 member("s-3", 83, "Ready").replace("1.0", "\"much\""), "{\"id\":\"s-3\"}", member("s-3", 83, "Ready").replace(":83", ":99999"))) {
             table((table, pool) -> {
@@ -193,7 +193,7 @@
     }
 
     @Test
-    void oddEntriesAreTakenAsTheyCan() throws Exception {
+    void unusualEntriesAreAccepted() throws Exception {
         table((table, pool) -> {
             Api.ServerList told = table.applyLine(news(1, true, member("s-1", 81, "Ready"), member("s-1", 81, "Terminating"), member("s-2", 82, "Resting"),
                     member("no hex", 83, "Ready"), member("", 84, "Ready"), member("s-5", 85, "Ready").replace("\"locality\":\"a\",", ""),
@@ -210,7 +210,7 @@
 
     /** A version that no double can tell from its neighbours is asked from as it was told. */
     @Test
-    void aLongVersionIsKeptToItsLastDigit() throws Exception {
+    void longRevisionKeepsAllDigits() throws Exception {
         table((table, pool) -> {
             table.applyLine(news(1, false).replace("\"revision\":1", "\"revision\":1733106404123456789"));
             assertThat(table.revision()).isEqualTo(1_733_106_404_123_456_789L);
@@ -219,7 +219,7 @@
 
     /** A list of 10,000 is read, joined by as many more, and ended. */
     @Test
-    void aListOfTenThousandIsRead() throws Exception {
+    void listOfTenThousandIsRead() throws Exception {
         table((table, pool) -> {
             String[] first = new String[10_000];
             String[] second = new String[10_000];
--- a/src/test/java/yardusher/discovery/HttpLineReaderTest.java
+++ b/src/test/java/yardusher/discovery/HttpLineReaderTest.java
@@ -42,7 +42,7 @@
     }
 
     @Property(tries = 200)
-    void whereverItIsCutTheSameLinesCome(@ForAll @Size(min = 1, max = 8) List<@IntRange(min = 1, max = 20_000) Integer> sizes) throws IOException {
+    void linesDoNotDependOnHowInputIsSplit(@ForAll @Size(min = 1, max = 8) List<@IntRange(min = 1, max = 20_000) Integer> sizes) throws IOException {
         String large = "x".repeat(30_000);
         String text = HEAD + chunk("{\"a\":") + chunk("1}\n\n") + chunk(large + "\nr\u00e9") + chunk("gion\n") + "0\r\n\r\n";
         HttpLineReader lines = fed(text.getBytes(StandardCharsets.UTF_8), sizes);
@@ -51,7 +51,7 @@
     }
 
     @Property(tries = 500)
-    void madeUpBytesAreAnErrorOrNothing(@ForAll byte[] bytes, @ForAll boolean afterAHead) throws IOException {
+    void randomBytesAreAnErrorOrNothing(@ForAll byte[] bytes, @ForAll boolean afterAHead) throws IOException {
         byte[] head = (afterAHead ? HEAD : "HTTP/1.1 200 OK\r\n").getBytes(StandardCharsets.US_ASCII);
         HttpLineReader lines = new HttpLineReader();
         lines.feed(head, head.length);
@@ -66,7 +66,7 @@
     @ValueSource(strings = {"HTTP/1.1 200 OK\r\ntransfer-encoding:chunked\r\n\r\n", "HTTP/1.1 200 \r\nTransfer-Encoding:   Chunked  \r\n\r\n",
         "HTTP/1.1 200 OK\r\nServer: a\r\n b\r\nTransfer-Encoding: chunked\r\n\r\n", "HTTP/1.0 200 OK\r\nTransfer-Encoding: CHUNKED;a=b\r\n\r\n",
         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nX: y\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 9\r\n\r\n"})
-    void aHeadInAnyLegalWritingIsTaken(String head) throws IOException {
+    void legalHeadVariantsAreAccepted(String head) throws IOException {
         assertThat(all(fed(head + "2;name=value\r\na\n\r\n"))).containsExactly("a");
     }
 
@@ -75,13 +75,13 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc", "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n",
         "HTTP/1.1 302 Found\r\nLocation: http://127.0.0.1:1/\r\n\r\n", "HTTP/1.1 204 No Content\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: a\r\n\r\nabc",
         HEAD + "zz\r\n", HEAD + "2\r\nabcd", HEAD + "-5\r\n"})
-    void whatIsNoSuchAnswerIsAnError(String text) {
+    void invalidResponsesAreErrors(String text) {
         assertThatThrownBy(() -> fed(text + "\r\n".repeat(20))).as(text).isInstanceOf(IOException.class);
     }
 
     /** What stands without a line's end is given once nothing more can come, of an answer of any length. */
     @Property(tries = 200)
-    void anAnswerWithALengthOrWithoutAnyIsReadWhereverItIsCut(@ForAll @Size(min = 1, max = 8) List<@IntRange(min = 1, max = 20_000) Integer> sizes,
+    void unchunkedBodyDoesNotDependOnHowInputIsSplit(@ForAll @Size(min = 1, max = 8) List<@IntRange(min = 1, max = 20_000) Integer> sizes,
             @ForAll boolean counted, @ForAll boolean old) throws IOException {
         String large = "x".repeat(30_000);
         String text = "{\"a\":\n1}\r\n\n" + large + "\nlast";
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void anAnswerOfNoLengthAtAllEndsAtOnceAndOneWithoutItsHeadNever() throws IOException {
+    void emptyBodyCompletesAtOnceAndIncompleteHeadNever() throws IOException {
         assertThat(fed("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").isComplete()).isTrue();
         assertThat(fed("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n").isComplete()).isFalse();
         assertThat(fed("HTTP/1.1 200 OK\r\n").takeUnterminatedLine()).isNull();
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void nothingGrowsWithoutABound() throws IOException {
+    void headAndLineLengthsAreBounded() throws IOException {
         assertThatThrownBy(() -> fed("HTTP/1.1 200 OK\r\nX: " + "y".repeat(20_000))).isInstanceOf(IOException.class);
         assertThatThrownBy(() -> fed("HTTP/1.1 200 OK\r\n" + "X: y\r\n".repeat(100))).isInstanceOf(IOException.class);
         String part = chunk("x".repeat(1 << 20));
--- a/src/test/java/yardusher/discovery/JsonObjectAssemblerTest.java
+++ b/src/test/java/yardusher/discovery/JsonObjectAssemblerTest.java
@@ -50,7 +50,7 @@
 
     /** An object is the same however it is laid out, also with braces, quotes and backslashes in its texts. */
     @Property(tries = 300)
-    void theLayoutOfAnObjectSaysNothing(@ForAll @Size(max = 5) List<@AlphaChars @Chars({'{', '}', '[', ']', '"', '\\', ' '}) String> ids,
+    void objectDoesNotDependOnItsLayout(@ForAll @Size(max = 5) List<@AlphaChars @Chars({'{', '}', '[', ']', '"', '\\', ' '}) String> ids,
             @ForAll @IntRange(max = 1000) int seed) throws IOException {
         StringBuilder feed = new StringBuilder("\n");
         Random random = new Random(seed);
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void whatIsNoObjectIsGivenOnAsItIs() throws IOException {
+    void nonObjectLinesArePassedThrough() throws IOException {
         JsonObjectAssembler lines = new JsonObjectAssembler();
         assertThat(lines.add("not JSON")).isEqualTo("not JSON");
         assertThat(lines.add("[1]")).isEqualTo("[1]");
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void whatIsNestedDeeplyIsNotReadOn() {
+    void deepNestingIsRejected() {
         assertThatThrownBy(() -> new JsonObjectAssembler().add("{\"a\":" + "[".repeat(100_000))).isInstanceOf(IOException.class).hasMessageContaining("deep");
     }
 }
--- a/src/test/java/yardusher/error/ErrorTableTest.java
+++ b/src/test/java/yardusher/error/ErrorTableTest.java
@@ -70,10 +70,10 @@
     private static String page() throws Exception { return Files.readString(Path.of("docs/errors.md")); }
 
     @Test
-    void everyTypeStandsInTheTableAndNothingElse() throws Exception { assertThat(wrong(page())).isEmpty(); }
+    void tableListsExactlyTheErrorTypes() throws Exception { assertThat(wrong(page())).isEmpty(); }
 
     @Test
-    void aTableWithALineTakenOutChangedOrMadeUpIsSeen() throws Exception {
+    void removedChangedOrInventedLineIsDetected() throws Exception {
         String line = page().lines().filter(one -> one.startsWith("| `CONFIG_VALUE`")).findFirst().orElseThrow();
         assertThat(wrong(page().replace(line + "\n", ""))).hasSize(1);
         assertThat(wrong(page().replace(line, line.replace("| 2 |", "| 1 |")))).hasSize(1);
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void everyTypeGivesAdviceACodeAndOneLine() throws Exception {
+    void everyTypeHasAdviceACodeAndOneLine() throws Exception {
         List<Class<?>> types = types(YardusherError.class);
         assertThat(types).hasSizeGreaterThan(30);
         List<String> codes = new ArrayList<>();
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void everyTypeIsMadeSomewhere() throws Exception {
+    void everyTypeIsUsedSomewhere() throws Exception {
         StringBuilder sources = new StringBuilder();
         try (Stream<Path> files = Files.walk(Path.of("src/main/java"))) {
             for (Path file : files.filter(one -> one.toString().endsWith(".java")).toList()) { sources.append(Files.readString(file)); }
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void whatOthersSendWalksNoStack() throws Exception {
+    void errorsFromOutsideInputRecordNoStackTrace() throws Exception {
         for (Class<?> type : types(YardusherError.class)) {
             Class<?> concern = type.getEnclosingClass();
             if (concern == WireError.class || concern == CommandError.class || concern == UnitError.class || concern == PartError.class
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void thePlaceIsNamedOnceOnTheWayOut() {
+    void placeIsSetOnlyOnce() {
         YardusherError error = new ConfigError.Value(null, "view.most", "a whole number from 1 to 64");
         assertThat(error.in(Path.of("own.toml")).in("other.toml")).hasMessage("own.toml: view.most must be a whole number from 1 to 64");
         assertThat(error.fields()).containsExactly("code", "CONFIG_VALUE", "file", "own.toml", "key", "view.most",
--- a/src/test/java/yardusher/handover/HandoverFileTest.java
+++ b/src/test/java/yardusher/handover/HandoverFileTest.java
@@ -20,7 +20,7 @@
     Path folder;
 
     @Test
-    void aNoteIsReadAsItWasWrittenByItsOwnerAlone() throws Exception {
+    void fileRoundTripsAndIsReadableByItsOwnerOnly() throws Exception {
         assertThat(HandoverFile.read(folder, "n0")).isNull();
         HandoverFile note = HandoverFile.create(new InetSocketAddress("127.0.0.1", 19000));
         note.write(folder, "n0");
@@ -40,13 +40,13 @@
     @ValueSource(strings = {"", "yardusher 1\n", "yardusher 1\n127.0.0.1:1\n0123456789abcdef0123456789abcdef\n",
         "yardusher 1\n127.0.0.1:1\nshort\nend\n", "yardusher 1\nnowhere\n0123456789abcdef0123456789abcdef\nend\n",
         "yardusher 2\n127.0.0.1:1\n0123456789abcdef0123456789abcdef\nend\n", "something else\n\n\n\n", "\u0000\u0001"})
-    void whatIsNoNoteIsToldInOneLine(String text) throws Exception {
+    void invalidFileIsAOneLineError(String text) throws Exception {
         Files.writeString(folder.resolve("yardusher-n0.handover"), text);
         assertThatThrownBy(() -> HandoverFile.read(folder, "n0")).isInstanceOf(WireError.class).hasMessageNotContaining("\n");
     }
 
     @Test
-    void everyWordIsReadAsItWasSaid() {
+    void everyMessageRoundTrips() {
         for (HandoverMessage word : List.of(new HandoverMessage.Ban("s-5be2a07c", true), new HandoverMessage.Ban("s-1", false), new HandoverMessage.BanConfirmed(), new HandoverMessage.Drain(true),
                 new HandoverMessage.Drain(false), new HandoverMessage.PeerDatagram(3, "m\u0007\n\r\u007e"), new HandoverMessage.SendDatagram(2, "x".repeat(256)), new HandoverMessage.StateComplete(),
                 new HandoverMessage.Serving())) {
@@ -57,5 +57,5 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "ban", "ban a b", "heard x eA==", "heard 1 ***", "send 1", "400 no such call", "whole 1"})
-    void whatIsNoWordIsNotGuessed(String line) { assertThatThrownBy(() -> HandoverMessage.parse(line)).isInstanceOf(WireError.class); }
+    void malformedMessageIsRejected(String line) { assertThatThrownBy(() -> HandoverMessage.parse(line)).isInstanceOf(WireError.class); }
 }
--- a/src/test/java/yardusher/nginx/NginxImporterTest.java
+++ b/src/test/java/yardusher/nginx/NginxImporterTest.java
@@ -15,7 +15,7 @@
     Path folder;
 
     @Test
-    void upstreamAndLocationsBecomeAConfigurationThatServeReads() throws Exception {
+    void upstreamAndLocationsBecomeAReadableConfiguration() throws Exception {
         NginxImporter.Result result = NginxImporter.run(Files.readString(Path.of("example/shop.conf")), null);
         Path file = folder.resolve("out.json");
         Files.writeString(file, result.json());
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void everythingWithoutACounterpartIsNamedWithItsLine() throws Exception {
+    void unsupportedDirectivesAreReportedWithTheirLine() throws Exception {
         NginxImporter.Result result = NginxImporter.run("""
                 http {
                   gzip on;
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void whatIsNotNginxIsRefusedWithItsLine() {
+    void syntaxErrorsAreReportedWithTheirLine() {
         for (String[] bad : new String[][] {{"upstream a {\nserver x;", "line 1: block is not closed"}, {"a b", "line 1: .*not ended.*"},
             {"\n}", "line 2: unexpected.*"}, {";", "line 1: unexpected.*"}, {"a \"b", "line 1: quote is not closed"},
             {"{".repeat(100), "line 1: unexpected.*"}, {"a {".repeat(100), "line 1: blocks nested too deep"},
--- a/src/test/java/yardusher/servers/DrainTest.java
+++ b/src/test/java/yardusher/servers/DrainTest.java
@@ -25,14 +25,14 @@
 /** A backend that is on its way out gets nothing new, also nothing that was chosen before that was told. */
 class DrainTest {
     private final List<String> answers = new ArrayList<>();
-    private final List<Consumer<Boolean>> parked = new ArrayList<>();
+    private final List<Consumer<Boolean>> pendingRecords = new ArrayList<>();
 
-    private final class Parks implements RequestLog {
+    private final class DelayingRequestLog implements RequestLog {
         @Override
         public Admission admit(Request request) { return Admission.RECORDED; }
 
         @Override
-        public void recordIntent(Attempt attempt, Consumer<Boolean> then) { parked.add(then); }
+        public void recordIntent(Attempt attempt, Consumer<Boolean> then) { pendingRecords.add(then); }
 
         @Override
         public void attemptWritten(Attempt attempt) { }
@@ -47,7 +47,7 @@
         public double retryAfterMs() { return 0; }
     }
 
-    private IncomingRequest order() {
+    private IncomingRequest request() {
         return new IncomingRequest(0, 0, 7, 1, 0, 1, 2000, new BackendCommand() {
             @Override
             public ByteBuffer[] encoded(long waitMs) { return new ByteBuffer[] {ByteBuffer.wrap(new byte[] {'x'})}; }
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void anAttemptParkedForItsRecordDoesNotBeginAtABackendThatDrainsMeanwhile() throws Exception {
+    void attemptWaitingForItsRecordDoesNotStartAtDrainingBackend() throws Exception {
         EventLoop loop = new EventLoop(() -> 1_000_000, e -> { throw new AssertionError(e); });
         Sockets sockets = new Sockets(loop);
         Counters counters = new Counters();
@@ -84,16 +84,16 @@
             InetSocketAddress at = new InetSocketAddress("127.0.0.1", door.getLocalPort());
             loop.execute(() -> {
                 BackendPool pool = new BackendPool(sockets, counters, List.of(), 250, 30_000, 8000, 10);
-                Ingress ingress = new Ingress(settings, 1, loop, pool, (to, body) -> { }, counters, new Parks());
+                Ingress ingress = new Ingress(settings, 1, loop, pool, (to, body) -> { }, counters, new DelayingRequestLog());
                 pool.setIngress(ingress);
                 pool.addOrUpdate(5, at);
                 ingress.deliver(new Api.ServerList(Api.ListKind.FULL, List.of(new Api.Server(5, 0, 0, 1, 0, Api.Readiness.READY))));
-                ingress.accept(order());
-                assertThat(parked).hasSize(1);
+                ingress.accept(request());
+                assertThat(pendingRecords).hasSize(1);
                 pool.retire(5, false);
                 assertThat(pool.isAvailable(5)).as("drains").isFalse();
                 ingress.deliver(new Api.ServerList(Api.ListKind.DELTA, List.of(new Api.Server(5, 0, 0, 1, 0, Api.Readiness.DRAINING))));
-                parked.remove(0).accept(true);
+                pendingRecords.remove(0).accept(true);
                 assertThat(counters.connectionsOpened).as("dials").isZero();
                 pool.addOrUpdate(5, at);
                 assertThat(pool.isAvailable(5)).as("ready again").isTrue();
--- a/src/test/java/yardusher/settings/SettingsTest.java
+++ b/src/test/java/yardusher/settings/SettingsTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void theFileInDeploySaysNothingAndATableTurnsItsPartOn() throws Exception {
+    void deployedFileIsAllOffAndATableTurnsItsSubsystemOn() throws Exception {
         assertThat(Settings.read(Path.of("deploy/yardusher.toml"))).isSameAs(Settings.OFF);
         assertThat(read("# all off\n\n")).isSameAs(Settings.OFF);
         Settings own = read("[journal]\nfolder = \"j\"\ndurability = \"group\"\n[keys]\n[[keys.lifetime]]\nclass = \"place-order\"\nseconds = 5\n");
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void anErrorNamesTheFileTheKeyAndWhatIsAllowed() throws Exception {
+    void errorNamesFileKeyAndAllowedValues() throws Exception {
         String[][] bad = {
             {"[journal]\n", "needs a text in journal.folder"},
             {"[journal]\nfolder = \"j\"\ndurability = \"disk\"\n", "journal.durability must be one of process, group, machine"},
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void anEventIsAPlainLineOrAJsonObject() {
+    void eventIsAPlainLineOrAJsonObject() {
         StringBuilder plain = new StringBuilder();
         new Events() {
             @Override
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void anAddressThatAnotherProcessHoldsIsNamedAndExit1() throws Exception {
+    void addressInUseIsNamedAndExitCodeIs1() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             String at = "127.0.0.1:" + taken.getLocalPort();
             Path config = Files.writeString(folder.resolve("taken.json"), Files.readString(Path.of("src/test/resources/ingress.json"))
@@ -118,14 +118,14 @@
     }
 
     @Test
-    void whoeverChecksIsAlsoToldWhatToDo() throws Exception {
+    void checkAlsoPrintsAdvice() throws Exception {
         Path bad = Files.writeString(folder.resolve("bad.toml"), "[log]\nformat = \"xml\"\n");
         assertThat(refused(2, "check", "src/test/resources/ingress.json", "--settings", bad.toString()).lines()).containsExactly("yardusher: " + bad + ": log.format must be one of plain, json",
                 "what to do: " + new ConfigError.Value(null, "", "").advice());
     }
 
     @Test
-    void aFolderThatCannotBeWrittenOrThatAnotherProcessWritesIsOneLineAndExit2() throws Exception {
+    void unusableFolderIsOneLineAndExitCode2() throws Exception {
         Path file = Files.writeString(folder.resolve("taken"), "a file");
         Path bad = Files.writeString(folder.resolve("bad.toml"), "[journal]\nfolder = '" + file + "'\n");
         assertThat(refused(bad)).startsWith("yardusher: journal.folder ").endsWith("cannot be written");
--- a/src/test/java/yardusher/settings/TablesTogetherTest.java
+++ b/src/test/java/yardusher/settings/TablesTogetherTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void allThreeAreReadTogether() throws IOException {
+    void allThreeTablesAreReadTogether() throws IOException {
         Settings own = read(VIEW + "[units]\n[[units.mode]]\nplan = \"basis\"\nmode = \"unit\"\n[parts]\nconnections = 8\n");
         assertThat(own.view().installation()).isEqualTo("hall");
         assertThat(own.units()).isNotNull();
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void aWrongValueOfTheViewIsToldWithItsKey() {
+    void invalidViewValueIsReportedWithItsKey() {
         String[][] cases = {
             {"listen = \"here:1\"", "view.listen must be an address in digits and a port"},
             {"listen = \"127.0.0.1:99999\"", "view.listen must be an address in digits and a port"},
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void aWrongValueOfTheOthersToo() {
+    void invalidValueOfTheOtherTablesIsReportedWithItsKey() {
         String[][] cases = {
             {"[units]\nmost_open = 0", "units.most_open must be a whole number"},
             {"[units]\nwhen_unsure = \"maybe\"", "units.when_unsure must be one of refuse, send"},
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void neitherUnitsNorPartsNorRatesStandWithoutAView() {
+    void unitsPartsAndRatesNeedAView() {
         assertThatThrownBy(() -> read("[units]\n")).isInstanceOf(ConfigError.class).hasMessageContaining("units needs a table view");
         assertThatThrownBy(() -> read("[parts]\n")).isInstanceOf(ConfigError.class).hasMessageContaining("parts needs a table view");
         assertThatThrownBy(() -> read("[rates]\n")).isInstanceOf(ConfigError.class).hasMessageContaining("rates needs a table view");
