--- a/src/main/java/yardusher/discovery/DiscoveredBackends.java
+++ b/src/main/java/yardusher/discovery/DiscoveredBackends.java
@@ -100,10 +100,10 @@
     }
 
     /**
-     * Applies an update; with {@code forcedKind} null the object's own field says whether it is complete. Unreadable entries are skipped and
-     * counted in {@link #unread}; then no backend is removed, the known revision stays, and a known backend with such an entry gets no
-     * new attempts until it is reported again. If {@code forcedKind} is given, no entry is readable, or a complete list without entries would
-     * remove all backends, a {@link yardusher.error.YardusherError} is thrown and nothing changes.
+     * Applies an update; with {@code forcedKind} null the object's own field says whether it is complete. Unreadable entries are skipped
+     * and counted in {@link #unread}; then no backend is removed, the known revision stays, and a known backend with such an entry gets no
+     * new attempts until it is reported again. If {@code forcedKind} is given, no entry is readable, or a complete list without entries
+     * would remove all backends, a {@link yardusher.error.YardusherError} is thrown and nothing changes.
      */
     public Api.ServerList apply(Codec.JsonObject update, Api.ListKind forcedKind) { return apply(update, forcedKind, Set.of()); }
 
@@ -131,7 +131,9 @@
         }
         if (bad != null && (forcedKind != null || unreadable == members.size())) { throw bad; }
         // An empty complete list more likely means that discovery lost its data than that all backends are gone.
-        if (complete && forcedKind == null && members.isEmpty() && !addressById.isEmpty()) { throw new WireError.Malformed(null, "complete list without entries"); }
+        if (complete && forcedKind == null && members.isEmpty() && !addressById.isEmpty()) {
+            throw new WireError.Malformed(null, "complete list without entries");
+        }
         unreadableEntries = unreadable;
         if (bad != null) {
             complete = false;
--- a/src/main/java/yardusher/discovery/DiscoveryWatch.java
+++ b/src/main/java/yardusher/discovery/DiscoveryWatch.java
@@ -122,7 +122,7 @@
         private AsynchronousSocketChannel channel;
         private long revisionAtRequest;              // the revision known when the request was sent
         private long requestedRevision;              // the revision requested from, 0 for the full list
-        private final Set<Long> updatedElsewhere = new HashSet<>(); // backends that other watches updated since the dial, bounded by the watch's lifetime
+        private final Set<Long> updatedElsewhere = new HashSet<>(); // backends that other watches updated since the dial
         private boolean closed;
 
         Stream(int number) {
--- a/src/main/java/yardusher/discovery/HttpLineReader.java
+++ b/src/main/java/yardusher/discovery/HttpLineReader.java
@@ -57,7 +57,7 @@
     private void parseHead() throws IOException, HttpException {
         HttpResponse answer = head.parse(bytes, false);
         while (answer != null && answer.getCode() >= 100 && answer.getCode() < 200 && answer.getCode() != 101) {
-            if (++interimHeads > MAX_INTERIM_HEADS) { throw new IOException("too many interim responses, the last " + answer.getCode()); }
+            if (++interimHeads > MAX_INTERIM_HEADS) { throw new IOException("too many interim responses (" + answer.getCode() + ")"); }
             head.reset();
             answer = head.parse(bytes, false);
         }
--- a/src/main/java/yardusher/discovery/WatchScheduler.java
+++ b/src/main/java/yardusher/discovery/WatchScheduler.java
@@ -8,7 +8,8 @@
  * <p>A watch becomes active with its first object, not with an empty line (keep-alive): an agent without news of what was missed may
  * be one that does not have it. An active watch without keep-alives for {@code SILENCE_TIMEOUT_MS} is suspect until a candidate has sent an
  * object, and is still read meanwhile. A candidate is due to send within {@code RESPONSE_DUE_MS} of its dial; then a second is dialled and
- * the first kept, for {@code CANDIDATE_LIFETIME_MS} in all, so that a slow one still counts. Bounds, with dials that are answered at once: 3.45 s
+ * the first kept, for {@code CANDIDATE_LIFETIME_MS} in all, so that a slow one still counts. Bounds, with dials that are
+ * answered at once: 3.45 s
  * from the start of a silence to the first dial, 2.25 s at most from one dial to the next, three dials within 5.4 s of a silence, four
  * within 3.3 s of a move or a start (docs/measurements/standing.md), 0.35 s more for each if this process itself was stalled.
  */
--- a/src/main/java/yardusher/handover/Handover.java
+++ b/src/main/java/yardusher/handover/Handover.java
@@ -49,7 +49,7 @@
         /** Sends a datagram from the peer port. */
         void send(int to, String body);
 
-        /** Starts to accept clients, now or later on the event loop, and then runs {@code then}; an {@link java.io.UncheckedIOException} if it cannot. */
+        /** Starts to accept clients, now or later, and then runs {@code then}; an {@link java.io.UncheckedIOException} if it cannot. */
         void acceptClients(Runnable then);
     }
 
--- a/src/main/java/yardusher/handover/SiblingLink.java
+++ b/src/main/java/yardusher/handover/SiblingLink.java
@@ -48,7 +48,9 @@
     @Override
     public boolean onReadable(Connection from) {
         try {
-            for (String line; !connection.isClosed() && (line = lines.nextLine()) != null;) { listener.onMessage(this, HandoverMessage.parse(line)); }
+            for (String line; !connection.isClosed() && (line = lines.nextLine()) != null;) {
+                listener.onMessage(this, HandoverMessage.parse(line));
+            }
             return true;
         } catch (WireError e) {
             close();
--- a/src/main/java/yardusher/servers/BackendConnection.java
+++ b/src/main/java/yardusher/servers/BackendConnection.java
@@ -115,7 +115,8 @@
         responseStartedAtMs = timeout == null ? now : responseStartedAtMs;
         deadlines.cancel(timeout);
         boolean endless = now - responseStartedAtMs > RESPONSE_TIMEOUT_MS;
-        timeout = endless ? deadlines.schedule(now, this::failAttempt) : deadlines.schedule(now + PROGRESS_TIMEOUT_MS, this::grantStallGrace);
+        timeout = endless ? deadlines.schedule(now, this::failAttempt)
+                : deadlines.schedule(now + PROGRESS_TIMEOUT_MS, this::grantStallGrace);
     }
 
     /** Grants extra time in case this process was stalled: bytes that arrived meanwhile are read before it is over. */
--- a/src/main/java/yardusher/servers/BackendPool.java
+++ b/src/main/java/yardusher/servers/BackendPool.java
@@ -122,7 +122,9 @@
     public int closeIdle(long backend, int count) {
         PooledBackend pooled = pooledBackends.get(backend);
         int closed = 0;
-        for (BackendConnection connection; pooled != null && closed < count && (connection = pooled.idle.pollFirst()) != null; closed++) { connection.close(); }
+        for (BackendConnection connection; pooled != null && closed < count && (connection = pooled.idle.pollFirst()) != null; closed++) {
+            connection.close();
+        }
         return closed;
     }
 
@@ -196,7 +198,8 @@
     @Override
     public void start(Attempt attempt, ByteBuffer... cargo) {
         PooledBackend pooled = pooledBackends.get(attempt.backend);
-        BackendConnection connection = ++startedAttempts % REUSE_PROBE_INTERVAL == 0 || !prefersNewConnections() ? takeReusable(pooled) : null;
+        BackendConnection connection = ++startedAttempts % REUSE_PROBE_INTERVAL == 0 || !prefersNewConnections()
+                ? takeReusable(pooled) : null;
         if (connection != null) {
             counters.connectionsReused++;
             if (!trySend(connection, attempt, cargo)) { connection.close(); }
@@ -441,7 +444,8 @@
     /** An attempt completed normally: its connection becomes idle. */
     void returnIdle(BackendConnection connection) {
         connection.idleSinceMs = sockets.loop().now();
-        boolean enough = prefersNewConnections() && !connection.pooledBackend.idle.isEmpty() || allowance != null && allowance.isSurplus(connection.backend);
+        boolean enough = prefersNewConnections() && !connection.pooledBackend.idle.isEmpty()
+                || allowance != null && allowance.isSurplus(connection.backend);
         if (acceptsAttempts(connection.pooledBackend, connection.backend) && !enough) {
             connection.pooledBackend.idle.addLast(connection);
             if (!connection.pooledBackend.waiting.isEmpty()) {
--- a/src/test/java/yardusher/admin/AdminCallTest.java
+++ b/src/test/java/yardusher/admin/AdminCallTest.java
@@ -12,7 +12,7 @@
 import yardusher.error.WireError;
 import yardusher.net.LineReader;
 
-/** Calls and lines of the second address, without a socket. */
+/** Calls and lines of the admin address, without a socket. */
 class AdminCallTest {
     private static AdminCall call(String line) { return AdminCall.parse(line); }
 
--- a/src/test/java/yardusher/admin/StatsdReportTest.java
+++ b/src/test/java/yardusher/admin/StatsdReportTest.java
@@ -22,7 +22,7 @@
 import yardusher.core.Request;
 import yardusher.core.EventLoop;
 
-/** The figures against what terminals were told and regions were sent, over random orders of events by seed. */
+/** The counters against the answers of terminals and the attempts of regions, over random event sequences by seed. */
 class StatsdReportTest {
     private static final int CLASSES = 2;
 
@@ -31,14 +31,14 @@
     private final Counters counters = new Counters();
     private final List<Attempt> out = new ArrayList<>();
     private final List<Request> taken = new ArrayList<>();
-    /** What terminals were told: for each class served, refused, failed. */
+    /** The answers that terminals received: served, refused and failed, per class. */
     private final long[][] told = new long[CLASSES][3];
     private long left;
     private long written;
     private Ingress ingress;
     private long ids;
 
-    /** One client's side: told exactly once, in whole or in parts. */
+    /** A client, which must be answered exactly once, in whole or in parts. */
     private final class Client implements Terminal {
         final int classIndex;
         boolean over;
@@ -46,7 +46,7 @@
         Client(int classIndex) { this.classIndex = classIndex; }
 
         void is(int how) {
-            assertThat(over).as("told once").isFalse();
+            assertThat(over).as("answered once").isFalse();
             over = true;
             told[classIndex][how]++;
         }
@@ -144,14 +144,14 @@
         left += counters.clientsGone - before;
     }
 
-    /** An attempt is written whole, or ends; once each. */
+    /** An attempt is written, or ends; once each. */
     private void end(Attempt attempt, Random random) {
         if (!attempt.mayHaveBeenSent() && random.nextBoolean()) {
             loop.execute(() -> {
                 if (!attempt.handToSocket(now)) { return; }
                 written++;
                 ingress.attemptWritten(attempt);
-                ingress.attemptWritten(attempt);            // told twice, it counts once
+                ingress.attemptWritten(attempt);            // reported twice, it counts once
             });
             return;
         }
--- a/src/test/java/yardusher/cli/AdminCommandTest.java
+++ b/src/test/java/yardusher/cli/AdminCommandTest.java
@@ -15,7 +15,7 @@
 import yardusher.error.CommandError;
 import yardusher.error.WireError;
 
-/** The sub-command admin, and the same for all instances of an agent's file, at a running instance. */
+/** The sub-command admin against a running instance, for one address and for all instances of an agent's file. */
 class AdminCommandTest {
     @TempDir
     Path folder;
@@ -24,7 +24,7 @@
         int run() throws Exception;
     }
 
-    /** The exit code and what was printed. */
+    /** The exit code and the output. */
     private static String said(Asked asked) throws Exception {
         PrintStream before = System.out;
         ByteArrayOutputStream out = new ByteArrayOutputStream();
--- a/src/test/java/yardusher/cli/BudgetTest.java
+++ b/src/test/java/yardusher/cli/BudgetTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Danger: with few descriptors clients and backends were promised more than there are, and nothing was left for the watch. */
+/** With few descriptors, clients and backends were granted more than exist, and none was left for the watch. */
 class BudgetTest {
     @Test
     void budgetNeverIncludesTheProcessOwnDescriptors() {
@@ -13,6 +13,6 @@
             assertThat(IngressProcess.descriptorBudget(sockets + 1)).isGreaterThanOrEqualTo(IngressProcess.descriptorBudget(sockets));
         }
         assertThat(IngressProcess.descriptorBudget(384)).isEqualTo(320);
-        assertThat(IngressProcess.descriptorBudget(0)).as("too few for any ingress").isEqualTo(8);
+        assertThat(IngressProcess.descriptorBudget(0)).as("too few to run an ingress").isEqualTo(8);
     }
 }
--- a/src/test/java/yardusher/discovery/BackoffTest.java
+++ b/src/test/java/yardusher/discovery/BackoffTest.java
@@ -5,12 +5,12 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** When the watches of a whole fleet, which lose discovery at the same moment, ask again. */
+/** The reconnects of a whole fleet that loses discovery at the same moment are spread out. */
 class BackoffTest {
     @Test
     void fleetReconnectsSpreadOutAndAtALimitedRate() {
         int fleet = 48;
-        TreeMap<Integer, Integer> asks = new TreeMap<>(); // by tenths of a second
+        TreeMap<Integer, Integer> asks = new TreeMap<>(); // number of reconnects by tenth of a second
         int all = 0;
         for (int i = 0; i < fleet; i++) {
             Backoff backoff = new Backoff(100, 1000, 7000 + i);
@@ -19,7 +19,7 @@
                 all++;
             }
         }
-        assertThat(all).isLessThan(15 * fleet);      // about one a second each, once the first few have failed
+        assertThat(all).isLessThan(15 * fleet);      // about one a second each after the first few
         asks.tailMap(10).values().forEach(count -> assertThat(count).as("of " + fleet + " in the same tenth").isLessThan(fleet / 3));
     }
 
--- a/src/test/java/yardusher/discovery/DiscoveredBackendsTest.java
+++ b/src/test/java/yardusher/discovery/DiscoveredBackendsTest.java
@@ -40,7 +40,7 @@
             assertThat(pool.isAvailable(1)).isFalse();
             assertThat(pool.isAvailable(2)).isTrue();
             assertThat(pool.isAvailable(3)).isTrue();
-            // Named in the same news, the old one is what these say of it.
+            // A known backend named in the same update takes the state given there.
             told = table.applyLine(news(3, false, member("s-2", 82, "Terminating"), member("s-4", 82, "Ready")));
             assertThat(told.servers()).extracting(Api.Server::readiness).containsExactly(Api.Readiness.DRAINING, Api.Readiness.READY);
         } finally {
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Danger: memory that grows with every region there ever was, over days of releases. */
+    /** Guards against memory that grows with every region ever listed, over days of releases. */
     @Test
     void memoryStaysBoundedOverManyRemovedRegions() throws Exception {
         EventLoop loop = new EventLoop(() -> 0, e -> { throw new AssertionError(e); });
@@ -80,7 +80,7 @@
         return told[0];
     }
 
-    /** A table with nothing behind it. */
+    /** Uses a table without a watch or an ingress. */
     private interface Told {
         void with(DiscoveredBackends table, BackendPool pool) throws Exception;
     }
@@ -98,15 +98,15 @@
         }
     }
 
-    /** Danger: a keyed request repeated in a zone that never saw its key, because two localities were taken for one zone. */
+    /** Guards against a keyed request retried in a zone that never saw its key, because two localities mapped to one zone. */
     @Test
     void localityMatchesItsZoneOrIsAZoneOfItsOwn() throws Exception {
         List<String> halls = List.of("hall-a", "hall-b"), words = List.of("depot", "harbour"), numbered = List.of("north-1", "south-1", "1");
         assertThat(zone(halls, "b")).isEqualTo(1);
         assertThat(zone(halls, "hall-b")).isEqualTo(1);
         assertThat(zone(words, "harbour")).isEqualTo(1);
-        assertThat(zone(words, "b")).as("where no name tells a letter, it is the place in the list").isEqualTo(1);
-        assertThat(zone(List.of("x-a", "a"), "a")).as("the whole name goes before an end").isEqualTo(1);
+        assertThat(zone(words, "b")).as("without letters in the names, the position in the list counts").isEqualTo(1);
+        assertThat(zone(List.of("x-a", "a"), "a")).as("a full name takes precedence over a suffix").isEqualTo(1);
         assertThat(zone(List.of("hall-b", "hall-c"), "b")).isZero();
         assertThat(zone(numbered, "south-1")).isEqualTo(1);
         assertThat(zone(numbered, "1")).isEqualTo(2);
@@ -116,7 +116,7 @@
                 assertThat(zone(zones, other)).as(zones + " " + other).isGreaterThanOrEqualTo(zones.size()).isEqualTo(zone(zones, other));
                 seen.add(zone(zones, other));
             }
-            assertThat(seen).as("each is one of its own").hasSize(8);
+            assertThat(seen).as("each is a zone of its own").hasSize(8);
         }
         assertThat(zone(List.of("hall-a"), null)).isZero();
         assertThat(zone(List.of(), null)).isZero();
@@ -130,7 +130,7 @@
         assertThat(told(List.of(), "s-1", "\"cell\":7,").cell()).isEqualTo(7);
     }
 
-    /** Danger: two backends taken for one, of which only one is then ever asked. */
+    /** Guards against two backends with the same number, of which only one would get attempts. */
     @Test
     void idsOfAnyFormAreDistinct() {
         assertThat(DiscoveredBackends.numericId("s-5be2a07c")).isEqualTo(0x5be2a07cL);
@@ -143,7 +143,7 @@
         assertThat(seen).hasSize(forms.length * 50).allMatch(id -> id >= 0 && id < 1L << 32);
     }
 
-    /** News of which nothing can be used change nothing: no backend, no version, nothing of what the module was told. */
+    /** An update without a usable entry changes no backend, no revision, and nothing in the module. */
     @ParameterizedTest
     @ValueSource(strings = {"{}", "[]", "1", "null", "\"a\"", "{\"revision\":9,\"complete\":true,\"members\":\"s-1\"}", "{\"revision\":9,\"complete\":true}",
         "{\"revision\":9,\"complete\":true,\"members\":[]}", "{\"revision\":9,\"complete\":true,\"members\":[1,null,\"a\",[]]}",
@@ -170,7 +170,7 @@
         });
     }
 
-    /** The entries that can be read count; nobody is forgotten, and one known by an entry that cannot be read gets nothing new. */
+    /** Readable entries apply; no backend is removed, and a known one with an unreadable entry gets no new attempts. */
     @Test
     void unreadableEntryDoesNotAffectTheOthers() throws Exception {
         for (String bad : List.of(member("s-3", 83, "Ready").replace("127.0.0.1:83", "nowhere"), member("s-3", 83, "Ready").replace("\"Ready\"", "7"),
@@ -179,7 +179,7 @@
                 table.applyLine(news(1, true, member("s-1", 81, "Ready"), member("s-2", 82, "Ready"), member("s-3", 83, "Ready")));
                 Api.ServerList told = table.applyLine(news(5, true, "7", member("s-1", 81, "Terminating"), bad, member("s-4", 84, "Ready")));
                 assertThat(table.unreadableEntries()).isEqualTo(2);
-                assertThat(table.revision()).as("what could not be read is told again").isEqualTo(1);
+                assertThat(table.revision()).as("the revision stays, so that unreadable entries are sent again").isEqualTo(1);
                 assertThat(told.kind()).isEqualTo(Api.ListKind.DELTA);
                 assertThat(told.servers()).extracting(Api.Server::id, Api.Server::readiness).containsExactlyInAnyOrder(
                         tuple(1L, Api.Readiness.DRAINING), tuple(4L, Api.Readiness.READY), tuple(3L, Api.Readiness.DRAINING));
@@ -198,8 +198,8 @@
             Api.ServerList told = table.applyLine(news(1, true, member("s-1", 81, "Ready"), member("s-1", 81, "Terminating"), member("s-2", 82, "Resting"),
                     member("no hex", 83, "Ready"), member("", 84, "Ready"), member("s-5", 85, "Ready").replace("\"locality\":\"a\",", ""),
                     member("s-6", 86, "Ready").replace("\"size\":1.0", "\"size\":-1e308"), member("s-7", 81, "Ready")));
-            assertThat(table.listed(1).readiness()).as("the last word of two").isEqualTo(Api.Readiness.DRAINING);
-            assertThat(table.listed(2).readiness()).as("a phase that is not known").isEqualTo(Api.Readiness.DRAINING);
+            assertThat(table.listed(1).readiness()).as("the last of two entries").isEqualTo(Api.Readiness.DRAINING);
+            assertThat(table.listed(2).readiness()).as("an unknown phase").isEqualTo(Api.Readiness.DRAINING);
             assertThat(told.servers()).hasSize(8);
             assertThat(table.size()).isEqualTo(7);
             table.applyLine(news(2, false, member("s-5", 99, "Ready")));
@@ -208,7 +208,7 @@
         });
     }
 
-    /** A version that no double can tell from its neighbours is asked from as it was told. */
+    /** A revision beyond the precision of a double is requested exactly as it was received. */
     @Test
     void longRevisionKeepsAllDigits() throws Exception {
         table((table, pool) -> {
@@ -217,7 +217,7 @@
         });
     }
 
-    /** A list of 10,000 is read, joined by as many more, and ended. */
+    /** A list of 10,000 backends is read, extended by as many, and reduced to one. */
     @Test
     void listOfTenThousandIsRead() throws Exception {
         table((table, pool) -> {
--- a/src/test/java/yardusher/discovery/HttpLineReaderTest.java
+++ b/src/test/java/yardusher/discovery/HttpLineReaderTest.java
@@ -20,7 +20,7 @@
 
     private static String chunk(String text) { return Integer.toHexString(text.getBytes(StandardCharsets.UTF_8).length) + "\r\n" + text + "\r\n"; }
 
-    /** Feeds it in parts of these sizes, again and again. */
+    /** Feeds the bytes in chunks of these sizes, repeated cyclically. */
     private static HttpLineReader fed(byte[] bytes, List<Integer> sizes) throws IOException {
         HttpLineReader lines = new HttpLineReader();
         for (int from = 0, i = 0; from < bytes.length; i++) {
@@ -79,7 +79,7 @@
         assertThatThrownBy(() -> fed(text + "\r\n".repeat(20))).as(text).isInstanceOf(IOException.class);
     }
 
-    /** What stands without a line's end is given once nothing more can come, of an answer of any length. */
+    /** An unterminated last line is returned at the end of the input, with or without a Content-Length. */
     @Property(tries = 200)
     void unchunkedBodyDoesNotDependOnHowInputIsSplit(@ForAll @Size(min = 1, max = 8) List<@IntRange(min = 1, max = 20_000) Integer> sizes,
             @ForAll boolean counted, @ForAll boolean old) throws IOException {
@@ -88,7 +88,7 @@
         String head = "HTTP/1." + (old ? 0 : 1) + " 200 OK\r\nserver: a\r\n" + (counted ? "content-length: " + text.length() + "\r\n" : "") + "\r\n";
         HttpLineReader lines = fed((head + text).getBytes(StandardCharsets.US_ASCII), sizes);
         assertThat(all(lines)).containsExactly("{\"a\":", "1}\r", "", large);
-        assertThat(lines.isComplete()).as("without a length it lasts as long as its connection").isEqualTo(counted);
+        assertThat(lines.isComplete()).as("without a length the body lasts as long as its connection").isEqualTo(counted);
         assertThat(lines.takeUnterminatedLine()).isEqualTo("last");
         assertThat(lines.takeUnterminatedLine()).isNull();
     }
--- a/src/test/java/yardusher/discovery/JsonObjectAssemblerTest.java
+++ b/src/test/java/yardusher/discovery/JsonObjectAssemblerTest.java
@@ -19,7 +19,7 @@
 import yardusher.wire.Codec;
 
 class JsonObjectAssemblerTest {
-    /** What each object holds, whole, from the lines of a feed; empty lines are left out. */
+    /** The objects assembled from the lines of a feed, parsed; empty lines are skipped. */
     private static List<Object> read(String feed) throws IOException {
         JsonObjectAssembler lines = new JsonObjectAssembler();
         List<Object> read = new ArrayList<>();
@@ -34,7 +34,7 @@
         return read;
     }
 
-    /** Line ends and blanks wherever JSON lets them stand, drawn by seed. */
+    /** Inserts random line ends and blanks where JSON allows whitespace. */
     private static String loosened(String json, Random random) {
         StringBuilder out = new StringBuilder();
         boolean inText = false;
@@ -48,7 +48,7 @@
         return out.toString();
     }
 
-    /** An object is the same however it is laid out, also with braces, quotes and backslashes in its texts. */
+    /** An object does not depend on its layout, even with braces, quotes and backslashes in its strings. */
     @Property(tries = 300)
     void objectDoesNotDependOnItsLayout(@ForAll @Size(max = 5) List<@AlphaChars @Chars({'{', '}', '[', ']', '"', '\\', ' '}) String> ids,
             @ForAll @IntRange(max = 1000) int seed) throws IOException {
--- a/src/test/java/yardusher/discovery/WatchSchedulerTest.java
+++ b/src/test/java/yardusher/discovery/WatchSchedulerTest.java
@@ -14,17 +14,17 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** When discovery is asked, on scripted time: orders of accept, silence, refusal, close, hanging, move, and a process held up. */
+/** The scheduler on simulated time: sequences of accept, silence, refusal, close, hanging, move, and a stalled process. */
 class WatchSchedulerTest {
-    /** How a dial goes. Only PROMPT tells the list. */
+    /** How a dial goes. Only PROMPT delivers the list. */
     enum Dial { PROMPT, REFUSED, HANGS, SILENT, EMPTY_LINES, CLOSED_SOON, CLOSED_LATE, RUBBISH }
 
-    /** What becomes of a watch that has told the list, apart from what it misses. */
+    /** What happens to a watch after it has delivered the list. */
     enum Outcome { GOES_ON, ENDS_AT_ONCE, ENDS_SOON, SPOILT, FALLS_SILENT }
 
     private static final double ANSWER_MS = 5;
 
-    /** Discovery and time around one clock. */
+    /** Simulates discovery and time around one scheduler. */
     private static final class Simulation {
         private record At(double time, long order, Runnable what) { }
 
@@ -40,7 +40,7 @@
         int mostOpen;
         int leastOpen = Integer.MAX_VALUE;
         int activeWatch;
-        boolean keepsAlive = true;                   // whether the watch that is believed says its empty lines
+        boolean keepsAlive = true;                   // whether the active watch sends keep-alives
         Consumer<Integer> script = watch -> answer(watch, Dial.PROMPT);
 
         Simulation(long seed) {
@@ -107,7 +107,7 @@
             }
         }
 
-        /** Until that time; a look comes late by what the process is held up then. */
+        /** Runs until that time; each call of the scheduler is late by {@code heldUpMs}. */
         void run(double until, double heldUpMs) {
             for (;;) {
                 double look = scheduler.nextDueMs() + heldUpMs;
@@ -131,7 +131,7 @@
         return world;
     }
 
-    /** The dials from now on go by the script, and those after it by its last word. */
+    /** Dials from now on follow the script; those after its end repeat its last entry. */
     private static void script(Simulation world, List<Dial> script) {
         int before = world.dials.size();
         world.script = watch -> world.answer(watch, script.get(Math.min(script.size(), world.dials.size() - before) - 1));
@@ -145,12 +145,12 @@
         assertThat(world.requestedFull).containsExactly(false);
     }
 
-    /** Whatever the first two dials after a silence meet, and whenever in them it moves, the third that is answered tells in time. */
+    /** Whatever the outcome of two dials after a silence, one that is answered delivers the list in time. */
     @Property(tries = 3000)
     void oneOfThreeDialsAfterASilenceSucceedsInTime(@ForAll @Size(max = 2) List<Dial> bad, @ForAll long seed,
             @ForAll @DoubleRange(max = 2000) double since) {
         Simulation world = healthy(seed);
-        world.run(10_005 + since);                   // it falls silent somewhere between two empty lines
+        world.run(10_005 + since);                   // it falls silent somewhere between two keep-alives
         double silent = world.now;
         world.keepsAlive = false;
         List<Dial> all = new ArrayList<>(bad);
@@ -162,12 +162,12 @@
         assertThat(world.dials.stream().filter(at -> at >= silent && at < world.objects.get(1)).count()).isLessThanOrEqualTo(3);
     }
 
-    /** Through any order, also of moves, and as soon as dials are answered, the list is told within one gap between dials. */
+    /** After any sequence, moves included, the list arrives within one gap between dials once dials are answered. */
     @Property(tries = 3000)
     void listArrivesWithinOneDialGapOnceDialsAreAnswered(@ForAll @Size(min = 1, max = 30) List<Dial> bad, @ForAll long seed,
             @ForAll @DoubleRange(min = 0, max = 30_000) double outage, @ForAll @Size(max = 3) List<@DoubleRange(max = 30_000) Double> moves) {
         Simulation world = healthy(seed);
-        world.run(10_006);                           // right after an empty line
+        world.run(10_006);                           // right after a keep-alive
         double silent = world.now;
         world.keepsAlive = false;
         double healed = silent + outage;
@@ -181,13 +181,13 @@
         double due = Math.max(healed, silent + 3450) + 2250 + ANSWER_MS;
         assertThat(world.objects.get(1)).isLessThanOrEqualTo(due + ANSWER_MS);
         assertThat(world.mostOpen).isLessThanOrEqualTo(3);
-        for (int i = 0; i + 8 < world.dials.size(); i++) { // five ways of failing, backing off: no more than eight in three seconds
+        for (int i = 0; i + 8 < world.dials.size(); i++) { // failing dials back off: no more than eight in three seconds
             double span = world.dials.get(i + 8) - world.dials.get(i);
             assertThat(span).as("eight dials").isGreaterThan(moves.isEmpty() ? 2500 : 0);
         }
     }
 
-    /** A move asks at once, whatever the old one says meanwhile; one of its first four dials within 3.3 s. */
+    /** A move dials at once, whatever the old watch sends meanwhile; one of the first four dials succeeds within 3.3 s. */
     @Property(tries = 2000)
     void oneOfFourDialsAfterAMoveSucceedsInTime(@ForAll @Size(max = 3) List<Dial> bad, @ForAll long seed) {
         Simulation world = healthy(seed);
@@ -197,13 +197,13 @@
         world.scheduler.addressMoved(world.now);
         world.run(20_000);
         assertThat(world.objects.get(1) - 10_000).isLessThan(3300 + ANSWER_MS);
-        assertThat(world.requestedFull.subList(1, world.requestedFull.size())).as("its versions are its own").containsOnly(true);
+        assertThat(world.requestedFull.subList(1, world.requestedFull.size())).as("revisions of another address are not comparable").containsOnly(true);
     }
 
     /**
-     * The worst order. Before a change is there, dials go by any script, watches that have told end, are spoilt or fall silent, all of them
-     * are reset at some moments, and discovery moves. From the change on what stood before says nothing of it and ends when it likes, while
-     * each new dial is answered with it at once, but for one. The last line may have come in the very moment of the change.
+     * The worst case. Before a change, dials follow any script, watches that delivered the list end, send malformed data or fall
+     * silent, all are reset at some moments, and discovery moves. After the change, earlier watches do not report it and end at any
+     * time, while each new dial but one delivers it at once. The last line may have come at the very moment of the change.
      */
     @Property(tries = 5000)
     void changeArrivesInTimeAfterAnyHistory(@ForAll @Size(max = 20) List<Dial> history, @ForAll @Size(min = 1, max = 6) List<Outcome> fates,
@@ -214,7 +214,7 @@
         assertThat(took[0]).as("with each dial answered").isLessThanOrEqualTo(bad.isEmpty() ? 3450 + 2 * ANSWER_MS : 4750 + 2 * ANSWER_MS);
     }
 
-    /** After an outage a watch tells, falls silent over a change, and is reset just before it is in doubt: its end is no flapping, and is asked behind at once. */
+    /** A watch that delivers after an outage, misses a change and is reset before it is suspect is not flapping: it is redialled at once. */
     @Test
     void steadyWatchIsReplacedAtOnceAfterAnOutage() {
         for (int seed = 0; seed < 50; seed++) {
@@ -229,7 +229,7 @@
         }
     }
 
-    /** A check of the check: with three bad dials after the change the time is broken. */
+    /** Shows that the check can fail: with three failed dials after the change the time limit is exceeded. */
     @Test
     void timeLimitOfAChangeCanBeExceeded() {
         double[] took = changeTold(List.of(), List.of(Outcome.GOES_ON), List.of(Dial.SILENT, Dial.SILENT, Dial.SILENT), 4001, List.of(), List.of(), 7);
@@ -292,7 +292,7 @@
         return new double[] {toldAt[0] - change};
     }
 
-    /** Its empty lines, the last of them in the moment of the change. */
+    /** Sends keep-alives, the last at the moment of the change. */
     private static void emptyUpTo(Simulation world, int watch, double change) {
         double next = Math.min(world.now + 2000, change);
         if (next <= world.now) { return; }
@@ -302,7 +302,7 @@
         });
     }
 
-    /** Through an outage in which dials come up and nothing is told, there is always a watch open on which discovery can speak at its return. */
+    /** During an outage in which dials connect but deliver nothing, a watch is always open for discovery to send on when it recovers. */
     @Property(tries = 1000)
     void aWatchIsOpenAtAllTimesOfAnOutage(@ForAll @Size(min = 1, max = 10) List<Boolean> empty, @ForAll boolean told, @ForAll long seed,
             @ForAll @Size(max = 3) List<@DoubleRange(max = 30_000) Double> moves) {
@@ -332,7 +332,7 @@
         world.keepsAlive = false;
         world.script = watch -> world.after(2500, watch, () -> world.object(watch));
         world.run(10_000 + 3450 + 2500 + 1);
-        assertThat(world.objects).as("the first is not given up when a second is asked").hasSize(2);
+        assertThat(world.objects).as("the first is not closed when a second is dialled").hasSize(2);
         assertThat(world.activeWatch).isEqualTo(2);
     }
 
@@ -341,7 +341,7 @@
         Simulation world = new Simulation(5);
         world.script = watch -> { };
         world.scheduler.start(0);
-        world.run(1000, 200);                        // looked at 200 ms late: 950 ms, then due at 1,200
+        world.run(1000, 200);                        // called 200 ms late, at 950 ms: then due at 1,200
         world.run(1190, 0);
         assertThat(world.dials).hasSize(1);
         world.run(1600, 0);
@@ -360,7 +360,7 @@
         assertThat(world.dials.size()).isLessThan(75);
     }
 
-    /** A check of the check: with the silence of an old watch allowed to a new one, the bound is broken. */
+    /** Shows that the check can fail: if a new watch may be silent as long as an active one, the bound is exceeded. */
     @Test
     void boundCanBeExceeded() {
         Simulation world = healthy(7);
--- a/src/test/java/yardusher/error/ErrorTableTest.java
+++ b/src/test/java/yardusher/error/ErrorTableTest.java
@@ -17,15 +17,15 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Every type of error stands in the operators' table, and gives what an operator needs. */
+/** Every error type is listed in the operators' table and carries what an operator needs. */
 class ErrorTableTest {
-    /** All types that can be made, by the family's own word on who belongs to it. */
+    /** All concrete types, found through the sealed hierarchy. */
     private static List<Class<?>> types(Class<?> of) {
         if (!of.isSealed()) { return List.of(of); }
         return Arrays.stream(of.getPermittedSubclasses()).flatMap(one -> types(one).stream()).toList();
     }
 
-    /** One of it, by its longest constructor. */
+    /** Creates an instance by the longest constructor. */
     private static YardusherError sample(Class<?> type) throws ReflectiveOperationException {
         Constructor<?> constructor = Arrays.stream(type.getDeclaredConstructors())
                 .max(Comparator.comparingInt(Constructor::getParameterCount)).orElseThrow();
@@ -34,7 +34,7 @@
         return (YardusherError) constructor.newInstance(values);
     }
 
-    /** A line of the table without its free text: code, type, exit code, fields, advice. */
+    /** The table row of an error without its free text: code, type, exit code, fields, advice. */
     private static String row(YardusherError one) {
         Object[] fields = one.fields();
         String names = IntStream.range(1, fields.length / 2).mapToObj(i -> String.valueOf(fields[2 * i])).collect(Collectors.joining(", "));
@@ -42,7 +42,7 @@
                 String.valueOf(one.exitCode()), names.isEmpty() ? "-" : names, one.advice());
     }
 
-    /** The table's lines by code, in the same form; the third column is free text that must be there. */
+    /** The table's rows by code, in the same form; the third column is free text that must be present. */
     private static Map<String, String> table(String markdown) {
         Map<String, String> rows = new LinkedHashMap<>();
         for (String line : markdown.lines().filter(one -> one.matches("\\| `[A-Z_]+` \\|.*")).toList()) {
@@ -50,12 +50,12 @@
             assertThat(cells).as(line).hasSize(6);
             assertThat(cells[2].strip()).as(line).isNotEmpty();
             String row = String.join(" | ", cells[0].strip(), cells[1].strip(), cells[3].strip(), cells[4].strip(), cells[5].strip());
-            assertThat(rows.put(cells[0].strip(), row)).as("twice: " + line).isNull();
+            assertThat(rows.put(cells[0].strip(), row)).as("duplicate: " + line).isNull();
         }
         return rows;
     }
 
-    /** What is wrong with a table; empty where nothing is. */
+    /** The differences between a table and the types; empty if there are none. */
     private static List<String> wrong(String markdown) throws ReflectiveOperationException {
         Map<String, String> rows = table(markdown);
         List<String> wrong = new ArrayList<>();
--- a/src/test/java/yardusher/handover/HandoverFileTest.java
+++ b/src/test/java/yardusher/handover/HandoverFileTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import yardusher.error.WireError;
 
-/** The note by which a process is found, and the words that two processes say to each other. */
+/** The file by which a process is found, and the messages between two processes of one ingress. */
 class HandoverFileTest {
     @TempDir
     Path folder;
@@ -30,7 +30,7 @@
         try (var all = Files.list(folder)) { files = all.toList(); }
         assertThat(files).hasSize(1);
         assertThat(PosixFilePermissions.toString(Files.getPosixFilePermissions(files.get(0)))).isEqualTo("rw-------");
-        HandoverFile.create(note.address()).remove(folder, "n0"); // another's stays
+        HandoverFile.create(note.address()).remove(folder, "n0"); // another process's file stays
         assertThat(HandoverFile.read(folder, "n0")).isEqualTo(note);
         note.remove(folder, "n0");
         assertThat(HandoverFile.read(folder, "n0")).isNull();
--- a/src/test/java/yardusher/servers/DrainTest.java
+++ b/src/test/java/yardusher/servers/DrainTest.java
@@ -22,7 +22,7 @@
 import yardusher.core.Terminal;
 import yardusher.net.Sockets;
 
-/** A backend that is on its way out gets nothing new, also nothing that was chosen before that was told. */
+/** A draining backend gets no new attempts, not even those that chose it before the drain was known. */
 class DrainTest {
     private final List<String> answers = new ArrayList<>();
     private final List<Consumer<Boolean>> pendingRecords = new ArrayList<>();
--- a/src/test/java/yardusher/settings/SettingsTest.java
+++ b/src/test/java/yardusher/settings/SettingsTest.java
@@ -24,7 +24,7 @@
 import yardusher.log.LogSettings;
 import yardusher.log.Logs;
 
-/** Our own settings file, what its errors say, and a start with a folder that cannot be used. */
+/** The yardusher settings file, its error messages, and a start with an unusable folder. */
 class SettingsTest {
     @TempDir
     Path folder;
@@ -100,7 +100,7 @@
         }
     }
 
-    /** Starts an ingress that cannot start, and gives what it said in its one line. */
+    /** Runs a command that must fail and returns its one line of output. */
     private static String refused(Path own) throws Exception {
         return refused(2, "serve", "src/test/resources/ingress.json", "--limits", "none", "--settings", own.toString());
     }
--- a/src/test/java/yardusher/settings/TablesTogetherTest.java
+++ b/src/test/java/yardusher/settings/TablesTogetherTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import yardusher.error.ConfigError;
 
-/** The tables of what several ingresses keep together: wrong values are one line with file, key and what is allowed. */
+/** The tables of features shared by several ingresses: an invalid value is one line with file, key and what is allowed. */
 class TablesTogetherTest {
     private static final String VIEW = "[view]\nlisten = \"127.0.0.1:7946\"\ninstallation = \"hall\"\n";
     @TempDir
