--- a/src/main/java/yardusher/cli/FleetCommand.java
+++ b/src/main/java/yardusher/cli/FleetCommand.java
@@ -103,7 +103,7 @@
     /** Polls an operation until it ends and prints a line for each change of its progress. */
     private static int await(AgentConfig config, String kind) {
         for (String last = "";;) {
-            Map<String, String> work = table(config).stream().filter(one -> one.get("").equals("work") && one.get("kind").equals(kind))
+            Map<String, String> work = table(config).stream().filter(row -> row.get("").equals("work") && row.get("kind").equals(kind))
                     .findFirst().orElse(Map.of());
             String now = work.getOrDefault("state", "?") + ", " + work.getOrDefault("progress", "-") + ", held by " + work.getOrDefault("holder", "-");
             if (!now.equals(last)) { System.err.println(now); }
@@ -127,14 +127,14 @@
         if (!(answer instanceof Value.BulkString report)) { throw new WireError.Refused(config.control(), answer instanceof Value.ErrorReply no ? no.text() : "no report"); }
         List<Map<String, String>> table = new ArrayList<>();
         for (String line : report.text().split("\n")) {
-            Map<String, String> one = new LinkedHashMap<>();
+            Map<String, String> row = new LinkedHashMap<>();
             String[] cells = line.split("\t");
-            one.put("", cells[0]);
+            row.put("", cells[0]);
             for (int i = 1; i < cells.length; i++) {
-                int is = cells[i].indexOf('=');
-                one.put(cells[i].substring(0, is), cells[i].substring(is + 1));
+                int separator = cells[i].indexOf('=');
+                row.put(cells[i].substring(0, separator), cells[i].substring(separator + 1));
             }
-            table.add(one);
+            table.add(row);
         }
         return table;
     }
@@ -148,11 +148,11 @@
             case "history" -> Set.of("register", "history");
             default -> Set.of("register", "member", "work");
         };
-        List<Map<String, String>> chosen = table.stream().filter(one -> shown.contains(one.get(""))).toList();
+        List<Map<String, String>> chosen = table.stream().filter(row -> shown.contains(row.get(""))).toList();
         if (json) { System.out.println(json(chosen)); } else {
-            for (Map<String, String> one : chosen) {
-                StringBuilder out = new StringBuilder(one.get(""));
-                one.forEach((name, value) -> out.append(name.isEmpty() ? "" : "  " + name + "=" + value));
+            for (Map<String, String> row : chosen) {
+                StringBuilder out = new StringBuilder(row.get(""));
+                row.forEach((name, value) -> out.append(name.isEmpty() ? "" : "  " + name + "=" + value));
                 System.out.println(out);
             }
         }
@@ -163,9 +163,9 @@
         StringWriter out = new StringWriter();
         try (JsonGenerator json = new JsonFactory().createGenerator(out)) {
             json.writeStartArray();
-            for (Map<String, String> one : table) {
+            for (Map<String, String> row : table) {
                 json.writeStartObject();
-                for (Map.Entry<String, String> cell : one.entrySet()) {
+                for (Map.Entry<String, String> cell : row.entrySet()) {
                     json.writeStringField(cell.getKey().isEmpty() ? "line" : cell.getKey(), cell.getValue());
                 }
                 json.writeEndObject();
--- a/src/main/java/yardusher/cli/Subsystems.java
+++ b/src/main/java/yardusher/cli/Subsystems.java
@@ -48,35 +48,35 @@
 
     RequestLog wrapRequestLog() {
         RequestLog log = RequestLog.NONE;
-        for (Subsystem one : all) { log = one.wrapRequestLog(log); }
+        for (Subsystem subsystem : all) { log = subsystem.wrapRequestLog(log); }
         return log;
     }
 
     RequestAcceptor wrapAcceptor(SubsystemContext site, RequestAcceptor core) throws IOException {
         RequestAcceptor intake = core;
-        for (Subsystem one : all) { intake = one.wrapAcceptor(site, intake); }
+        for (Subsystem subsystem : all) { intake = subsystem.wrapAcceptor(site, intake); }
         return intake;
     }
 
     void attach(SubsystemContext site) throws IOException {
-        for (Subsystem one : all) { one.attach(site); }
+        for (Subsystem subsystem : all) { subsystem.attach(site); }
     }
 
     void start() throws IOException {
-        for (Subsystem one : all) { one.start(); }
+        for (Subsystem subsystem : all) { subsystem.start(); }
     }
 
     /** What the subsystems report about reloaded settings, each behind a semicolon; empty for nothing. */
     String reload(Settings next) {
-        return all.stream().map(one -> Objects.toString(one.reload(next), "")).filter(said -> !said.isEmpty()).map(said -> "; " + said)
+        return all.stream().map(subsystem -> Objects.toString(subsystem.reload(next), "")).filter(text -> !text.isEmpty()).map(text -> "; " + text)
                 .collect(Collectors.joining());
     }
 
     /** The counters of all subsystems, each subsystem's behind a space. */
-    String countersLine() { return all.stream().map(Subsystem::countersLine).filter(said -> !said.isEmpty()).map(said -> " " + said).collect(Collectors.joining()); }
+    String countersLine() { return all.stream().map(Subsystem::countersLine).filter(text -> !text.isEmpty()).map(text -> " " + text).collect(Collectors.joining()); }
 
     /** The answer of the subsystem that has this call; null if none has. */
-    String report(String call) { return all.stream().map(one -> one.report(call)).filter(Objects::nonNull).findFirst().orElse(null); }
+    String report(String call) { return all.stream().map(subsystem -> subsystem.report(call)).filter(Objects::nonNull).findFirst().orElse(null); }
 
     void drain() {
         for (int i = all.size() - 1; i >= 0; i--) { all.get(i).drain(); }
--- a/src/main/java/yardusher/discovery/DiscoveredBackends.java
+++ b/src/main/java/yardusher/discovery/DiscoveredBackends.java
@@ -87,7 +87,7 @@
     /** Number of entries of the last update that could not be read. */
     int unreadableEntries() { return unreadableEntries; }
 
-    /** Applies an update as {@link #take(Codec.JsonObject, Api.ListKind)} does with {@code forcedKind} null. */
+    /** Applies an update as {@link #apply(Codec.JsonObject, Api.ListKind)} does with {@code forcedKind} null. */
     Api.ServerList apply(Codec.JsonObject update) throws IOException { return applyExcept(update, Set.of()); }
 
     /** The same for an update older than what is known of the {@code newer} backends: these stay unchanged, and absent ones are kept. */
@@ -101,7 +101,7 @@
 
     /**
      * Applies an update; with {@code forcedKind} null the object's own field says whether it is complete. Unreadable entries are skipped
-     * and counted in {@link #unread}; then no backend is removed, the known revision stays, and a known backend with such an entry gets no
+     * and counted in {@link #unreadableEntries}; then no backend is removed, the known revision stays, and a known backend with such an entry gets no
      * new attempts until it is reported again. If {@code forcedKind} is given, no entry is readable, or a complete list without entries
      * would remove all backends, a {@link yardusher.error.YardusherError} is thrown and nothing changes.
      */
--- a/src/main/java/yardusher/discovery/JsonObjectAssembler.java
+++ b/src/main/java/yardusher/discovery/JsonObjectAssembler.java
@@ -29,7 +29,7 @@
                 depth--;
             }
         }
-        if (inText) { throw new IOException("line ends inside a JSON string"); } // a JSON string cannot span lines
+        if (inText) { throw new IOException("object is cut off inside a string"); } // a JSON string cannot span lines
         if (part.length() + line.length() > MAX_OBJECT_CHARS) { throw new IOException("object too long"); }
         if (depth <= 0 && part.isEmpty()) {
             depth = 0;
--- a/src/main/java/yardusher/discovery/WatchScheduler.java
+++ b/src/main/java/yardusher/discovery/WatchScheduler.java
@@ -5,13 +5,13 @@
  * milliseconds, actions go out through {@link Actions}. At most three watches exist at once, numbered from 1: the active one, whose
  * updates apply, and two candidates to replace it.
  *
- * <p>A watch becomes active with its first object, not with an empty line (keep-alive): an agent without news of what was missed may
- * be one that does not have it. An active watch without keep-alives for {@code SILENCE_TIMEOUT_MS} is suspect until a candidate has sent an
- * object, and is still read meanwhile. A candidate is due to send within {@code RESPONSE_DUE_MS} of its dial; then a second is dialled and
- * the first kept, for {@code CANDIDATE_LIFETIME_MS} in all, so that a slow one still counts. Bounds, with dials that are
- * answered at once: 3.45 s
- * from the start of a silence to the first dial, 2.25 s at most from one dial to the next, three dials within 5.4 s of a silence, four
- * within 3.3 s of a move or a start (docs/measurements/standing.md), 0.35 s more for each if this process itself was stalled.
+ * <p>A watch becomes active with its first object, not with an empty line (keep-alive): an agent without news of what was missed
+ * may be one that does not have it. An active watch without keep-alives for {@code SILENCE_TIMEOUT_MS} is suspect until a
+ * candidate has sent an object, and is still read meanwhile. A candidate is due to send within {@code RESPONSE_DUE_MS} of its
+ * dial; then a second is dialled and the first kept, for {@code CANDIDATE_LIFETIME_MS} in all, so that a slow one still counts.
+ * Bounds, with dials that are answered at once: 3.45 s from the start of a silence to the first dial, 2.25 s at most from one
+ * dial to the next, three dials within 5.4 s of a silence, four within 3.3 s of a move or a start
+ * (docs/measurements/standing.md), 0.35 s more for each if this process itself was stalled.
  */
 final class WatchScheduler {
     static final double SILENCE_TIMEOUT_MS = 3000;   // a keep-alive line comes every 2 s
@@ -25,7 +25,7 @@
 
     /** The actions of the clock; neither calls back with an event before it has returned. */
     interface Actions {
-        /** Opens a watch of this number, which requests what {@link #asksWhole} says once it is connected. */
+        /** Opens a watch of this number, which requests what {@link #requestsFullList} says once it is connected. */
         void dial(int watch);
 
         /** Closes the watch, whatever its state. */
@@ -74,7 +74,7 @@
     /** Whether a watch requests the full list: revisions of another service mean nothing, and a full list begins with an object. */
     boolean requestsFullList() { return addressChanged || needsFullList; }
 
-    /** When {@link #look} is due next, if nothing happens before; infinity for never. */
+    /** When {@link #runDue} is due next, if nothing happens before; infinity for never. */
     double nextDueMs() {
         double next = nextDialAtMs;
         if (active != 0 && !suspect && !addressChanged) { next = Math.min(next, lastHeardAtMs + SILENCE_TIMEOUT_MS); }
--- a/src/main/java/yardusher/handover/Handover.java
+++ b/src/main/java/yardusher/handover/Handover.java
@@ -237,7 +237,7 @@
             if (ownsPeerPort && send.to() != self) { process.send(send.to(), send.body()); }
         } else if (word instanceof HandoverMessage.StateComplete) {
             if (!siblingIsNewer) { startServing(); }
-        } else if (siblingIsNewer) {                 // Word.Serving
+        } else if (siblingIsNewer) {                 // HandoverMessage.Serving
             ownsPeerPort = false;
             process.closePeerPort();
             process.siblingChanged(true, false);
--- a/src/main/java/yardusher/handover/HandoverMessage.java
+++ b/src/main/java/yardusher/handover/HandoverMessage.java
@@ -6,7 +6,7 @@
 
 /** A message between two processes of one ingress, encoded as one line. */
 public sealed interface HandoverMessage {
-    /** A region is banned, or no longer; confirmed by {@link Held} once it holds. */
+    /** A region is banned, or no longer; confirmed by {@link BanConfirmed} once it holds. */
     record Ban(String region, boolean banned) implements HandoverMessage { }
 
     /** Confirms the oldest unconfirmed ban. */
--- a/src/main/java/yardusher/handover/SiblingLink.java
+++ b/src/main/java/yardusher/handover/SiblingLink.java
@@ -6,7 +6,7 @@
 import yardusher.net.LineReader;
 import yardusher.net.Connection;
 
-/** The link to the other process of this ingress, which exchanges {@link Word}s. Used on the event loop only. */
+/** The link to the other process of this ingress, which exchanges {@link HandoverMessage}s. Used on the event loop only. */
 public final class SiblingLink implements Connection.Owner {
     /** Receives the messages of the other process. */
     public interface Listener {
--- a/src/main/java/yardusher/servers/ConnectionAllowance.java
+++ b/src/main/java/yardusher/servers/ConnectionAllowance.java
@@ -9,7 +9,7 @@
     /** Reserves a connection before it is dialled; false if the limit is reached. */
     boolean tryAcquire(long backend);
 
-    /** A connection begins to close, or a dial is abandoned; {@link #ended} follows, however long the backend takes. */
+    /** A connection begins to close, or a dial is abandoned; {@link #closed} follows, however long the backend takes. */
     void closing(long backend);
 
     /** A connection is closed at both ends, or a dial has failed. */
--- a/src/test/java/yardusher/discovery/WatchSchedulerTest.java
+++ b/src/test/java/yardusher/discovery/WatchSchedulerTest.java
@@ -214,7 +214,7 @@
         assertThat(took[0]).as("with each dial answered").isLessThanOrEqualTo(bad.isEmpty() ? 3450 + 2 * ANSWER_MS : 4750 + 2 * ANSWER_MS);
     }
 
-    /** A watch that delivers after an outage, misses a change and is reset before it is suspect is not flapping: it is redialled at once. */
+    /** A watch that delivers after an outage, misses a change and ends before it is suspect is not flapping: it is redialled at once. */
     @Test
     void steadyWatchIsReplacedAtOnceAfterAnOutage() {
         for (int seed = 0; seed < 50; seed++) {
