--- a/src/main/java/yardusher/admin/AdminCall.java
+++ b/src/main/java/yardusher/admin/AdminCall.java
@@ -51,7 +51,9 @@
      */
     public static AdminCall parseFenced(String line) {
         String[] words = line.length() > MAX_LINE_BYTES ? new String[0] : line.split(" ", -1);
-        if (words.length == 3 && words[0].equals("fence") && words[1].equals("bans")) { return new AdminCall(null, null, parseNumber(words[2]), 0); }
+        if (words.length == 3 && words[0].equals("fence") && words[1].equals("bans")) {
+            return new AdminCall(null, null, parseNumber(words[2]), 0);
+        }
         if (words.length != 4) { return parse(line); }
         AdminCall call = parse(words[0] + " " + words[1]);
         return new AdminCall(call.verb, call.id, parseNumber(words[2]), parseNumber(words[3]));
--- a/src/main/java/yardusher/cli/FleetCommand.java
+++ b/src/main/java/yardusher/cli/FleetCommand.java
@@ -124,7 +124,9 @@
     /** The agent's report: one map per line, with the line's kind under the empty key. */
     private static List<Map<String, String>> table(AgentConfig config) {
         Value answer = RespClient.call(config.control(), TIMEOUT_MS, "FLEET.READ", config.fleet().installation());
-        if (!(answer instanceof Value.BulkString report)) { throw new WireError.Refused(config.control(), answer instanceof Value.ErrorReply no ? no.text() : "no report"); }
+        if (!(answer instanceof Value.BulkString report)) {
+            throw new WireError.Refused(config.control(), answer instanceof Value.ErrorReply no ? no.text() : "no report");
+        }
         List<Map<String, String>> table = new ArrayList<>();
         for (String line : report.text().split("\n")) {
             Map<String, String> row = new LinkedHashMap<>();
--- a/src/main/java/yardusher/cli/IngressConfig.java
+++ b/src/main/java/yardusher/cli/IngressConfig.java
@@ -49,7 +49,9 @@
 
     /** Limits the size, so that a file which is no configuration cannot exhaust a small heap, also of a running ingress. */
     private static String text(Path file) throws IOException {
-        if (Files.size(file) > MAX_FILE_BYTES) { throw new ConfigError.Syntax(null, "larger than " + MAX_FILE_BYTES / (1 << 20) + " MB: not a configuration"); }
+        if (Files.size(file) > MAX_FILE_BYTES) {
+            throw new ConfigError.Syntax(null, "larger than " + MAX_FILE_BYTES / (1 << 20) + " MB: not a configuration");
+        }
         return Files.readString(file);
     }
 
--- a/src/main/java/yardusher/cli/IngressProcess.java
+++ b/src/main/java/yardusher/cli/IngressProcess.java
@@ -66,7 +66,8 @@
     private static final int BODY_HEAP_DIVISOR = 8;  // fraction (1/8) of the heap for large bodies; at least one body always fits
 
     private final EventLoop loop;
-    private final BodyBudget bodies = new BodyBudget(Math.max(Decoder.MAX_LARGE_BYTES, Runtime.getRuntime().maxMemory() / BODY_HEAP_DIVISOR));
+    private final BodyBudget bodies = new BodyBudget(
+            Math.max(Decoder.MAX_LARGE_BYTES, Runtime.getRuntime().maxMemory() / BODY_HEAP_DIVISOR));
     private final Sockets sockets;
     private final Counters counters = new Counters();
     private final BackendPool pool;
@@ -113,7 +114,8 @@
         int budget = descriptorBudget(config.sockets());
         Api.Settings settings = config.settings();
         longestDeadlineMs = settings.classes().stream().mapToDouble(Api.RequestClass::deadlineMs).max().orElse(1000);
-        pool = new BackendPool(sockets, counters, settings.reportedMetrics(), config.dialMs(), config.idleMs(), longestDeadlineMs, budget * 2 / 5);
+        pool = new BackendPool(sockets, counters, settings.reportedMetrics(), config.dialMs(), config.idleMs(),
+                longestDeadlineMs, budget * 2 / 5);
         this.descriptorBudget = budget;
         peers = config.peerListen() == null || !settings.limits().mayMessagePeers() ? null
                 : new PeerSocket(config.peerListen(), config.peers(), loop);
@@ -194,7 +196,9 @@
         }
 
         @Override
-        public Connection.Owner acceptSuccessor(String line, LineReader lines, Connection link) { return handover.acceptSuccessor(line, lines, link); }
+        public Connection.Owner acceptSuccessor(String line, LineReader lines, Connection link) {
+            return handover.acceptSuccessor(line, lines, link);
+        }
     }
 
     /** Implements what the handover to another version asks of this process. */
@@ -278,7 +282,9 @@
     }
 
     /** The number of descriptors, out of {@code sockets}, for clients and backends. */
-    static int descriptorBudget(int sockets) { return Math.max(Math.max(MIN_DESCRIPTOR_BUDGET, Math.min(64, sockets - MIN_OWN_DESCRIPTORS)), sockets - OWN_DESCRIPTORS); }
+    static int descriptorBudget(int sockets) {
+        return Math.max(Math.max(MIN_DESCRIPTOR_BUDGET, Math.min(64, sockets - MIN_OWN_DESCRIPTORS)), sockets - OWN_DESCRIPTORS);
+    }
 
     /** Sets the connection limits: all descriptors, or half of them while another process of this ingress runs. */
     private void setConnectionLimits(boolean other) {
@@ -483,7 +489,8 @@
         });
         IngressConfig config = IngressConfig.read(file);
         String adminAt = System.getenv("RELAY_ADMIN_ADDR"); // overrides the file: it belongs to this process
-        IngressProcess serve = new IngressProcess(config, adminAt == null || adminAt.isEmpty() ? config.admin() : address(adminAt), handoverFolder(), enablesLimitsFront(limitsFile) ? LimitsConfig.read(limitsFile) : null, Settings.read(settingsFile),
+        IngressProcess serve = new IngressProcess(config, adminAt == null || adminAt.isEmpty() ? config.admin() : address(adminAt),
+                handoverFolder(), enablesLimitsFront(limitsFile) ? LimitsConfig.read(limitsFile) : null, Settings.read(settingsFile),
                 clock, bornMs);
         Thread end = new Thread(() -> {
             try {
--- a/src/main/java/yardusher/cli/Subsystems.java
+++ b/src/main/java/yardusher/cli/Subsystems.java
@@ -73,7 +73,9 @@
     }
 
     /** The counters of all subsystems, each subsystem's behind a space. */
-    String countersLine() { return all.stream().map(Subsystem::countersLine).filter(text -> !text.isEmpty()).map(text -> " " + text).collect(Collectors.joining()); }
+    String countersLine() {
+        return all.stream().map(Subsystem::countersLine).filter(text -> !text.isEmpty()).map(text -> " " + text).collect(Collectors.joining());
+    }
 
     /** The answer of the subsystem that has this call; null if none has. */
     String report(String call) { return all.stream().map(subsystem -> subsystem.report(call)).filter(Objects::nonNull).findFirst().orElse(null); }
--- a/src/main/java/yardusher/discovery/DiscoveredBackends.java
+++ b/src/main/java/yardusher/discovery/DiscoveredBackends.java
@@ -101,8 +101,8 @@
 
     /**
      * Applies an update; with {@code forcedKind} null the object's own field says whether it is complete. Unreadable entries are skipped
-     * and counted in {@link #unreadableEntries}; then no backend is removed, the known revision stays, and a known backend with such an entry gets no
-     * new attempts until it is reported again. If {@code forcedKind} is given, no entry is readable, or a complete list without entries
+     * and counted in {@link #unreadableEntries}; then no backend is removed, the known revision stays, and a known backend with such an entry
+     * gets no new attempts until it is reported again. If {@code forcedKind} is given, no entry is readable, or a complete list without entries
      * would remove all backends, a {@link yardusher.error.YardusherError} is thrown and nothing changes.
      */
     public Api.ServerList apply(Codec.JsonObject update, Api.ListKind forcedKind) { return apply(update, forcedKind, Set.of()); }
--- a/src/main/java/yardusher/discovery/WatchScheduler.java
+++ b/src/main/java/yardusher/discovery/WatchScheduler.java
@@ -164,7 +164,9 @@
             first = second;
             second = null;
         }
-        if (nextDialAtMs == NEVER && needsCandidate() && !isStillDue(newestCandidate(), now)) { nextDialAtMs = now + backoff.nextDelayMs(); }
+        if (nextDialAtMs == NEVER && needsCandidate() && !isStillDue(newestCandidate(), now)) {
+            nextDialAtMs = now + backoff.nextDelayMs();
+        }
         if (now < nextDialAtMs) { return; }
         nextDialAtMs = NEVER;
         if (second != null) { actions.close(second.watch); }
--- a/src/main/java/yardusher/handover/Handover.java
+++ b/src/main/java/yardusher/handover/Handover.java
@@ -223,19 +223,19 @@
     }
 
     @Override
-    public void onMessage(SiblingLink from, HandoverMessage word) {
-        if (word instanceof HandoverMessage.Ban ban) {
+    public void onMessage(SiblingLink from, HandoverMessage message) {
+        if (message instanceof HandoverMessage.Ban ban) {
             process.ban(ban.region(), ban.banned());
             from.send(new HandoverMessage.BanConfirmed());
-        } else if (word instanceof HandoverMessage.BanConfirmed) {
+        } else if (message instanceof HandoverMessage.BanConfirmed) {
             from.confirmOldestBan();
-        } else if (word instanceof HandoverMessage.Drain drain) {
+        } else if (message instanceof HandoverMessage.Drain drain) {
             process.drain(drain.away());
-        } else if (word instanceof HandoverMessage.PeerDatagram heard) {
+        } else if (message instanceof HandoverMessage.PeerDatagram heard) {
             process.deliver(heard.from(), heard.body());
-        } else if (word instanceof HandoverMessage.SendDatagram send) {
+        } else if (message instanceof HandoverMessage.SendDatagram send) {
             if (ownsPeerPort && send.to() != self) { process.send(send.to(), send.body()); }
-        } else if (word instanceof HandoverMessage.StateComplete) {
+        } else if (message instanceof HandoverMessage.StateComplete) {
             if (!siblingIsNewer) { startServing(); }
         } else if (siblingIsNewer) {                 // HandoverMessage.Serving
             ownsPeerPort = false;
--- a/src/main/java/yardusher/handover/SiblingLink.java
+++ b/src/main/java/yardusher/handover/SiblingLink.java
@@ -10,7 +10,7 @@
 public final class SiblingLink implements Connection.Owner {
     /** Receives the messages of the other process. */
     public interface Listener {
-        void onMessage(SiblingLink from, HandoverMessage word);
+        void onMessage(SiblingLink from, HandoverMessage message);
 
         /** The other process has ended, or sent a malformed message. */
         void onSiblingGone(SiblingLink other);
@@ -29,7 +29,7 @@
     /** Sets the connection, whose input goes to the line reader given to the constructor. */
     public void setConnection(Connection carried) { connection = carried; }
 
-    public void send(HandoverMessage word) { sendLine(word.encode()); }
+    public void send(HandoverMessage message) { sendLine(message.encode()); }
 
     void sendLine(String line) { connection.write((line + "\n").getBytes(StandardCharsets.ISO_8859_1)); }
 
--- a/src/test/java/yardusher/handover/HandoverFileTest.java
+++ b/src/test/java/yardusher/handover/HandoverFileTest.java
@@ -47,11 +47,13 @@
 
     @Test
     void everyMessageRoundTrips() {
-        for (HandoverMessage word : List.of(new HandoverMessage.Ban("s-5be2a07c", true), new HandoverMessage.Ban("s-1", false), new HandoverMessage.BanConfirmed(), new HandoverMessage.Drain(true),
-                new HandoverMessage.Drain(false), new HandoverMessage.PeerDatagram(3, "m\u0007\n\r\u007e"), new HandoverMessage.SendDatagram(2, "x".repeat(256)), new HandoverMessage.StateComplete(),
+        for (HandoverMessage message : List.of(new HandoverMessage.Ban("s-5be2a07c", true), new HandoverMessage.Ban("s-1", false), new HandoverMessage.BanConfirmed(),
+                new HandoverMessage.Drain(true),
+                new HandoverMessage.Drain(false), new HandoverMessage.PeerDatagram(3, "m\u0007\n\r\u007e"),
+                new HandoverMessage.SendDatagram(2, "x".repeat(256)), new HandoverMessage.StateComplete(),
                 new HandoverMessage.Serving())) {
-            assertThat(HandoverMessage.parse(word.encode())).isEqualTo(word);
-            assertThat(word.encode().length()).isLessThanOrEqualTo(HandoverMessage.MAX_LINE_BYTES);
+            assertThat(HandoverMessage.parse(message.encode())).isEqualTo(message);
+            assertThat(message.encode().length()).isLessThanOrEqualTo(HandoverMessage.MAX_LINE_BYTES);
         }
     }
 
