--- a/src/main/java/yardusher/admin/AdminServer.java
+++ b/src/main/java/yardusher/admin/AdminServer.java
@@ -15,21 +15,21 @@
 import yardusher.net.Sockets;
 
 /**
- * The second address: one line to a connection, answered by a line that begins with 200 or 400, and then the end. It
- * has a small number of connections of its own, so that clients, however many, never take its room.
+ * Serves the admin address: one line per connection, answered by a line that begins with 200 or 400, then the connection
+ * closes. It has a small connection limit of its own, so that clients, however many, never use it up.
  */
 public final class AdminServer {
-    /** Connections held at the most, also those that get their last bytes. */
+    /** Maximum open connections, including those still being flushed. */
     public static final int MAX_CONNECTIONS = 16;
-    /** Bytes of a line at the most; ids of regions are far shorter, words between two processes no longer. */
+    /** Maximum bytes of a line; ids of regions are far shorter, messages between two processes no longer. */
     private static final int MAX_LINE_BYTES = 512;
     private static final String HANDOVER = "handover ";
-    private static final double CALL_MS = 2000;      // to the end of the line: twice what a caller waits for its answer
+    private static final double CALL_MS = 2000;      // until the line is complete: twice a caller's timeout
 
     private final AdminHandler handler;
     private final EventLoop loop;
     private final Sockets.Listener listener;
-    /** Callers without an answer, and those that get theirs; the longest so first. */
+    /** Callers without an answer, and those whose answer is being flushed; the oldest first. */
     private final Set<Caller> asking = new LinkedHashSet<>();
     private final Set<Caller> answered = new LinkedHashSet<>();
 
@@ -43,21 +43,21 @@
 
     public void open() { listener.accept(); }
 
-    /** Nobody is heard any more. */
+    /** Closes the listener and all connections. */
     public void close() {
         listener.close();
         for (Caller caller : Set.copyOf(asking)) { caller.end(); }
         for (Caller caller : Set.copyOf(answered)) { caller.end(); }
     }
 
-    /** Follows a call; the answer given to the caller ends in a line end. */
+    /** Executes a call; the answer given to the caller ends in a line end. */
     private void execute(AdminCall call, Caller caller) {
         if (call.verb() == null) {
             handler.fence().learn(call.token());
             caller.answer("200 done\n");
             return;
         }
-        // In the turn that follows it: nothing waits between the look and the act.
+        // Checked in the same event-loop task as the execution: nothing can change in between.
         if (call.token() != 0 && !handler.fence().isNew(call.id(), call.token(), call.revision())) {
             caller.answer("200 a later order holds\n");
             return;
@@ -83,12 +83,12 @@
 
     private final class Caller implements Connection.Owner {
         private final LineReader lines = new LineReader(MAX_LINE_BYTES);
-        private Connection.Owner successor;                     // whose connection this has become: the next version's
+        private Connection.Owner successor;          // the next version's handover, which took over this connection
         private final Connection link;
         private final Deadlines.Entry lineTimeout;
 
         Caller(AsynchronousSocketChannel channel) {
-            // Guards callers who ask against those who connect and say nothing: the longest so gives way.
+            // Protects active callers from idle connections: the oldest connection is closed.
             if (asking.size() + answered.size() >= MAX_CONNECTIONS) {
                 (answered.isEmpty() ? asking : answered).iterator().next().end();
             }
@@ -118,13 +118,13 @@
             return false;
         }
 
-        /** Answers, once, and lets the caller go. */
-        private void answer(String told) {
+        /** Sends the answer, once, and closes the connection after it. */
+        private void answer(String text) {
             if (!asking.contains(this)) { return; }
             loop.deadlines().cancel(lineTimeout);
             asking.remove(this);
             answered.add(this);
-            link.write(told.getBytes(StandardCharsets.US_ASCII));
+            link.write(text.getBytes(StandardCharsets.US_ASCII));
             link.finish(() -> answered.remove(this));
         }
 
--- a/src/main/java/yardusher/cli/FleetCommand.java
+++ b/src/main/java/yardusher/cli/FleetCommand.java
@@ -23,9 +23,9 @@
 import yardusher.resp.Value;
 
 /**
- * The sub-command fleet: work for all instances of an installation, asked of any one agent. Exits 0 when it was done or
- * told, 1 when it was refused or failed, 3 when no majority of the agents answers: then nobody knows whether an order was
- * taken, and the same command with the same {@code --id} may be given again.
+ * The sub-command fleet: operations on all instances of an installation, sent to any one agent. Exit code 0 if it was done or
+ * answered, 1 if it was refused or failed, 3 if no majority of the agents answers: then it is unknown whether a command was
+ * accepted, and the same command may be repeated with the same {@code --id}.
  */
 final class FleetCommand {
     private static final int TIMEOUT_MS = 15_000;
@@ -96,14 +96,14 @@
             System.err.println("yardusher: " + failure.text());
             return failure.text().startsWith("TRYAGAIN") ? EXIT_UNKNOWN : failure.text().startsWith("ERR") ? 2 : 1;
         }
-        System.out.println(answer instanceof Value.BulkString told ? told.text() : "ok");
+        System.out.println(answer instanceof Value.BulkString report ? report.text() : "ok");
         return line.hasOption("wait") ? await(config, verb.equals("roll") ? "roll" : "bans") : 0;
     }
 
-    /** Follows a work to its end, with a line for each step of its progress. */
+    /** Polls an operation until it ends and prints a line for each change of its progress. */
     private static int await(AgentConfig config, String kind) {
         for (String last = "";;) {
-            Map<String, String> work = table(config).stream().filter(one -> one.get("").equals("work") && one.get("kind").equals(kind))
+            Map<String, String> work = table(config).stream().filter(row -> row.get("").equals("work") && row.get("kind").equals(kind))
                     .findFirst().orElse(Map.of());
             String now = work.getOrDefault("state", "?") + ", " + work.getOrDefault("progress", "-") + ", held by " + work.getOrDefault("holder", "-");
             if (!now.equals(last)) { System.err.println(now); }
@@ -121,20 +121,22 @@
         }
     }
 
-    /** The agent's report: a map a line, the line's kind under the empty name. */
+    /** The agent's report: one map per line, with the line's kind under the empty key. */
     private static List<Map<String, String>> table(AgentConfig config) {
         Value answer = RespClient.call(config.control(), TIMEOUT_MS, "FLEET.READ", config.fleet().installation());
-        if (!(answer instanceof Value.BulkString told)) { throw new WireError.Refused(config.control(), answer instanceof Value.ErrorReply no ? no.text() : "no report"); }
+        if (!(answer instanceof Value.BulkString report)) {
+            throw new WireError.Refused(config.control(), answer instanceof Value.ErrorReply no ? no.text() : "no report");
+        }
         List<Map<String, String>> table = new ArrayList<>();
-        for (String line : told.text().split("\n")) {
-            Map<String, String> one = new LinkedHashMap<>();
+        for (String line : report.text().split("\n")) {
+            Map<String, String> row = new LinkedHashMap<>();
             String[] cells = line.split("\t");
-            one.put("", cells[0]);
+            row.put("", cells[0]);
             for (int i = 1; i < cells.length; i++) {
-                int is = cells[i].indexOf('=');
-                one.put(cells[i].substring(0, is), cells[i].substring(is + 1));
+                int separator = cells[i].indexOf('=');
+                row.put(cells[i].substring(0, separator), cells[i].substring(separator + 1));
             }
-            table.add(one);
+            table.add(row);
         }
         return table;
     }
@@ -148,11 +150,11 @@
             case "history" -> Set.of("register", "history");
             default -> Set.of("register", "member", "work");
         };
-        List<Map<String, String>> chosen = table.stream().filter(one -> shown.contains(one.get(""))).toList();
+        List<Map<String, String>> chosen = table.stream().filter(row -> shown.contains(row.get(""))).toList();
         if (json) { System.out.println(json(chosen)); } else {
-            for (Map<String, String> one : chosen) {
-                StringBuilder out = new StringBuilder(one.get(""));
-                one.forEach((name, value) -> out.append(name.isEmpty() ? "" : "  " + name + "=" + value));
+            for (Map<String, String> row : chosen) {
+                StringBuilder out = new StringBuilder(row.get(""));
+                row.forEach((name, value) -> out.append(name.isEmpty() ? "" : "  " + name + "=" + value));
                 System.out.println(out);
             }
         }
@@ -163,9 +165,9 @@
         StringWriter out = new StringWriter();
         try (JsonGenerator json = new JsonFactory().createGenerator(out)) {
             json.writeStartArray();
-            for (Map<String, String> one : table) {
+            for (Map<String, String> row : table) {
                 json.writeStartObject();
-                for (Map.Entry<String, String> cell : one.entrySet()) {
+                for (Map.Entry<String, String> cell : row.entrySet()) {
                     json.writeStringField(cell.getKey().isEmpty() ? "line" : cell.getKey(), cell.getValue());
                 }
                 json.writeEndObject();
--- a/src/main/java/yardusher/discovery/WatchScheduler.java
+++ b/src/main/java/yardusher/discovery/WatchScheduler.java
@@ -1,37 +1,38 @@
 package yardusher.discovery;
 
 /**
- * When discovery is asked, and which of its watches is believed. Free of I/O and clock: what happened comes in with its time in
- * milliseconds, what is to be done goes out through {@link Actions}. At most three watches stand at once, numbered from 1: the one
- * whose news hold, and two that are to follow it.
+ * Decides when to connect to discovery and which watch is active. Free of I/O and clock: events come in with their time in
+ * milliseconds, actions go out through {@link Actions}. At most three watches exist at once, numbered from 1: the active one, whose
+ * updates apply, and two candidates to replace it.
  *
- * <p>A watch is believed from its first object on, not from an empty line: an agent that has nothing to say of what was missed may
- * be one that has not got it. One whose empty lines stop for {@code SILENT_MS} is in doubt until another has spoken, and is heard
- * meanwhile. A new one is due to speak within {@code PATIENCE_MS} of its dial; then a second is dialled and the first kept, for
- * {@code LIFE_MS} in all, so that who is merely slow is heard too. Bounds, with dials that are answered at once: 3.45 s from the
- * start of a silence to the first dial, 2.25 s at most from one dial to the next, three dials within 5.4 s of a silence and four
- * within 3.3 s of a move or a start (docs/measurements/standing.md), 0.35 s more for each where this process itself was held up.
+ * <p>A watch becomes active with its first object, not with an empty line (keep-alive): an agent without news of what was missed
+ * may be one that does not have it. An active watch without keep-alives for {@code SILENCE_TIMEOUT_MS} is suspect until a
+ * candidate has sent an object, and is still read meanwhile. A candidate is due to send within {@code RESPONSE_DUE_MS} of its
+ * dial; then a second is dialled and the first kept, for {@code CANDIDATE_LIFETIME_MS} in all, so that a slow one still counts.
+ * Bounds, with dials that are answered at once: 3.45 s from the start of a silence to the first dial, 2.25 s at most from one
+ * dial to the next, three dials within 5.4 s of a silence, four within 3.3 s of a move or a start
+ * (docs/measurements/standing.md), 0.35 s more for each if this process itself was stalled.
  */
 final class WatchScheduler {
-    static final double SILENCE_TIMEOUT_MS = 3000;            // an empty line comes every 2 s
+    static final double SILENCE_TIMEOUT_MS = 3000;   // a keep-alive line comes every 2 s
     static final double RECONNECT_JITTER_MS = 300;
-    static final double RESPONSE_DUE_MS = 750;           // what an agent has is there at once
-    static final double CANDIDATE_LIFETIME_MS = 3000;              // of a watch that has not spoken
-    static final double MIN_STEADY_MS = 1000;            // of a watch whose end is one by itself
-    static final double STALL_THRESHOLD_MS = 100;               // a look this late says more about this process than about discovery
+    static final double RESPONSE_DUE_MS = 750;       // an agent sends what it has at once
+    static final double CANDIDATE_LIFETIME_MS = 3000; // of a candidate that has sent no object
+    static final double MIN_STEADY_MS = 1000;        // an active watch that lasted this long resets the backoff when it ends
+    static final double STALL_THRESHOLD_MS = 100;    // a call this late means that this process was stalled
     static final double STALL_GRACE_MS = 250;
     private static final double NEVER = Double.POSITIVE_INFINITY;
 
-    /** What a decision does; neither call comes back with an event before it has returned. */
+    /** The actions of the clock; neither calls back with an event before it has returned. */
     interface Actions {
-        /** Opens a watch of this number, which asks as {@link #asksWhole} says once it is connected. */
+        /** Opens a watch of this number, which requests what {@link #requestsFullList} says once it is connected. */
         void dial(int watch);
 
-        /** Gives up the watch, whatever has become of it. */
+        /** Closes the watch, whatever its state. */
         void close(int watch);
     }
 
-    /** A watch that has not spoken. */
+    /** A watch that has not sent an object yet. */
     private static final class Candidate {
         final int watch;
         final double dialledAtMs;
@@ -47,14 +48,14 @@
 
     private final Actions actions;
     private final Backoff backoff;
-    private int lastWatch;                             // numbers given away
-    private int active;                                // whose news hold, 0 for none
+    private int lastWatch;                           // the last number assigned
+    private int active;                              // number of the active watch, 0 for none
     private double lastHeardAtMs;
-    private double activeSinceMs;                       // since when it is that one
-    private boolean suspect;                         // it has fallen silent
-    private boolean addressChanged;                           // nothing has been told by the present address yet
-    private boolean needsFullList;                         // an heir has said an empty line and no object, or one that cannot be read
-    private Candidate first;                              // the elder of two
+    private double activeSinceMs;                    // since when that watch is active
+    private boolean suspect;                         // the active watch has fallen silent
+    private boolean addressChanged;                  // the present address has sent no object yet
+    private boolean needsFullList;                   // a candidate has sent only a keep-alive, or an unreadable object
+    private Candidate first;                         // the older of two
     private Candidate second;
     private double nextDialAtMs = NEVER;
     private boolean stopped;
@@ -64,16 +65,16 @@
         this.backoff = backoff;
     }
 
-    /** Whether nothing has been told by the present address yet. */
+    /** Whether the present address has sent no object yet. */
     boolean isAddressChanged() { return addressChanged; }
 
-    /** Whether this watch is asked, and its news are not the ones that hold. */
+    /** Whether this watch is a candidate: open, but not the active one. */
     boolean isCandidate(int watch) { return first != null && first.watch == watch || second != null && second.watch == watch; }
 
-    /** Whether a watch asks for all there is: another service's versions mean nothing, and all there is always begins with an object. */
+    /** Whether a watch requests the full list: revisions of another service mean nothing, and a full list begins with an object. */
     boolean requestsFullList() { return addressChanged || needsFullList; }
 
-    /** When {@link #look} is wanted next, if nothing happens before; infinity for never. */
+    /** When {@link #runDue} is due next, if nothing happens before; infinity for never. */
     double nextDueMs() {
         double next = nextDialAtMs;
         if (active != 0 && !suspect && !addressChanged) { next = Math.min(next, lastHeardAtMs + SILENCE_TIMEOUT_MS); }
@@ -88,7 +89,7 @@
         runDue(now);
     }
 
-    /** Discovery is found elsewhere from now on; the old one is heard until the new one has told its list. */
+    /** Discovery has moved; the old watch is read until the new address has sent its list. */
     void addressMoved(double now) {
         if (stopped) { return; }
         addressChanged = true;
@@ -105,13 +106,13 @@
         active = 0;
     }
 
-    /** An empty line: nothing has changed. */
+    /** A keep-alive (empty line): nothing has changed. */
     void keepAliveReceived(int watch, double now) {
         if (watch == active) { lastHeardAtMs = now; } else { needsFullList = needsFullList || isCandidate(watch); }
         runDue(now);
     }
 
-    /** An object: who says it is believed from now on. */
+    /** An object: a candidate that sends one becomes the active watch. */
     void objectReceived(int watch, double now) {
         if (isCandidate(watch)) {
             if (active != 0) { actions.close(active); }
@@ -129,13 +130,13 @@
         runDue(now);
     }
 
-    /** It said news that cannot be read, and is given up; of one that was just asked, all there is may be told better. */
+    /** A watch sent an unreadable update and was closed; if it was a candidate, the next one requests the full list. */
     void malformedReceived(int watch, double now) {
         needsFullList = needsFullList || isCandidate(watch);
         watchEnded(watch, now);
     }
 
-    /** It was refused, never came up, or ended. */
+    /** A watch was refused, never connected, or ended. */
     void watchEnded(int watch, double now) {
         if (watch == active) {
             active = 0;
@@ -149,13 +150,13 @@
         runDue(now);
     }
 
-    /** Does what is due. */
+    /** Takes the actions that are due. */
     void runDue(double now) {
         if (stopped) { return; }
         if (active != 0 && !suspect && !addressChanged && now >= lastHeardAtMs + SILENCE_TIMEOUT_MS) {
             suspect = true;
             resetBackoffIfSteady(now);
-            // Guards discovery: a silence falls on all at once, and they would ask in the same moment.
+            // A silence hits all ingresses at once: the jitter keeps them from reconnecting at the same moment.
             if (nextDialAtMs == NEVER && first == null) { nextDialAtMs = now + backoff.withJitter(RECONNECT_JITTER_MS); }
         }
         if (first != null && now >= first.dialledAtMs + CANDIDATE_LIFETIME_MS) {
@@ -163,25 +164,27 @@
             first = second;
             second = null;
         }
-        if (nextDialAtMs == NEVER && needsCandidate() && !isStillDue(newestCandidate(), now)) { nextDialAtMs = now + backoff.nextDelayMs(); }
+        if (nextDialAtMs == NEVER && needsCandidate() && !isStillDue(newestCandidate(), now)) {
+            nextDialAtMs = now + backoff.nextDelayMs();
+        }
         if (now < nextDialAtMs) { return; }
         nextDialAtMs = NEVER;
         if (second != null) { actions.close(second.watch); }
-        Candidate heir = new Candidate(++lastWatch, now);
-        if (first == null) { first = heir; } else { second = heir; }
-        actions.dial(heir.watch);
+        Candidate candidate = new Candidate(++lastWatch, now);
+        if (first == null) { first = candidate; } else { second = candidate; }
+        actions.dial(candidate.watch);
     }
 
-    /** Whether there is an heir that may still speak in time. */
-    private static boolean isStillDue(Candidate heir, double now) {
-        if (heir == null) { return false; }
-        // Guards against asking twice where this process was held up and the answer lies unread.
-        if (now >= heir.dueAtMs + STALL_THRESHOLD_MS && !heir.graceGranted) {
-            heir.graceGranted = true;
-            heir.dueAtMs = now + STALL_GRACE_MS;
+    /** Whether there is a candidate that may still send in time. */
+    private static boolean isStillDue(Candidate candidate, double now) {
+        if (candidate == null) { return false; }
+        // If this process was stalled, the response may be waiting unread: grant it extra time once before dialling again.
+        if (now >= candidate.dueAtMs + STALL_THRESHOLD_MS && !candidate.graceGranted) {
+            candidate.graceGranted = true;
+            candidate.dueAtMs = now + STALL_GRACE_MS;
         }
-        if (now < heir.dueAtMs) { return true; }
-        heir.graceGranted = true;
+        if (now < candidate.dueAtMs) { return true; }
+        candidate.graceGranted = true;
         return false;
     }
 
@@ -189,7 +192,7 @@
 
     private Candidate newestCandidate() { return second != null ? second : first; }
 
-    /** Guards discovery against a watch that speaks and ends at once, over and over: only one that lasted ends the backing off. */
+    /** Resets the backoff only for a watch that lasted, so that watches which send and end at once are retried less and less often. */
     private void resetBackoffIfSteady(double now) {
         if (now - activeSinceMs >= MIN_STEADY_MS) { backoff.reset(); }
     }
--- a/src/main/java/yardusher/handover/Handover.java
+++ b/src/main/java/yardusher/handover/Handover.java
@@ -19,13 +19,14 @@
 import yardusher.net.Sockets;
 
 /**
- * Two processes of one ingress while a new version takes over: finds the process that serves already, is asked by the one
- * that comes after, and says which of the two owns what; see docs/design/upgrade.md. In turns only, but for its making.
+ * Coordinates two processes of one ingress during an upgrade: finds the process that already serves, answers the one that
+ * succeeds it, and decides which of the two owns what; see docs/design/upgrade.md. Used on the event loop only, but for its
+ * construction.
  */
 public final class Handover implements PeerSender, SiblingLink.Listener {
-    /** What this program does on its way. */
+    /** What the handover asks of this process. */
     public interface ProcessActions {
-        /** A region is out by hand, or no longer; here only. */
+        /** Bans a region in this process only, or lifts the ban. */
         void ban(String region, boolean out);
 
         Collection<String> banned();
@@ -34,44 +35,44 @@
 
         boolean isDraining();
 
-        /** The module hears what an ingress says, this one's other process too. */
+        /** Delivers a message of another ingress, or of this one's other process, to the module. */
         void deliver(int from, String body);
 
-        /** Another process of this ingress is there or not; this one owns what the ingress earns, or not. */
+        /** Whether another process of this ingress runs, and whether this one owns the ingress's shares of ceilings. */
         void siblingChanged(boolean other, boolean owns);
 
-        /** Speaks and listens to the other ingresses at the port of this one; an {@link IOException} where it cannot. */
+        /** Opens the peer port of this ingress; an {@link IOException} if it cannot. */
         void openPeerPort() throws IOException;
 
         void closePeerPort();
 
-        /** Sends by the port. */
+        /** Sends a datagram from the peer port. */
         void send(int to, String body);
 
-        /** Listens for clients and takes them, now or in a later turn, and then runs that; an {@link java.io.UncheckedIOException} where it cannot. */
+        /** Starts to accept clients, now or later, and then runs {@code then}; an {@link java.io.UncheckedIOException} if it cannot. */
         void acceptClients(Runnable then);
     }
 
-    // To all that the process before has to tell, which may be short of processor time: what it does not tell in time is
-    // lost, bans with it. Half of the 6 s in which a new version is to take clients.
+    // Until the previous process, which may be short of processor time, has sent its whole state: what it does not send in time
+    // is lost, bans included. Half of the 6 s within which a new version must accept clients.
     private static final double STATE_TIMEOUT_MS = 3000;
-    private static final double BAN_CONFIRM_TIMEOUT_MS = 500;       // to the word that a ban holds there too: half a caller's patience
+    private static final double BAN_CONFIRM_TIMEOUT_MS = 500; // for the other process to confirm a ban: half of a caller's timeout
 
     private final Sockets sockets;
     private final EventLoop loop;
     private final ProcessActions process;
     private final int self;
     private final String name;
-    private final Path folder;                       // null: neither finds nor is found
+    private final Path folder;                       // null: neither finds another process nor can be found
     private final Events events;
     private HandoverFile ownFile;
     private SiblingLink sibling;
-    private boolean siblingIsNewer;                           // the other came after this one
-    private boolean ownsPeerPort;                            // this one owns the peers' port
+    private boolean siblingIsNewer;                  // the other process is the newer one
+    private boolean ownsPeerPort;                    // this process owns the peer port
     private boolean serving;
     private Deadlines.Entry stateTimeout;
 
-    /** {@code folder} is where notes lie, null for none; {@code self} this ingress's number. */
+    /** {@code folder} is where notes are stored, null for none; {@code self} this ingress's number. */
     public Handover(Sockets sockets, ProcessActions process, int self, String name, Path folder, Events events) {
         this.sockets = sockets;
         this.loop = sockets.loop();
@@ -82,15 +83,15 @@
         this.events = events;
     }
 
-    /** Whether another process of this ingress is there. */
+    /** Whether another process of this ingress is connected. */
     public boolean hasSibling() { return sibling != null; }
 
-    /** Whether the other process came after this one and takes clients, so that this one is to end. */
+    /** Whether the other process is the newer one and accepts clients, so that this one must end. */
     public boolean hasSuccessor() { return sibling != null && siblingIsNewer && !ownsPeerPort; }
 
     /**
-     * Takes clients at once, or once the process that serves already has told what it knows. {@code at} is the second
-     * address of this process, null for none.
+     * Accepts clients at once, or after the process that already serves has sent its state. {@code at} is the admin address
+     * of this process, null for none.
      */
     public void start(InetSocketAddress at) {
         HandoverFile before = null;
@@ -123,7 +124,7 @@
         if (serving) { drop.run(); }
     }
 
-    /** Nothing can be learned: as after a restart. */
+    /** Starts without the state of a previous process, as after a restart. */
     private void startWithoutPredecessor(String why) {
         if (serving) { return; }
         events.warn("starts without the process before", "why", why);
@@ -151,16 +152,16 @@
         });
     }
 
-    /** This process ends: it is not to be found any more. */
+    /** This process ends and must no longer be found. */
     public void close() {
         SiblingLink last = sibling;
-        sibling = null;                                // nothing is taken back from it
+        sibling = null;                              // so that its close does not count as a failed takeover
         if (last != null) { last.close(); } else if (ownFile != null) { ownFile.remove(folder, name); }
     }
 
     /**
-     * The next version asks for what is known, with this line; what it says afterwards comes to the result. An
-     * {@link CommandError} for one that may not.
+     * The next version requests the state with this line; what it sends afterwards goes to the returned owner. A
+     * {@link CommandError} if it may not.
      */
     public Connection.Owner acceptSuccessor(String line, LineReader lines, Connection link) {
         String[] words = line.split(" ", -1);
@@ -170,19 +171,19 @@
         }
         if (!words[1].equals(Integer.toString(HandoverFile.VERSION))) { throw new CommandError.Refused("another version is spoken here"); }
         if (sibling != null) { throw new CommandError.Refused("another process is there already"); }
-        SiblingLink heir = new SiblingLink(lines, this);
-        heir.setConnection(link);
-        sibling = heir;
+        SiblingLink successor = new SiblingLink(lines, this);
+        successor.setConnection(link);
+        sibling = successor;
         siblingIsNewer = true;
         events.info("is asked by its next version");
-        for (String region : process.banned()) { heir.sendBan(new HandoverMessage.Ban(region, true), () -> { }); }
-        if (process.isDraining()) { heir.send(new HandoverMessage.Drain(true)); }
-        process.siblingChanged(true, true);                  // the module tells its sums at this
-        heir.send(new HandoverMessage.StateComplete());
-        return heir;
+        for (String region : process.banned()) { successor.sendBan(new HandoverMessage.Ban(region, true), () -> { }); }
+        if (process.isDraining()) { successor.send(new HandoverMessage.Drain(true)); }
+        process.siblingChanged(true, true);          // makes the module send its totals
+        successor.send(new HandoverMessage.StateComplete());
+        return successor;
     }
 
-    /** Tells the other process of a ban that holds here; {@code then} runs when it holds there too, once, in half a second at the most. */
+    /** Forwards a ban to the other process; {@code then} runs once, when it holds there too or after half a second. */
     public void forwardBan(String region, boolean out, Runnable then) {
         if (sibling == null) {
             then.run();
@@ -204,7 +205,7 @@
         if (sibling != null) { sibling.send(new HandoverMessage.Drain(away)); }
     }
 
-    /** A datagram came to the port. */
+    /** A datagram arrived at the peer port. */
     public void onDatagram(int from, String body) {
         process.deliver(from, body);
         if (sibling != null) { sibling.send(new HandoverMessage.PeerDatagram(from, body)); }
@@ -222,21 +223,21 @@
     }
 
     @Override
-    public void onMessage(SiblingLink from, HandoverMessage word) {
-        if (word instanceof HandoverMessage.Ban ban) {
+    public void onMessage(SiblingLink from, HandoverMessage message) {
+        if (message instanceof HandoverMessage.Ban ban) {
             process.ban(ban.region(), ban.banned());
             from.send(new HandoverMessage.BanConfirmed());
-        } else if (word instanceof HandoverMessage.BanConfirmed) {
+        } else if (message instanceof HandoverMessage.BanConfirmed) {
             from.confirmOldestBan();
-        } else if (word instanceof HandoverMessage.Drain drain) {
+        } else if (message instanceof HandoverMessage.Drain drain) {
             process.drain(drain.away());
-        } else if (word instanceof HandoverMessage.PeerDatagram heard) {
+        } else if (message instanceof HandoverMessage.PeerDatagram heard) {
             process.deliver(heard.from(), heard.body());
-        } else if (word instanceof HandoverMessage.SendDatagram send) {
+        } else if (message instanceof HandoverMessage.SendDatagram send) {
             if (ownsPeerPort && send.to() != self) { process.send(send.to(), send.body()); }
-        } else if (word instanceof HandoverMessage.StateComplete) {
+        } else if (message instanceof HandoverMessage.StateComplete) {
             if (!siblingIsNewer) { startServing(); }
-        } else if (siblingIsNewer) {                          // it serves
+        } else if (siblingIsNewer) {                 // HandoverMessage.Serving
             ownsPeerPort = false;
             process.closePeerPort();
             process.siblingChanged(true, false);
@@ -254,12 +255,12 @@
             return;
         }
         if (before) {
-            // The new version died: this one goes on as if nothing had been. Also where its word that it serves is not
-            // known here, since a reset destroys what is not yet read.
+            // The new version died: this process continues. This holds even if its Serving message was not received, since
+            // a reset destroys unread bytes.
             ownsPeerPort = true;
             try {
                 process.openPeerPort();
-                ownFile.write(folder, name);             // the other's note leads nowhere now
+                ownFile.write(folder, name);         // the other process's note is stale now
             } catch (IOException e) {
                 events.warn("the peers' port or the note cannot be taken back", "why", e.getMessage());
             } catch (YardusherError e) {
--- a/src/main/java/yardusher/handover/SiblingLink.java
+++ b/src/main/java/yardusher/handover/SiblingLink.java
@@ -6,13 +6,13 @@
 import yardusher.net.LineReader;
 import yardusher.net.Connection;
 
-/** The link to the other process of this ingress: words in, words out. In turns only. */
+/** The link to the other process of this ingress, which exchanges {@link HandoverMessage}s. Used on the event loop only. */
 public final class SiblingLink implements Connection.Owner {
-    /** What is done with what the other says. */
+    /** Receives the messages of the other process. */
     public interface Listener {
-        void onMessage(SiblingLink from, HandoverMessage word);
+        void onMessage(SiblingLink from, HandoverMessage message);
 
-        /** The other process has ended, or says what cannot be understood. */
+        /** The other process has ended, or sent a malformed message. */
         void onSiblingGone(SiblingLink other);
     }
 
@@ -26,20 +26,20 @@
         this.listener = ear;
     }
 
-    /** The connection that carries it, whose lines are those given before. */
+    /** Sets the connection, whose input goes to the line reader given to the constructor. */
     public void setConnection(Connection carried) { connection = carried; }
 
-    public void send(HandoverMessage word) { sendLine(word.encode()); }
+    public void send(HandoverMessage message) { sendLine(message.encode()); }
 
     void sendLine(String line) { connection.write((line + "\n").getBytes(StandardCharsets.ISO_8859_1)); }
 
-    /** Says a ban; {@code then} runs once it holds there, or the other has gone. */
+    /** Sends a ban; {@code then} runs once it holds there, or the other process is gone. */
     void sendBan(HandoverMessage.Ban ban, Runnable then) {
         unconfirmedBans.add(then);
         send(ban);
     }
 
-    /** The oldest ban said holds there. */
+    /** The other process confirmed the oldest unconfirmed ban. */
     void confirmOldestBan() {
         Runnable then = unconfirmedBans.poll();
         if (then != null) { then.run(); }
@@ -48,7 +48,9 @@
     @Override
     public boolean onReadable(Connection from) {
         try {
-            for (String line; !connection.isClosed() && (line = lines.nextLine()) != null;) { listener.onMessage(this, HandoverMessage.parse(line)); }
+            for (String line; !connection.isClosed() && (line = lines.nextLine()) != null;) {
+                listener.onMessage(this, HandoverMessage.parse(line));
+            }
             return true;
         } catch (WireError e) {
             close();
@@ -59,7 +61,7 @@
     @Override
     public void onClosed(Connection from) { handleClosed(); }
 
-    /** Ends the link from this side. */
+    /** Closes the link locally. */
     public void close() {
         connection.close();
         handleClosed();
--- a/src/test/java/yardusher/cli/AdminCommandTest.java
+++ b/src/test/java/yardusher/cli/AdminCommandTest.java
@@ -15,7 +15,7 @@
 import yardusher.error.CommandError;
 import yardusher.error.WireError;
 
-/** The sub-command admin, and the same for all instances of an agent's file, at a running instance. */
+/** The sub-command admin against a running instance, for one address and for all instances of an agent's file. */
 class AdminCommandTest {
     @TempDir
     Path folder;
@@ -24,7 +24,7 @@
         int run() throws Exception;
     }
 
-    /** The exit code and what was printed. */
+    /** The exit code and the output. */
     private static String said(Asked asked) throws Exception {
         PrintStream before = System.out;
         ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void aCallIsAskedOfOneInstanceOrOfAll() throws Exception {
+    void callGoesToOneInstanceOrToAll() throws Exception {
         int[] ports = new int[2];
         for (int i = 0; i < 2; i++) {
             try (ServerSocket free = new ServerSocket(0)) { ports[i] = free.getLocalPort(); }
--- a/src/test/java/yardusher/discovery/DiscoveredBackendsTest.java
+++ b/src/test/java/yardusher/discovery/DiscoveredBackendsTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void aNewIdAtAnOldAddressMeansThatTheOldOneIsGone() throws Exception {
+    void newIdAtAKnownAddressRemovesTheKnownBackend() throws Exception {
         EventLoop loop = new EventLoop(() -> 0, e -> { throw new AssertionError(e); });
         Sockets sockets = new Sockets(loop);
         try {
@@ -40,7 +40,7 @@
             assertThat(pool.isAvailable(1)).isFalse();
             assertThat(pool.isAvailable(2)).isTrue();
             assertThat(pool.isAvailable(3)).isTrue();
-            // Named in the same news, the old one is what these say of it.
+            // A known backend named in the same update takes the state given there.
             told = table.applyLine(news(3, false, member("s-2", 82, "Terminating"), member("s-4", 82, "Ready")));
             assertThat(told.servers()).extracting(Api.Server::readiness).containsExactly(Api.Readiness.DRAINING, Api.Readiness.READY);
         } finally {
@@ -48,9 +48,9 @@
         }
     }
 
-    /** Danger: memory that grows with every region there ever was, over days of releases. */
+    /** Guards against memory that grows with every region ever listed, over days of releases. */
     @Test
-    void regionsThatCameAndWentAreForgotten() throws Exception {
+    void memoryStaysBoundedOverManyRemovedRegions() throws Exception {
         EventLoop loop = new EventLoop(() -> 0, e -> { throw new AssertionError(e); });
         Sockets sockets = new Sockets(loop);
         try {
@@ -80,7 +80,7 @@
         return told[0];
     }
 
-    /** A table with nothing behind it. */
+    /** Uses a table without a watch or an ingress. */
     private interface Told {
         void with(DiscoveredBackends table, BackendPool pool) throws Exception;
     }
@@ -98,15 +98,15 @@
         }
     }
 
-    /** Danger: a keyed request repeated in a zone that never saw its key, because two localities were taken for one zone. */
+    /** Guards against a keyed request retried in a zone that never saw its key, because two localities mapped to one zone. */
     @Test
-    void aLocalityIsTheZoneItNamesOrOneOfItsOwn() throws Exception {
+    void localityMatchesItsZoneOrIsAZoneOfItsOwn() throws Exception {
         List<String> halls = List.of("hall-a", "hall-b"), words = List.of("depot", "harbour"), numbered = List.of("north-1", "south-1", "1");
         assertThat(zone(halls, "b")).isEqualTo(1);
         assertThat(zone(halls, "hall-b")).isEqualTo(1);
         assertThat(zone(words, "harbour")).isEqualTo(1);
-        assertThat(zone(words, "b")).as("where no name tells a letter, it is the place in the list").isEqualTo(1);
-        assertThat(zone(List.of("x-a", "a"), "a")).as("the whole name goes before an end").isEqualTo(1);
+        assertThat(zone(words, "b")).as("without letters in the names, the position in the list counts").isEqualTo(1);
+        assertThat(zone(List.of("x-a", "a"), "a")).as("a full name takes precedence over a suffix").isEqualTo(1);
         assertThat(zone(List.of("hall-b", "hall-c"), "b")).isZero();
         assertThat(zone(numbered, "south-1")).isEqualTo(1);
         assertThat(zone(numbered, "1")).isEqualTo(2);
@@ -116,7 +116,7 @@
                 assertThat(zone(zones, other)).as(zones + " " + other).isGreaterThanOrEqualTo(zones.size()).isEqualTo(zone(zones, other));
                 seen.add(zone(zones, other));
             }
-            assertThat(seen).as("each is one of its own").hasSize(8);
+            assertThat(seen).as("each is a zone of its own").hasSize(8);
         }
         assertThat(zone(List.of("hall-a"), null)).isZero();
         assertThat(zone(List.of(), null)).isZero();
@@ -124,15 +124,15 @@
     }
 
     @Test
-    void backendsOfWhichNoCellIsToldShareNone() throws Exception {
+    void backendsWithoutACellShareNone() throws Exception {
         int one = told(List.of(), "s-1", "").cell(), other = told(List.of(), "s-2", "").cell();
         assertThat(one).isNotEqualTo(other).isGreaterThan(1_000_000);
         assertThat(told(List.of(), "s-1", "\"cell\":7,").cell()).isEqualTo(7);
     }
 
-    /** Danger: two backends taken for one, of which only one is then ever asked. */
+    /** Guards against two backends with the same number, of which only one would get attempts. */
     @Test
-    void idsOfAnyFormAreToldApart() {
+    void idsOfAnyFormAreDistinct() {
         assertThat(DiscoveredBackends.numericId("s-5be2a07c")).isEqualTo(0x5be2a07cL);
         assertThat(DiscoveredBackends.numericId("s-1")).isEqualTo(1);
         java.util.Set<Long> seen = new java.util.HashSet<>();
@@ -143,7 +143,7 @@
         assertThat(seen).hasSize(forms.length * 50).allMatch(id -> id >= 0 && id < 1L << 32);
     }
 
-    /** News of which nothing can be used change nothing: no backend, no version, nothing of what the module was told. */
+    /** An update without a usable entry changes no backend, no revision, and nothing in the module. */
     @ParameterizedTest
     @ValueSource(strings = {"{}", "[]", "1", "null", "\"a\"", "{\"revision\":9,\"complete\":true,\"members\":\"s-1\"}", "{\"revision\":9,\"complete\":true}",
         "{\"revision\":9,\"complete\":true,\"members\":[]}", "{\"revision\":9,\"complete\":true,\"members\":[1,null,\"a\",[]]}",
@@ -151,7 +151,7 @@
         "{\"revision\":\"9\",\"complete\":false,\"members\":[GONE]}", "{\"revision\":-1,\"complete\":false,\"members\":[GONE]}",
         "{\"revision\":1e300,\"complete\":false,\"members\":[GONE]}", "{\"revision\":99999999999999999999999999,\"complete\":false,\"members\":[GONE]}",
         "{\"revision\":9,\"complete\":false,\"members\":[GONE", "{\"members\":[[[[[[", "{\"error\":\"not ready\"}"})
-    void spoiltNewsChangeNothing(String text) throws Exception {
+    void unusableUpdatesChangeNothing(String text) throws Exception {
         table((table, pool) -> {
             table.applyLine(news(1, true, member("s-1", 81, "Ready"), member("s-2", 82, "Ready")));
             assertThatThrownBy(() -> table.applyLine(text.replace("GONE", member("s-1", 81, "Gone")))).isInstanceOf(IOException.class);
@@ -163,23 +163,23 @@
     }
 
     @Test
-    void anEmptyListIsBelievedWhereNothingIsKnown() throws Exception {
+    void emptyListIsAcceptedIfNothingIsKnown() throws Exception {
         table((table, pool) -> {
             assertThat(table.applyLine(news(1, true)).servers()).isEmpty();
             assertThat(table.revision()).isEqualTo(1);
         });
     }
 
-    /** The entries that can be read count; nobody is forgotten, and one known by an entry that cannot be read gets nothing new. */
+    /** Readable entries apply; no backend is removed, and a known one with an unreadable entry gets no new attempts. */
     @Test
-    void oneSpoiltEntryAmongOthersTakesNothingElseWithIt() throws Exception {
+    void unreadableEntryDoesNotAffectTheOthers() throws Exception {
         for (String bad : List.of(member("s-3", 83, "Ready").replace("127.0.0.1:83", "nowhere"), member("s-3", 83, "Ready").replace("\"Ready\"", "7"),
                 member("s-3", 83, "Ready").replace("1.0", "\"much\""), "{\"id\":\"s-3\"}", member("s-3", 83, "Ready").replace(":83", ":99999"))) {
             table((table, pool) -> {
                 table.applyLine(news(1, true, member("s-1", 81, "Ready"), member("s-2", 82, "Ready"), member("s-3", 83, "Ready")));
                 Api.ServerList told = table.applyLine(news(5, true, "7", member("s-1", 81, "Terminating"), bad, member("s-4", 84, "Ready")));
                 assertThat(table.unreadableEntries()).isEqualTo(2);
-                assertThat(table.revision()).as("what could not be read is told again").isEqualTo(1);
+                assertThat(table.revision()).as("the revision stays, so that unreadable entries are sent again").isEqualTo(1);
                 assertThat(told.kind()).isEqualTo(Api.ListKind.DELTA);
                 assertThat(told.servers()).extracting(Api.Server::id, Api.Server::readiness).containsExactlyInAnyOrder(
                         tuple(1L, Api.Readiness.DRAINING), tuple(4L, Api.Readiness.READY), tuple(3L, Api.Readiness.DRAINING));
@@ -193,13 +193,13 @@
     }
 
     @Test
-    void oddEntriesAreTakenAsTheyCan() throws Exception {
+    void unusualEntriesAreAccepted() throws Exception {
         table((table, pool) -> {
             Api.ServerList told = table.applyLine(news(1, true, member("s-1", 81, "Ready"), member("s-1", 81, "Terminating"), member("s-2", 82, "Resting"),
                     member("no hex", 83, "Ready"), member("", 84, "Ready"), member("s-5", 85, "Ready").replace("\"locality\":\"a\",", ""),
                     member("s-6", 86, "Ready").replace("\"size\":1.0", "\"size\":-1e308"), member("s-7", 81, "Ready")));
-            assertThat(table.listed(1).readiness()).as("the last word of two").isEqualTo(Api.Readiness.DRAINING);
-            assertThat(table.listed(2).readiness()).as("a phase that is not known").isEqualTo(Api.Readiness.DRAINING);
+            assertThat(table.listed(1).readiness()).as("the last of two entries").isEqualTo(Api.Readiness.DRAINING);
+            assertThat(table.listed(2).readiness()).as("an unknown phase").isEqualTo(Api.Readiness.DRAINING);
             assertThat(told.servers()).hasSize(8);
             assertThat(table.size()).isEqualTo(7);
             table.applyLine(news(2, false, member("s-5", 99, "Ready")));
@@ -208,18 +208,18 @@
         });
     }
 
-    /** A version that no double can tell from its neighbours is asked from as it was told. */
+    /** A revision beyond the precision of a double is requested exactly as it was received. */
     @Test
-    void aLongVersionIsKeptToItsLastDigit() throws Exception {
+    void longRevisionKeepsAllDigits() throws Exception {
         table((table, pool) -> {
             table.applyLine(news(1, false).replace("\"revision\":1", "\"revision\":1733106404123456789"));
             assertThat(table.revision()).isEqualTo(1_733_106_404_123_456_789L);
         });
     }
 
-    /** A list of 10,000 is read, joined by as many more, and ended. */
+    /** A list of 10,000 backends is read, extended by as many, and reduced to one. */
     @Test
-    void aListOfTenThousandIsRead() throws Exception {
+    void listOfTenThousandIsRead() throws Exception {
         table((table, pool) -> {
             String[] first = new String[10_000];
             String[] second = new String[10_000];
--- a/src/test/java/yardusher/nginx/NginxImporterTest.java
+++ b/src/test/java/yardusher/nginx/NginxImporterTest.java
@@ -15,7 +15,7 @@
     Path folder;
 
     @Test
-    void upstreamAndLocationsBecomeAConfigurationThatServeReads() throws Exception {
+    void upstreamAndLocationsBecomeAReadableConfiguration() throws Exception {
         NginxImporter.Result result = NginxImporter.run(Files.readString(Path.of("example/shop.conf")), null);
         Path file = folder.resolve("out.json");
         Files.writeString(file, result.json());
@@ -29,14 +29,14 @@
         assertThat(config.known().objects("members")).extracting(m -> m.text("host_port") + " " + m.number("size"))
                 .containsExactly("127.0.0.1:7001 2.0", "127.0.0.1:7002 1.0");
         assertThat(result.notes()).containsExactly(
-                "line 2: limit_req_zone: becomes the plan basis; its key $http_x_partner does not: transactions name their partner",
+                "line 2: limit_req_zone: becomes the plan basis; its key $http_x_partner does not: requests name their customer",
                 "line 5: least_conn: not supported; the decision module chooses the region",
                 "line 6: server: max_fails=3 is not supported",
                 "line 23: proxy_set_header: not supported");
     }
 
     @Test
-    void everythingWithoutACounterpartIsNamedWithItsLine() throws Exception {
+    void unsupportedDirectivesAreReportedWithTheirLine() throws Exception {
         NginxImporter.Result result = NginxImporter.run("""
                 http {
                   gzip on;
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void whatIsNotNginxIsRefusedWithItsLine() {
+    void syntaxErrorsAreReportedWithTheirLine() {
         for (String[] bad : new String[][] {{"upstream a {\nserver x;", "line 1: block is not closed"}, {"a b", "line 1: .*not ended.*"},
             {"\n}", "line 2: unexpected.*"}, {";", "line 1: unexpected.*"}, {"a \"b", "line 1: quote is not closed"},
             {"{".repeat(100), "line 1: unexpected.*"}, {"a {".repeat(100), "line 1: blocks nested too deep"},
