--- a/lab/src/yardusher/lab/scale/HollowBackends.java
+++ b/lab/src/yardusher/lab/scale/HollowBackends.java
@@ -23,7 +23,7 @@
     private static final double RETIRED_PART = 0.7;  // the four as in BackendPool
     private static final double UPKEEP_MS = 1000;
     private static final double SETTLED_MS = 30;
-    private static final int POOL_FIFTHS = 2;        // of five fifths of the descriptors, as in Serve
+    private static final int POOL_FIFTHS = 2;        // of five fifths of the descriptors, as in IngressProcess
     private static final int OWN_DESCRIPTORS = 64;
     private static final byte[] VALUE = {'v'};
 
--- a/src/main/java/yardusher/admin/AdminServer.java
+++ b/src/main/java/yardusher/admin/AdminServer.java
@@ -53,7 +53,7 @@
     /** Executes a call; the answer given to the caller ends in a line end. */
     private void execute(AdminCall call, Caller caller) {
         if (call.verb() == null) {
-            handler.fence().learn(call.token());
+            handler.fence().acceptToken(call.token());
             caller.answer("200 done\n");
             return;
         }
@@ -72,7 +72,7 @@
             case COUNTERS -> caller.answer(handler.counterLines() + "EOF\n");
             case CORDON, UNCORDON -> {
                 handler.ban(call.id(), call.verb() == AdminCall.Verb.CORDON, () -> caller.answer("200 done\n"));
-                if (call.token() != 0) { handler.fence().took(call.id(), call.revision()); }
+                if (call.token() != 0) { handler.fence().recordApplied(call.id(), call.revision()); }
             }
             default -> {
                 handler.drain(call.verb() == AdminCall.Verb.QUIESCE);
--- a/src/main/java/yardusher/cli/IngressProcess.java
+++ b/src/main/java/yardusher/cli/IngressProcess.java
@@ -19,7 +19,7 @@
 import yardusher.admin.AdminServer;
 import yardusher.admin.StatsdReport;
 import yardusher.admin.AdminHandler;
-import yardusher.agent.Hangup;
+import yardusher.agent.SighupStatus;
 import yardusher.clients.PlatformFrontend;
 import yardusher.core.Counters;
 import yardusher.core.Ingress;
@@ -511,7 +511,7 @@
         Runtime.getRuntime().addShutdownHook(end);
         reloads.set(serve);
         reloadIfRequested(serve, asked, file, settingsFile);
-        if (Hangup.isIgnored()) { System.err.println(config.name() + " " + Hangup.TOLD); }
+        if (SighupStatus.isIgnored()) { System.err.println(config.name() + " " + SighupStatus.IGNORED_HINT); }
         try {
             serve.start();
         } catch (IOException | RuntimeException e) {
