--- a/lab/src/yardusher/lab/fleet/Costs.java
+++ b/lab/src/yardusher/lab/fleet/Costs.java
@@ -9,7 +9,7 @@
 import java.util.Random;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.Semaphore;
-import yardusher.disk.Folder;
+import yardusher.disk.Directory;
 import yardusher.disk.Storage;
 import yardusher.register.Answer;
 import yardusher.register.Kind;
@@ -152,7 +152,7 @@
     /** A member alone writes so many entries, with snapshots; then how long its store takes to open and to be applied. */
     private static void recovery(Path path, int entries) throws Exception {
         Files.createDirectories(path);
-        Storage folder = Folder.writing(path, "m0");
+        Storage folder = Directory.openForWriting(path, "m0");
         Store store = Store.begin(folder, "site", "m0", false);
         Loop loop = new Loop("register", 200);
         Node node = node(store, loop, view -> { });
--- a/src/main/java/yardusher/fence/Memory.java
+++ b/src/main/java/yardusher/fence/Memory.java
@@ -13,7 +13,7 @@
 import java.util.function.Consumer;
 import yardusher.core.EventLoop;
 import yardusher.disk.Fields;
-import yardusher.disk.Ledger;
+import yardusher.disk.DurableLog;
 import yardusher.disk.Storage;
 import yardusher.error.RegisterError;
 
@@ -41,8 +41,8 @@
         thread.setDaemon(true);
         return thread;
     });
-    private Ledger ledger;
-    private final List<Ledger.Line> waiting = new ArrayList<>();
+    private DurableLog ledger;
+    private final List<DurableLog.LogRecord> waiting = new ArrayList<>();
     private final List<Consumer<IOException>> awaiting = new ArrayList<>();
     private boolean writing;
     private final Map<String, Long> lasting = new LinkedHashMap<>(); // tokens whose seal is on disk, by work
@@ -62,16 +62,16 @@
      */
     public static Memory open(Storage storage, String installation, String member, EventLoop loop) throws IOException {
         Memory memory = new Memory(installation, member, loop);
-        Ledger.Content content = new Ledger.Content() {
+        DurableLog.LoggedState content = new DurableLog.LoggedState() {
             @Override
-            public void take(Ledger.Line line) throws IOException { memory.take(line); }
+            public void apply(DurableLog.LogRecord line) throws IOException { memory.take(line); }
 
             @Override
-            public List<Ledger.Line> base() { return memory.base(); }
+            public List<DurableLog.LogRecord> snapshot() { return memory.base(); }
         };
         try {
-            memory.ledger = Ledger.isThere(storage, PREFIX) ? Ledger.open(storage, PREFIX, MAGIC, content, SEGMENT_BYTES)
-                    : Ledger.begin(storage, PREFIX, MAGIC, content, SEGMENT_BYTES);
+            memory.ledger = DurableLog.exists(storage, PREFIX) ? DurableLog.open(storage, PREFIX, MAGIC, content, SEGMENT_BYTES)
+                    : DurableLog.create(storage, PREFIX, MAGIC, content, SEGMENT_BYTES);
         } catch (IOException e) {
             throw new RegisterError.Damaged(null, String.valueOf(e.getMessage()), e);
         }
@@ -84,7 +84,7 @@
     /** The process last started for an instance, or null. */
     public Started started(String instance) { return started.get(instance); }
 
-    private void take(Ledger.Line line) throws IOException {
+    private void take(DurableLog.LogRecord line) throws IOException {
         Fields f = Fields.read(line.body());
         switch (line.kind()) {
             case WHOSE -> {
@@ -108,9 +108,9 @@
     }
 
     /** What still counts. Runs on the disk's thread while turns wait for nothing: see {@link #write}. */
-    private List<Ledger.Line> base() {
-        List<Ledger.Line> base = new ArrayList<>();
-        base.add(new Ledger.Line(WHOSE, new Fields.Out().text(1, installation).text(2, member).toBytes()));
+    private List<DurableLog.LogRecord> base() {
+        List<DurableLog.LogRecord> base = new ArrayList<>();
+        base.add(new DurableLog.LogRecord(WHOSE, new Fields.Writer().text(1, installation).text(2, member).toBytes()));
         for (String work : fence.works()) {
             base.add(line(SEAL, work, fence.sealed(work), null, null, null, null));
             fence.steps(work).forEach((id, step) -> {
@@ -122,13 +122,13 @@
         return base;
     }
 
-    private static Ledger.Line line(int kind, String work, long token, String step, String act, String before, String outcome) {
-        return new Ledger.Line(kind, new Fields.Out().text(1, work).number(2, token).text(3, step).text(4, act).text(5, before)
+    private static DurableLog.LogRecord line(int kind, String work, long token, String step, String act, String before, String outcome) {
+        return new DurableLog.LogRecord(kind, new Fields.Writer().text(1, work).number(2, token).text(3, step).text(4, act).text(5, before)
                 .text(6, outcome).toBytes());
     }
 
-    private static Ledger.Line startedLine(String name, Started one) {
-        return new Ledger.Line(STARTED, new Fields.Out().text(1, name).number(2, one.count()).number(3, one.pid()).number(4, one.startedMs())
+    private static DurableLog.LogRecord startedLine(String name, Started one) {
+        return new DurableLog.LogRecord(STARTED, new Fields.Writer().text(1, name).number(2, one.count()).number(3, one.pid()).number(4, one.startedMs())
                 .toBytes());
     }
 
@@ -172,7 +172,7 @@
     /** How often an instance was started, over all lives of this agent. */
     public long starts(String instance) { return started.containsKey(instance) ? started.get(instance).count() : 0; }
 
-    private void write(Ledger.Line line, Consumer<IOException> then) {
+    private void write(DurableLog.LogRecord line, Consumer<IOException> then) {
         waiting.add(line);
         awaiting.add(then);
         if (!writing) { flush(); }
@@ -181,7 +181,7 @@
     private void flush() {
         if (waiting.isEmpty()) { return; }
         writing = true;
-        List<Ledger.Line> lines = new ArrayList<>(waiting);
+        List<DurableLog.LogRecord> lines = new ArrayList<>(waiting);
         List<Consumer<IOException>> heirs = new ArrayList<>(awaiting);
         waiting.clear();
         awaiting.clear();
@@ -191,7 +191,7 @@
                 try {
                     ledger.append(lines);
                     ledger.force();
-                    if (ledger.isLong()) { loop.execute(this::rollLater); }
+                    if (ledger.isDueToRoll()) { loop.execute(this::rollLater); }
                 } catch (IOException e) {
                     why = e;
                 }
@@ -216,7 +216,7 @@
 
     /** The base is taken in a turn, so that nothing changes under it; writing it is the disk's. */
     private void rollLater() {
-        List<Ledger.Line> base = base();
+        List<DurableLog.LogRecord> base = base();
         disk.execute(() -> {
             try {
                 ledger.roll(base);
--- a/src/main/java/yardusher/keys/KeysSubsystem.java
+++ b/src/main/java/yardusher/keys/KeysSubsystem.java
@@ -12,7 +12,7 @@
 public final class KeysSubsystem implements Subsystem {
     private final KeySettings settings;
     private final JournalSettings journal;
-    private KeyedIntake intake;
+    private KeyedRequestAcceptor intake;
 
     /** {@code journal} is null where there is none: then a restart forgets all keys. */
     public KeysSubsystem(KeySettings settings, JournalSettings journal) {
@@ -26,16 +26,16 @@
     @Override
     public RequestAcceptor intake(Site site, RequestAcceptor inner) throws IOException {
         List<String> classes = site.classes();
-        intake = new KeyedIntake(inner, site.loop(), settings, site.settings().classes(), classes);
+        intake = new KeyedRequestAcceptor(inner, site.loop(), settings, site.settings().classes(), classes);
         if (journal != null) {
-            Journal.earlier(journal, site.name(), site.loop().now() - intake.longestLifetimeMs(), (key, print, className, sentAt, endedAt, ran) ->
+            Journal.forEachEarlierRequest(journal, site.name(), site.loop().now() - intake.longestLifetimeMs(), (key, print, className, sentAt, endedAt, ran) ->
                     intake.restore(key, print, classes.indexOf(className), sentAt, endedAt, ran));
         }
         return intake;
     }
 
     @Override
-    public void join(Site site) { site.front().enableKeyCommands(intake::told, intake::line); }
+    public void join(Site site) { site.front().enableKeyCommands(intake::describe, intake::line); }
 
     @Override
     public String line() { return intake.line(); }
--- a/src/main/java/yardusher/register/Messages.java
+++ b/src/main/java/yardusher/register/Messages.java
@@ -28,7 +28,7 @@
     private Messages() { }
 
     static byte[] encode(RaftMessage message) {
-        Fields.Out out = new Fields.Out();
+        Fields.Writer out = new Fields.Writer();
         if (message instanceof AppendEntriesRequest m) {
             head(out, 1, m).number(QUERY, m.getQuerySequenceNumber()).number(FLOW, m.getFlowControlSequenceNumber())
                     .number(A, m.getPreviousLogIndex()).number(B, m.getPreviousLogTerm()).number(C, m.getCommitIndex());
@@ -67,7 +67,7 @@
         return out.toBytes();
     }
 
-    private static Fields.Out head(Fields.Out out, int kind, RaftMessage m) {
+    private static Fields.Writer head(Fields.Writer out, int kind, RaftMessage m) {
         return out.number(KIND, kind).text(SENDER, Models.name(m.getSender())).number(TERM, m.getTerm());
     }
 
@@ -76,36 +76,36 @@
         Fields f = Fields.read(bytes);
         RaftEndpoint from = Models.member(f.text(SENDER));
         if (from == null || f.number(TERM) < 0 || f.number(TERM) > Integer.MAX_VALUE) { throw new IOException("no message of a member"); }
-        int term = f.whole(TERM);
+        int term = f.intNumber(TERM);
         long query = f.number(QUERY);
         long flow = f.number(FLOW);
-        return switch (f.whole(KIND)) {
+        return switch (f.intNumber(KIND)) {
             case 1 -> {
                 List<LogEntry> entries = new ArrayList<>();
                 for (byte[] one : f.all(ENTRY)) { entries.add(Models.entry(one)); }
                 yield Models.FACTORY.createAppendEntriesRequestBuilder().setGroupId(group).setSender(from).setTerm(term)
-                        .setPreviousLogTerm(f.whole(B)).setPreviousLogIndex(f.number(A)).setCommitIndex(f.number(C)).setLogEntries(entries)
+                        .setPreviousLogTerm(f.intNumber(B)).setPreviousLogIndex(f.number(A)).setCommitIndex(f.number(C)).setLogEntries(entries)
                         .setQuerySequenceNumber(query).setFlowControlSequenceNumber(flow).build();
             }
             case 2 -> Models.FACTORY.createAppendEntriesSuccessResponseBuilder().setGroupId(group).setSender(from).setTerm(term)
                     .setLastLogIndex(f.number(A)).setQuerySequenceNumber(query).setFlowControlSequenceNumber(flow).build();
             case 3 -> Models.FACTORY.createAppendEntriesFailureResponseBuilder().setGroupId(group).setSender(from).setTerm(term)
                     .setExpectedNextIndex(f.number(A)).setQuerySequenceNumber(query).setFlowControlSequenceNumber(flow).build();
-            case 4 -> Models.FACTORY.createVoteRequestBuilder().setGroupId(group).setSender(from).setTerm(term).setLastLogTerm(f.whole(B))
+            case 4 -> Models.FACTORY.createVoteRequestBuilder().setGroupId(group).setSender(from).setTerm(term).setLastLogTerm(f.intNumber(B))
                     .setLastLogIndex(f.number(A)).setSticky(f.flag(FLAG)).build();
             case 5 -> Models.FACTORY.createVoteResponseBuilder().setGroupId(group).setSender(from).setTerm(term).setGranted(f.flag(FLAG)).build();
-            case 6 -> Models.FACTORY.createPreVoteRequestBuilder().setGroupId(group).setSender(from).setTerm(term).setLastLogTerm(f.whole(B))
+            case 6 -> Models.FACTORY.createPreVoteRequestBuilder().setGroupId(group).setSender(from).setTerm(term).setLastLogTerm(f.intNumber(B))
                     .setLastLogIndex(f.number(A)).build();
             case 7 -> Models.FACTORY.createPreVoteResponseBuilder().setGroupId(group).setSender(from).setTerm(term).setGranted(f.flag(FLAG)).build();
             case 8 -> Models.FACTORY.createInstallSnapshotRequestBuilder().setGroupId(group).setSender(from).setTerm(term)
-                    .setSenderLeader(f.flag(FLAG)).setSnapshotTerm(f.whole(B)).setSnapshotIndex(f.number(A)).setTotalSnapshotChunkCount(f.whole(C))
+                    .setSenderLeader(f.flag(FLAG)).setSnapshotTerm(f.intNumber(B)).setSnapshotIndex(f.number(A)).setTotalSnapshotChunkCount(f.intNumber(C))
                     .setSnapshotChunk(f.has(PART) ? Models.part(f.bytes(PART)) : null).setSnapshottedMembers(Models.members(f.texts(NAMES)))
                     .setGroupMembersView(Models.members(f.bytes(MEMBERS))).setQuerySequenceNumber(query).setFlowControlSequenceNumber(flow).build();
             case 9 -> Models.FACTORY.createInstallSnapshotResponseBuilder().setGroupId(group).setSender(from).setTerm(term)
-                    .setSnapshotIndex(f.number(A)).setRequestedSnapshotChunkIndex(f.whole(B)).setQuerySequenceNumber(query)
+                    .setSnapshotIndex(f.number(A)).setRequestedSnapshotChunkIndex(f.intNumber(B)).setQuerySequenceNumber(query)
                     .setFlowControlSequenceNumber(flow).build();
             case 10 -> Models.FACTORY.createTriggerLeaderElectionRequestBuilder().setGroupId(group).setSender(from).setTerm(term)
-                    .setLastLogTerm(f.whole(B)).setLastLogIndex(f.number(A)).build();
+                    .setLastLogTerm(f.intNumber(B)).setLastLogIndex(f.number(A)).build();
             default -> throw new IOException("a message that is not known here");
         };
     }
--- a/src/main/java/yardusher/register/Op.java
+++ b/src/main/java/yardusher/register/Op.java
@@ -49,7 +49,7 @@
 
     /** As a message, in the fields of register.proto. */
     default byte[] encode() {
-        Fields.Out out = new Fields.Out();
+        Fields.Writer out = new Fields.Writer();
         if (this instanceof Submit o) {
             out.number(1, 1).text(2, o.command).text(3, o.by).number(4, o.atMs).number(5, o.kind.ordinal()).text(6, o.order)
                     .flag(7, o.takeOver);
@@ -80,7 +80,7 @@
     static Op decode(byte[] bytes) throws IOException {
         Fields f = Fields.read(bytes);
         Kind kind = Kind.values()[within(f.number(5), Kind.values().length)];
-        return switch (f.whole(1)) {
+        return switch (f.intNumber(1)) {
             case 1 -> new Submit(f.text(2), f.text(3), f.number(4), kind, f.text(6), f.flag(7));
             case 2 -> new Stop(f.text(2), f.text(3), f.number(4), kind);
             case 3 -> new StepDown(f.text(2), f.text(3), kind);
--- a/src/main/java/yardusher/register/Register.java
+++ b/src/main/java/yardusher/register/Register.java
@@ -226,20 +226,20 @@
 
     /** The whole state, as a message. */
     public byte[] encode() {
-        Fields.Out out = new Fields.Out().number(1, tokens).number(2, applied);
+        Fields.Writer out = new Fields.Writer().number(1, tokens).number(2, applied);
         works.values().forEach(work -> out.bytes(3, work.encode()));
-        commands.forEach((id, answer) -> out.bytes(4, new Fields.Out().text(1, id).bytes(2, answer.encode()).toBytes()));
+        commands.forEach((id, answer) -> out.bytes(4, new Fields.Writer().text(1, id).bytes(2, answer.encode()).toBytes()));
         out.texts(5, history);
-        addresses.forEach((member, address) -> out.bytes(6, new Fields.Out().text(1, member).text(2, address).toBytes()));
+        addresses.forEach((member, address) -> out.bytes(6, new Fields.Writer().text(1, member).text(2, address).toBytes()));
         return out.texts(7, forgotten).toBytes();
     }
 
     /** What is told to a reader, in one message between agents: without checkpoints, and without the answers to commands. */
     private byte[] brief() {
-        Fields.Out out = new Fields.Out().number(1, tokens).number(2, applied);
+        Fields.Writer out = new Fields.Writer().number(1, tokens).number(2, applied);
         works.values().forEach(work -> out.bytes(3, work.brief().encode()));
         out.texts(5, history);
-        addresses.forEach((member, address) -> out.bytes(6, new Fields.Out().text(1, member).text(2, address).toBytes()));
+        addresses.forEach((member, address) -> out.bytes(6, new Fields.Writer().text(1, member).text(2, address).toBytes()));
         return out.texts(7, forgotten).toBytes();
     }
 
--- a/src/main/java/yardusher/register/Store.java
+++ b/src/main/java/yardusher/register/Store.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import yardusher.disk.Fields;
-import yardusher.disk.Ledger;
+import yardusher.disk.DurableLog;
 import yardusher.disk.Storage;
 import yardusher.error.RegisterError;
 
@@ -32,7 +32,7 @@
     private final String installation;
     private final String member;
     private boolean joins;
-    private Ledger ledger;
+    private DurableLog ledger;
     private RaftEndpointPersistentState local;
     private RaftGroupMembersView members;
     private RaftTermPersistentState term;
@@ -46,7 +46,7 @@
     }
 
     /** Whether a folder holds a member's store, whole or not. */
-    public static boolean isThere(Storage storage) throws IOException { return Ledger.isThere(storage, PREFIX); }
+    public static boolean isThere(Storage storage) throws IOException { return DurableLog.exists(storage, PREFIX); }
 
     /**
      * Begins a new member in a folder that holds none, once in its life: a member that lost its disk must not come back
@@ -56,7 +56,7 @@
     public static Store begin(Storage storage, String installation, String member, boolean joins) throws IOException {
         if (isThere(storage)) { throw new RegisterError.Occupied(null); }
         Store store = new Store(installation, member, joins);
-        store.ledger = Ledger.begin(storage, PREFIX, MAGIC, store.content(), SEGMENT_BYTES);
+        store.ledger = DurableLog.create(storage, PREFIX, MAGIC, store.content(), SEGMENT_BYTES);
         return store;
     }
 
@@ -72,7 +72,7 @@
         }
         Store store = new Store(installation, member, false);
         try {
-            store.ledger = Ledger.open(storage, PREFIX, MAGIC, store.content(), SEGMENT_BYTES);
+            store.ledger = DurableLog.open(storage, PREFIX, MAGIC, store.content(), SEGMENT_BYTES);
         } catch (IOException e) {
             throw new RegisterError.Damaged(null, String.valueOf(e.getMessage()), e);
         }
@@ -106,17 +106,17 @@
     /** Log entries kept now. */
     public int entries() { return log.size(); }
 
-    private Ledger.Content content() {
-        return new Ledger.Content() {
+    private DurableLog.LoggedState content() {
+        return new DurableLog.LoggedState() {
             @Override
-            public void take(Ledger.Line line) throws IOException { Store.this.take(line); }
+            public void apply(DurableLog.LogRecord line) throws IOException { Store.this.take(line); }
 
             @Override
-            public List<Ledger.Line> base() { return Store.this.base(); }
+            public List<DurableLog.LogRecord> snapshot() { return Store.this.base(); }
         };
     }
 
-    private void take(Ledger.Line line) throws IOException {
+    private void take(DurableLog.LogRecord line) throws IOException {
         if (line.kind() == WHOSE) {
             Fields f = Fields.read(line.body());
             if (!f.text(1).equals(installation) || !f.text(2).equals(member)) {
@@ -134,7 +134,7 @@
             case MEMBERS -> members = Models.members(line.body());
             case TERM -> {
                 Fields f = Fields.read(line.body());
-                term = Models.FACTORY.createRaftTermPersistentStateBuilder().setTerm(f.whole(1)).setVotedFor(Models.member(f.text(2))).build();
+                term = Models.FACTORY.createRaftTermPersistentStateBuilder().setTerm(f.intNumber(1)).setVotedFor(Models.member(f.text(2))).build();
             }
             case ENTRY -> {
                 LogEntry entry = Models.entry(line.body());
@@ -156,26 +156,26 @@
         if (isWhole(snapshots.get(part.getIndex()))) { snapshots.headMap(part.getIndex(), false).clear(); }
     }
 
-    private List<Ledger.Line> base() {
-        List<Ledger.Line> base = new ArrayList<>();
-        base.add(new Ledger.Line(WHOSE, new Fields.Out().text(1, installation).text(2, member).flag(3, joins).toBytes()));
+    private List<DurableLog.LogRecord> base() {
+        List<DurableLog.LogRecord> base = new ArrayList<>();
+        base.add(new DurableLog.LogRecord(WHOSE, new Fields.Writer().text(1, installation).text(2, member).flag(3, joins).toBytes()));
         if (local != null) { base.add(localLine()); }
-        if (members != null) { base.add(new Ledger.Line(MEMBERS, Models.members(members))); }
+        if (members != null) { base.add(new DurableLog.LogRecord(MEMBERS, Models.members(members))); }
         if (term != null) { base.add(termLine()); }
-        snapshots.values().forEach(parts -> parts.values().forEach(part -> base.add(new Ledger.Line(PART, Models.part(part)))));
-        log.values().forEach(entry -> base.add(new Ledger.Line(ENTRY, Models.entry(entry))));
+        snapshots.values().forEach(parts -> parts.values().forEach(part -> base.add(new DurableLog.LogRecord(PART, Models.part(part)))));
+        log.values().forEach(entry -> base.add(new DurableLog.LogRecord(ENTRY, Models.entry(entry))));
         return base;
     }
 
-    private Ledger.Line localLine() {
-        return new Ledger.Line(LOCAL, new Fields.Out().text(1, Models.name(local.getLocalEndpoint())).flag(2, local.isVoting()).toBytes());
+    private DurableLog.LogRecord localLine() {
+        return new DurableLog.LogRecord(LOCAL, new Fields.Writer().text(1, Models.name(local.getLocalEndpoint())).flag(2, local.isVoting()).toBytes());
     }
 
-    private Ledger.Line termLine() {
-        return new Ledger.Line(TERM, new Fields.Out().number(1, term.getTerm()).text(2, Models.name(term.getVotedFor())).toBytes());
+    private DurableLog.LogRecord termLine() {
+        return new DurableLog.LogRecord(TERM, new Fields.Writer().number(1, term.getTerm()).text(2, Models.name(term.getVotedFor())).toBytes());
     }
 
-    private void write(List<Ledger.Line> lines, boolean durably) throws IOException {
+    private void write(List<DurableLog.LogRecord> lines, boolean durably) throws IOException {
         ledger.append(lines);
         if (durably) { ledger.force(); }
     }
@@ -189,7 +189,7 @@
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView view) throws IOException {
         members = view;
-        write(List.of(new Ledger.Line(MEMBERS, Models.members(view))), true);
+        write(List.of(new DurableLog.LogRecord(MEMBERS, Models.members(view))), true);
     }
 
     @Override
@@ -200,34 +200,34 @@
 
     @Override
     public void persistLogEntries(List<LogEntry> entries) throws IOException {
-        List<Ledger.Line> lines = new ArrayList<>(entries.size());
-        for (LogEntry entry : entries) { lines.add(new Ledger.Line(ENTRY, Models.entry(entry))); }
+        List<DurableLog.LogRecord> lines = new ArrayList<>(entries.size());
+        for (LogEntry entry : entries) { lines.add(new DurableLog.LogRecord(ENTRY, Models.entry(entry))); }
         write(lines, false);
         entries.forEach(entry -> log.put(entry.getIndex(), entry));
-        if (ledger.isLong()) { ledger.roll(); }
+        if (ledger.isDueToRoll()) { ledger.roll(); }
     }
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk part) throws IOException {
-        write(List.of(new Ledger.Line(PART, Models.part(part))), false);
+        write(List.of(new DurableLog.LogRecord(PART, Models.part(part))), false);
         hold(part);
     }
 
     @Override
     public void truncateLogEntriesFrom(long index) throws IOException {
-        write(List.of(new Ledger.Line(CUT_FROM, new Fields.Out().number(1, index).toBytes())), false);
+        write(List.of(new DurableLog.LogRecord(CUT_FROM, new Fields.Writer().number(1, index).toBytes())), false);
         log.tailMap(index, true).clear();
     }
 
     @Override
     public void truncateLogEntriesUntil(long index) throws IOException {
-        write(List.of(new Ledger.Line(CUT_UNTIL, new Fields.Out().number(1, index).toBytes())), false);
+        write(List.of(new DurableLog.LogRecord(CUT_UNTIL, new Fields.Writer().number(1, index).toBytes())), false);
         log.headMap(index, true).clear();
     }
 
     @Override
     public void deleteSnapshotChunks(long index, int count) throws IOException {
-        write(List.of(new Ledger.Line(DROP, new Fields.Out().number(1, index).toBytes())), false);
+        write(List.of(new DurableLog.LogRecord(DROP, new Fields.Writer().number(1, index).toBytes())), false);
         snapshots.remove(index);
     }
 
--- a/src/main/java/yardusher/settings/Settings.java
+++ b/src/main/java/yardusher/settings/Settings.java
@@ -32,7 +32,7 @@
     public static Settings read(Path file) {
         if (file == null || isSilent(file)) { return OFF; }
         return Toml.read(file, toml -> {
-            Settings all = new Settings(JournalSettings.of(toml.only(TABLES)), KeySettings.of(toml), LogSettings.of(toml), fenced(toml),
+            Settings all = new Settings(JournalSettings.of(toml.allowOnly(TABLES)), KeySettings.of(toml), LogSettings.of(toml), fenced(toml),
                     ViewSettings.of(toml), UnitSettings.of(toml), ConnectionQuotaSettings.of(toml), RateSettings.of(toml));
             String lone = all.view != null ? null : all.units != null ? "units" : all.parts != null ? "parts" : all.rates != null ? "rates" : null;
             if (lone != null) { throw new ConfigError.Conflict(null, lone, lone + " needs a table view, by which ingresses reach one another"); }
@@ -43,7 +43,7 @@
     /** Whether this ingress takes orders of the fleet's work at its second address. */
     private static boolean fenced(Toml file) {
         Toml table = file.table("fleet");
-        return table != null && table.only(Set.of("orders")).flag("orders", true);
+        return table != null && table.allowOnly(Set.of("orders")).flag("orders", true);
     }
 
     private static boolean isSilent(Path file) {
