--- a/src/main/java/yardusher/disk/Directory.java
+++ b/src/main/java/yardusher/disk/Directory.java
@@ -14,11 +14,11 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A folder on a disk. Opened for writing it holds a lock, so that no second process writes there. */
+/** A directory of the file system. Opened for writing, it holds a file lock that keeps a second process from writing to it. */
 public final class Directory implements Storage {
     public static final String LOCK_FILE = "lock";
 
-    /** Somebody else writes in the folder. */
+    /** Another process, or another instance in this process, has the directory open for writing. */
     public static final class LockedException extends IOException {
         private static final long serialVersionUID = 1L;
 
@@ -33,13 +33,16 @@
         this.lock = lock;
     }
 
-    /** Opens a folder to look at it; nothing in it is changed. */
+    /** Opens a directory for reading; changes nothing in it. */
     public static Directory openForReading(Path path) throws IOException {
         if (!Files.isDirectory(path)) { throw new IOException("not a folder"); }
         return new Directory(path, null);
     }
 
-    /** Opens a folder to write in it, makes it where it is not there, and locks it. The message is a few plain words without the path; {@link Held} where another writes. */
+    /**
+     * Opens a directory for writing: creates it if it does not exist, and locks it. Messages of exceptions do not contain the
+     * path; {@link Held} if it is locked already.
+     */
     public static Directory openForWriting(Path path, String who) throws IOException {
         FileChannel channel;
         try {
@@ -63,7 +66,7 @@
         return new Directory(path, channel);
     }
 
-    /** Whether some process holds the folder open for writing now. */
+    /** Whether a process has the directory open for writing. */
     public static boolean isLocked(Path path) {
         try (FileChannel channel = FileChannel.open(path.resolve(LOCK_FILE), StandardOpenOption.WRITE)) {
             FileLock held = channel.tryLock();
--- a/src/main/java/yardusher/disk/DurableLog.java
+++ b/src/main/java/yardusher/disk/DurableLog.java
@@ -10,21 +10,21 @@
 import java.util.zip.CRC32C;
 
 /**
- * A log of small records that must never be forgotten: numbered segments, of which each begins with all that still
- * counts (its base), so that the older ones can go. Nothing here passes over damage: a torn tail of the last segment is
- * cut, since what it held was never told to anyone; any other damage is an {@link IOException} in one plain line, and
- * the owner must not go on as if nothing had been written. Used by one thread, which may wait on the disk.
+ * A durable log of small records in numbered segments. Each segment begins with a snapshot of the current state, so older
+ * segments can be deleted. Damage is never skipped: a torn tail of the last segment is dropped, since its records were
+ * never acknowledged; any other damage is an {@link IOException}, and the owner must not continue as if nothing had been
+ * written. Used by a single thread, which may block on the disk.
  */
 public final class DurableLog implements Closeable {
-    /** One record: what it is, in a number above 0 of its owner's, and a message. */
+    /** A record: its kind, a number above 0 that the owner assigns, and its encoded message. */
     public record LogRecord(int kind, byte[] body) { }
 
-    /** What the owner of a ledger keeps of its records. */
+    /** The state that the owner of a log builds from its records. */
     public interface LoggedState {
-        /** One record, in order; those of a base first. An {@link IOException} for one that its owner cannot have written. */
+        /** Applies one record, in order, those of the snapshot first. Throws an {@link IOException} for a record that the owner cannot have written. */
         void apply(LogRecord line) throws IOException;
 
-        /** What still counts, as the records that give it again. */
+        /** The current state, as the records that restore it. */
         List<LogRecord> snapshot();
     }
 
@@ -64,12 +64,12 @@
         out = ByteBuffer.allocate(Math.max(64 * 1024, 2 * framing.maxFrameBytes()));
     }
 
-    /** Whether a folder holds a ledger of this name, whole or not. */
+    /** Whether a directory holds segments of this log, complete or not. */
     public static boolean exists(Storage storage, String prefix) throws IOException {
         return !numbers(storage, prefix).isEmpty();
     }
 
-    /** Begins a ledger in a folder that holds none, with the content's base. */
+    /** Creates a log in a directory that holds none, with a snapshot of the state. */
     public static DurableLog create(Storage storage, String prefix, long magic, LoggedState content, long segmentBytes) throws IOException {
         DurableLog ledger = new DurableLog(storage, prefix, magic, content, segmentBytes);
         ledger.roll();
@@ -77,17 +77,17 @@
     }
 
     /**
-     * Reads what was written into the content and goes on behind it, in a segment of its own.
+     * Replays an existing log into the state, then begins a new segment.
      *
-     * @throws IOException where there is none, where it is damaged, or where the next segment cannot be written
+     * @throws IOException if there is none, if it is damaged, or if the next segment cannot be written
      */
     public static DurableLog open(Storage storage, String prefix, long magic, LoggedState content, long segmentBytes) throws IOException {
         DurableLog ledger = new DurableLog(storage, prefix, magic, content, segmentBytes);
         List<Long> numbers = numbers(storage, prefix);
         int last = numbers.size() - 1;
-        // A segment whose base was never ended is one of a roll that was cut off: nothing was written behind it.
+        // A segment with an incomplete snapshot comes from an interrupted roll; no records were appended to it.
         while (last >= 0 && ledger.isSnapshotIncomplete(numbers.get(last))) { last--; }
-        if (last < 0) { throw new IOException("no " + prefix + " segment is whole"); }
+        if (last < 0) { throw new IOException("no " + prefix + " segment is complete"); }
         ledger.replay(numbers.get(last));
         ledger.number = numbers.get(numbers.size() - 1);
         ledger.roll();
@@ -108,7 +108,7 @@
         return numbers;
     }
 
-    /** Whether a segment ends before its base does, as a crash leaves it; damage before a valid frame is none of that. */
+    /** Whether a segment ends before the end of its snapshot, as a crash leaves it. False if there is damage before a valid frame. */
     private boolean isSnapshotIncomplete(long segment) throws IOException {
         boolean[] spoilt = new boolean[1];
         try (Storage.Source source = storage.open(name(prefix, segment))) {
@@ -136,18 +136,18 @@
                 if (record.kind() != SNAPSHOT_END) {
                     content.apply(record);
                 } else if (based || Fields.read(record.body()).number(1) != count) {
-                    throw new IOException(name + ": its base is not whole");
+                    throw new IOException(name + ": its snapshot is incomplete");
                 } else {
                     based = true;
                 }
             }
-            if (damage[0] != null || !based) { throw new IOException(damage[0] == null ? name + ": its base is not whole" : damage[0]); }
+            if (damage[0] != null || !based) { throw new IOException(damage[0] == null ? name + ": its snapshot is incomplete" : damage[0]); }
         }
     }
 
-    /** Writes records; where that fails nothing of them stands. Durable once {@link #force} has returned. */
+    /** Appends all of the records, or none of them if a write fails. They are durable once {@link #force} has returned. */
     public void append(List<LogRecord> records) throws IOException {
-        if (active == null) { throw new IOException(prefix + ": no longer written"); }
+        if (active == null) { throw new IOException(prefix + ": closed after an earlier failure"); }
         long good = size;
         try {
             size += put(active, number, records);
@@ -162,24 +162,24 @@
         }
     }
 
-    /** Returns once all that was appended survives a loss of power. After a failure the ledger is never written again. */
+    /** Returns once all appended records survive a power failure. After a failure the log is not written again. */
     public void force() throws IOException {
-        if (active == null) { throw new IOException(prefix + ": no longer written"); }
+        if (active == null) { throw new IOException(prefix + ": closed after an earlier failure"); }
         try {
             active.force();
         } catch (IOException e) {
-            abandon();                               // nobody knows what the disk holds now
+            abandon();                               // after a failed sync the content of the disk is unknown
             throw e;
         }
     }
 
-    /** Whether the segment is large enough to be left; the owner calls {@link #roll} when its content is at rest. */
+    /** Whether the segment has reached its maximum size; the owner calls {@link #roll} when its state is not changing. */
     public boolean isDueToRoll() { return size >= segmentBytes; }
 
-    /** Begins the next segment with the content's base, durably, and lets the older ones go. On failure all stays as it was. */
+    /** Begins the next segment with a durable snapshot of the state and deletes the older one. A failure leaves everything as it was. */
     public void roll() throws IOException { roll(content.snapshot()); }
 
-    /** The same with a base that was taken when the content was at rest. */
+    /** The same with a snapshot that was taken while the state was not changing. */
     public void roll(List<LogRecord> content) throws IOException {
         long next = number + 1;
         String name = name(prefix, next);
@@ -236,10 +236,10 @@
         active = null;
         try {
             file.close();
-        } catch (IOException e) { /* it is left either way */ }
+        } catch (IOException e) { /* the file is no longer used */ }
     }
 
-    /** Leaves the file; the folder stays its owner's. */
+    /** Closes the active file; the directory still belongs to its owner. */
     @Override
     public void close() throws IOException {
         Storage.Appender file = active;
--- a/src/main/java/yardusher/disk/Fields.java
+++ b/src/main/java/yardusher/disk/Fields.java
@@ -14,8 +14,8 @@
 import java.util.TreeMap;
 
 /**
- * A protobuf message as its fields by number, for messages that are few and small: stores and what agents say to one
- * another. A field that is not there reads as 0 or as the empty text; unknown fields are kept out of nobody's way.
+ * A protobuf message as a map from field number to values, without generated classes. For small messages: the records of
+ * stores and the messages between agents. An absent field reads as 0 or as the empty string; unknown fields are ignored.
  */
 public final class Fields {
     private static final byte[] NOTHING = {};
@@ -23,10 +23,10 @@
 
     private Fields() { }
 
-    /** Reads a whole message; an {@link IOException} for bytes that are none. */
+    /** Parses a whole message; throws an {@link IOException} for bytes that are not a protobuf message. */
     public static Fields read(byte[] message) throws IOException { return read(CodedInputStream.newInstance(message)); }
 
-    /** Reads to the end of the stream. */
+    /** Parses a message that extends to the end of the stream. */
     public static Fields read(CodedInputStream in) throws IOException {
         Fields fields = new Fields();
         for (int tag; (tag = in.readTag()) != 0;) {
@@ -34,7 +34,7 @@
             switch (WireFormat.getTagWireType(tag)) {
                 case WireFormat.WIRETYPE_VARINT -> value = in.readUInt64();
                 case WireFormat.WIRETYPE_LENGTH_DELIMITED -> value = in.readByteArray();
-                default -> throw new InvalidProtocolBufferException("a field of a kind that is not written here");
+                default -> throw new InvalidProtocolBufferException("unsupported protobuf wire type");
             }
             fields.values.computeIfAbsent(WireFormat.getTagFieldNumber(tag), none -> new ArrayList<>(1)).add(value);
         }
@@ -53,12 +53,12 @@
 
     public String text(int field) { return new String(bytes(field), StandardCharsets.UTF_8); }
 
-    /** All values of a repeated field of bytes. */
+    /** All values of a repeated bytes field. */
     public List<byte[]> all(int field) {
         return values.getOrDefault(field, List.of()).stream().filter(byte[].class::isInstance).map(byte[].class::cast).toList();
     }
 
-    /** All values of a repeated field of text. */
+    /** All values of a repeated string field. */
     public List<String> texts(int field) {
         return all(field).stream().map(bytes -> new String(bytes, StandardCharsets.UTF_8)).toList();
     }
@@ -68,7 +68,7 @@
         return all == null ? null : all.get(all.size() - 1);
     }
 
-    /** Writes a message, in the order of the calls. Zero, false and empty values are left out. */
+    /** Builds a message; fields are written in the order of the calls. Zero, false and empty values are omitted. */
     public static final class Writer {
         private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(128);
         private final CodedOutputStream out = CodedOutputStream.newInstance(bytes);
@@ -90,7 +90,7 @@
             return this;
         }
 
-        /** Null is left out; an empty array is written, so that a message without fields stands in a list. */
+        /** Omits null. An empty array is written, so that a message without fields counts in a repeated field. */
         public Writer bytes(int field, byte[] value) {
             if (value == null) { return this; }
             return write(() -> out.writeByteArray(field, value));
@@ -105,7 +105,7 @@
             try {
                 writing.run();
             } catch (IOException e) {
-                throw new UncheckedIOException(e);   // never: it goes to memory
+                throw new UncheckedIOException(e);   // cannot happen: the stream writes to memory
             }
             return this;
         }
--- a/src/main/java/yardusher/disk/Framing.java
+++ b/src/main/java/yardusher/disk/Framing.java
@@ -7,9 +7,10 @@
 import java.util.zip.CRC32C;
 
 /**
- * The framing of a segment file: eight bytes of magic, then frames of a marker, a version, a length, a CRC32C over
- * the segment's number, version, length and payload, and the payload, a message of one kind of store. The number in the
- * sum keeps a frame of one segment from being taken for one of another. Writing: {@link #put}. Reading: {@link Reader}.
+ * The format of a segment file: an 8-byte magic number, then frames. A frame is a marker, a version, a length, a CRC32C over
+ * the segment's number, version, length and payload, and the payload, a message that the store's {@link Codec} encodes. The
+ * segment's number in the checksum keeps a frame of one segment from being accepted in another. {@link #put} writes frames,
+ * {@link Reader} reads them.
  */
 public final class Framing<T> {
     public static final int MAGIC_BYTES = 8;
@@ -17,12 +18,12 @@
     private static final byte MARKER = (byte) 0xD5;
     private static final byte VERSION = 1;
 
-    /** The messages of one kind of store. */
+    /** Encodes and decodes the messages of a store. */
     public interface Codec<T> {
-        /** Writes a message; an {@link IOException} where it is longer than a frame may be. */
+        /** Writes a message; throws an {@link IOException} if it exceeds the maximum payload. */
         void encode(T entry, CodedOutputStream out) throws IOException;
 
-        /** Reads one; null for a kind that a later version writes, an {@link IOException} for what is none. */
+        /** Reads a message; null for a kind that only a later version knows. Throws an {@link IOException} if it is malformed. */
         T decode(CodedInputStream in) throws IOException;
     }
 
@@ -30,22 +31,22 @@
     private final int maxPayloadBytes;
     private final Codec<T> codec;
 
-    /** {@code mostPayload}: bytes, at most 65,535; whatever claims to be longer is damage. */
+    /** {@code mostPayload}: in bytes, at most 65,535; a frame with a greater length counts as damaged. */
     public Framing(long magic, int mostPayload, Codec<T> codec) {
         this.magic = magic;
         this.maxPayloadBytes = mostPayload;
         this.codec = codec;
     }
 
-    /** Bytes that a frame can take. */
+    /** The size of the largest frame, in bytes. */
     public int maxFrameBytes() { return HEADER_BYTES + maxPayloadBytes; }
 
     public void putMagic(ByteBuffer out) { out.putLong(magic); }
 
     /**
-     * Appends an entry's frame at the buffer's position. Needs a heap buffer with room for a whole frame.
+     * Appends the frame of an entry at the buffer's position. Needs a heap buffer with space for the largest frame.
      *
-     * @throws IOException where the entry is longer than a frame may be
+     * @throws IOException if the entry exceeds the maximum payload
      */
     public void put(long segment, T entry, ByteBuffer out, CRC32C sum) throws IOException {
         int at = out.position();
@@ -66,31 +67,31 @@
         return (int) sum.getValue();
     }
 
-    /** What a reader passed over. */
+    /** Is notified of the bytes that a reader skipped. */
     public interface DamageListener {
-        /** Bytes from one offset to before another that hold no valid frame; {@code torn}: nothing valid follows. */
+        /** The bytes from {@code from} (inclusive) to {@code to} (exclusive) hold no valid frame; {@code torn}: no valid frame follows them. */
         void onDamage(long from, long to, boolean torn);
     }
 
-    /** Reads the frames of one segment in order, and goes on behind whatever is damaged. */
+    /** Reads the frames of one segment in order and continues after damaged bytes. */
     public class Reader {
         private final Storage.Source source;
         private final long segment;
         private final DamageListener damage;
         private final CRC32C sum = new CRC32C();
         private final ByteBuffer window = ByteBuffer.allocate(256 * 1024);
-        private long windowOffset;                       // the file's offset of the window's first byte
+        private long windowOffset;                       // file offset of the first byte of the window
         private long frameOffset;
-        private long damageStart;                           // first byte of damage not yet reported, or -1
+        private long damageStart;                           // offset of the first damaged byte not yet reported, or -1
         private final long limit;
-        private boolean ended;                       // the file was read to its end
+        private boolean ended;                       // the end of the file has been read
 
-        /** Reads from the beginning. */
+        /** Reads the whole segment. */
         public Reader(Storage.Source source, long segment, DamageListener damage) throws IOException {
             this(source, segment, damage, 0, Long.MAX_VALUE);
         }
 
-        /** Reads the frames that begin from one offset to before another; the first must be a frame's, or 0. */
+        /** Reads the frames that begin from {@code start} to before {@code end}; {@code start} must be 0 or the offset of a frame. */
         public Reader(Storage.Source source, long segment, DamageListener damage, long start, long end) throws IOException {
             this.source = source;
             this.segment = segment;
@@ -102,17 +103,17 @@
             if (start == 0) {
                 fill();
                 if (window.remaining() < MAGIC_BYTES || window.getLong(window.position()) != magic) {
-                    damageStart = 0;                        // a damaged magic costs itself alone: frames are found behind it
+                    damageStart = 0;                        // frames after a damaged magic are still found
                 } else {
                     window.position(MAGIC_BYTES);
                 }
             }
         }
 
-        /** The offset of the frame given last. */
+        /** The offset of the frame that was returned last. */
         public long frameOffset() { return frameOffset; }
 
-        /** The offset behind the frame given last. */
+        /** The offset of the end of the frame that was returned last. */
         public long position() { return windowOffset + window.position(); }
 
         /** The next entry, or null at the end. */
@@ -133,7 +134,7 @@
                     try {
                         entry = codec.decode(CodedInputStream.newInstance(window.array(), at + HEADER_BYTES, length));
                     } catch (IOException e) {
-                        whole = false;               // its sum is right and its message is not: no frame of ours
+                        whole = false;               // valid checksum, malformed message: not a frame of this store
                     }
                 }
                 if (!whole) {
@@ -144,7 +145,7 @@
                 frameOffset = windowOffset + at;
                 report(frameOffset, false);
                 window.position(at + HEADER_BYTES + length);
-                if (entry != null) { return entry; } // else one of a later version's kinds
+                if (entry != null) { return entry; } // null: a kind of a later version, skipped
             }
         }
 
--- a/src/test/java/yardusher/disk/DurableLogTest.java
+++ b/src/test/java/yardusher/disk/DurableLogTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import yardusher.lab.MemoryDisk;
 
-/** A log that forgets nothing it has synced, through deaths at any moment, and starts from nothing never. */
+/** The durable log keeps all synced records through crashes at any moment, and never starts empty over existing segments. */
 class DurableLogTest {
     private static final class Numbers implements DurableLog.LoggedState {
         final List<Long> held = new ArrayList<>();
@@ -81,7 +81,7 @@
         ledger.append(List.of(Numbers.line(1), Numbers.line(2), Numbers.line(3)));
         ledger.force();
         byte[] bytes = disk.bytes(disk.list().get(0));
-        bytes[bytes.length - 18] ^= 4;               // in the record before the last
+        bytes[bytes.length - 18] ^= 4;               // in the last record but one
         assertThatThrownBy(() -> open(disk, new Numbers())).isInstanceOf(IOException.class).hasMessageContaining("damaged");
     }
 }
