--- a/src/main/java/yardusher/file/Toml.java
+++ b/src/main/java/yardusher/file/Toml.java
@@ -14,17 +14,17 @@
 import yardusher.error.ConfigError;
 import yardusher.error.YardusherError;
 
-/** A table of a TOML file with typed access; every complaint is a {@link ConfigError} that names the key. */
+/** A table of a TOML file with typed access; every invalid value is reported as a {@link ConfigError} that names the key. */
 public final class Toml {
     private final UnmodifiableConfig table;
-    private final String prefix;                     // of keys in complaints, such as "journal."
+    private final String prefix;                     // of keys in error messages, such as "journal."
 
     private Toml(UnmodifiableConfig table, String prefix) {
         this.table = table;
         this.prefix = prefix;
     }
 
-    /** Reads a file and makes of it what the caller wants; complaints name the file. A reader may still throw what is no error of ours. */
+    /** Reads a file and converts it; errors name the file. The parser may also throw exceptions that are not its own, which count as syntax errors. */
     public static <T> T read(Path file, Function<Toml, T> into) {
         try (Reader text = Files.newBufferedReader(file)) {
             return into.apply(new Toml(new TomlParser().parse(text), ""));
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Complains of any other key: a misspelt one must not pass for a default. */
+    /** Rejects any other key, so that a misspelt key does not silently fall back to its default. */
     public Toml allowOnly(Set<String> keys) {
         for (UnmodifiableConfig.Entry entry : table.entrySet()) {
             String key = entry.getKey();
@@ -69,7 +69,7 @@
         throw invalidValue(key, "true or false");
     }
 
-    /** One of a few words. */
+    /** One of the allowed strings. */
     public String choice(String key, String defaultValue, String... allowed) {
         Object value = table.get(key);
         if (value == null) { return defaultValue; }
@@ -81,7 +81,7 @@
         return list(key, String.class, "texts");
     }
 
-    /** The tables of an array of tables; empty where it is left out. */
+    /** The tables of an array of tables; empty if it is absent. */
     public List<Toml> tables(String key) {
         return list(key, UnmodifiableConfig.class, "tables").stream().map(one -> new Toml(one, prefix + key + ".")).toList();
     }
@@ -93,7 +93,7 @@
         throw invalidValue(key, "a list of " + what);
     }
 
-    /** One table, or null where it is left out. */
+    /** A table, or null if it is absent. */
     public Toml table(String key) {
         Object one = table.get(key);
         if (one == null) { return null; }
