--- a/src/main/java/yardusher/journal/EntryCodec.java
+++ b/src/main/java/yardusher/journal/EntryCodec.java
@@ -10,8 +10,8 @@
 import yardusher.core.RequestLog;
 
 /**
- * Entries as protobuf messages, in the fields of journal.proto. Written with the runtime's streams and no generated
- * classes: a message here is a dozen numbers, and the streams alone are two classes to load instead of hundreds.
+ * Encodes entries as the protobuf messages of journal.proto. Uses the streams of the protobuf runtime instead of generated
+ * classes: a message has about a dozen numeric fields, and the streams are two classes to load instead of hundreds.
  */
 final class EntryCodec {
     private static final int OPENED = 1, CARRIED = 2, SNAPSHOT_END = 3, TAKEN = 4, INTENDED = 5, WRITTEN = 6, ENDED = 7,
@@ -103,7 +103,7 @@
         }
     }
 
-    /** Reads one message; null for a kind of a later version. An IOException tells of one that cannot be read. */
+    /** Decodes a message; null for a kind of a later version. Throws an IOException for a malformed message. */
     static Entry decode(CodedInputStream in) throws IOException {
         int kind = 0;
         long atUs = 0;
@@ -209,7 +209,7 @@
     }
 
     private static Entry.RequestFacts needed(Entry.RequestFacts facts) throws IOException {
-        if (facts == null) { throw new IOException("an entry without the order's facts"); }
+        if (facts == null) { throw new IOException("an entry without the properties of its request"); }
         return facts;
     }
 
--- a/src/main/java/yardusher/journal/Indexer.java
+++ b/src/main/java/yardusher/journal/Indexer.java
@@ -7,9 +7,9 @@
 import java.util.concurrent.TimeUnit;
 import yardusher.disk.Storage;
 
-/** Builds the indexes of sealed segments, on a thread of its own that is there only while there is work. */
+/** Builds the indexes of sealed segments on a background thread that exists only while there is work. */
 final class Indexer {
-    private static final int MAX_QUEUED = 10_000;  // one that finds no room is built at the next start, or by a reader
+    private static final int MAX_QUEUED = 10_000;  // an index dropped here is built at the next start, and until then readers do without
 
     private final Storage storage;
     private final ExecutorService thread;
@@ -26,21 +26,21 @@
         thread = one;
     }
 
-    /** Writes the index of a segment that has just been sealed. Called from any thread; returns at once. */
+    /** Writes the index of a segment that was just sealed. Callable from any thread; does not block. */
     void write(long segment, SegmentIndex.Builder index, long end) {
         thread.execute(() -> {
             try {
                 index.write(storage, segment, end);
-            } catch (IOException e) { /* no room: readers do without */ }
+            } catch (IOException e) { /* disk full: readers work without an index */ }
         });
     }
 
-    /** Builds a sealed segment's index where there is none yet. Called from any thread; returns at once. */
+    /** Builds the index of a sealed segment if it does not exist. Callable from any thread; does not block. */
     void build(long segment) {
         thread.execute(() -> {
             try {
                 if (!storage.list().contains(SegmentFiles.indexName(segment))) { SegmentIndex.build(storage, segment); }
-            } catch (IOException e) { /* retired meanwhile, or no room: readers do without */ }
+            } catch (IOException e) { /* retired meanwhile, or disk full: readers work without an index */ }
         });
     }
 }
--- a/src/main/java/yardusher/journal/Journal.java
+++ b/src/main/java/yardusher/journal/Journal.java
@@ -17,22 +17,22 @@
 import yardusher.log.Events;
 
 /**
- * The journal of sent orders: what is told of transactions that must not run twice is written ahead to segment files.
- * An attempt is parked until its intent is as durable as configured. Used in loop, none of which waits: entries gather
- * in a batch, which goes to the writing thread at the turn's end where an attempt waits for it, or a little later;
- * while one batch is written the next gathers, and all that wait in it share its write.
+ * The write-ahead journal of requests that must not run twice, kept in segment files. An attempt is not sent before its
+ * intent is as durable as configured. Used on the event loop, which never blocks: entries are collected in a batch. The batch
+ * goes to the writer thread at the end of the turn if an attempt waits for it, otherwise after {@code flush_ms}. While one batch is
+ * written, the next is collected, and all attempts that wait in a batch share its write.
  */
 public final class Journal implements RequestLog {
-    /** Entries that gather at the most; further ones are lost, and counted. */
+    /** Maximum number of entries in a batch; further entries are dropped and counted as lost. */
     static final int MAX_PENDING_ENTRIES = 20_000;
-    private static final double INITIAL_RETRY_MS = 100;      // after a write that failed; doubles
+    private static final double INITIAL_RETRY_MS = 100;      // after a failed write; doubles with each failure
     private static final double MAX_RETRY_MS = 2000;
-    private static final double RECHECK_MS = 1000;      // while there is no room, it is looked for
+    private static final double RECHECK_MS = 1000;      // between checks for free space while the disk is full
 
-    /** Whether intents can be recorded now. */
+    /** Whether intents can be recorded. */
     enum Health { GOOD, FULL, STALLED, FAILING }
 
-    /** Figures for operators. */
+    /** Counters for operators. */
     public static final class Counts {
         public long entries;
         public long batches;
@@ -62,8 +62,8 @@
     private Batch pending = new Batch();
     private Batch spare = new Batch();
     private Batch inFlight;
-    private boolean submitScheduled;                       // at this turn's end
-    // Two deadlines that run on and are seldom set: one of each batch's own would wake the deadlines' thread each time.
+    private boolean submitScheduled;                       // for the end of this turn
+    // Two long-lived deadlines: a deadline for each batch would wake the timer thread each time.
     private Deadlines.Entry flushDeadline;
     private Deadlines.Entry stallDeadline;
     private double inFlightSinceMs;
@@ -75,10 +75,10 @@
     private boolean recordsFingerprints;
 
     /**
-     * Opens the folder, finds what the last life left open and begins a new life. Reads and writes the disk, so it is
-     * called before the first turn. {@code events} gets whatever an operator should know.
+     * Opens the folder, recovers the requests that the last life left open and begins a new life. Blocks on the disk, so it
+     * must be called before the event loop's first turn. {@code events} receives what an operator should know.
      *
-     * @throws JournalError in one plain line where the folder cannot be used or another process uses it
+     * @throws JournalError if the folder cannot be used, or another process uses it
      */
     public static Journal open(JournalSettings settings, String instance, Api.Settings site, List<String> classes,
             List<String> plans, EventLoop loop, Events events) throws IOException {
@@ -136,10 +136,10 @@
             countUnrecorded();
             return Admission.UNRECORDED;
         }
-        return Admission.RECORDED;                   // told with its first intent, which comes in this turn or never
+        return Admission.RECORDED;                   // written with its first intent, which follows in this turn or not at all
     }
 
-    /** Whether an intent can be recorded as durable as settings say, as far as is known now. */
+    /** Whether an intent can be made as durable as configured, as far as is known. */
     private boolean canRecord() {
         return health == Health.GOOD && pending.entries.size() < MAX_PENDING_ENTRIES / 2
                 && writer.unsyncedMs() < settings.windowMs() + settings.stallMs();
@@ -157,7 +157,7 @@
         pending.waiters.add(new Waiter(attempt, then));
         if (inFlight == null && !submitScheduled) {
             submitScheduled = true;
-            loop.defer(this::submitPending);        // all that this turn gathers shares the write
+            loop.defer(this::submitPending);        // all entries of this turn share one write
         }
     }
 
@@ -178,14 +178,14 @@
 
     @Override
     public void attemptEnded(Attempt attempt, Api.Outcome outcome) {
-        if (!attempt.intentLogged) { return; }              // sent on unrecorded: the gap tells of it
+        if (!attempt.intentLogged) { return; }              // sent without a record: counted in the next Gap entry
         enqueue(new Entry.Ended(nowUs(), attempt.request.number, attempt.number, outcome, attempt.mayHaveBeenSent()));
     }
 
     @Override
     public void answered(Request t, Answer answer) {
         if (!t.logged) {
-            // Guards the folder's room against a flood beyond a quota: what was never tried is counted, not told.
+            // Keeps a flood of requests beyond a quota from filling the folder: requests without an attempt are only counted.
             counts.untried++;
             if (!settings.recordsUnattempted()) { return; }
             enqueue(new Entry.Accepted(takenUs(t), t.number, facts(t)));
@@ -207,7 +207,7 @@
     }
 
     private boolean enqueue(Entry entry) {
-        // Guards the heap while the disk hangs: outcomes past this bound are lost, and the loss is recorded.
+        // Bounds the heap while the disk hangs: outcomes beyond this limit are lost, and the loss is recorded.
         if (pending.entries.size() >= MAX_PENDING_ENTRIES) {
             counts.lost++;
             gapLost++;
@@ -247,7 +247,7 @@
             releaseWaiters(pending);
             loop.deadlines().schedule(loop.now() + retryMs, () -> submit(batch));
             retryMs = Math.min(MAX_RETRY_MS, 2 * retryMs);
-            return;                                  // it goes on flying: nothing may overtake it
+            return;                                  // the batch stays in flight: entries must be written in order
         }
         retryMs = INITIAL_RETRY_MS;
         setHealth(result.full() ? Health.FULL : Health.GOOD, result.full() ? "no room" : "");
@@ -277,7 +277,7 @@
         });
     }
 
-    /** Looks whether a batch has been with the writing thread for too long. */
+    /** Checks whether the writer thread has held a batch for too long. */
     private void checkForStall() {
         stallDeadline = null;
         if (inFlight == null || health == Health.STALLED) { return; }
@@ -289,7 +289,7 @@
         }
     }
 
-    /** The disk hangs: what waits for it has waited long enough. */
+    /** The disk hangs: stops waiting for it. */
     private void onStall() {
         counts.stalls++;
         setHealth(Health.STALLED, "a write has taken " + (long) settings.stallMs() + " ms");
@@ -297,7 +297,7 @@
         releaseWaiters(pending);
     }
 
-    /** Intents that are not recorded in time: given up at once, or sent on and the gap counted, as settings say. */
+    /** Handles attempts whose intent was not recorded in time: refuses them, or sends them unrecorded and counts the gap, as configured. */
     private void releaseWaiters(Batch batch) {
         List<Waiter> waiters = new ArrayList<>(batch.waiters);
         batch.waiters.clear();
@@ -312,7 +312,7 @@
         Object[] pairs = {"health", next.name().toLowerCase(java.util.Locale.ROOT), "why", why, "then",
             settings.refusesWhenFull() ? "refuse" : "unjournaled", "refused", counts.refused, "unrecorded", counts.unrecorded, "lost",
             counts.lost};
-        if (next == Health.GOOD) { events.info("journal good again", pairs); } else { events.warn("journal cannot record orders", pairs); }
+        if (next == Health.GOOD) { events.info("journal records requests again", pairs); } else { events.warn("journal cannot record orders", pairs); }
         if (next == Health.FULL && recheckDeadline == null) { scheduleRecheck(); }
     }
 
@@ -330,17 +330,17 @@
         });
     }
 
-    /** From now on intents carry the fingerprints that keys need after a restart. Before the first turn with orders. */
+    /** Makes intents carry the fingerprints that idempotency keys need after a restart. To be called before the first request. */
     public void recordFingerprints() { recordsFingerprints = true; }
 
-    /** A keyed order of an earlier life. Times in milliseconds; {@code ran}: it was answered as served. */
+    /** Receives the keyed requests of earlier lives. Times in milliseconds; {@code ran}: the request was answered as served. */
     public interface EarlierRequestVisitor {
         void visit(long key, long print, String className, double sentAtMs, double endedAtMs, boolean ran);
     }
 
     /**
-     * Tells of the keyed orders of earlier lives that came in since a time and may have run, in the order in which they
-     * came. Reads the disk: before the first turn.
+     * Visits the keyed requests of earlier lives that arrived since a time and may have run, in the order of their arrival.
+     * Blocks on the disk, so it must be called before the event loop's first turn.
      */
     public static void forEachEarlierRequest(JournalSettings settings, String instance, double sinceMs, EarlierRequestVisitor earlier) throws IOException {
         Query query = new Query(java.util.Map.of(), java.util.Set.of(), false, false, (long) (sinceMs * 1e3), Long.MAX_VALUE);
@@ -363,24 +363,24 @@
 
     Health health() { return health; }
 
-    /** Figures; read in loop. */
+    /** The counters; to be read on the event loop. */
     public Counts counts() { return counts; }
 
-    /** What recovery had to say of the files. */
+    /** The findings of recovery about the files. */
     public List<String> recoveryNotes() { return recoveryNotes; }
 
-    /** One line of names and values, for INFO. */
+    /** The counters as one line of name=value pairs, for INFO. */
     public String line() {
         return "journal=" + health.name().toLowerCase(java.util.Locale.ROOT) + " journal_entries=" + counts.entries + " journal_batches="
                 + counts.batches + " journal_refused=" + counts.refused + " journal_unrecorded=" + counts.unrecorded
                 + " journal_untried=" + counts.untried + " journal_lost=" + (counts.lost + segments.unwritable()) + " journal_failures=" + counts.failures + " journal_stalls=" + counts.stalls;
     }
 
-    /** Writes and syncs all that was told, and ends; false where the disk did not take it in time. Not in a turn. */
+    /** Writes and syncs all entries and closes the journal; false if the disk took too long. Must not be called on the event loop. */
     public boolean close(long withinMs) {
         loop.execute(this::submitPending);
         boolean ended = writer.shutdown(withinMs);
-        // Entries of the last turns: the writing thread has ended, so they are written here.
+        // Entries of the last turns are written here, since the writer thread has ended.
         loop.execute(() -> {
             if (ended && inFlight == null && !pending.entries.isEmpty()) { segments.append(pending.entries); }
         });
@@ -389,7 +389,7 @@
             segments.close();
             return true;
         } catch (IOException e) {
-            events.warn("journal not synced at its end", "why", e.getMessage());
+            events.warn("journal not synced at shutdown", "why", e.getMessage());
             return false;
         }
     }
--- a/src/main/java/yardusher/journal/JournalReports.java
+++ b/src/main/java/yardusher/journal/JournalReports.java
@@ -29,9 +29,9 @@
 import yardusher.error.JournalError;
 import yardusher.discovery.DiscoveredBackends;
 
-/** What the sub-command {@code orders} does with one or more folders of journals. */
+/** The reports of the sub-command {@code orders}: lists, shows and verifies the requests in one or more journal folders. */
 public final class JournalReports {
-    /** The ways to write orders. */
+    /** Output formats. */
     public enum OutputFormat { TABLE, JSON, CSV }
 
     private static final String[] COLUMNS = {"taken", "instance", "state", "outcome", "region", "attempts", "answer", "key",
@@ -40,7 +40,7 @@
 
     private JournalReports() { }
 
-    /** The journals that a path means: itself, or each of its folders that holds one. */
+    /** The journals that each path refers to: the path itself, or each of its subfolders that holds a journal. */
     public static List<Path> folders(List<String> paths) throws IOException {
         List<Path> folders = new ArrayList<>();
         for (String text : paths) {
@@ -64,7 +64,7 @@
         }
     }
 
-    /** What is asked for, from texts as people give them; a {@link CommandError} says which is wrong. */
+    /** The filter of a report, from command-line arguments; a {@link CommandError} names an invalid argument. */
     public static final class Filter {
         private final Map<SegmentIndex.Field, Long> values = new EnumMap<>(SegmentIndex.Field.class);
         private Set<JournaledRequest.State> states = Set.of();
@@ -74,7 +74,7 @@
         private long toUs = Long.MAX_VALUE;
         private final Instant now;
 
-        /** {@code now} is what lengths of time count back from. */
+        /** Durations count back from {@code now}. */
         public Filter(Instant now) { this.now = now; }
 
         public Filter by(String field, String text) {
@@ -116,7 +116,7 @@
             return this;
         }
 
-        /** An instant such as 2026-12-01T09:30:00Z, or a length of time before now such as 15m or 2h30m. */
+        /** An instant such as 2026-12-01T09:30:00Z, or a duration before now such as 15m or 2h30m. */
         private long time(String text, String name) {
             try {
                 Instant at = text.endsWith("Z") || text.contains("T") ? Instant.parse(text)
@@ -131,7 +131,7 @@
         Query query() { return new Query(values, states, unknown, open, fromUs, toUs); }
     }
 
-    /** Orders of several folders, merged by the time when they came in. */
+    /** The requests of several folders, merged by their time of arrival. */
     private static final class MergedScan implements Closeable {
         private record Head(JournaledRequest order, Scan scan) { }
 
@@ -167,7 +167,7 @@
         }
     }
 
-    /** Tells how far a long read is. */
+    /** Reports the progress of a long read. */
     private static final class Progress {
         private final PrintStream err;
         private final long total;
@@ -193,9 +193,9 @@
     }
 
     /**
-     * Writes the orders asked for, oldest first, {@code most} at the most. Returns how many.
+     * Writes the requests that match the filter, oldest first, up to {@code most} of them. Returns how many.
      *
-     * @param err where progress and notes go; null for nowhere
+     * @param err receives progress and notes; null for none
      */
     public static long list(List<Path> folders, Filter asked, OutputFormat form, long most, PrintStream out, PrintStream err)
             throws IOException {
@@ -218,7 +218,7 @@
         return count;
     }
 
-    /** Tells all that is known of the orders asked for. Returns how many. */
+    /** Writes all details of the requests that match the filter. Returns how many. */
     public static long show(List<Path> folders, Filter asked, PrintStream out) throws IOException {
         long count = 0;
         try (MergedScan merged = new MergedScan(folders, asked.query(), new Progress(folders, null))) {
@@ -247,7 +247,7 @@
         return count;
     }
 
-    /** Tells what is damaged. Returns whether all is sound. */
+    /** Reports damage. Returns whether all journals are sound. */
     public static boolean verify(List<Path> folders, PrintStream out, PrintStream err) throws IOException {
         boolean sound = true;
         Progress progress = new Progress(folders, err);
@@ -289,7 +289,7 @@
         return String.format("%-27s %-10s %-11s %-15s %-8s %-5s %-17s %-16s %-16s %-16s %s", (Object[]) c).stripTrailing();
     }
 
-    /** One object of names and values; times as texts, ids and keys in hex digits as the protocol writes them. */
+    /** A request as a JSON object; times as ISO 8601 strings, ids and keys in hex digits as in the protocol. */
     static String json(JournaledRequest order) throws IOException {
         StringWriter text = new StringWriter(512);
         try (JsonGenerator out = JSON.createGenerator(text)) {
--- a/src/main/java/yardusher/journal/JournalSettings.java
+++ b/src/main/java/yardusher/journal/JournalSettings.java
@@ -6,19 +6,19 @@
 import yardusher.file.Toml;
 
 /**
- * What deploy/yardusher.toml says in its table {@code journal}. Times are milliseconds where their name does not say
- * otherwise, sizes are bytes.
+ * The table {@code journal} of deploy/yardusher.toml. Times are in milliseconds unless their name says otherwise, sizes in
+ * bytes.
  */
 public record JournalSettings(Path folder, Durability durability, double windowMs, double flushMs, double stallMs,
         long segmentBytes, long maxBytes, int reserveBytes, double keepHours, double minKeepMinutes, boolean refusesWhenFull,
         double retryAfterMs, boolean recordsUnattempted) {
-    /** What an intent survives before its attempt goes out. */
+    /** What an intent must survive before its attempt is sent. */
     public enum Durability {
         /** The end of the process, by any signal. */
         PROCESS,
-        /** That, and a loss of power but for the last {@code window_ms} and the time of one sync. */
+        /** Also a power failure, except for the last {@code window_ms} and the duration of one sync. */
         GROUP,
-        /** A loss of power. */
+        /** A power failure. */
         MACHINE
     }
 
@@ -26,7 +26,7 @@
             "max_mb", "reserve_kb", "keep_hours", "keep_least_minutes", "when_full", "retry_after_ms",
             "record_untried");
 
-    /** Reads the table; a {@link ConfigError} names the key and what is allowed. Null where it is left out. */
+    /** Reads the table; null if it is absent. A {@link ConfigError} names the invalid key and the allowed values. */
     public static JournalSettings of(Toml file) {
         Toml table = file.table("journal");
         if (table == null) { return null; }
--- a/src/main/java/yardusher/journal/JournalSubsystem.java
+++ b/src/main/java/yardusher/journal/JournalSubsystem.java
@@ -8,13 +8,13 @@
 import yardusher.log.Events;
 import yardusher.subsystem.Subsystem;
 
-/** The journal of sent orders as a part of an ingress. */
+/** The request journal as a subsystem of an ingress. */
 public final class JournalSubsystem implements Subsystem {
-    private static final long SHUTDOWN_TIMEOUT_MS = 2000;         // at the end, for a slow disk to take the last outcomes
+    private static final long SHUTDOWN_TIMEOUT_MS = 2000;         // lets a slow disk write the last outcomes
 
     private final Journal journal;
 
-    /** {@code prints}: what is asked for is recorded by its print too, for who looks for repeats. Reads the disk. */
+    /** {@code prints}: also records a fingerprint of each request, for the detection of repeats. Blocks on the disk. */
     public JournalSubsystem(JournalSettings settings, boolean prints, String instance, Api.Settings site, List<String> classes,
             List<String> plans, EventLoop loop, Events events) throws IOException {
         journal = Journal.open(settings, instance, site, classes, plans, loop, events);
--- a/src/main/java/yardusher/journal/JournalWriter.java
+++ b/src/main/java/yardusher/journal/JournalWriter.java
@@ -4,18 +4,18 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * The threads that wait on the disk, so that no turn does: one that writes, and one that syncs beside it where
- * durability is {@code group}. Work is handed over without a lock.
+ * The threads that block on the disk in place of the event loop: one that writes, and, with durability {@code group}, one that
+ * syncs concurrently. Work is handed over through a lock-free queue.
  */
 final class JournalWriter {
     private final Segments segments;
     private final JournalSettings settings;
-    private final ConcurrentLinkedQueue<Runnable> work = new ConcurrentLinkedQueue<>(); // a batch and a look at the most
+    private final ConcurrentLinkedQueue<Runnable> work = new ConcurrentLinkedQueue<>(); // at most a batch and a recheck
     private final Thread writer;
     private final Thread syncer;
     private volatile boolean ending;
-    private volatile long syncingSinceNs;              // of the oldest write that the sync under way covers
-    private volatile long unsyncedSinceNs;             // nanoTime of the oldest write not synced, 0 for none
+    private volatile long syncingSinceNs;              // nanoTime of the oldest write that the current sync covers, 0 for none
+    private volatile long unsyncedSinceNs;             // nanoTime of the oldest unsynced write, 0 for none
 
     JournalWriter(Segments segments, JournalSettings settings, String name) {
         this.segments = segments;
@@ -31,20 +31,20 @@
         return thread;
     }
 
-    /** Does the work on the writing thread, in order. */
+    /** Runs a task on the writer thread, in order of submission. */
     void submit(Runnable next) {
         work.add(next);
         LockSupport.unpark(writer);
     }
 
-    /** After an append: what it wrote waits for a sync. */
+    /** Notes after an append that its bytes wait for a sync. */
     void onAppend() {
         if (syncer == null || unsyncedSinceNs != 0) { return; }
         unsyncedSinceNs = System.nanoTime() | 1;
         LockSupport.unpark(syncer);
     }
 
-    /** For how many milliseconds the oldest write has waited for a sync; 0 for none. */
+    /** How long the oldest unsynced write has been waiting, in milliseconds; 0 if there is none. */
     double unsyncedMs() {
         long since = syncingSinceNs != 0 ? syncingSinceNs : unsyncedSinceNs;
         return since == 0 ? 0 : (System.nanoTime() - since) / 1e6;
@@ -76,13 +76,13 @@
                 continue;
             }
             syncingSinceNs = since;
-            unsyncedSinceNs = 0;                       // before the sync: what is written during it waits for the next
+            unsyncedSinceNs = 0;                       // before the sync: writes during it wait for the next one
             segments.forceConcurrently();
             syncingSinceNs = 0;
         }
     }
 
-    /** Ends both threads once all that was submitted is done; false if that took longer. */
+    /** Stops both threads once all submitted tasks are done; false if the writer did not stop in time. */
     boolean shutdown(long withinMs) {
         ending = true;
         LockSupport.unpark(writer);
--- a/src/main/java/yardusher/journal/JournaledRequest.java
+++ b/src/main/java/yardusher/journal/JournaledRequest.java
@@ -5,9 +5,9 @@
 import yardusher.Api;
 import yardusher.core.RequestLog;
 
-/** What the journal knows of one order. Written by {@link RequestTable}; a reader must not change it. */
+/** The state of one request as the journal records it. Written by {@link RequestTable}; readers must not change it. */
 final class JournaledRequest {
-    /** What can be said of an order or of one attempt, from the weakest to the strongest word. */
+    /** What is known of a request or of one attempt, from the weakest to the strongest statement. */
     enum State {
         NEVER_SENT("never sent"), REFUSED("refused by the region"), INTENDED("intended, may have been sent"),
         SENT("sent"), ANSWERED("answered");
@@ -20,7 +20,7 @@
         String flag() { return name().toLowerCase(java.util.Locale.ROOT).replace('_', '-'); }
     }
 
-    /** One attempt. Times of 0: it has not happened, or its record was lost. */
+    /** One attempt. A time of 0: the event has not happened, or its record was lost. */
     static final class JournaledAttempt {
         int attempt;
         long region;
@@ -43,12 +43,12 @@
     final long life;
     final long number;
     long acceptedUs;
-    Entry.RequestFacts facts;                               // null where every record that tells it was lost
+    Entry.RequestFacts facts;                               // null if every record that holds it was lost
     final List<JournaledAttempt> attempts = new ArrayList<>(1);
     RequestLog.Answer answer;
     long answeredUs;
-    long closedUs;                                   // when a later life found it open
-    int firstBlock = -1;                             // where the segment being written or read tells of it first
+    long closedUs;                                   // when a later life found the request open
+    int firstBlock = -1;                             // the first block of the current segment that mentions the request
     String instance = "";
     String className = "";
     String plan = "";
@@ -58,7 +58,7 @@
         this.number = number;
     }
 
-    /** The strongest that can be said of any attempt. */
+    /** The strongest state of any attempt. */
     State state() {
         State most = State.NEVER_SENT;
         for (JournaledAttempt one : attempts) {
@@ -68,7 +68,7 @@
         return most;
     }
 
-    /** The attempt that {@link #state} speaks of; null where there is none. */
+    /** The attempt that {@link #state} refers to; null if there is none. */
     JournaledAttempt strongest() {
         JournaledAttempt most = null;
         for (JournaledAttempt one : attempts) {
@@ -77,7 +77,7 @@
         return most;
     }
 
-    /** Whether nothing more can be told of it: it has its answer and no attempt is out. */
+    /** Whether no further records can follow: the request is answered and no attempt is in flight. */
     boolean isOver() {
         if (closedUs > 0) { return true; }
         if (answer == null) { return false; }
@@ -87,7 +87,7 @@
         return true;
     }
 
-    /** Whether its end is lost: a later life closed it, and an attempt may have run with no word of how it ended. */
+    /** Whether the result is lost: a later life closed the request, and the outcome of an attempt that may have run is not known. */
     boolean isUnknown() {
         return closedUs > 0 && attempts.stream().anyMatch(one -> one.outcome == null);
     }
@@ -101,7 +101,7 @@
         return one;
     }
 
-    /** The earliest time that any record gives. */
+    /** The earliest time in any record. */
     long firstUs() {
         if (acceptedUs > 0) { return acceptedUs; }
         long first = answeredUs > 0 ? answeredUs : closedUs;
--- a/src/main/java/yardusher/journal/Query.java
+++ b/src/main/java/yardusher/journal/Query.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 
 /**
- * Which orders are asked for. Values that are left out ask for all; times are microseconds of Unix time and speak of when
- * the order came in, from the first to before the second.
+ * A filter of requests. Criteria that are left out match all requests. {@code fromUs} (inclusive) and {@code toUs} (exclusive)
+ * limit the time of arrival, in microseconds of Unix time.
  */
 record Query(Map<SegmentIndex.Field, Long> values, Set<JournaledRequest.State> states, boolean unknownOnly, boolean openOnly,
         long fromUs, long toUs) {
@@ -23,7 +23,7 @@
                 && values.entrySet().stream().allMatch(wanted -> has(order, wanted.getKey(), wanted.getValue()));
     }
 
-    /** Whether an order may turn out to be asked for: its region may still be one of a later attempt. */
+    /** Whether a request may match once more of it is read: a later attempt may go to the wanted region. */
     boolean mayMatch(JournaledRequest order) {
         return values.entrySet().stream().allMatch(wanted -> has(order, wanted.getKey(), wanted.getValue())
                 || wanted.getKey() == SegmentIndex.Field.REGION && order.facts != null && !order.isOver());
@@ -39,7 +39,7 @@
         };
     }
 
-    /** Whether a block of an index may hold anything of an order that is asked for. */
+    /** Whether an indexed block may hold records of a matching request. */
     boolean mayMatchBlock(SegmentIndex index, int block) {
         if (!index.overlaps(block, scanFromUs(), scanToUs())) { return false; }
         for (Map.Entry<SegmentIndex.Field, Long> wanted : values.entrySet()) {
@@ -48,7 +48,7 @@
         return true;
     }
 
-    /** An order's records lie no further apart than the longest deadline that a command may have, and a bit. */
+    /** Maximum time between the records of a request: the longest deadline of a command, with a margin. */
     static final long MAX_REQUEST_SPAN_US = 660_000_000L;
 
     long scanFromUs() { return Math.max(0, fromUs - MAX_REQUEST_SPAN_US); }
--- a/src/main/java/yardusher/journal/Recovery.java
+++ b/src/main/java/yardusher/journal/Recovery.java
@@ -7,12 +7,12 @@
 import yardusher.disk.Storage;
 
 /**
- * Finds the orders that were open when the last life ended. Reads the newest segment whose snapshot is whole and what
- * follows it; of all others, the first frames only. A torn tail is cut off, damage in the middle is passed over and
- * told; nothing that a file holds makes it fail, only a folder that cannot be read at all.
+ * Finds the requests that were open when the last life ended. Reads the newest segment with a complete snapshot and all
+ * segments after it; of the others, only the first frames. A torn tail is cut off; damage elsewhere is skipped and reported.
+ * Fails only if the folder cannot be read, whatever the files contain.
  */
 final class Recovery {
-    /** What was found: open orders, the last segment's number (0 for none), sealed segments, and what to tell people. */
+    /** Open requests, the last segment's number (0 for none), sealed segments, and notes for the operator. */
     record Result(RequestTable open, long last, List<Retention.SealedSegment> sealed, List<String> notes, int segmentsRead,
             long bytesRead) { }
 
@@ -55,7 +55,7 @@
         for (String name : new String[] {SegmentFiles.name(number), SegmentFiles.indexName(number)}) {
             try {
                 size += storage.size(name);
-            } catch (IOException e) { /* an index is not there, or not yet */ }
+            } catch (IOException e) { /* the index does not exist, or not yet */ }
         }
         return size;
     }
@@ -65,11 +65,11 @@
             Entry first = SegmentFiles.reader(source, number, (from, to, torn) -> { }, 0, 65_536).next();
             return first == null ? 0 : first.atUs() / 1e3;
         } catch (IOException e) {
-            return 0;                                // as if long ago: it goes when room is wanted
+            return 0;                                // treated as very old: deleted when space is needed
         }
     }
 
-    /** Whether a segment begins with a whole snapshot. */
+    /** Whether a segment begins with a complete snapshot. */
     private boolean hasWholeSnapshot(long number) {
         boolean[] damaged = new boolean[1];
         try (Storage.Source source = storage.open(SegmentFiles.name(number))) {
@@ -83,7 +83,7 @@
                     return false;
                 }
             }
-        } catch (IOException e) { /* said when it is replayed */ }
+        } catch (IOException e) { /* reported when the segment is replayed */ }
         return false;
     }
 
--- a/src/main/java/yardusher/journal/RequestTable.java
+++ b/src/main/java/yardusher/journal/RequestTable.java
@@ -7,18 +7,18 @@
 import java.util.Map;
 
 /**
- * The orders as the entries tell them, in the order in which they began. Free of I/O and clock. An entry told twice
- * changes nothing, since a batch whose write failed is written again. Its owner empties it by {@link #remove}.
+ * Requests as reconstructed from entries, in the order in which they began. Uses neither I/O nor a clock. Applying an entry
+ * is idempotent, since a batch whose write failed is written again. The owner removes finished requests by {@link #remove}.
  */
 final class RequestTable {
     private record Key(long life, long order) { }
 
     private final Map<Key, JournaledRequest> orders = new LinkedHashMap<>();
-    private long life;                               // of whoever wrote the segment being read
+    private long life;                               // of the writer of the current segment
     private Entry.Opened opened = new Entry.Opened(0, 0, "", List.of(), List.of());
     private long snapshotsRead;
 
-    /** Takes an entry in; gives the order it speaks of, or null for one that speaks of none. */
+    /** Applies an entry; returns the request that it concerns, or null if it concerns none. */
     JournaledRequest apply(Entry entry) {
         if (entry instanceof Entry.Opened e) {
             opened = e;
@@ -107,7 +107,7 @@
         return index < names.size() ? names.get(index) : Integer.toString(index);
     }
 
-    /** Where the segment that begins tells of an order that is held. */
+    /** Sets the first block of the new segment that mentions a request. */
     void setFirstBlock(long ofLife, long number, int block) {
         JournaledRequest order = orders.get(new Key(ofLife, number));
         if (order != null) { order.firstBlock = block; }
@@ -115,17 +115,17 @@
 
     void remove(JournaledRequest order) { orders.remove(new Key(order.life, order.number)); }
 
-    /** As the entries came; changes with the book. */
+    /** A live view, in the order of the entries. */
     Collection<JournaledRequest> requests() { return orders.values(); }
 
     int size() { return orders.size(); }
 
-    /** How many snapshots have been read to their end. */
+    /** The number of snapshots that have been read to their end. */
     long snapshots() { return snapshotsRead; }
 
     Entry.Opened opened() { return opened; }
 
-    /** The open orders as entries of a snapshot. */
+    /** The open requests as the entries of a snapshot. */
     List<Entry> snapshot(long atUs) {
         List<Entry> entries = new ArrayList<>(orders.size() + 1);
         for (JournaledRequest o : orders.values()) {
--- a/src/main/java/yardusher/journal/Retention.java
+++ b/src/main/java/yardusher/journal/Retention.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Which segments go, and whether new orders find room. Free of I/O and clock. */
+/** Decides which segments to delete, and whether there is space for new requests. Uses neither I/O nor a clock. */
 final class Retention {
     /** A sealed segment: its number, its size with its index, and when it was sealed in Unix milliseconds. */
     record SealedSegment(long number, long bytes, double sealedAtMs) { }
 
-    /** What is to be done: the segments to retire, oldest first, and whether the bound leaves no room for orders. */
+    /** The segments to delete, oldest first, and whether the size limit leaves no space for new requests. */
     record Decision(List<SealedSegment> retire, boolean full) { }
 
     private final JournalSettings settings;
@@ -16,9 +16,9 @@
     Retention(JournalSettings settings) { this.settings = settings; }
 
     /**
-     * Segments older than {@code keep_hours} go; then the oldest, while all is more than the bound less the reserve,
-     * but none younger than {@code keep_least_minutes}. A clock that stepped back makes a segment young, never old.
-     * Sealed ones may all go: the active one begins with a whole snapshot.
+     * Deletes segments older than {@code keep_hours}; then the oldest ones while the total exceeds the limit less the reserve,
+     * but none younger than {@code keep_least_minutes}. A clock that steps back makes a segment younger, never older.
+     * All sealed segments may be deleted, since the active one begins with a complete snapshot.
      */
     Decision decide(List<SealedSegment> sealed, long activeBytes, double nowMs) {
         long all = activeBytes;
--- a/src/main/java/yardusher/journal/Scan.java
+++ b/src/main/java/yardusher/journal/Scan.java
@@ -11,11 +11,11 @@
 import yardusher.disk.Storage;
 
 /**
- * Reads the orders of one folder in the order in which they came in, with the indexes where these help. The folder's
- * instance may run meanwhile: what it retires is passed over, what it is just writing is not seen.
+ * Reads the requests of one folder in the order of their arrival, using the indexes where the query allows it. The instance
+ * that writes the folder may be running: segments that it deletes are skipped, and unfinished writes are not seen.
  */
 final class Scan implements Closeable {
-    /** Orders held until their ends are read; past it the oldest is given as far as it is known. */
+    /** Maximum number of requests held until their last record is read; beyond it the oldest is returned as far as it is known. */
     private static final int MAX_HELD = 100_000;
 
     private final Storage storage;
@@ -32,7 +32,7 @@
     private long damaged;
     private long blocksRead;
 
-    /** {@code progress} is told the bytes of each segment that has been passed. */
+    /** {@code progress} receives the size of each segment that has been read. */
     Scan(Storage storage, Query query, LongConsumer progress) throws IOException {
         this.storage = storage;
         this.query = query;
@@ -40,13 +40,13 @@
         segments = new ArrayDeque<>(Recovery.segments(storage));
     }
 
-    /** Bytes of damage passed over so far, torn tails among them. */
+    /** Damaged bytes skipped so far, including torn tails. */
     long damagedBytes() { return damaged; }
 
-    /** Blocks read by way of an index. */
+    /** The number of blocks read by way of an index. */
     long blocksRead() { return blocksRead; }
 
-    /** The next order that is asked for, or null at the end. */
+    /** The next matching request, or null at the end. */
     JournaledRequest next() throws IOException {
         for (;;) {
             Iterator<JournaledRequest> first = book.requests().iterator();
@@ -64,13 +64,13 @@
         }
     }
 
-    /** Reads entries until the oldest order held may be over; false at the end of all. */
+    /** Reads some entries, after which the oldest request may be over; false at the end of the journal. */
     private boolean read() throws IOException {
         for (int i = 0; i < 64; i++) {
             Entry entry = entry();
             if (entry == null) { return false; }
             JournaledRequest order = book.apply(entry);
-            // By a value an order is found where it is told first; what speaks of others is not kept.
+            // With a wanted value, a request is found at its first record; records of other requests are not kept.
             if (order != null && !query.values().isEmpty() && !query.mayMatch(order)) { book.remove(order); }
         }
         return true;
@@ -96,13 +96,13 @@
         try {
             source = storage.open(SegmentFiles.name(number));
         } catch (NoSuchFileException e) {
-            return;                                  // retired since it was listed
+            return;                                  // deleted since it was listed
         }
         segment = number;
         block = 0;
         boolean narrow = !query.values().isEmpty() || query.fromUs() > 0 || query.toUs() < Long.MAX_VALUE;
         index = narrow ? SegmentIndex.read(storage, number) : null;
-        // The first frame tells whose life this is; with an index, it is all that is read without being looked up.
+        // The first frame identifies the life. With an index, it is the only frame that is always read.
         reader = index == null ? SegmentFiles.reader(source, number, this::passOver)
                 : SegmentFiles.reader(source, number, this::passOver, 0, SegmentFiles.MAGIC_BYTES + 1);
     }
@@ -118,7 +118,7 @@
         return false;
     }
 
-    /** Whether an order that is asked for goes on in the blocks that follow. */
+    /** Whether a block may hold further records of a request that has been found. */
     private boolean mayContinueIn(int at) {
         for (JournaledRequest order : book.requests()) {
             if (!order.isOver() && index.earliestUs(at) - order.firstUs() < Query.MAX_REQUEST_SPAN_US) { return true; }
--- a/src/main/java/yardusher/journal/SegmentIndex.java
+++ b/src/main/java/yardusher/journal/SegmentIndex.java
@@ -10,13 +10,12 @@
 import yardusher.disk.Storage;
 
 /**
- * Which parts of a sealed segment speak of a key, a customer, an id or a region, and when. A segment is cut into blocks of
- * about 64 KiB at frame boundaries; for each block there is its offset and the span of its times, and for each value
- * the blocks where orders with it are told. A value is held as 31 bits of a hash, so a block may be read in vain
- * and never be missed.
+ * Index of a sealed segment by key, customer, id, region and time. A segment is divided into blocks of about 64 KiB at frame
+ * boundaries. For each block the index holds its offset, the range of its times, and the hashes of the values of the requests
+ * in it. Hashes have 31 bits, so a lookup may give a block that holds no match, but never misses one.
  */
 final class SegmentIndex {
-    /** What an order can be looked up by. */
+    /** The properties that a request can be looked up by. */
     enum Field { KEY, CUSTOMER, ID, REGION }
 
     private static final long MAGIC = 0x59444A4944580002L; // YDJIDX and format version 2
@@ -24,10 +23,10 @@
     private static final int MAX_BLOCKS = 1 << 16;
     private static final String PARTIAL_SUFFIX = ".part";
 
-    private final long[] offsets;                    // of blocks, and the end
+    private final long[] offsets;                    // of the blocks, and the end of the last one
     private final long[] earliestUs;
     private final long[] latestUs;
-    private final int[][] postings;                  // the hashes of each block, sorted
+    private final int[][] postings;                  // the sorted hashes of each block
 
     private SegmentIndex(long[] offsets, long[] earliestUs, long[] latestUs, int[][] postings) {
         this.offsets = offsets;
@@ -46,7 +45,7 @@
 
     boolean overlaps(int block, long fromUs, long toUs) { return earliestUs[block] < toUs && latestUs[block] >= fromUs; }
 
-    /** Whether a block may hold a record of an order with this value. */
+    /** Whether a block may hold a record of a request with this value. */
     boolean mayContain(int block, Field field, long value) {
         return Arrays.binarySearch(postings[block], hash(field, value)) >= 0;
     }
@@ -57,7 +56,7 @@
         return (int) (z >>> 33);
     }
 
-    /** Reads a segment once and writes its index beside it, whole or not at all. */
+    /** Reads a segment and writes its index beside it, atomically. */
     static void build(Storage storage, long segment) throws IOException {
         Builder builder = new Builder();
         RequestTable book = new RequestTable();
@@ -73,16 +72,16 @@
     }
 
     /**
-     * Gathers a segment's index while it is written or read. What an order is looked up by is posted where it is told, at
-     * its first entry here; a reader goes on from there until the order is over.
+     * Builds the index while a segment is written or read. The values of a request are posted to the block of its first entry
+     * in the segment; a reader continues from there until the request is over.
      */
     static final class Builder {
         private final List<long[]> blocks = new ArrayList<>(); // offset, earliest, latest
-        private final List<int[]> postings = new ArrayList<>(); // of the blocks that are over, sorted
-        private int[] gathered = new int[4096];      // of the last block
+        private final List<int[]> postings = new ArrayList<>(); // of the completed blocks, sorted
+        private int[] gathered = new int[4096];      // hashes of the last block
         private int count;
 
-        /** An entry whose frame begins at an offset, and the order it speaks of; null for none. */
+        /** Adds an entry whose frame begins at an offset, and the request that it concerns; null for none. */
         void add(Entry entry, long offset, JournaledRequest order) {
             long[] block = blocks.isEmpty() ? null : blocks.get(blocks.size() - 1);
             if (block == null || offset - block[0] >= BLOCK_BYTES && blocks.size() < MAX_BLOCKS) {
@@ -118,7 +117,7 @@
         }
 
         private void post(int hash, int block) {
-            if (block < postings.size()) {           // of a later attempt, in a block that is over: seldom
+            if (block < postings.size()) {           // rare: a later attempt of a request that began in a completed block
                 int[] longer = Arrays.copyOf(postings.get(block), postings.get(block).length + 1);
                 longer[longer.length - 1] = hash;
                 Arrays.sort(longer);
@@ -129,7 +128,7 @@
             gathered[count++] = hash;
         }
 
-        /** The last block's hashes, once each. Sorted block by block: all at once would hold the core when a segment is sealed. */
+        /** The distinct hashes of the last block. Sorted for each block, since sorting all of them at once would occupy the CPU core when a segment is sealed. */
         private int[] sorted() {
             Arrays.sort(gathered, 0, count);
             int kept = 0;
@@ -140,7 +139,7 @@
             return Arrays.copyOf(gathered, kept);
         }
 
-        /** The file was cut back to a size: what was told of the rest no longer stands there. */
+        /** Drops the blocks beyond a size to which the file was truncated. */
         void truncate(long size) {
             while (!blocks.isEmpty() && blocks.get(blocks.size() - 1)[0] >= size) {
                 blocks.remove(blocks.size() - 1);
@@ -149,7 +148,7 @@
             }
         }
 
-        /** Writes the index whole or not at all; nothing may be added any more. */
+        /** Writes the index atomically; nothing may be added afterwards. */
         void write(Storage storage, long segment, long end) throws IOException {
             if (postings.size() < blocks.size()) { postings.add(sorted()); }
             int all = 0;
@@ -183,13 +182,13 @@
         return (int) sum.getValue();
     }
 
-    /** Reads an index; null where there is none, or none that can be trusted. */
+    /** Reads an index; null if it does not exist or is damaged. */
     static SegmentIndex read(Storage storage, long segment) {
         try (Storage.Source source = storage.open(SegmentFiles.indexName(segment))) {
             long size = source.size();
             if (size < 28 || size > 1 << 30) { return null; }
             ByteBuffer in = ByteBuffer.allocate((int) size);
-            while (in.hasRemaining() && source.read(in, in.position()) > 0) { /* the rest follows */ }
+            while (in.hasRemaining() && source.read(in, in.position()) > 0) { /* continue until all is read */ }
             in.flip();
             if (in.remaining() != size || in.getInt((int) size - 4) != checksum(segment, in.array(), (int) size - 4)
                     || in.getLong() != MAGIC) {
--- a/src/main/java/yardusher/journal/Segments.java
+++ b/src/main/java/yardusher/journal/Segments.java
@@ -10,13 +10,13 @@
 import yardusher.disk.Storage;
 
 /**
- * The writing side of a journal: batches go to the active segment; a full one is sealed, and the next begins with a
- * snapshot of the open orders. Used by one thread, which may wait on the disk.
+ * Writes the segments of a journal. Batches are appended to the active segment; a full segment is sealed, and the next begins
+ * with a snapshot of the open requests. Used by a single thread, which may block on the disk.
  */
 final class Segments implements Closeable {
     static final String RESERVE_FILE = "reserve";
 
-    /** How a batch ended: whether it stands in the journal as durable as settings say, and whether orders find room. */
+    /** The result of an append: whether the batch is as durable as configured, and whether the disk is full for new requests. */
     record Result(boolean written, boolean full, IOException error) { }
 
     private final Storage storage;
@@ -30,20 +30,20 @@
     private final List<Retention.SealedSegment> sealed;
     private final ByteBuffer out = ByteBuffer.allocate(64 * 1024);
     private final CRC32C sum = new CRC32C();
-    private volatile Storage.Appender active;        // the syncing thread forces it
-    private volatile boolean syncFailed;                 // a sync of it failed: what it holds is not to be trusted
-    private long last;                               // the highest number a segment was ever begun with
+    private volatile Storage.Appender active;        // the sync thread forces it
+    private volatile boolean syncFailed;                 // a sync of the active segment failed, so its content on disk is unknown
+    private long last;                               // the highest segment number ever used
     private long number;                             // of the active segment
     private long size;
-    private long[] offsets = new long[64];           // of the entries of the batch written last
+    private long[] offsets = new long[64];           // of the entries of the last batch
     private boolean reserveHeld;
     private boolean full;
     private volatile long unwritable;
 
     /**
-     * Begins a life behind what recovery found: the first segment carries the last life's open orders, closed.
+     * Begins a new life after recovery: the first segment carries the open requests of the last life and closes them.
      *
-     * @throws IOException where the first segment cannot be written: nothing would be recorded
+     * @throws IOException if the first segment cannot be written, since nothing could be recorded
      */
     Segments(Storage storage, JournalSettings settings, Recovery.Result found, Entry.Opened who, DoubleSupplier clockMs,
             Indexer indexer) throws IOException {
@@ -55,8 +55,8 @@
         retention = new Retention(settings);
         sealed = new ArrayList<>(found.sealed());
         last = found.last();
-        book.apply(who);                             // what is open is this life's
-        storage.delete(RESERVE_FILE);                     // of a life that was killed: made anew below
+        book.apply(who);                             // sets the current life
+        storage.delete(RESERVE_FILE);                     // left by a life that was killed; created again below
         List<Entry> first = new ArrayList<>();
         for (JournaledRequest order : found.open().requests()) {
             first.add(new Entry.Carried(order.acceptedUs, order.life, order.number, order.facts, order.answer, order.attempts));
@@ -71,13 +71,13 @@
 
     private long nowUs() { return (long) (clockMs.getAsDouble() * 1e3); }
 
-    /** Writes a batch whole, or leaves the journal as it was and says why. */
+    /** Writes a whole batch, or leaves the journal as it was and returns the error. */
     Result append(List<Entry> batch) {
         try {
             write(batch);
         } catch (IOException first) {
             if (!reserveHeld) { return new Result(false, true, first); }
-            releaseReserve();                        // what is already out can still be recorded
+            releaseReserve();                        // frees space to record the outcomes of requests in flight
             try {
                 write(batch);
             } catch (IOException again) {
@@ -89,7 +89,7 @@
 
     private boolean isFull() { return full || !reserveHeld; }
 
-    /** Looks again whether there is room for new orders. */
+    /** Checks again whether there is space for new requests; returns whether the disk is still full. */
     boolean recheck() {
         if (!reserveHeld) { allocateReserve(); }
         retire();
@@ -121,7 +121,7 @@
         return total;
     }
 
-    /** Writes entries from an offset on, and notes where each begins. */
+    /** Writes entries from an offset on, and notes the offset of each. */
     private long put(Storage.Appender file, long segment, List<Entry> batch, long offset) throws IOException {
         if (offsets.length < batch.size()) { offsets = new long[batch.size() * 2]; }
         long before = 0;
@@ -134,7 +134,7 @@
             try {
                 SegmentFiles.put(segment, entry, out, sum);
             } catch (IOException e) {
-                out.position(at);                    // longer than a frame: it would hold up all others for ever
+                out.position(at);                    // too long for a frame: retrying would block all other entries forever
                 unwritable = unwritable + 1;
             }
         }
@@ -159,42 +159,42 @@
         }
     }
 
-    /** Leaves a file that can be trusted no more; what stands in it is read as far as it is valid. */
+    /** Stops writing a file that is no longer reliable; readers still read its valid frames. */
     private void abandon(Storage.Appender file) {
         try {
             file.close();
-        } catch (IOException e) { /* it is left either way */ }
+        } catch (IOException e) { /* the file is no longer used */ }
         if (file == active) {
             sealed.add(new Retention.SealedSegment(number, size, clockMs.getAsDouble()));
             active = null;
         }
     }
 
-    /** Makes all that was appended survive a loss of power; for a journal whose intents wait for it. */
+    /** Makes all appended entries survive a power failure, for a journal whose intents wait for the sync. */
     private void force(Storage.Appender file) throws IOException {
         try {
             file.force();
         } catch (IOException e) {
-            abandon(file);                           // after a failed sync nobody knows what the disk holds
+            abandon(file);                           // after a failed sync the content of the disk is unknown
             throw e;
         }
     }
 
-    /** The same from another thread while this one goes on; a failure spoils the segment for what comes. */
+    /** The same from another thread, while this one continues to write; after a failure the segment is not written again. */
     void forceConcurrently() {
         Storage.Appender file = active;
         if (file == null) { return; }
         try {
             file.force();
         } catch (IOException e) {
-            if (file == active) { syncFailed = true; }   // else sealed meanwhile, and forced with it
+            if (file == active) { syncFailed = true; }   // otherwise it was sealed meanwhile, which forced it
         }
     }
 
-    /** Seals the active segment and begins the next. On failure all stays as it was. */
+    /** Seals the active segment and begins the next. A failure leaves everything as it was. */
     private void roll(List<Entry> snapshot) throws IOException {
         boolean lasting = settings.durability() != JournalSettings.Durability.PROCESS;
-        long next = ++last;                          // never used twice, also if this fails
+        long next = ++last;                          // never reused, even if this fails
         Storage.Appender old = active;
         if (old != null && lasting && !syncFailed) { force(old); }
         Storage.Appender file = null;
@@ -210,7 +210,7 @@
             head.add(new Entry.Opened(nowUs(), who.life(), who.name(), who.classes(), who.plans()));
             head.addAll(snapshot);
             length += put(file, next, head, length);
-            // The book stays as it is: it holds what the head tells, and of orders of earlier lives nothing.
+            // The table of this life stays unchanged: the snapshot is taken from it, and it holds no requests of earlier lives.
             RequestTable told = new RequestTable();
             for (int i = 0; i < head.size(); i++) {
                 JournaledRequest order = told.apply(head.get(i));
@@ -236,7 +236,7 @@
         if (old != null) {
             try {
                 old.close();
-            } catch (IOException e) { /* written and forced as far as it goes */ }
+            } catch (IOException e) { /* already written, and forced if durability requires it */ }
             sealed.add(new Retention.SealedSegment(sealedNumber, sealedSize, clockMs.getAsDouble()));
             indexer.write(sealedNumber, sealedIndex, sealedSize);
             retire();
@@ -247,7 +247,7 @@
         try {
             if (file != null) { file.close(); }
             storage.delete(SegmentFiles.name(segment));
-        } catch (IOException e) { /* half a segment: recovery knows it by its snapshot */ }
+        } catch (IOException e) { /* recovery detects a partial segment by its incomplete snapshot */ }
     }
 
     private void retire() {
@@ -259,7 +259,7 @@
                 storage.delete(SegmentFiles.name(one.number()));
                 sealed.remove(one);
             } catch (IOException e) {
-                full = true;                         // what cannot go still takes its room
+                full = true;                         // a segment that cannot be deleted still takes space
             }
         }
     }
@@ -277,7 +277,7 @@
             try {
                 if (file != null) { file.close(); }
                 storage.delete(RESERVE_FILE);
-            } catch (IOException again) { /* tried anew at the next look */ }
+            } catch (IOException again) { /* retried at the next recheck */ }
         }
     }
 
@@ -285,10 +285,10 @@
         reserveHeld = false;
         try {
             storage.delete(RESERVE_FILE);
-        } catch (IOException e) { /* then there is nothing to win */ }
+        } catch (IOException e) { /* then no space is freed */ }
     }
 
-    /** Entries that no frame could hold. */
+    /** The number of entries that were too long for a frame. */
     long unwritable() { return unwritable; }
 
     @Override
--- a/src/main/java/yardusher/journal/Verify.java
+++ b/src/main/java/yardusher/journal/Verify.java
@@ -7,15 +7,15 @@
 import yardusher.disk.Framing;
 import yardusher.disk.Storage;
 
-/** Reads all of a folder and says what is damaged, what is missing, and what the journal itself says it lost. */
+/** Reads a whole folder and reports what is damaged, what is missing, and the losses that the journal itself recorded. */
 final class Verify {
-    /** Findings; {@code damage} holds a line each, empty for a sound journal. */
+    /** The findings; {@code damage} has a line for each damage and is empty for a sound journal. */
     record Report(int segments, long entries, long bytes, long orders, long unknown, long gapOrders, long gapLost,
             List<String> damage, List<String> notes) { }
 
     private Verify() { }
 
-    /** {@code written}: an instance writes here now, so the newest segment may end in the middle of a frame. */
+    /** {@code written}: an instance has the folder open for writing, so the newest segment may end in the middle of a frame. */
     static Report run(Storage storage, boolean written, LongConsumer progress) throws IOException {
         List<String> damage = new ArrayList<>();
         List<String> notes = new ArrayList<>();
@@ -56,7 +56,7 @@
                         book.remove(order);
                     }
                 }
-                if (!snapshot) { damage.add(name + ": has no whole snapshot"); }
+                if (!snapshot) { damage.add(name + ": has no complete snapshot"); }
                 bytes += source.size();
                 progress.accept(source.size());
             } catch (java.nio.file.NoSuchFileException e) {
