--- a/src/main/java/yardusher/keys/FinishedKeys.java
+++ b/src/main/java/yardusher/keys/FinishedKeys.java
@@ -4,47 +4,47 @@
 import org.agrona.collections.Long2LongHashMap;
 
 /**
- * What became of keys whose run is over, in a bounded number of bytes. Records lie in a ring outside the heap in the
- * order in which they ended; an index of primitives tells where. The oldest give way, so a flood of keys makes neither
- * garbage nor holes. Free of I/O and clock; used in turns only.
+ * Results of keys whose run is over, in bounded memory. Records are stored in an off-heap ring buffer in the order in which
+ * the runs ended, with a primitive map from key to position. The oldest records are evicted first, so a flood of keys causes
+ * neither garbage nor fragmentation. Uses neither I/O nor a clock; used on the event loop only.
  */
 final class FinishedKeys {
-    /** How a run left its key. */
+    /** How a run ended. */
     enum Kind {
-        /** Served: the value is held. */
+        /** It was served, and its value is stored. */
         SERVED,
-        /** It may have run, and may be sent again until a time: regions drop the repeat. */
+        /** It may have run, and may be sent again until a deadline, since regions drop the repeat. */
         MAY_REPEAT,
         /** It may have run, and must not be sent again. */
         UNKNOWN,
-        /** It ran before a restart, and the value went with that life. */
+        /** It ran, but its value is not stored: it was lost at a restart, or was too large. */
         RAN
     }
 
-    /** A key's record; {@code value} is there for SERVED. */
+    /** The record of a key; {@code value} is null unless the kind is SERVED. */
     record FinishedRun(long fingerprint, Kind kind, double untilMs, double repeatUntilMs, byte[] value) { }
 
     private static final Kind[] KINDS = Kind.values();
     private static final int HEADER_BYTES = 4 + 8 + 8 + 8 + 8 + 1;
     private static final int ABSENT = -1;
-    private static final int PADDING = -1;               // no more records before the ring's end
+    private static final int PADDING = -1;               // marks that no record follows before the end of the ring
 
     private final ByteBuffer ring;
     private final Long2LongHashMap positions = new Long2LongHashMap(ABSENT);
-    private long head;                               // positions count on and on; modulo the capacity they are places
+    private long head;                               // positions grow without bound; the offset in the ring is the position modulo its capacity
     private long tail;
     private long expired;
     private long evicted;
 
-    /** Holds records of so many bytes in all; the index comes on top, 16 to 48 bytes a key. */
+    /** Creates a ring of the given capacity in bytes; the map needs another 16 to 48 bytes per key. */
     FinishedKeys(int bytes) {
-        if (bytes < 2 * (HEADER_BYTES + 65_536)) { throw new IllegalArgumentException("room for two answers of 64 KiB at the least"); }
+        if (bytes < 2 * (HEADER_BYTES + 65_536)) { throw new IllegalArgumentException("capacity must hold at least two answers of 64 KiB"); }
         ring = ByteBuffer.allocateDirect(bytes & ~7);
     }
 
     private int ringOffset(long position) { return (int) (position % ring.capacity()); }
 
-    /** The record of a key that is still in time, or null. */
+    /** The unexpired record of a key, or null. */
     FinishedRun find(double nowMs, long key) {
         expire(nowMs);
         long position = positions.get(key);
@@ -58,7 +58,7 @@
         return new FinishedRun(ring.getLong(at + 12), kind, until, ring.getDouble(at + 28), value);
     }
 
-    /** Holds a key's record in place of one it had. A value that is too long for the ring, or null, is held as RAN. */
+    /** Stores the record of a key, replacing an earlier one. A null value, or one too long for the ring, is stored as RAN. */
     void put(double nowMs, long key, long print, Kind kind, double untilMs, double repeatUntilMs, byte[] value) {
         expire(nowMs);
         boolean fits = kind != Kind.SERVED || value != null && value.length <= ring.capacity() / 2 - HEADER_BYTES;
@@ -79,7 +79,7 @@
         head += length;
     }
 
-    /** The key has no record any more; its bytes go when they are the oldest. */
+    /** Removes the record of a key; its bytes are freed once they are the oldest. */
     void remove(long key) { positions.remove(key); }
 
     private void makeRoom(int length) {
@@ -112,7 +112,7 @@
 
     long bytes() { return head - tail; }
 
-    /** Records that went since their time was over, and for want of room. */
+    /** The number of records that expired. */
     long expired() { return expired; }
 
     long evicted() { return evicted; }
--- a/src/main/java/yardusher/keys/KeySettings.java
+++ b/src/main/java/yardusher/keys/KeySettings.java
@@ -7,12 +7,12 @@
 import yardusher.file.Toml;
 
 /**
- * What deploy/yardusher.toml says in its table {@code keys}. Answers are held in {@code answerBytes} outside the heap, a
- * class's for its lifetime in milliseconds.
+ * The table {@code keys} of deploy/yardusher.toml. Answers are stored off-heap in {@code answerBytes}, each for the lifetime of
+ * its class in milliseconds.
  */
 public record KeySettings(int answerBytes, int maxRunning, int maxWaiting, double lifetimeMs, Map<String, Double> lifetimesMs,
         double retryAfterMs) {
-    /** Reads the table; a {@link ConfigError} names the key and what is allowed. Null where it is left out. */
+    /** Reads the table; null if it is absent. A {@link ConfigError} names the invalid key and the allowed values. */
     public static KeySettings of(Toml file) {
         Toml table = file.table("keys");
         if (table == null) { return null; }
@@ -29,7 +29,7 @@
                 table.integer("retry_after_ms", 200, 1, 60_000));
     }
 
-    /** Complains of a lifetime for a class that the site does not have. */
+    /** Rejects a lifetime for a class that is not configured. */
     public void checkClasses(List<String> classes) {
         for (String name : lifetimesMs.keySet()) {
             if (!classes.contains(name)) { throw new ConfigError.UnknownName(null, "keys.lifetime", "keys.lifetime names the unknown class " + name); }
--- a/src/main/java/yardusher/keys/KeyTable.java
+++ b/src/main/java/yardusher/keys/KeyTable.java
@@ -8,59 +8,59 @@
 import yardusher.Api;
 
 /**
- * Decides what becomes of keyed requests at one ingress: who leads a run, who waits for it, and who gets an answer that is
- * held. A key has at most one run, and a run at most one transaction. Free of I/O and clock; times are milliseconds and
- * never go back.
+ * Decides what happens to requests with an idempotency key at one ingress: which one leads a run, which ones wait for it, and
+ * which ones get a stored answer. A key has at most one run, and a run at most one request in the core. Uses neither I/O nor a
+ * clock; times are in milliseconds and never go back.
  *
- * @param <W> whoever asks: a front's terminal, or in a test a number
+ * @param <W> the type of a waiting request
  */
 final class KeyTable<W> {
-    /** What a class allows once an attempt may have run. {@code lifetimeMs}: how long its answers are held. */
+    /** What a request class allows once an attempt may have run. {@code lifetimeMs}: how long its answers are stored. */
     record ClassPolicy(Api.Effect effect, Api.Group group, double windowMs, double lifetimeMs) {
-        /** Whether regions drop a repeat wherever it goes: else only one that the first transaction sends is safe. */
+        /** Whether a repeat is safe at any region. Otherwise only a retry by the first request in the core is safe. */
         boolean allowsRepeats() { return effect == Api.Effect.IDEMPOTENT || effect == Api.Effect.DEDUPLICATED && group == Api.Group.ALL; }
     }
 
-    /** Bounds: keys that run at once, and who waits for one of them. */
+    /** Limits on keys that run at the same time, and on the requests that wait for one of them. */
     record Limits(int maxRunning, int maxWaiting) { }
 
     enum Verdict {
-        /** It is to be sent on now. */
+        /** The request is to be sent to the core. */
         LEAD,
-        /** It waits for the one that runs. */
+        /** The request waits for the current run. */
         JOIN,
-        /** The value that is held is its answer. */
+        /** The stored value is the answer. */
         ANSWER,
-        /** It ran, and the value is held no more; it must not run again. */
+        /** It ran, but its value is no longer stored; it must not run again. */
         RAN,
         /** It may have run and must not run again. */
         UNKNOWN,
-        /** The key is another request's. */
+        /** The key belongs to another request. */
         CONFLICT,
-        /** No room: to be refused at once. */
+        /** A limit is reached: to be refused. */
         FULL
     }
 
     record Decision(Verdict verdict, byte[] value) { }
 
-    /** How a run's transaction ended. */
+    /** How the request of a run ended in the core. */
     enum RunOutcome {
         SERVED,
-        /** No attempt of it ran. */
+        /** No attempt ran. */
         NEVER_RAN,
         /** An attempt may have run. */
         MAY_HAVE_RUN
     }
 
-    /** What follows from the end of a run: who gets the same answer, and who leads next, null for nobody. */
+    /** What follows from the end of a run: the requests that get the same answer, and the next leader or null. */
     record Next<W>(List<W> answered, W nextLeader, long key) { }
 
     private static final class Run<W> {
         final long fingerprint;
         final ClassPolicy rule;
-        W leader;                                    // null once it has left
+        W leader;                                    // null once the leader has left
         final ArrayDeque<W> waiting = new ArrayDeque<>(2);
-        double earliestRunMs = Double.POSITIVE_INFINITY;     // earliest that an earlier transaction of the key may have run
+        double earliestRunMs = Double.POSITIVE_INFINITY;     // the earliest time at which a request with the key may have run
         double startedAtMs;
 
         Run(long print, ClassPolicy rule, W leader, double begunAt) {
@@ -71,7 +71,7 @@
         }
     }
 
-    /** Counts since the start. */
+    /** Counters since the start. */
     static final class Counts {
         long led;
         long joined;
@@ -93,7 +93,7 @@
         this.bounds = bounds;
     }
 
-    /** A request with a key comes in; {@code print} is the same for the same request. */
+    /** Decides on an incoming request with a key; {@code print} is a fingerprint, equal for repeats of a request. */
     Decision admit(double nowMs, long key, long print, ClassPolicy rule, W who) {
         Run<W> run = running.get(key);
         if (run != null) {
@@ -134,8 +134,8 @@
     }
 
     /**
-     * Somebody left a run, or its time is over. True when nobody is left whom the run is for: it is to be given up,
-     * and told by {@link #ended}.
+     * Removes a request from a run, because its client left or its deadline passed. Returns true if no request is left: the run
+     * is then to be cancelled, and reported by {@link #ended}.
      */
     boolean leave(long key, W who) {
         Run<W> run = running.get(key);
@@ -144,14 +144,15 @@
         return run.leader == null && run.waiting.isEmpty();
     }
 
-    /** Whether a key runs with nobody to lead it. */
+    /** Whether a key has a run without a leader. */
     boolean hasNoLeader(long key) {
         Run<W> run = running.get(key);
         return run != null && run.leader == null;
     }
 
     /**
-     * A run's transaction is over. The leader's answer is its own transaction's; who waited gets what this says.
+     * Ends a run, or passes it on to the next leader. The leader has its answer from the core; the result says what the waiting
+     * requests get.
      */
     Next<W> complete(double nowMs, long key, RunOutcome ending, byte[] value) {
         Run<W> run = running.get(key);
@@ -167,7 +168,7 @@
         double repeatUntil = !mayHaveRun || !run.rule.allowsRepeats() ? 0 : run.earliestRunMs + run.rule.windowMs();
         boolean again = !mayHaveRun || nowMs < repeatUntil;
         if (again && !run.waiting.isEmpty()) {
-            // Exactly one of those that wait leads; the others go on waiting.
+            // One of the waiting requests becomes the leader; the others continue to wait.
             run.leader = run.waiting.poll();
             run.startedAtMs = nowMs;
             counts.ledAgain++;
@@ -182,7 +183,7 @@
         return new Next<>(new ArrayList<>(run.waiting), null, key);
     }
 
-    /** What a journal tells of a key's run in an earlier life; {@code ran} where it was answered. */
+    /** Restores a key's run of an earlier life from the journal; {@code ran} if it was answered as served. */
     void restore(double nowMs, long key, long print, ClassPolicy rule, double ranAtMs, double endedAtMs, boolean ran) {
         double until = endedAtMs + rule.lifetimeMs();
         if (until <= nowMs || running.containsKey(key)) { return; }
@@ -196,7 +197,7 @@
 
     FinishedKeys finished() { return finished; }
 
-    /** What is known of a key now, in one line; null for nothing. */
+    /** The state of a key in one line; null if the key is not known. */
     String describe(double nowMs, long key) {
         Run<W> run = running.get(key);
         if (run != null) {
--- a/src/main/java/yardusher/keys/KeyedRequestAcceptor.java
+++ b/src/main/java/yardusher/keys/KeyedRequestAcceptor.java
@@ -16,9 +16,9 @@
 import yardusher.core.EventLoop;
 
 /**
- * Stands between the fronts and the core: a request whose key runs waits for it, and one whose key is over gets the answer
- * that is held. What leads becomes a transaction of the core, so quotas, regions and the journal see each run once. Used
- * in turns only.
+ * Deduplicates requests by idempotency key before they reach the core. A request whose key has a run waits for it; one whose
+ * key is finished gets the stored answer. Only the leader of a run is passed to the core, so quotas, regions and the journal see
+ * each run once. Used on the event loop only.
  */
 public final class KeyedRequestAcceptor implements RequestAcceptor {
     private final RequestAcceptor core;
@@ -26,7 +26,7 @@
     private final KeyTable<KeyedRequest> table;
     private final KeyTable.ClassPolicy[] rules;
     private final double retryAfterMs;
-    private final Map<Long, CoreRequest> coreRequests = new HashMap<>(); // a key's transaction; as many as run
+    private final Map<Long, CoreRequest> coreRequests = new HashMap<>(); // by key, one for each run
 
     public KeyedRequestAcceptor(RequestAcceptor core, EventLoop loop, KeySettings settings, List<Api.RequestClass> classes, List<String> names) {
         settings.checkClasses(names);
@@ -42,12 +42,12 @@
         }
     }
 
-    /** One request with a key: its own deadline, its own place on its connection. */
+    /** An incoming request with a key; each has a deadline and a connection of its own. */
     private final class KeyedRequest implements RequestHandle {
         final IncomingRequest incoming;
         final long key;
         final double deadline;
-        Deadlines.Entry deadlineTimer;                    // while it waits; who leads has the core's
+        Deadlines.Entry deadlineTimer;                    // while it waits; the core watches the leader's deadline
         boolean over;
 
         KeyedRequest(IncomingRequest order, long key) {
@@ -67,7 +67,7 @@
             if (!over) { leave(this); }
         }
 
-        /** Whether this is its one final answer; nothing more is owed then. */
+        /** Marks the request as answered; returns whether it was not answered before. */
         private boolean finish() {
             boolean first = !over;
             over = true;
@@ -88,7 +88,7 @@
         }
     }
 
-    /** A run's transaction in the core. */
+    /** The request of a run in the core, on behalf of its leader. */
     private final class CoreRequest implements Terminal {
         final KeyedRequest leader;
         RequestHandle handle;
@@ -109,7 +109,7 @@
             }
         }
 
-        /** Who leads gets it as it comes. It is too large to be held, so repeats, now and later, hear that it ran. */
+        /** Streams the answer to the leader only. It is too large to be stored, so repeats are answered that the request ran. */
         @Override
         public ResponseStream beginStream(long length) {
             ResponseStream flow = leader.incoming.terminal().beginStream(length);
@@ -196,11 +196,11 @@
                 Math.max(1, asker.deadline - loop.now()), o.command(), flight, o.binding()));
     }
 
-    /** Who waited when a run ended without a value: one leads, or all get to know that it may have run. */
+    /** Handles the requests that waited for a run without a value: one becomes the leader, or all fail as possibly run. */
     private void follow(KeyTable.Next<KeyedRequest> next) {
         for (KeyedRequest one : next.answered()) { one.failed("it may have run", true); }
         if (next.nextLeader() == null) { return; }
-        // After this turn's work: the core first ends the attempt of the run that is over.
+        // After this turn, since the core first has to end the attempt of the finished run.
         loop.defer(() -> {
             if (!next.nextLeader().over) { lead(next.nextLeader()); }
         });
@@ -211,7 +211,7 @@
         left(asker);
     }
 
-    /** Somebody is in a run no more; with the last one the run ends, and with a leader that had not begun another leads. */
+    /** Removes a request from its run. The run ends with the last request; a leader that had not started is replaced. */
     private void left(KeyedRequest asker) {
         boolean empty = table.leave(asker.key, asker);
         CoreRequest flight = coreRequests.get(asker.key);
@@ -226,25 +226,25 @@
         follow(table.complete(loop.now(), asker.key, ending(mayHaveRun), null));
     }
 
-    /** What a journal tells of an order of an earlier life; times in milliseconds. */
+    /** Restores a request of an earlier life from the journal; times in milliseconds. */
     public void restore(long key, long print, int classIndex, double sentAtMs, double endedAtMs, boolean ran) {
         if (classIndex >= 0 && classIndex < rules.length) { table.restore(loop.now(), key, print, rules[classIndex], sentAtMs, endedAtMs, ran); }
     }
 
-    /** How long before now an order may have ended to be of any use to {@link #restore}. */
+    /** The maximum age, in milliseconds, of a finished request that is still of use to {@link #restore}. */
     public double longestLifetimeMs() {
         double longest = 0;
         for (KeyTable.ClassPolicy rule : rules) { longest = Math.max(longest, rule.lifetimeMs()); }
         return longest;
     }
 
-    /** What is known of a key, in one line. */
+    /** The state of a key in one line. */
     public String describe(long key) {
         String told = table.describe(loop.now(), key);
         return told == null ? "not known" : told;
     }
 
-    /** Figures in one line of names and values. */
+    /** The counters as one line of name=value pairs. */
     public String line() {
         KeyTable.Counts c = table.counts;
         FinishedKeys held = table.finished();
--- a/src/main/java/yardusher/keys/KeysSubsystem.java
+++ b/src/main/java/yardusher/keys/KeysSubsystem.java
@@ -8,13 +8,13 @@
 import yardusher.subsystem.Site;
 import yardusher.subsystem.Subsystem;
 
-/** Idempotency keys as a part of an ingress: stand between the fronts and the core, with what the journal knows of earlier lives. */
+/** Idempotency keys as a subsystem of an ingress: deduplicates requests before the core, and restores keys of earlier lives from the journal. */
 public final class KeysSubsystem implements Subsystem {
     private final KeySettings settings;
     private final JournalSettings journal;
     private KeyedRequestAcceptor intake;
 
-    /** {@code journal} is null where there is none: then a restart forgets all keys. */
+    /** {@code journal} is null if there is no journal: a restart then forgets all keys. */
     public KeysSubsystem(KeySettings settings, JournalSettings journal) {
         this.settings = settings;
         this.journal = journal;
