--- a/src/test/java/yardusher/journal/CrashTest.java
+++ b/src/test/java/yardusher/journal/CrashTest.java
@@ -19,7 +19,7 @@
 import yardusher.core.RequestLog;
 import yardusher.disk.Framing;
 
-/** What a crash, a loss of power and damage at any byte leave of a journal. */
+/** The state of a journal after a crash, a power failure or damage at any byte. */
 class CrashTest {
     private static final Entry.Opened WHO = new Entry.Opened(0, 77, "n0", List.of("lookup", "place-order"), List.of("basis"));
 
@@ -27,7 +27,7 @@
         return new JournalSettings(Path.of("none"), durability, 50, 5, 200, segmentBytes, 1 << 20, 1024, 72, 60, refuses, 500, true);
     }
 
-    /** A life written to a disk: its entries in order, and after how many changes of the disk each batch was acknowledged. */
+    /** A life written to a disk: its entries in order, and for each batch the number of disk changes before its acknowledgement. */
     private record Life(FaultyDisk disk, List<Entry> told, List<int[]> acknowledged) { }
 
     private static Life live(long seed, int batches, JournalSettings.Durability durability) throws IOException {
@@ -37,7 +37,7 @@
         Segments segments = new Segments(disk, settings(durability, 1500, true), Recovery.run(disk, now[0]), WHO, () -> now[0], new Indexer(disk, "test"));
         List<Entry> told = new ArrayList<>();
         List<int[]> acknowledged = new ArrayList<>();
-        List<long[]> open = new ArrayList<>();       // order, attempts, whether one is out
+        List<long[]> open = new ArrayList<>();       // request, number of attempts, state of the last one
         long orders = 0;
         for (int i = 0; i < batches; i++) {
             List<Entry> batch = new ArrayList<>();
@@ -72,7 +72,7 @@
         return new Entry.RequestFacts(order * 31, true, order * 17, order % 7, 1, 0, 1, 0);
     }
 
-    /** What a whole reading of the segments gives, orders that are over included. */
+    /** All requests in the segments, including finished ones. */
     private static RequestTable read(FaultyDisk disk) throws IOException {
         RequestTable book = new RequestTable();
         for (long number : Recovery.segments(disk)) {
@@ -88,7 +88,7 @@
         return map;
     }
 
-    /** Recovers, begins a next life, and holds both against the entries told: none invented, none acknowledged lost. */
+    /** Recovers, begins a new life, and compares both with the written entries: none is invented, no acknowledged one is lost. */
     private static void check(FaultyDisk disk, List<Entry> told, int acknowledged) throws IOException {
         RequestTable all = new RequestTable();
         RequestTable certain = new RequestTable();
@@ -113,7 +113,7 @@
                     && order.state() == JournaledRequest.State.INTENDED ? JournaledRequest.State.REFUSED : JournaledRequest.State.NEVER_SENT);
             assertThat(found.open().requests().stream().anyMatch(o -> o.number == order.number) || kept.isOver()).as("open is known").isTrue();
         }
-        // The next life begins, carries what was open, closed, and a third finds nothing open.
+        // The next life carries and closes the open requests; a third finds none open.
         new Segments(disk, settings(JournalSettings.Durability.PROCESS, 1500, true), found, new Entry.Opened(0, 78, "n0", List.of(), List.of()),
                 () -> 2e6, new Indexer(disk, "test")).close();
         assertThat(Recovery.run(disk, 2e6).open().size()).isZero();
@@ -121,7 +121,7 @@
                 .filter(order -> order.attempts.stream().anyMatch(one -> one.outcome == null)).count());
     }
 
-    /** The long run cuts 100 lives; this cuts one, at every byte. */
+    /** Cuts one life at every byte; the long run cuts 100 lives. */
     static void cutAtEveryByte(long seed, int batches) throws IOException {
         Life life = live(seed, batches, JournalSettings.Durability.PROCESS);
         FaultyDisk disk = new FaultyDisk();
@@ -169,7 +169,7 @@
         byte[] bytes = life.disk.bytes(SegmentFiles.name(number)).clone();
         int from = place % bytes.length;
         int to = Math.min(bytes.length, from + length);
-        List<long[]> frames = new ArrayList<>();     // where each stood, and which it was
+        List<long[]> frames = new ArrayList<>();     // start and end offset of each
         List<Entry> before = new ArrayList<>();
         Framing<Entry>.Reader whole = SegmentFiles.reader(life.disk.open(SegmentFiles.name(number)), number, (f, t, torn) -> { });
         for (Entry entry; (entry = whole.next()) != null;) {
@@ -189,7 +189,7 @@
         }
         assertThat(after.stream().map(CrashTest::plain)).containsExactlyElementsOf(untouched);
         assertThat(Verify.run(disk, false, b -> { }).damage()).isNotEmpty();
-        Recovery.run(disk, 2e6);                     // whatever it finds, it goes on
+        Recovery.run(disk, 2e6);                     // must not fail, whatever the damage
     }
 
     private static String plain(Entry entry) {
@@ -236,7 +236,7 @@
             disk.failures = random.nextInt(4) == 0 ? 1 + random.nextInt(2) : 0;
             disk.syncFailures = random.nextInt(6) == 0 ? 1 : 0;
             List<Entry> batch = List.of(new Entry.Accepted(i, i, facts(i)), new Entry.Intended(i, i, 0, 1, facts(i), i));
-            while (!segments.append(batch).written()) { segments.recheck(); } // as the journal does: again until it stands
+            while (!segments.append(batch).written()) { segments.recheck(); } // retries until written, as the journal does
             told.addAll(batch);
         }
         check(disk.copy(true), told, told.size());
@@ -249,8 +249,8 @@
         List<Retention.SealedSegment> sealed = List.of(new Retention.SealedSegment(1, 400_000, 0), new Retention.SealedSegment(2, 400_000, 80 * hour),
                 new Retention.SealedSegment(3, 400_000, 80.5 * hour));
         assertThat(numbers(retention.decide(sealed, 100_000, 81.2 * hour))).containsExactly(1L);   // older than 72 hours
-        assertThat(numbers(retention.decide(sealed, 300_000, 81.2 * hour))).containsExactly(1L, 2L); // and no room
-        assertThat(retention.decide(sealed.subList(1, 3), 300_000, 80.6 * hour).full()).isTrue();  // all too young to go
+        assertThat(numbers(retention.decide(sealed, 300_000, 81.2 * hour))).containsExactly(1L, 2L); // and over the size limit
+        assertThat(retention.decide(sealed.subList(1, 3), 300_000, 80.6 * hour).full()).isTrue();  // all too young to delete
         assertThat(numbers(retention.decide(sealed, 900_000, -5 * hour))).isEmpty();
     }
 
--- a/src/test/java/yardusher/journal/FaultyDisk.java
+++ b/src/test/java/yardusher/journal/FaultyDisk.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.CountDownLatch;
 import yardusher.disk.Storage;
 
-/** A folder in memory that fails as a script says, remembers what was synced, and keeps a log to replay up to any byte. */
+/** An in-memory directory with scripted failures. Tracks which bytes are synced, and logs all changes for replay up to any byte. */
 final class FaultyDisk implements Storage {
-    /** One change; a write's bytes, else null. */
+    /** One change; {@code bytes} is null unless it is a write. */
     record Change(String file, byte[] bytes, String what, long number) { }
 
     private static final class File {
@@ -24,14 +24,14 @@
     private final Map<String, File> files = new TreeMap<>();
     final List<Change> changes = new ArrayList<>();
     volatile long room = Long.MAX_VALUE;             // bytes until it is full
-    volatile int failures;                           // so many writes fail half way
+    volatile int failures;                           // the number of next writes that fail half way
     volatile int syncFailures;
     volatile CountDownLatch hang;                    // writes wait for it
     volatile int opened;
 
     private void note(String file, byte[] bytes, String what, long number) { changes.add(new Change(file, bytes, what, number)); }
 
-    /** Does a change of another disk's log here, the first so many bytes of a write. */
+    /** Replays a change from another disk's log, a write up to {@code length} bytes. */
     synchronized void redo(Change change, int length) {
         File file = files.computeIfAbsent(change.file(), name -> new File());
         switch (change.what()) {
@@ -49,7 +49,7 @@
         return both;
     }
 
-    /** A copy as a crash of the process leaves it, or a loss of power, which takes all that was not synced. */
+    /** A copy in the state after a crash of the process, or after a power failure, which loses all unsynced bytes. */
     synchronized FaultyDisk copy(boolean powerLost) {
         FaultyDisk copy = new FaultyDisk();
         files.forEach((name, file) -> {
--- a/src/test/java/yardusher/journal/JournalBench.java
+++ b/src/test/java/yardusher/journal/JournalBench.java
@@ -21,9 +21,10 @@
 import yardusher.resp.Encoder;
 
 /**
- * What the journal costs: real ingresses on one core, journal off and on in turn, with the same place-orders. By hand:
- * {@code JournalBench ROUNDS CORE [RATE [JAR]]}; with the jar of another build, this one and that, journal off. Each round starts an ingress for every setting, warms it up, asks at a steady
- * rate (open loop, times from when each was due), then as fast as 16 connections can.
+ * Measures the cost of the journal: real ingresses on one CPU core, with the journal off and on in turn, under the same load. Run
+ * by hand: {@code JournalBench ROUNDS CORE [RATE [JAR]]}. With the jar of another build, it compares the two builds with the
+ * journal off. Each round starts an ingress for every setting, warms it up, sends requests at a steady rate (open loop, latency
+ * from when each was due), then as fast as 16 connections can.
  */
 final class JournalBench {
     private static final int CONNECTIONS = 16;
@@ -31,10 +32,10 @@
     private static final int WARM_MS = 3000;
     private static final int PACED_MS = 4000;
     private static final int FLAT_OUT_MS = 2000;
-    private static String otherBuild;                // its jar, to be held against this build with the journal off
+    private static String otherBuild;                // jar of the build to compare with, journal off
     private static final AtomicLong IDS = new AtomicLong(System.nanoTime());
 
-    /** One run's figures: CPU in microseconds a request, at the steady rate and flat out. */
+    /** The results of one run: CPU in microseconds per request, at the steady rate and at full load. */
     record Figures(double p50Us, double p99Us, double p999Us, double pacedCpuUs, double perSecond, double cpuUs, double bytesAnOrder,
             double residentMb) { }
 
@@ -114,7 +115,7 @@
         Thread thread = new Thread(() -> {
             try {
                 work.run();
-            } catch (Exception e) { /* the other side ended */ }
+            } catch (Exception e) { /* the peer closed the connection */ }
         });
         thread.setDaemon(true);
         thread.start();
@@ -177,7 +178,7 @@
                 flatOut.getTotalCount() / seconds, flatCpu, bytes / Double.parseDouble(served.group(1)), resident);
     }
 
-    /** Asks at a rate a second in all, 0 for as fast as it goes; times in nanoseconds, from when each was due. */
+    /** Sends requests at a total rate per second, 0 for full load. Latencies are in nanoseconds, from when each request was due. */
     private static Histogram load(int port, int forMs, int rate) throws Exception {
         List<Thread> threads = new ArrayList<>();
         List<Histogram> parts = new ArrayList<>();
--- a/src/test/java/yardusher/journal/JournalJmh.java
+++ b/src/test/java/yardusher/journal/JournalJmh.java
@@ -28,7 +28,7 @@
 import yardusher.disk.Directory;
 import yardusher.disk.Storage;
 
-/** Appending, recovery and looking up at size, each with the heap of an ingress. By hand: {@code org.openjdk.jmh.Main JournalJmh}. */
+/** Benchmarks of appending, recovery and lookup in large journals, with the heap size of an ingress. Run by hand: {@code org.openjdk.jmh.Main JournalJmh}. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.SingleShotTime)
 @OutputTimeUnit(TimeUnit.MILLISECONDS)
@@ -45,7 +45,7 @@
         return new JournalSettings(folder, JournalSettings.Durability.PROCESS, 50, 5, 200, 8 << 20, 1L << 40, 1 << 18, 72, 60, true, 500, false);
     }
 
-    /** Four records an order, some of a thousand always open, in batches of about 32. */
+    /** Four records per request, about a thousand requests always open, in batches of about 32 records. */
     private static void fill(Path folder, int records) throws IOException {
         Storage storage = Directory.openForWriting(folder, "bench");
         double[] now = {1.7e12};
@@ -88,7 +88,7 @@
         try (Stream<Path> files = Files.walk(folder)) { files.sorted(Comparator.reverseOrder()).forEach(file -> file.toFile().delete()); }
     }
 
-    /** Time to write so many records, durable against a kill. */
+    /** Time to write all records, durable against a kill of the process. */
     @Benchmark
     public void append() throws IOException {
         Path to = Files.createTempDirectory("journal-jmh-append");
@@ -96,14 +96,14 @@
         remove(to);
     }
 
-    /** Time to know the open orders again after a crash. */
+    /** Time to recover the open requests after a crash. */
     @Benchmark
     public int recovery() throws IOException {
         Recovery.Result found = Recovery.run(Directory.openForReading(folder), 2e12);
         return found.open().size();
     }
 
-    /** Time to find one order by its key, with the indexes. */
+    /** Time to find one request by its key, using the indexes. */
     @Benchmark
     public long lookUp() throws IOException {
         Query query = new Query(Map.of(SegmentIndex.Field.KEY, records / 8 * 31L), Set.of(), false, false, 0, Long.MAX_VALUE);
@@ -114,7 +114,7 @@
         }
     }
 
-    /** Time to read all of it, as verify does. */
+    /** Time to read the whole journal, as verify does. */
     @Benchmark
     public long wholeReading() throws IOException { return Verify.run(Directory.openForReading(folder), false, bytes -> { }).entries(); }
 }
--- a/src/test/java/yardusher/journal/JournalStoryTest.java
+++ b/src/test/java/yardusher/journal/JournalStoryTest.java
@@ -32,7 +32,7 @@
 import yardusher.error.JournalError;
 import yardusher.log.Events;
 
-/** The core with a journal on a disk that does as it is told, on a clock that moves when it is told. */
+/** The core with a journal, on a disk with scripted failures and a manual clock. */
 class JournalStoryTest {
     private static final int ORDER = 1;              // class place-order of the test's settings
     private final FaultyDisk disk = new FaultyDisk();
@@ -129,7 +129,7 @@
         loop.execute(() -> { });
     }
 
-    /** Lets time pass, or none, until the journal is good again; looked at in loop, as all its state. */
+    /** Advances the clock, possibly by 0, until the journal is healthy; its state is read on the event loop. */
     private void awaitGood(double stepMs) {
         for (boolean[] good = new boolean[1]; !good[0];) {
             pass(stepMs);
@@ -137,7 +137,7 @@
         }
     }
 
-    /** Ends the journal and gives the orders as a reader finds them, in the order of taking in. */
+    /** Closes the journal and reads its requests, in the order of arrival. */
     private List<JournaledRequest> read() throws IOException {
         assertThat(journal.close(5000)).isTrue();
         List<JournaledRequest> orders = new ArrayList<>();
@@ -159,7 +159,7 @@
         disk.hang.countDown();
         for (int i = 0; i < 2; i++) {
             Attempt attempt = next(begun);
-            try (Scan scan = new Scan(disk.copy(true), Query.ALL, bytes -> { })) { // as a loss of power now would leave it
+            try (Scan scan = new Scan(disk.copy(true), Query.ALL, bytes -> { })) { // as a power failure at this point would leave it
                 boolean intended = false;
                 for (JournaledRequest order; (order = scan.next()) != null;) {
                     intended |= order.number == attempt.request.number && order.state() == JournaledRequest.State.INTENDED;
@@ -183,7 +183,7 @@
         loop.execute(() -> leaves.terminalLeft());
         disk.hang.countDown();
         disk.hang = new CountDownLatch(1);
-        take(ORDER);                                 // gathers behind the first batch, or with it
+        take(ORDER);                                 // collected in the next batch, or in the first
         pass(150);
         pass(2100);
         assertThat(next(answers)).isIn("2 refused", "2 failed");
@@ -203,7 +203,7 @@
         for (String name : disk.list()) { used += disk.size(name); }
         disk.room = used;                            // the next byte does not fit
         take(ORDER);
-        Attempt reserved = next(begun);              // paid from the reserve, which is now given up
+        Attempt reserved = next(begun);              // written in the space of the reserve, which is released now
         take(ORDER);
         assertThat(next(answers)).isEqualTo("3 refused");
         take(0);
@@ -212,7 +212,7 @@
         end(out, Api.Outcome.SERVED);
         end(reserved, Api.Outcome.TIMED_OUT);
         disk.room = Long.MAX_VALUE;
-        awaitGood(200);                              // looks for room again
+        awaitGood(200);                              // the journal checks for space again
         take(ORDER);
         end(begun.peek() == null ? next(begun) : begun.take(), Api.Outcome.REJECTED);
         List<JournaledRequest> orders = read();
@@ -228,7 +228,7 @@
         for (String name : disk.list()) { used += disk.size(name); }
         disk.room = used;
         take(ORDER);
-        end(next(begun), Api.Outcome.SERVED);        // recorded, in what the reserve has given
+        end(next(begun), Api.Outcome.SERVED);        // recorded in the space of the reserve
         for (int i = 0; i < 3; i++) {
             take(ORDER);
             end(next(begun), Api.Outcome.SERVED);    // at once, unrecorded
@@ -263,7 +263,7 @@
     void aFailingDiskRefusesAtOnceAndWhatIsToldMeanwhileIsWrittenWhenItIsBack() throws Exception {
         start(true, JournalSettings.Durability.GROUP);
         disk.room = 0;
-        disk.failures = 1;                           // this write fails half way, and so does all that follows
+        disk.failures = 1;                           // this write fails half way, and so do all that follow
         take(ORDER);
         assertThat(next(answers)).isEqualTo("1 refused");
         assertThat(begun).isEmpty();
--- a/src/test/java/yardusher/journal/KillRun.java
+++ b/src/test/java/yardusher/journal/KillRun.java
@@ -27,20 +27,20 @@
 import yardusher.resp.Encoder;
 
 /**
- * Kills a real ingress with SIGKILL, again and again, while orders run through it, and holds its journal against what
- * stand-in regions received. By hand: {@code KillRun KILLS SEED DURABILITY}; the suite runs a few kills.
+ * Kills a real ingress with SIGKILL repeatedly while it serves requests, and compares its journal with what
+ * stand-in regions received. Run by hand: {@code KillRun KILLS SEED DURABILITY}; the suite runs a few kills.
  */
 final class KillRun {
     private static final int CLIENTS = 8;
     private static final int REGIONS = 3;
 
-    /** What a run found. Every list should be empty. */
+    /** The findings of a run. All lists must be empty. */
     record Result(int kills, int orders, int received, int sent, int intended, int neverSent, int answered, List<String> unaccounted,
             List<String> neverArrived, List<String> outTwice, List<String> leftOpen) {
         boolean good() { return unaccounted.isEmpty() && neverArrived.isEmpty() && outTwice.isEmpty() && leftOpen.isEmpty(); }
     }
 
-    /** Orders received whole, by id and region; and those that are out, by id. */
+    /** Requests received completely, by id and region; and those in flight, by id. */
     private final Set<String> received = ConcurrentHashMap.newKeySet();
     private final Map<String, Socket> out = new ConcurrentHashMap<>();
     private final List<String> outTwice = new ArrayList<>();
@@ -53,7 +53,7 @@
 
     private KillRun(long seed) { this.seed = seed; }
 
-    /** A region: serves, refuses, fails, resets or hangs, by the order's id and the seed. */
+    /** A region that serves, refuses, fails, disconnects or hangs, depending on the request's id and the seed. */
     private void region(ServerSocket door, long number) {
         for (;;) {
             try {
@@ -62,11 +62,11 @@
                 Thread talk = new Thread(() -> {
                     try {
                         talk(guest, number);
-                    } catch (IOException | InterruptedException | RuntimeException | yardusher.resp.MalformedRespException e) { /* it was killed */ }
+                    } catch (IOException | InterruptedException | RuntimeException | yardusher.resp.MalformedRespException e) { /* the ingress was killed */ }
                     out.values().removeIf(socket -> socket == guest);
                     try {
                         guest.close();
-                    } catch (IOException e) { /* gone */ }
+                    } catch (IOException e) { /* already closed */ }
                     connections.decrementAndGet();
                 });
                 talk.setDaemon(true);
@@ -97,7 +97,7 @@
             SplittableRandom random = new SplittableRandom(seed ^ Long.parseUnsignedLong(id, 16) * 31 ^ number);
             int way = random.nextInt(20);
             if (way == 0) { continue; }              // hangs
-            if (way == 1) { return; }                // breaks
+            if (way == 1) { return; }                // disconnects
             Thread.sleep(random.nextInt(4));
             byte[] answer = way < 4 ? new Encoder(16).error("BUSY").toBytes() : way < 6 ? new Encoder(16).error("ERR failed").toBytes()
                     : new Encoder(64).array(3).bulk("made").raw("$-1\r\n$-1\r\n".getBytes(StandardCharsets.US_ASCII)).toBytes();
@@ -169,20 +169,20 @@
                 client.start();
                 clients.add(client);
             }
-            if (!reached.await(60, TimeUnit.SECONDS)) { throw new AssertionError("no orders came, seed " + seed); }
-            TimeUnit.MICROSECONDS.sleep(random.nextInt(3000)); // anywhere between two events
+            if (!reached.await(60, TimeUnit.SECONDS)) { throw new AssertionError("no requests arrived, seed " + seed); }
+            TimeUnit.MICROSECONDS.sleep(random.nextInt(3000)); // kills at a random point between two events
             child.destroyForcibly().waitFor();
             left.set(0);
             for (Thread client : clients) { client.join(10_000); }
             long until = System.nanoTime() + 20_000_000_000L;
-            while (connections.get() > 0) {          // all bytes that the kernel had taken have been read
-                if (System.nanoTime() > until) { throw new AssertionError("a region's connection stays open, seed " + seed); }
+            while (connections.get() > 0) {          // until all bytes that the kernel had accepted have been read
+                if (System.nanoTime() > until) { throw new AssertionError("a connection to a region stays open, seed " + seed); }
                 Thread.sleep(1);
             }
             killAt = Integer.MAX_VALUE;
             check(journal, unaccounted, neverArrived);
         }
-        // One more life closes what the last left open.
+        // One more life closes the requests that the last one left open.
         JournalSettings settings = yardusher.settings.Settings.read(own).journal();
         yardusher.core.EventLoop loop = new yardusher.core.EventLoop(System::currentTimeMillis, e -> { });
         Journal.open(settings, "n0", yardusher.cli.Config.read(config.toString()).settings(), List.of(), List.of(), loop,
@@ -204,7 +204,7 @@
 
     private static String name(JournaledRequest order) { return String.format("%016x", order.facts == null ? 0 : order.facts.id()); }
 
-    /** The journal of a dead instance against what the regions hold. */
+    /** Compares the journal of a killed instance with what the regions received. */
     private void check(Path journal, List<String> unaccounted, List<String> neverArrived) throws IOException {
         Set<String> accounted = ConcurrentHashMap.newKeySet();
         try (Scan scan = new Scan(Directory.openForReading(journal), Query.ALL, bytes -> { })) {
--- a/src/test/java/yardusher/journal/KillStoryTest.java
+++ b/src/test/java/yardusher/journal/KillStoryTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A real ingress, killed: the short run. */
+/** The short run of {@link KillRun}: a real ingress is killed a few times. */
 class KillStoryTest {
     @TempDir
     Path folder;
--- a/src/test/java/yardusher/keys/KeysTest.java
+++ b/src/test/java/yardusher/keys/KeysTest.java
@@ -19,7 +19,7 @@
 import yardusher.core.Terminal;
 import yardusher.core.EventLoop;
 
-/** Keys at one ingress: the intake over a core that does as it is told, against a plain account of what must hold. */
+/** Idempotency keys at one ingress: the acceptor on a scripted core, compared with a simple model of the rules. */
 class KeysTest {
     private static final double WINDOW_MS = 5000;
     private static final double LIFETIME_MS = 60_000;
@@ -31,7 +31,7 @@
     private KeyedRequestAcceptor intake;
     private int sent;
 
-    /** A transaction that the core was given and has not ended. */
+    /** A request that the core has accepted and not ended. */
     private final class Sent implements RequestHandle {
         final IncomingRequest order;
         boolean mayHaveRun;
@@ -51,7 +51,7 @@
         }
     }
 
-    /** What the plain account knows of a key: its value, or that it may have run, and till when it may be sent again. */
+    /** The model's state of a key: its value, or that it may have run, and until when it may be sent again. */
     private record Held(long print, String value, double repeatUntil, double until) { }
 
     private void over(Sent sent, String value, boolean mayHaveRun) {
@@ -72,7 +72,7 @@
 
     private static long key(IncomingRequest order) { return Long.parseUnsignedLong(order.command().key(), 16); }
 
-    /** Somebody who asked, and the answers it got. */
+    /** A client's request and the answers it received. */
     private static final class Asked implements Terminal {
         final long key;
         final List<String> answers = new ArrayList<>();
@@ -92,7 +92,7 @@
     }
 
     private void open(int answerBytes, int mostRunning) {
-        loop = new EventLoop(() -> now, e -> { throw new AssertionError(e); }); // deadlines of an earlier try must not count
+        loop = new EventLoop(() -> now, e -> { throw new AssertionError(e); }); // a new loop, so that deadlines of an earlier try do not fire
         RequestAcceptor core = order -> {
             Sent one = new Sent(order);
             for (Sent other : out) { assertThat(key(other.order)).as("a key out twice").isNotEqualTo(key(order)); }
@@ -125,7 +125,7 @@
         return asked;
     }
 
-    /** Ends what the core holds: 0 serves, 1 refuses, 2 fails and it may have run, 3 fails and it never ran. */
+    /** Ends a request in the core: 0 served, 1 refused, 2 failed and may have run, 3 failed and never ran. */
     private void end(Sent one, int how) {
         out.remove(one);
         loop.execute(() -> {
@@ -207,12 +207,12 @@
     void aRepeatExactlyAsTheFirstFailsLeadsInBothOrdersAndOnlyOnce() {
         open(1 << 20, 10);
         Asked first = ask(5, 1, 2000);
-        Asked before = ask(5, 1, 2000);              // the repeat, then the end
+        Asked before = ask(5, 1, 2000);              // the repeat arrives before the first ends
         end(out.get(0), 2);
         assertThat(first.answers).containsExactly("failed failed");
         assertThat(before.answers).isEmpty();
         assertThat(out).hasSize(1);
-        end(out.get(0), 2);                          // the end, then a repeat
+        end(out.get(0), 2);                          // the first ends before the repeat arrives
         Asked after = ask(5, 1, 2000);
         assertThat(out).hasSize(1);
         end(out.get(0), 0);
@@ -235,7 +235,7 @@
         out.remove(one);
         over(one, null, false);
         loop.execute(() -> {
-            one.order.terminal().reject(0, false); // third is to lead after this turn's work
+            one.order.terminal().reject(0, false); // makes the third request the leader after this turn
             third.stay.terminalLeft();
         });
         assertThat(out).isEmpty();
