--- a/src/main/java/yardusher/disk/Directory.java
+++ b/src/main/java/yardusher/disk/Directory.java
@@ -43,7 +43,7 @@
      * Opens a directory for writing: creates it if it does not exist, and locks it. Messages of exceptions do not contain the
      * path; {@link Held} if it is locked already.
      */
-    public static Directory openForWriting(Path path, String who) throws IOException {
+    public static Directory openForWriting(Path path, String owner) throws IOException {
         FileChannel channel;
         try {
             Files.createDirectories(path);
@@ -55,7 +55,7 @@
             FileLock held = channel.tryLock();
             if (held == null) { throw new LockedException("another process writes here", null); }
             channel.truncate(0);
-            channel.write(ByteBuffer.wrap((who + " pid " + ProcessHandle.current().pid() + "\n").getBytes(StandardCharsets.UTF_8)));
+            channel.write(ByteBuffer.wrap((owner + " pid " + ProcessHandle.current().pid() + "\n").getBytes(StandardCharsets.UTF_8)));
         } catch (OverlappingFileLockException e) {
             channel.close();
             throw new LockedException("written by another instance of this process", e);
--- a/src/main/java/yardusher/disk/DurableLog.java
+++ b/src/main/java/yardusher/disk/DurableLog.java
@@ -22,7 +22,7 @@
     /** The state that the owner of a log builds from its records. */
     public interface LoggedState {
         /** Applies one record, in order, those of the snapshot first. Throws an {@link IOException} for a record that the owner cannot have written. */
-        void apply(LogRecord line) throws IOException;
+        void apply(LogRecord record) throws IOException;
 
         /** The current state, as the records that restore it. */
         List<LogRecord> snapshot();
@@ -47,7 +47,7 @@
     private final Storage storage;
     private final String prefix;
     private final Framing<LogRecord> framing;
-    private final LoggedState content;
+    private final LoggedState state;
     private final long segmentBytes;
     private final ByteBuffer out;
     private final CRC32C sum = new CRC32C();
@@ -55,11 +55,11 @@
     private long number;
     private long size;
 
-    private DurableLog(Storage storage, String prefix, long magic, LoggedState content, long segmentBytes) {
+    private DurableLog(Storage storage, String prefix, long magic, LoggedState state, long segmentBytes) {
         this.storage = storage;
         this.prefix = prefix;
         this.framing = new Framing<>(magic, MAX_RECORD_BYTES, CODEC);
-        this.content = content;
+        this.state = state;
         this.segmentBytes = segmentBytes;
         out = ByteBuffer.allocate(Math.max(64 * 1024, 2 * framing.maxFrameBytes()));
     }
@@ -70,10 +70,10 @@
     }
 
     /** Creates a log in a directory that holds none, with a snapshot of the state. */
-    public static DurableLog create(Storage storage, String prefix, long magic, LoggedState content, long segmentBytes) throws IOException {
-        DurableLog ledger = new DurableLog(storage, prefix, magic, content, segmentBytes);
-        ledger.roll();
-        return ledger;
+    public static DurableLog create(Storage storage, String prefix, long magic, LoggedState state, long segmentBytes) throws IOException {
+        DurableLog log = new DurableLog(storage, prefix, magic, state, segmentBytes);
+        log.roll();
+        return log;
     }
 
     /**
@@ -81,18 +81,18 @@
      *
      * @throws IOException if there is none, if it is damaged, or if the next segment cannot be written
      */
-    public static DurableLog open(Storage storage, String prefix, long magic, LoggedState content, long segmentBytes) throws IOException {
-        DurableLog ledger = new DurableLog(storage, prefix, magic, content, segmentBytes);
+    public static DurableLog open(Storage storage, String prefix, long magic, LoggedState state, long segmentBytes) throws IOException {
+        DurableLog log = new DurableLog(storage, prefix, magic, state, segmentBytes);
         List<Long> numbers = numbers(storage, prefix);
         int last = numbers.size() - 1;
         // A segment with an incomplete snapshot comes from an interrupted roll; no records were appended to it.
-        while (last >= 0 && ledger.isSnapshotIncomplete(numbers.get(last))) { last--; }
+        while (last >= 0 && log.isSnapshotIncomplete(numbers.get(last))) { last--; }
         if (last < 0) { throw new IOException("no " + prefix + " segment is complete"); }
-        ledger.replay(numbers.get(last));
-        ledger.number = numbers.get(numbers.size() - 1);
-        ledger.roll();
+        log.replay(numbers.get(last));
+        log.number = numbers.get(numbers.size() - 1);
+        log.roll();
         for (long old : numbers) { storage.delete(name(prefix, old)); }
-        return ledger;
+        return log;
     }
 
     private static String name(String prefix, long number) { return String.format("%s-%016d.seg", prefix, number); }
@@ -110,12 +110,12 @@
 
     /** Whether a segment ends before the end of its snapshot, as a crash leaves it. False if there is damage before a valid frame. */
     private boolean isSnapshotIncomplete(long segment) throws IOException {
-        boolean[] spoilt = new boolean[1];
+        boolean[] damaged = new boolean[1];
         try (Storage.Source source = storage.open(name(prefix, segment))) {
-            Framing<LogRecord>.Reader reader = framing.new Reader(source, segment, (from, to, torn) -> spoilt[0] |= !torn);
+            Framing<LogRecord>.Reader reader = framing.new Reader(source, segment, (from, to, torn) -> damaged[0] |= !torn);
             int count = 0;
             for (LogRecord record; (record = reader.next()) != null; count++) {
-                if (record.kind() == SNAPSHOT_END || spoilt[0]) { return false; }
+                if (record.kind() == SNAPSHOT_END || damaged[0]) { return false; }
             }
         }
         return true;
@@ -129,19 +129,19 @@
             Framing<LogRecord>.Reader reader = framing.new Reader(source, segment, (from, to, tail) -> {
                 if (tail) { torn[0] = from; } else { damage[0] = name + ": damaged, " + (to - from) + " bytes from " + from; }
             });
-            boolean based = false;
+            boolean snapshotComplete = false;
             int count = 0;
             for (LogRecord record; (record = reader.next()) != null; count++) {
                 if (damage[0] != null) { throw new IOException(damage[0]); }
                 if (record.kind() != SNAPSHOT_END) {
-                    content.apply(record);
-                } else if (based || Fields.read(record.body()).number(1) != count) {
+                    state.apply(record);
+                } else if (snapshotComplete || Fields.read(record.body()).number(1) != count) {
                     throw new IOException(name + ": its snapshot is incomplete");
                 } else {
-                    based = true;
+                    snapshotComplete = true;
                 }
             }
-            if (damage[0] != null || !based) { throw new IOException(damage[0] == null ? name + ": its snapshot is incomplete" : damage[0]); }
+            if (damage[0] != null || !snapshotComplete) { throw new IOException(damage[0] == null ? name + ": its snapshot is incomplete" : damage[0]); }
         }
     }
 
@@ -177,10 +177,10 @@
     public boolean isDueToRoll() { return size >= segmentBytes; }
 
     /** Begins the next segment with a durable snapshot of the state and deletes the older one. A failure leaves everything as it was. */
-    public void roll() throws IOException { roll(content.snapshot()); }
+    public void roll() throws IOException { roll(state.snapshot()); }
 
     /** The same with a snapshot that was taken while the state was not changing. */
-    public void roll(List<LogRecord> content) throws IOException {
+    public void roll(List<LogRecord> snapshot) throws IOException {
         long next = number + 1;
         String name = name(prefix, next);
         Storage.Appender file = null;
@@ -192,9 +192,9 @@
             framing.putMagic(magic);
             magic.flip();
             while (magic.hasRemaining()) { file.write(magic); }
-            List<LogRecord> base = new ArrayList<>(content);
-            base.add(new LogRecord(SNAPSHOT_END, new Fields.Writer().number(1, base.size()).toBytes()));
-            length = Framing.MAGIC_BYTES + put(file, next, base);
+            List<LogRecord> records = new ArrayList<>(snapshot);
+            records.add(new LogRecord(SNAPSHOT_END, new Fields.Writer().number(1, records.size()).toBytes()));
+            length = Framing.MAGIC_BYTES + put(file, next, records);
             file.force();
             storage.forceDirectory();
         } catch (IOException e) {
--- a/src/main/java/yardusher/disk/Fields.java
+++ b/src/main/java/yardusher/disk/Fields.java
@@ -18,7 +18,7 @@
  * stores and the messages between agents. An absent field reads as 0 or as the empty string; unknown fields are ignored.
  */
 public final class Fields {
-    private static final byte[] NOTHING = {};
+    private static final byte[] EMPTY = {};
     private final Map<Integer, List<Object>> values = new TreeMap<>();
 
     private Fields() { }
@@ -49,7 +49,7 @@
 
     public boolean flag(int field) { return number(field) != 0; }
 
-    public byte[] bytes(int field) { return last(field) instanceof byte[] bytes ? bytes : NOTHING; }
+    public byte[] bytes(int field) { return last(field) instanceof byte[] bytes ? bytes : EMPTY; }
 
     public String text(int field) { return new String(bytes(field), StandardCharsets.UTF_8); }
 
--- a/src/main/java/yardusher/journal/Entry.java
+++ b/src/main/java/yardusher/journal/Entry.java
@@ -10,34 +10,34 @@
 
     /** The properties of a request when it was accepted. {@code keyed} is false for a class without idempotency
      * keys; {@code fingerprint} is a hash of the request, 0 if idempotency keys are off. */
-    record RequestFacts(long id, boolean keyed, long key, long customer, int classIndex, int plan, double units, long fingerprint) { }
+    record RequestFacts(long id, boolean keyed, long key, long customer, int classIndex, int planIndex, double units, long fingerprint) { }
 
     /** The first record of a segment: the writing instance, and the names of the classes and plans that entries refer to by index. */
     record Opened(long atUs, long life, String name, List<String> classes, List<String> plans) implements Entry { }
 
     /** A request that was open when the segment began, with its state at that time. */
-    record Carried(long atUs, long life, long order, RequestFacts facts, RequestLog.Answer answer, List<JournaledRequest.JournaledAttempt> attempts)
+    record Carried(long atUs, long life, long requestNumber, RequestFacts facts, RequestLog.Answer answer, List<JournaledRequest.JournaledAttempt> attempts)
             implements Entry { }
 
     record SnapshotEnd(long atUs, long count) implements Entry { }
 
     /** A request was accepted for which no attempt was recorded. */
-    record Accepted(long atUs, long order, RequestFacts facts) implements Entry { }
+    record Accepted(long atUs, long requestNumber, RequestFacts facts) implements Entry { }
 
     /** An attempt is about to be sent. Repeats the properties of the request, so that it can be read without other records. */
-    record Intended(long atUs, long order, int attempt, long region, RequestFacts facts, long acceptedUs) implements Entry { }
+    record Intended(long atUs, long requestNumber, int attempt, long region, RequestFacts facts, long acceptedUs) implements Entry { }
 
     /** The last byte of the attempt was written to the socket. */
-    record Written(long atUs, long order, int attempt) implements Entry { }
+    record Written(long atUs, long requestNumber, int attempt) implements Entry { }
 
     /** {@code mayHaveGone} is false if the attempt cannot have been sent completely. */
-    record Ended(long atUs, long order, int attempt, Api.Outcome outcome, boolean mayHaveBeenSent) implements Entry { }
+    record Ended(long atUs, long requestNumber, int attempt, Api.Outcome outcome, boolean mayHaveBeenSent) implements Entry { }
 
-    record Answered(long atUs, long order, RequestLog.Answer answer) implements Entry { }
+    record Answered(long atUs, long requestNumber, RequestLog.Answer answer) implements Entry { }
 
     /** A later life found the request open. */
-    record Closed(long atUs, long life, long order) implements Entry { }
+    record Closed(long atUs, long life, long requestNumber) implements Entry { }
 
     /** The number of requests sent without a record, and of records lost, since the last entry. */
-    record Gap(long atUs, long orders, long lost) implements Entry { }
+    record Gap(long atUs, long unrecorded, long lostRecords) implements Entry { }
 }
--- a/src/main/java/yardusher/journal/EntryCodec.java
+++ b/src/main/java/yardusher/journal/EntryCodec.java
@@ -23,32 +23,32 @@
 
     static void encode(Entry entry, CodedOutputStream out) throws IOException {
         if (entry instanceof Entry.Accepted e) {
-            head(out, TAKEN, e.atUs(), e.order());
+            head(out, TAKEN, e.atUs(), e.requestNumber());
             facts(out, e.facts());
         } else if (entry instanceof Entry.Intended e) {
-            head(out, INTENDED, e.atUs(), e.order());
+            head(out, INTENDED, e.atUs(), e.requestNumber());
             facts(out, e.facts());
             out.writeUInt32(10, e.attempt());
             out.writeUInt64(11, e.region());
             out.writeUInt64(22, e.atUs() - e.acceptedUs());
         } else if (entry instanceof Entry.Written e) {
-            head(out, WRITTEN, e.atUs(), e.order());
+            head(out, WRITTEN, e.atUs(), e.requestNumber());
             out.writeUInt32(10, e.attempt());
         } else if (entry instanceof Entry.Ended e) {
-            head(out, ENDED, e.atUs(), e.order());
+            head(out, ENDED, e.atUs(), e.requestNumber());
             out.writeUInt32(10, e.attempt());
             out.writeUInt32(12, 1 + e.outcome().ordinal());
             out.writeBool(13, e.mayHaveBeenSent());
         } else if (entry instanceof Entry.Answered e) {
-            head(out, ANSWERED, e.atUs(), e.order());
+            head(out, ANSWERED, e.atUs(), e.requestNumber());
             out.writeUInt32(14, 1 + e.answer().ordinal());
         } else if (entry instanceof Entry.Closed e) {
-            head(out, CLOSED, e.atUs(), e.order());
+            head(out, CLOSED, e.atUs(), e.requestNumber());
             out.writeFixed64(15, e.life());
         } else if (entry instanceof Entry.Gap e) {
             head(out, GAP, e.atUs(), 0);
-            out.writeUInt64(19, e.orders());
-            out.writeUInt64(20, e.lost());
+            out.writeUInt64(19, e.unrecorded());
+            out.writeUInt64(20, e.lostRecords());
         } else if (entry instanceof Entry.SnapshotEnd e) {
             head(out, SNAPSHOT_END, e.atUs(), 0);
             out.writeUInt64(19, e.count());
@@ -74,13 +74,13 @@
         if (facts.keyed()) { out.writeFixed64(5, facts.key()); }
         out.writeUInt64(6, facts.customer());
         if (facts.classIndex() != 0) { out.writeUInt32(7, facts.classIndex()); }
-        if (facts.plan() != 0) { out.writeUInt32(8, facts.plan()); }
+        if (facts.planIndex() != 0) { out.writeUInt32(8, facts.planIndex()); }
         out.writeDouble(9, facts.units());
         if (facts.fingerprint() != 0) { out.writeFixed64(23, facts.fingerprint()); }
     }
 
     private static void carried(Entry.Carried e, CodedOutputStream out) throws IOException {
-        head(out, CARRIED, e.atUs(), e.order());
+        head(out, CARRIED, e.atUs(), e.requestNumber());
         out.writeFixed64(15, e.life());
         if (e.facts() != null) { facts(out, e.facts()); }
         if (e.answer() != null) { out.writeUInt32(14, 1 + e.answer().ordinal()); }
--- a/src/main/java/yardusher/journal/Journal.java
+++ b/src/main/java/yardusher/journal/Journal.java
@@ -70,8 +70,8 @@
     private Deadlines.Entry recheckDeadline;
     private double retryMs = INITIAL_RETRY_MS;
     private Health health = Health.GOOD;
-    private long gapOrders;
-    private long gapLost;
+    private long unrecordedSinceGap;
+    private long lostSinceGap;
     private boolean recordsFingerprints;
 
     /**
@@ -118,16 +118,16 @@
         this.recoveryNotes = found.notes();
         writer = new JournalWriter(segments, settings, instance);
         for (String note : found.notes()) { events.warn("journal recovery", "note", note); }
-        long unknown = found.open().requests().stream()
+        long unknown = found.openRequests().requests().stream()
                 .filter(order -> order.attempts.stream().anyMatch(one -> one.outcome == null)).count();
         events.info("journal opened", "segments", found.sealed().size(), "read", found.segmentsRead(), "bytes_read",
-                found.bytesRead(), "open", found.open().size(), "unknown", unknown, "durability",
+                found.bytesRead(), "open", found.openRequests().size(), "unknown", unknown, "durability",
                 settings.durability().name().toLowerCase(java.util.Locale.ROOT));
     }
 
     @Override
-    public Admission admit(Request t) {
-        if (site.classes().get(t.incoming.classIndex()).effect() == Api.Effect.IDEMPOTENT) { return Admission.UNRECORDED; }
+    public Admission admit(Request request) {
+        if (site.classes().get(request.incoming.classIndex()).effect() == Api.Effect.IDEMPOTENT) { return Admission.UNRECORDED; }
         if (!canRecord()) {
             if (settings.refusesWhenFull()) {
                 counts.refused++;
@@ -147,13 +147,13 @@
 
     @Override
     public void recordIntent(Attempt attempt, Consumer<Boolean> then) {
-        Request t = attempt.request;
+        Request request = attempt.request;
         if (!canRecord()) {
             unrecordedIntent(then);
             return;
         }
-        attempt.intentLogged = enqueue(new Entry.Intended(nowUs(), t.number, attempt.number, attempt.backend, facts(t), takenUs(t)));
-        t.logged |= attempt.intentLogged;
+        attempt.intentLogged = enqueue(new Entry.Intended(nowUs(), request.number, attempt.number, attempt.backend, facts(request), acceptedUs(request)));
+        request.logged |= attempt.intentLogged;
         pending.waiters.add(new Waiter(attempt, then));
         if (inFlight == null && !submitScheduled) {
             submitScheduled = true;
@@ -168,7 +168,7 @@
 
     private void countUnrecorded() {
         counts.unrecorded++;
-        gapOrders++;
+        unrecordedSinceGap++;
     }
 
     @Override
@@ -183,34 +183,34 @@
     }
 
     @Override
-    public void answered(Request t, Answer answer) {
-        if (!t.logged) {
+    public void answered(Request request, Answer answer) {
+        if (!request.logged) {
             // Keeps a flood of requests beyond a quota from filling the folder: requests without an attempt are only counted.
             counts.untried++;
             if (!settings.recordsUnattempted()) { return; }
-            enqueue(new Entry.Accepted(takenUs(t), t.number, facts(t)));
+            enqueue(new Entry.Accepted(acceptedUs(request), request.number, facts(request)));
         }
-        enqueue(new Entry.Answered(nowUs(), t.number, answer));
+        enqueue(new Entry.Answered(nowUs(), request.number, answer));
     }
 
     @Override
     public double retryAfterMs() { return settings.retryAfterMs(); }
 
-    private static long takenUs(Request t) { return (long) (t.arrivedAtMs * 1e3); }
+    private static long acceptedUs(Request request) { return (long) (request.arrivedAtMs * 1e3); }
 
     private long nowUs() { return (long) (loop.now() * 1e3); }
 
-    private Entry.RequestFacts facts(Request t) {
-        String key = t.incoming.command().key();
-        return new Entry.RequestFacts(t.incoming.command().id(), key != null, key == null ? 0 : Long.parseUnsignedLong(key, 16),
-                t.incoming.customer(), t.incoming.classIndex(), t.incoming.plan(), t.incoming.units(), recordsFingerprints && key != null ? t.incoming.command().fingerprint() : 0);
+    private Entry.RequestFacts facts(Request request) {
+        String key = request.incoming.command().key();
+        return new Entry.RequestFacts(request.incoming.command().id(), key != null, key == null ? 0 : Long.parseUnsignedLong(key, 16),
+                request.incoming.customer(), request.incoming.classIndex(), request.incoming.plan(), request.incoming.units(), recordsFingerprints && key != null ? request.incoming.command().fingerprint() : 0);
     }
 
     private boolean enqueue(Entry entry) {
         // Bounds the heap while the disk hangs: outcomes beyond this limit are lost, and the loss is recorded.
         if (pending.entries.size() >= MAX_PENDING_ENTRIES) {
             counts.lost++;
-            gapLost++;
+            lostSinceGap++;
             return false;
         }
         pending.entries.add(entry);
@@ -257,10 +257,10 @@
         spare = batch;
         inFlight = null;
         for (Waiter waiter : waiters) { waiter.then.accept(true); }
-        if (gapOrders + gapLost > 0) {
-            enqueue(new Entry.Gap(nowUs(), gapOrders, gapLost));
-            gapOrders = 0;
-            gapLost = 0;
+        if (unrecordedSinceGap + lostSinceGap > 0) {
+            enqueue(new Entry.Gap(nowUs(), unrecordedSinceGap, lostSinceGap));
+            unrecordedSinceGap = 0;
+            lostSinceGap = 0;
         }
         if (!pending.waiters.isEmpty()) {
             submitPending();
@@ -335,19 +335,19 @@
 
     /** Receives the keyed requests of earlier lives. Times in milliseconds; {@code ran}: the request was answered as served. */
     public interface EarlierRequestVisitor {
-        void visit(long key, long print, String className, double sentAtMs, double endedAtMs, boolean ran);
+        void visit(long key, long fingerprint, String className, double sentAtMs, double endedAtMs, boolean ran);
     }
 
     /**
      * Visits the keyed requests of earlier lives that arrived since a time and may have run, in the order of their arrival.
      * Blocks on the disk, so it must be called before the event loop's first turn.
      */
-    public static void forEachEarlierRequest(JournalSettings settings, String instance, double sinceMs, EarlierRequestVisitor earlier) throws IOException {
+    public static void forEachEarlierRequest(JournalSettings settings, String instance, double sinceMs, EarlierRequestVisitor visitor) throws IOException {
         Query query = new Query(java.util.Map.of(), java.util.Set.of(), false, false, (long) (sinceMs * 1e3), Long.MAX_VALUE);
         try (Scan scan = new Scan(Directory.openForReading(settings.folder().resolve(instance)), query, bytes -> { })) {
             for (JournaledRequest order; (order = scan.next()) != null;) {
-                boolean may = order.state() == JournaledRequest.State.INTENDED || order.state() == JournaledRequest.State.SENT || order.state() == JournaledRequest.State.ANSWERED;
-                if (!may || order.facts == null || !order.facts.keyed()) { continue; }
+                boolean mayHaveRun = order.state() == JournaledRequest.State.INTENDED || order.state() == JournaledRequest.State.SENT || order.state() == JournaledRequest.State.ANSWERED;
+                if (!mayHaveRun || order.facts == null || !order.facts.keyed()) { continue; }
                 long sent = Long.MAX_VALUE;
                 long last = Math.max(order.answeredUs, order.closedUs);
                 boolean ran = false;
@@ -356,7 +356,7 @@
                     last = Math.max(last, Math.max(one.intendedUs, one.endedUs));
                     ran |= one.outcome == Api.Outcome.SERVED;
                 }
-                earlier.visit(order.facts.key(), order.facts.fingerprint(), order.className, (sent == Long.MAX_VALUE ? last : sent) / 1e3, last / 1e3, ran);
+                visitor.visit(order.facts.key(), order.facts.fingerprint(), order.className, (sent == Long.MAX_VALUE ? last : sent) / 1e3, last / 1e3, ran);
             }
         }
     }
--- a/src/main/java/yardusher/journal/JournalReports.java
+++ b/src/main/java/yardusher/journal/JournalReports.java
@@ -58,7 +58,7 @@
 
     private static boolean isJournal(Path folder) {
         try (Stream<Path> files = Files.list(folder)) {
-            return files.anyMatch(file -> SegmentFiles.number(file.getFileName().toString()) >= 0);
+            return files.anyMatch(file -> SegmentFiles.segmentNumber(file.getFileName().toString()) >= 0);
         } catch (IOException e) {
             return false;
         }
@@ -179,7 +179,7 @@
             long all = 0;
             for (Path folder : folders) {
                 Storage storage = Directory.openForReading(folder);
-                for (long number : Recovery.segments(storage)) { all += storage.size(SegmentFiles.name(number)); }
+                for (long number : Recovery.segments(storage)) { all += storage.size(SegmentFiles.segmentName(number)); }
             }
             total = Math.max(1, all);
         }
@@ -235,12 +235,12 @@
                     if (one.intendedUs > 0) { out.println("  " + time(one.intendedUs) + " " + name + " intended"); }
                     if (one.writtenUs > 0) { out.println("  " + time(one.writtenUs) + " " + name + " written whole"); }
                     if (one.endedUs > 0) {
-                        out.println("  " + time(one.endedUs) + " " + name + " ended: " + word(one.outcome) + ", "
+                        out.println("  " + time(one.endedUs) + " " + name + " ended: " + label(one.outcome) + ", "
                                 + (one.mayHaveBeenSent ? one.outcome == yardusher.Api.Outcome.REJECTED ? "the region says it never ran" : "it may have run"
                                         : "nothing went out"));
                     }
                 }
-                if (order.answer != null) { out.println("  " + time(order.answeredUs) + " final answer: " + word(order.answer)); }
+                if (order.answer != null) { out.println("  " + time(order.answeredUs) + " final answer: " + label(order.answer)); }
                 if (order.closedUs > 0) { out.println("  " + time(order.closedUs) + " found open by the next life"); }
             }
         }
@@ -255,8 +255,8 @@
             boolean written = Directory.isLocked(folder);
             Verify.Report report = Verify.run(Directory.openForReading(folder), written, progress::add);
             out.println(folder + ": " + (report.damage().isEmpty() ? "sound" : "damaged") + (written ? ", being written" : "") + ": "
-                    + report.segments() + " segments, " + report.bytes() + " bytes, " + report.entries() + " entries, " + report.orders()
-                    + " orders, " + report.unknown() + " of unknown end, " + report.gapOrders() + " unrecorded, " + report.gapLost()
+                    + report.segments() + " segments, " + report.bytes() + " bytes, " + report.entries() + " entries, " + report.requests()
+                    + " orders, " + report.unknown() + " of unknown end, " + report.unrecorded() + " unrecorded, " + report.lostRecords()
                     + " records lost");
             report.damage().forEach(line -> out.println("  " + line));
             report.notes().forEach(line -> out.println("  note: " + line));
@@ -272,8 +272,8 @@
     private static String[] columns(JournaledRequest o) {
         JournaledRequest.JournaledAttempt strongest = o.strongest();
         return new String[] {o.firstUs() == 0 ? "" : time(o.firstUs()), o.instance, o.state().flag(),
-            strongest == null || strongest.outcome == null ? "" : word(strongest.outcome), strongest == null ? "" : region(strongest),
-            Integer.toString(o.attempts.size()), o.answer == null ? o.closedUs > 0 ? "unknown" : "" : word(o.answer), key(o),
+            strongest == null || strongest.outcome == null ? "" : label(strongest.outcome), strongest == null ? "" : region(strongest),
+            Integer.toString(o.attempts.size()), o.answer == null ? o.closedUs > 0 ? "unknown" : "" : label(o.answer), key(o),
             o.facts == null ? "" : hex(o.facts.customer()), o.facts == null ? "" : hex(o.facts.id()), o.className, o.plan,
             o.facts == null ? "" : Double.toString(o.facts.units()), o.closedUs == 0 ? "" : time(o.closedUs), hex(o.life),
             Long.toString(o.number)};
@@ -317,7 +317,7 @@
                     if (at.getValue() > 0) { out.writeStringField(at.getKey(), time(at.getValue())); }
                 }
                 if (one.outcome != null) {
-                    out.writeStringField("outcome", word(one.outcome));
+                    out.writeStringField("outcome", label(one.outcome));
                     out.writeBooleanField("may_have_gone", one.mayHaveBeenSent);
                 }
                 out.writeEndObject();
@@ -344,5 +344,5 @@
 
     private static String time(long us) { return Instant.ofEpochSecond(us / 1_000_000, us % 1_000_000 * 1000).toString(); }
 
-    private static String word(Enum<?> of) { return of.name().toLowerCase(Locale.ROOT).replace('_', '-'); }
+    private static String label(Enum<?> of) { return of.name().toLowerCase(Locale.ROOT).replace('_', '-'); }
 }
--- a/src/main/java/yardusher/journal/Recovery.java
+++ b/src/main/java/yardusher/journal/Recovery.java
@@ -13,7 +13,7 @@
  */
 final class Recovery {
     /** Open requests, the last segment's number (0 for none), sealed segments, and notes for the operator. */
-    record Result(RequestTable open, long last, List<Retention.SealedSegment> sealed, List<String> notes, int segmentsRead,
+    record Result(RequestTable openRequests, long last, List<Retention.SealedSegment> sealed, List<String> notes, int segmentsRead,
             long bytesRead) { }
 
     private final Storage storage;
@@ -43,7 +43,7 @@
     static List<Long> segments(Storage storage) throws IOException {
         List<Long> numbers = new ArrayList<>();
         for (String name : storage.list()) {
-            long number = SegmentFiles.number(name);
+            long number = SegmentFiles.segmentNumber(name);
             if (number >= 0) { numbers.add(number); }
         }
         numbers.sort(null);
@@ -52,7 +52,7 @@
 
     private long sizeOf(long number) {
         long size = 0;
-        for (String name : new String[] {SegmentFiles.name(number), SegmentFiles.indexName(number)}) {
+        for (String name : new String[] {SegmentFiles.segmentName(number), SegmentFiles.indexName(number)}) {
             try {
                 size += storage.size(name);
             } catch (IOException e) { /* the index does not exist, or not yet */ }
@@ -61,7 +61,7 @@
     }
 
     private double openedAtMs(long number) {
-        try (Storage.Source source = storage.open(SegmentFiles.name(number))) {
+        try (Storage.Source source = storage.open(SegmentFiles.segmentName(number))) {
             Entry first = SegmentFiles.reader(source, number, (from, to, torn) -> { }, 0, 65_536).next();
             return first == null ? 0 : first.atUs() / 1e3;
         } catch (IOException e) {
@@ -72,7 +72,7 @@
     /** Whether a segment begins with a complete snapshot. */
     private boolean hasWholeSnapshot(long number) {
         boolean[] damaged = new boolean[1];
-        try (Storage.Source source = storage.open(SegmentFiles.name(number))) {
+        try (Storage.Source source = storage.open(SegmentFiles.segmentName(number))) {
             Framing<Entry>.Reader reader = SegmentFiles.reader(source, number, (from, to, torn) -> damaged[0] = true);
             long carried = 0;
             for (Entry entry; (entry = reader.next()) != null && !damaged[0];) {
@@ -88,7 +88,7 @@
     }
 
     private void replay(long number, RequestTable book) {
-        String name = SegmentFiles.name(number);
+        String name = SegmentFiles.segmentName(number);
         long[] cut = {-1};
         segmentsRead++;
         try (Storage.Source source = storage.open(name)) {
--- a/src/main/java/yardusher/journal/RequestTable.java
+++ b/src/main/java/yardusher/journal/RequestTable.java
@@ -11,9 +11,9 @@
  * is idempotent, since a batch whose write failed is written again. The owner removes finished requests by {@link #remove}.
  */
 final class RequestTable {
-    private record Key(long life, long order) { }
+    private record Key(long life, long number) { }
 
-    private final Map<Key, JournaledRequest> orders = new LinkedHashMap<>();
+    private final Map<Key, JournaledRequest> requests = new LinkedHashMap<>();
     private long life;                               // of the writer of the current segment
     private Entry.Opened opened = new Entry.Opened(0, 0, "", List.of(), List.of());
     private long snapshotsRead;
@@ -32,17 +32,17 @@
         if (entry instanceof Entry.Gap) { return null; }
         if (entry instanceof Entry.Carried e) { return carried(e); }
         if (entry instanceof Entry.Closed e) {
-            JournaledRequest order = order(e.life(), e.order());
+            JournaledRequest order = request(e.life(), e.requestNumber());
             order.closedUs = e.atUs();
             return order;
         }
         if (entry instanceof Entry.Accepted e) {
-            JournaledRequest order = order(life, e.order());
+            JournaledRequest order = request(life, e.requestNumber());
             order.acceptedUs = e.atUs();
             return fill(order, e.facts());
         }
         if (entry instanceof Entry.Intended e) {
-            JournaledRequest order = fill(order(life, e.order()), e.facts());
+            JournaledRequest order = fill(request(life, e.requestNumber()), e.facts());
             JournaledRequest.JournaledAttempt one = order.attempt(e.attempt());
             one.intendedUs = e.atUs();
             one.region = e.region();
@@ -50,12 +50,12 @@
             return order;
         }
         if (entry instanceof Entry.Written e) {
-            JournaledRequest order = order(life, e.order());
+            JournaledRequest order = request(life, e.requestNumber());
             order.attempt(e.attempt()).writtenUs = e.atUs();
             return order;
         }
         if (entry instanceof Entry.Ended e) {
-            JournaledRequest order = order(life, e.order());
+            JournaledRequest order = request(life, e.requestNumber());
             JournaledRequest.JournaledAttempt one = order.attempt(e.attempt());
             one.endedUs = e.atUs();
             one.outcome = e.outcome();
@@ -63,14 +63,14 @@
             return order;
         }
         Entry.Answered e = (Entry.Answered) entry;
-        JournaledRequest order = order(life, e.order());
+        JournaledRequest order = request(life, e.requestNumber());
         order.answeredUs = e.atUs();
         order.answer = e.answer();
         return order;
     }
 
     private JournaledRequest carried(Entry.Carried e) {
-        JournaledRequest order = order(e.life(), e.order());
+        JournaledRequest order = request(e.life(), e.requestNumber());
         order.acceptedUs = e.atUs();
         if (e.facts() != null) { fill(order, e.facts()); }
         if (e.answer() != null) { order.answer = e.answer(); }
@@ -88,8 +88,8 @@
         return order;
     }
 
-    private JournaledRequest order(long ofLife, long number) {
-        return orders.computeIfAbsent(new Key(ofLife, number), key -> {
+    private JournaledRequest request(long ofLife, long number) {
+        return requests.computeIfAbsent(new Key(ofLife, number), key -> {
             JournaledRequest order = new JournaledRequest(ofLife, number);
             order.instance = opened.name();
             return order;
@@ -99,7 +99,7 @@
     private JournaledRequest fill(JournaledRequest order, Entry.RequestFacts facts) {
         order.facts = facts;
         order.className = name(opened.classes(), facts.classIndex());
-        order.plan = name(opened.plans(), facts.plan());
+        order.plan = name(opened.plans(), facts.planIndex());
         return order;
     }
 
@@ -109,16 +109,16 @@
 
     /** Sets the first block of the new segment that mentions a request. */
     void setFirstBlock(long ofLife, long number, int block) {
-        JournaledRequest order = orders.get(new Key(ofLife, number));
+        JournaledRequest order = requests.get(new Key(ofLife, number));
         if (order != null) { order.firstBlock = block; }
     }
 
-    void remove(JournaledRequest order) { orders.remove(new Key(order.life, order.number)); }
+    void remove(JournaledRequest order) { requests.remove(new Key(order.life, order.number)); }
 
     /** A live view, in the order of the entries. */
-    Collection<JournaledRequest> requests() { return orders.values(); }
+    Collection<JournaledRequest> requests() { return requests.values(); }
 
-    int size() { return orders.size(); }
+    int size() { return requests.size(); }
 
     /** The number of snapshots that have been read to their end. */
     long snapshots() { return snapshotsRead; }
@@ -127,8 +127,8 @@
 
     /** The open requests as the entries of a snapshot. */
     List<Entry> snapshot(long atUs) {
-        List<Entry> entries = new ArrayList<>(orders.size() + 1);
-        for (JournaledRequest o : orders.values()) {
+        List<Entry> entries = new ArrayList<>(requests.size() + 1);
+        for (JournaledRequest o : requests.values()) {
             if (!o.isOver()) { entries.add(new Entry.Carried(o.acceptedUs, o.life, o.number, o.facts, o.answer, o.attempts)); }
         }
         entries.add(new Entry.SnapshotEnd(atUs, entries.size()));
--- a/src/main/java/yardusher/journal/Scan.java
+++ b/src/main/java/yardusher/journal/Scan.java
@@ -22,14 +22,14 @@
     private final Query query;
     private final LongConsumer progress;
     private final Deque<Long> segments;
-    private final RequestTable book = new RequestTable();
+    private final RequestTable requests = new RequestTable();
     private Storage.Source source;
     private Framing<Entry>.Reader reader;
     private SegmentIndex index;
     private long segment;
     private int block;
     private boolean ended;
-    private long damaged;
+    private long damagedBytes;
     private long blocksRead;
 
     /** {@code progress} receives the size of each segment that has been read. */
@@ -41,7 +41,7 @@
     }
 
     /** Damaged bytes skipped so far, including torn tails. */
-    long damagedBytes() { return damaged; }
+    long damagedBytes() { return damagedBytes; }
 
     /** The number of blocks read by way of an index. */
     long blocksRead() { return blocksRead; }
@@ -49,10 +49,10 @@
     /** The next matching request, or null at the end. */
     JournaledRequest next() throws IOException {
         for (;;) {
-            Iterator<JournaledRequest> first = book.requests().iterator();
+            Iterator<JournaledRequest> first = requests.requests().iterator();
             if (first.hasNext()) {
                 JournaledRequest order = first.next();
-                if (order.isOver() || ended || book.size() > MAX_HELD) {
+                if (order.isOver() || ended || requests.size() > MAX_HELD) {
                     first.remove();
                     if (query.matches(order)) { return order; }
                     continue;
@@ -69,9 +69,9 @@
         for (int i = 0; i < 64; i++) {
             Entry entry = entry();
             if (entry == null) { return false; }
-            JournaledRequest order = book.apply(entry);
+            JournaledRequest order = requests.apply(entry);
             // With a wanted value, a request is found at its first record; records of other requests are not kept.
-            if (order != null && !query.values().isEmpty() && !query.mayMatch(order)) { book.remove(order); }
+            if (order != null && !query.values().isEmpty() && !query.mayMatch(order)) { requests.remove(order); }
         }
         return true;
     }
@@ -94,7 +94,7 @@
 
     private void open(long number) throws IOException {
         try {
-            source = storage.open(SegmentFiles.name(number));
+            source = storage.open(SegmentFiles.segmentName(number));
         } catch (NoSuchFileException e) {
             return;                                  // deleted since it was listed
         }
@@ -120,13 +120,13 @@
 
     /** Whether a block may hold further records of a request that has been found. */
     private boolean mayContinueIn(int at) {
-        for (JournaledRequest order : book.requests()) {
+        for (JournaledRequest order : requests.requests()) {
             if (!order.isOver() && index.earliestUs(at) - order.firstUs() < Query.MAX_REQUEST_SPAN_US) { return true; }
         }
         return false;
     }
 
-    private void passOver(long from, long to, boolean torn) { damaged += to - from; }
+    private void passOver(long from, long to, boolean torn) { damagedBytes += to - from; }
 
     @Override
     public void close() throws IOException {
--- a/src/main/java/yardusher/journal/SegmentFiles.java
+++ b/src/main/java/yardusher/journal/SegmentFiles.java
@@ -25,12 +25,12 @@
 
     private SegmentFiles() { }
 
-    static String name(long segment) { return String.format("orders-%016d.seg", segment); }
+    static String segmentName(long segment) { return String.format("orders-%016d.seg", segment); }
 
     static String indexName(long segment) { return String.format("orders-%016d.idx", segment); }
 
     /** The segment number in a file name; -1 if it is not the name of a segment. */
-    static long number(String name) {
+    static long segmentNumber(String name) {
         return name.matches("orders-[0-9]{16}\\.seg") ? Long.parseLong(name.substring(7, 23)) : -1;
     }
 
--- a/src/main/java/yardusher/journal/SegmentIndex.java
+++ b/src/main/java/yardusher/journal/SegmentIndex.java
@@ -60,7 +60,7 @@
     static void build(Storage storage, long segment) throws IOException {
         Builder builder = new Builder();
         RequestTable book = new RequestTable();
-        try (Storage.Source source = storage.open(SegmentFiles.name(segment))) {
+        try (Storage.Source source = storage.open(SegmentFiles.segmentName(segment))) {
             Framing<Entry>.Reader reader = SegmentFiles.reader(source, segment, (from, to, torn) -> { });
             for (Entry entry; (entry = reader.next()) != null;) {
                 JournaledRequest order = book.apply(entry);
--- a/src/main/java/yardusher/journal/Segments.java
+++ b/src/main/java/yardusher/journal/Segments.java
@@ -23,18 +23,18 @@
     private final JournalSettings settings;
     private final DoubleSupplier clockMs;
     private final Retention retention;
-    private final Entry.Opened who;
+    private final Entry.Opened opened;
     private final Indexer indexer;
-    private final RequestTable book = new RequestTable();
+    private final RequestTable requests = new RequestTable();
     private SegmentIndex.Builder index = new SegmentIndex.Builder(); // of the active segment
     private final List<Retention.SealedSegment> sealed;
     private final ByteBuffer out = ByteBuffer.allocate(64 * 1024);
     private final CRC32C sum = new CRC32C();
     private volatile Storage.Appender active;        // the sync thread forces it
     private volatile boolean syncFailed;                 // a sync of the active segment failed, so its content on disk is unknown
-    private long last;                               // the highest segment number ever used
-    private long number;                             // of the active segment
-    private long size;
+    private long lastNumber;                               // the highest segment number ever used
+    private long activeNumber;                             // of the active segment
+    private long activeBytes;
     private long[] offsets = new long[64];           // of the entries of the last batch
     private boolean reserveHeld;
     private boolean full;
@@ -45,24 +45,24 @@
      *
      * @throws IOException if the first segment cannot be written, since nothing could be recorded
      */
-    Segments(Storage storage, JournalSettings settings, Recovery.Result found, Entry.Opened who, DoubleSupplier clockMs,
+    Segments(Storage storage, JournalSettings settings, Recovery.Result found, Entry.Opened opened, DoubleSupplier clockMs,
             Indexer indexer) throws IOException {
         this.storage = storage;
         this.settings = settings;
         this.clockMs = clockMs;
-        this.who = who;
+        this.opened = opened;
         this.indexer = indexer;
         retention = new Retention(settings);
         sealed = new ArrayList<>(found.sealed());
-        last = found.last();
-        book.apply(who);                             // sets the current life
+        lastNumber = found.last();
+        requests.apply(opened);                             // sets the current life
         storage.delete(RESERVE_FILE);                     // left by a life that was killed; created again below
         List<Entry> first = new ArrayList<>();
-        for (JournaledRequest order : found.open().requests()) {
+        for (JournaledRequest order : found.openRequests().requests()) {
             first.add(new Entry.Carried(order.acceptedUs, order.life, order.number, order.facts, order.answer, order.attempts));
         }
         int carried = first.size();
-        for (JournaledRequest order : found.open().requests()) { first.add(new Entry.Closed(nowUs(), order.life, order.number)); }
+        for (JournaledRequest order : found.openRequests().requests()) { first.add(new Entry.Closed(nowUs(), order.life, order.number)); }
         first.add(new Entry.SnapshotEnd(nowUs(), carried));
         roll(first);
         allocateReserve();
@@ -97,22 +97,22 @@
     }
 
     private void write(List<Entry> batch) throws IOException {
-        if (active == null || syncFailed || size >= settings.segmentBytes()) { roll(book.snapshot(nowUs())); }
-        long good = size;
+        if (active == null || syncFailed || activeBytes >= settings.segmentBytes()) { roll(requests.snapshot(nowUs())); }
+        long good = activeBytes;
         Storage.Appender file = active;
         try {
-            size += put(file, number, batch, size);
+            activeBytes += put(file, activeNumber, batch, activeBytes);
         } catch (IOException e) {
             undo(file, good);
             throw e;
         }
         if (settings.durability() == JournalSettings.Durability.MACHINE) { force(file); }
         for (int i = 0; i < batch.size(); i++) {
-            JournaledRequest order = book.apply(batch.get(i));
+            JournaledRequest order = requests.apply(batch.get(i));
             index.add(batch.get(i), offsets[i], order);
-            if (order != null && order.isOver()) { book.remove(order); }
+            if (order != null && order.isOver()) { requests.remove(order); }
         }
-        if (size + total() > settings.maxBytes() - settings.reserveBytes()) { retire(); }
+        if (activeBytes + total() > settings.maxBytes() - settings.reserveBytes()) { retire(); }
     }
 
     private long total() {
@@ -152,7 +152,7 @@
     private void undo(Storage.Appender file, long good) {
         try {
             file.truncate(good);
-            size = good;
+            activeBytes = good;
             index.truncate(good);
         } catch (IOException e) {
             abandon(file);
@@ -165,7 +165,7 @@
             file.close();
         } catch (IOException e) { /* the file is no longer used */ }
         if (file == active) {
-            sealed.add(new Retention.SealedSegment(number, size, clockMs.getAsDouble()));
+            sealed.add(new Retention.SealedSegment(activeNumber, activeBytes, clockMs.getAsDouble()));
             active = null;
         }
     }
@@ -194,20 +194,20 @@
     /** Seals the active segment and begins the next. A failure leaves everything as it was. */
     private void roll(List<Entry> snapshot) throws IOException {
         boolean lasting = settings.durability() != JournalSettings.Durability.PROCESS;
-        long next = ++last;                          // never reused, even if this fails
+        long next = ++lastNumber;                          // never reused, even if this fails
         Storage.Appender old = active;
         if (old != null && lasting && !syncFailed) { force(old); }
         Storage.Appender file = null;
         long length = SegmentFiles.MAGIC_BYTES;
         SegmentIndex.Builder begun = new SegmentIndex.Builder();
         try {
-            file = storage.create(SegmentFiles.name(next));
+            file = storage.create(SegmentFiles.segmentName(next));
             ByteBuffer magic = ByteBuffer.allocate(SegmentFiles.MAGIC_BYTES);
             SegmentFiles.putMagic(magic);
             magic.flip();
             while (magic.hasRemaining()) { file.write(magic); }
             List<Entry> head = new ArrayList<>(snapshot.size() + 1);
-            head.add(new Entry.Opened(nowUs(), who.life(), who.name(), who.classes(), who.plans()));
+            head.add(new Entry.Opened(nowUs(), opened.life(), opened.name(), opened.classes(), opened.plans()));
             head.addAll(snapshot);
             length += put(file, next, head, length);
             // The table of this life stays unchanged: the snapshot is taken from it, and it holds no requests of earlier lives.
@@ -215,7 +215,7 @@
             for (int i = 0; i < head.size(); i++) {
                 JournaledRequest order = told.apply(head.get(i));
                 begun.add(head.get(i), offsets[i], order);
-                if (head.get(i) instanceof Entry.Carried e) { book.setFirstBlock(e.life(), e.order(), order.firstBlock); }
+                if (head.get(i) instanceof Entry.Carried e) { requests.setFirstBlock(e.life(), e.requestNumber(), order.firstBlock); }
             }
             if (lasting) {
                 file.force();
@@ -225,13 +225,13 @@
             discard(file, next);
             throw e;
         }
-        long sealedNumber = number;
-        long sealedSize = size;
+        long sealedNumber = activeNumber;
+        long sealedSize = activeBytes;
         SegmentIndex.Builder sealedIndex = index;
         active = file;
-        number = next;
+        activeNumber = next;
         index = begun;
-        size = length;
+        activeBytes = length;
         syncFailed = false;
         if (old != null) {
             try {
@@ -246,17 +246,17 @@
     private void discard(Storage.Appender file, long segment) {
         try {
             if (file != null) { file.close(); }
-            storage.delete(SegmentFiles.name(segment));
+            storage.delete(SegmentFiles.segmentName(segment));
         } catch (IOException e) { /* recovery detects a partial segment by its incomplete snapshot */ }
     }
 
     private void retire() {
-        Retention.Decision verdict = retention.decide(sealed, size, clockMs.getAsDouble());
+        Retention.Decision verdict = retention.decide(sealed, activeBytes, clockMs.getAsDouble());
         full = verdict.full();
         for (Retention.SealedSegment one : verdict.retire()) {
             try {
                 storage.delete(SegmentFiles.indexName(one.number()));
-                storage.delete(SegmentFiles.name(one.number()));
+                storage.delete(SegmentFiles.segmentName(one.number()));
                 sealed.remove(one);
             } catch (IOException e) {
                 full = true;                         // a segment that cannot be deleted still takes space
--- a/src/main/java/yardusher/journal/Verify.java
+++ b/src/main/java/yardusher/journal/Verify.java
@@ -10,7 +10,7 @@
 /** Reads a whole folder and reports what is damaged, what is missing, and the losses that the journal itself recorded. */
 final class Verify {
     /** The findings; {@code damage} has a line for each damage and is empty for a sound journal. */
-    record Report(int segments, long entries, long bytes, long orders, long unknown, long gapOrders, long gapLost,
+    record Report(int segments, long entries, long bytes, long requests, long unknown, long unrecorded, long lostRecords,
             List<String> damage, List<String> notes) { }
 
     private Verify() { }
@@ -29,7 +29,7 @@
         long gapLost = 0;
         for (int i = 0; i < numbers.size(); i++) {
             long number = numbers.get(i);
-            String name = SegmentFiles.name(number);
+            String name = SegmentFiles.segmentName(number);
             boolean newest = i == numbers.size() - 1;
             try (Storage.Source source = storage.open(name)) {
                 long carried = 0;
@@ -46,8 +46,8 @@
                         if (end.count() != carried) { damage.add(name + ": its snapshot holds " + carried + " orders of " + end.count()); }
                     }
                     if (entry instanceof Entry.Gap gap) {
-                        gapOrders += gap.orders();
-                        gapLost += gap.lost();
+                        gapOrders += gap.unrecorded();
+                        gapLost += gap.lostRecords();
                     }
                     JournaledRequest order = book.apply(entry);
                     if (order != null && order.isOver()) {
--- a/src/main/java/yardusher/keys/FinishedKeys.java
+++ b/src/main/java/yardusher/keys/FinishedKeys.java
@@ -59,7 +59,7 @@
     }
 
     /** Stores the record of a key, replacing an earlier one. A null value, or one too long for the ring, is stored as RAN. */
-    void put(double nowMs, long key, long print, Kind kind, double untilMs, double repeatUntilMs, byte[] value) {
+    void put(double nowMs, long key, long fingerprint, Kind kind, double untilMs, double repeatUntilMs, byte[] value) {
         expire(nowMs);
         boolean fits = kind != Kind.SERVED || value != null && value.length <= ring.capacity() / 2 - HEADER_BYTES;
         Kind held = fits ? kind : Kind.RAN;
@@ -72,7 +72,7 @@
         }
         makeRoom(length);
         int at = ringOffset(head);
-        ring.putInt(at, length).putLong(at + 4, key).putLong(at + 12, print).putDouble(at + 20, untilMs)
+        ring.putInt(at, length).putLong(at + 4, key).putLong(at + 12, fingerprint).putDouble(at + 20, untilMs)
                 .putDouble(at + 28, repeatUntilMs).put(at + 36, (byte) held.ordinal());
         if (held == Kind.SERVED) { ring.put(at + HEADER_BYTES, value); }
         positions.put(key, head);
--- a/src/main/java/yardusher/keys/KeyTable.java
+++ b/src/main/java/yardusher/keys/KeyTable.java
@@ -63,8 +63,8 @@
         double earliestRunMs = Double.POSITIVE_INFINITY;     // the earliest time at which a request with the key may have run
         double startedAtMs;
 
-        Run(long print, ClassPolicy rule, W leader, double begunAt) {
-            this.fingerprint = print;
+        Run(long fingerprint, ClassPolicy rule, W leader, double begunAt) {
+            this.fingerprint = fingerprint;
             this.rule = rule;
             this.leader = leader;
             this.startedAtMs = begunAt;
@@ -94,18 +94,18 @@
     }
 
     /** Decides on an incoming request with a key; {@code print} is a fingerprint, equal for repeats of a request. */
-    Decision admit(double nowMs, long key, long print, ClassPolicy rule, W who) {
+    Decision admit(double nowMs, long key, long fingerprint, ClassPolicy rule, W request) {
         Run<W> run = running.get(key);
         if (run != null) {
-            if (run.fingerprint != print) { return decided(Verdict.CONFLICT, null); }
+            if (run.fingerprint != fingerprint) { return decided(Verdict.CONFLICT, null); }
             if (run.waiting.size() >= bounds.maxWaiting()) { return decided(Verdict.FULL, null); }
-            run.waiting.add(who);
+            run.waiting.add(request);
             return decided(Verdict.JOIN, null);
         }
         FinishedKeys.FinishedRun found = finished.find(nowMs, key);
         double ranAt = Double.POSITIVE_INFINITY;
         if (found != null) {
-            if (found.fingerprint() != print) { return decided(Verdict.CONFLICT, null); }
+            if (found.fingerprint() != fingerprint) { return decided(Verdict.CONFLICT, null); }
             if (found.kind() == FinishedKeys.Kind.SERVED) { return decided(Verdict.ANSWER, found.value()); }
             if (nowMs >= found.repeatUntilMs()) {
                 return decided(found.kind() == FinishedKeys.Kind.RAN ? Verdict.RAN : Verdict.UNKNOWN, null);
@@ -114,7 +114,7 @@
         }
         if (running.size() >= bounds.maxRunning()) { return decided(Verdict.FULL, null); }
         if (found != null) { counts.ledAgain++; }
-        Run<W> begun = new Run<>(print, rule, who, nowMs);
+        Run<W> begun = new Run<>(fingerprint, rule, request, nowMs);
         begun.earliestRunMs = ranAt;
         running.put(key, begun);
         return decided(Verdict.LEAD, null);
@@ -137,10 +137,10 @@
      * Removes a request from a run, because its client left or its deadline passed. Returns true if no request is left: the run
      * is then to be cancelled, and reported by {@link #ended}.
      */
-    boolean leave(long key, W who) {
+    boolean leave(long key, W request) {
         Run<W> run = running.get(key);
         if (run == null) { return false; }
-        if (who.equals(run.leader)) { run.leader = null; } else { run.waiting.remove(who); }
+        if (request.equals(run.leader)) { run.leader = null; } else { run.waiting.remove(request); }
         return run.leader == null && run.waiting.isEmpty();
     }
 
@@ -184,11 +184,11 @@
     }
 
     /** Restores a key's run of an earlier life from the journal; {@code ran} if it was answered as served. */
-    void restore(double nowMs, long key, long print, ClassPolicy rule, double ranAtMs, double endedAtMs, boolean ran) {
+    void restore(double nowMs, long key, long fingerprint, ClassPolicy rule, double ranAtMs, double endedAtMs, boolean ran) {
         double until = endedAtMs + rule.lifetimeMs();
         if (until <= nowMs || running.containsKey(key)) { return; }
         double repeatUntil = rule.allowsRepeats() ? ranAtMs + rule.windowMs() : 0;
-        finished.put(nowMs, key, print, ran ? FinishedKeys.Kind.RAN : FinishedKeys.Kind.UNKNOWN, until, repeatUntil, null);
+        finished.put(nowMs, key, fingerprint, ran ? FinishedKeys.Kind.RAN : FinishedKeys.Kind.UNKNOWN, until, repeatUntil, null);
     }
 
     int running() { return running.size(); }
--- a/src/main/java/yardusher/keys/KeyedRequestAcceptor.java
+++ b/src/main/java/yardusher/keys/KeyedRequestAcceptor.java
@@ -48,12 +48,12 @@
         final long key;
         final double deadline;
         Deadlines.Entry deadlineTimer;                    // while it waits; the core watches the leader's deadline
-        boolean over;
+        boolean answered;
 
-        KeyedRequest(IncomingRequest order, long key) {
-            this.incoming = order;
+        KeyedRequest(IncomingRequest incoming, long key) {
+            this.incoming = incoming;
             this.key = key;
-            this.deadline = loop.now() + order.waitMs();
+            this.deadline = loop.now() + incoming.waitMs();
         }
 
         @Override
@@ -64,13 +64,13 @@
 
         @Override
         public void terminalLeft() {
-            if (!over) { leave(this); }
+            if (!answered) { leave(this); }
         }
 
         /** Marks the request as answered; returns whether it was not answered before. */
         private boolean finish() {
-            boolean first = !over;
-            over = true;
+            boolean first = !answered;
+            answered = true;
             loop.deadlines().cancel(deadlineTimer);
             return first;
         }
@@ -92,7 +92,7 @@
     private final class CoreRequest implements Terminal {
         final KeyedRequest leader;
         RequestHandle handle;
-        boolean over;
+        boolean ended;
 
         CoreRequest(KeyedRequest leader) { this.leader = leader; }
 
@@ -118,21 +118,21 @@
                 public void write(ByteBuffer bytes, Runnable taken) { flow.write(bytes, taken); }
 
                 @Override
-                public void end() { over(KeyTable.RunOutcome.SERVED, flow::end); }
+                public void end() { endStream(KeyTable.RunOutcome.SERVED, flow::end); }
 
                 @Override
-                public void fail() { over(KeyTable.RunOutcome.MAY_HAVE_RUN, flow::fail); }
+                public void fail() { endStream(KeyTable.RunOutcome.MAY_HAVE_RUN, flow::fail); }
             };
         }
 
-        private void over(KeyTable.RunOutcome ending, Runnable last) {
+        private void endStream(KeyTable.RunOutcome ending, Runnable last) {
             if (!end()) { return; }
             if (leader.finish()) { last.run(); }
             KeyTable.Next<KeyedRequest> next = table.complete(loop.now(), leader.key, ending, null);
             if (ending == KeyTable.RunOutcome.SERVED) {
                 for (KeyedRequest one : next.answered()) { one.failed("it ran, and its value is too large to be held", true); }
             } else {
-                follow(next);
+                settleWaiters(next);
             }
         }
 
@@ -140,7 +140,7 @@
         public void reject(long afterMs, boolean mayHaveRun) {
             if (end()) {
                 leader.reject(afterMs, mayHaveRun);
-                follow(table.complete(loop.now(), leader.key, ending(mayHaveRun), null));
+                settleWaiters(table.complete(loop.now(), leader.key, ending(mayHaveRun), null));
             }
         }
 
@@ -148,13 +148,13 @@
         public void failed(String why, boolean mayHaveRun) {
             if (end()) {
                 leader.failed(why, mayHaveRun);
-                follow(table.complete(loop.now(), leader.key, ending(mayHaveRun), null));
+                settleWaiters(table.complete(loop.now(), leader.key, ending(mayHaveRun), null));
             }
         }
 
         private boolean end() {
-            boolean first = !over;
-            over = true;
+            boolean first = !ended;
+            ended = true;
             coreRequests.remove(leader.key, this);
             return first;
         }
@@ -165,70 +165,70 @@
     }
 
     @Override
-    public RequestHandle accept(IncomingRequest order) {
-        String told = order.command().key();
-        if (told == null) { return core.accept(order); }
-        long key = Long.parseUnsignedLong(told, 16);
-        KeyedRequest asker = new KeyedRequest(order, key);
-        KeyTable.Decision decision = table.admit(loop.now(), key, order.command().fingerprint(), rules[order.classIndex()], asker);
+    public RequestHandle accept(IncomingRequest incoming) {
+        String keyText = incoming.command().key();
+        if (keyText == null) { return core.accept(incoming); }
+        long key = Long.parseUnsignedLong(keyText, 16);
+        KeyedRequest request = new KeyedRequest(incoming, key);
+        KeyTable.Decision decision = table.admit(loop.now(), key, incoming.command().fingerprint(), rules[incoming.classIndex()], request);
         switch (decision.verdict()) {
-            case LEAD -> lead(asker);
-            case JOIN -> asker.deadlineTimer = loop.deadlines().schedule(asker.deadline, () -> {
-                if (asker.over) { return; }
-                asker.failed("deadline passed", asker.mayHaveRun());
-                left(asker);
+            case LEAD -> lead(request);
+            case JOIN -> request.deadlineTimer = loop.deadlines().schedule(request.deadline, () -> {
+                if (request.answered) { return; }
+                request.failed("deadline passed", request.mayHaveRun());
+                removeFromRun(request);
             });
-            case ANSWER -> asker.served(decision.value());
-            case RAN -> asker.failed("it ran, and its answer is held no more", true);
-            case UNKNOWN -> asker.failed("it may have run", true);
-            case CONFLICT -> asker.failed("this key is another request's", false);
-            default -> asker.reject((long) Math.ceil(retryAfterMs), false);
+            case ANSWER -> request.served(decision.value());
+            case RAN -> request.failed("it ran, and its answer is held no more", true);
+            case UNKNOWN -> request.failed("it may have run", true);
+            case CONFLICT -> request.failed("this key is another request's", false);
+            default -> request.reject((long) Math.ceil(retryAfterMs), false);
         }
-        return asker;
+        return request;
     }
 
-    private void lead(KeyedRequest asker) {
-        loop.deadlines().cancel(asker.deadlineTimer);
-        CoreRequest flight = new CoreRequest(asker);
-        coreRequests.put(asker.key, flight);
-        IncomingRequest o = asker.incoming;
-        flight.handle = core.accept(new IncomingRequest(o.classIndex(), o.plan(), o.customer(), o.units(), o.first(), o.spread(),
-                Math.max(1, asker.deadline - loop.now()), o.command(), flight, o.binding()));
+    private void lead(KeyedRequest request) {
+        loop.deadlines().cancel(request.deadlineTimer);
+        CoreRequest coreRequest = new CoreRequest(request);
+        coreRequests.put(request.key, coreRequest);
+        IncomingRequest incoming = request.incoming;
+        coreRequest.handle = core.accept(new IncomingRequest(incoming.classIndex(), incoming.plan(), incoming.customer(), incoming.units(), incoming.first(), incoming.spread(),
+                Math.max(1, request.deadline - loop.now()), incoming.command(), coreRequest, incoming.binding()));
     }
 
     /** Handles the requests that waited for a run without a value: one becomes the leader, or all fail as possibly run. */
-    private void follow(KeyTable.Next<KeyedRequest> next) {
+    private void settleWaiters(KeyTable.Next<KeyedRequest> next) {
         for (KeyedRequest one : next.answered()) { one.failed("it may have run", true); }
         if (next.nextLeader() == null) { return; }
         // After this turn, since the core first has to end the attempt of the finished run.
         loop.defer(() -> {
-            if (!next.nextLeader().over) { lead(next.nextLeader()); }
+            if (!next.nextLeader().answered) { lead(next.nextLeader()); }
         });
     }
 
-    private void leave(KeyedRequest asker) {
-        asker.finish();
-        left(asker);
+    private void leave(KeyedRequest request) {
+        request.finish();
+        removeFromRun(request);
     }
 
     /** Removes a request from its run. The run ends with the last request; a leader that had not started is replaced. */
-    private void left(KeyedRequest asker) {
-        boolean empty = table.leave(asker.key, asker);
-        CoreRequest flight = coreRequests.get(asker.key);
-        if (flight == null) {
-            if (table.hasNoLeader(asker.key)) { follow(table.complete(loop.now(), asker.key, KeyTable.RunOutcome.NEVER_RAN, null)); }
+    private void removeFromRun(KeyedRequest request) {
+        boolean empty = table.leave(request.key, request);
+        CoreRequest coreRequest = coreRequests.get(request.key);
+        if (coreRequest == null) {
+            if (table.hasNoLeader(request.key)) { settleWaiters(table.complete(loop.now(), request.key, KeyTable.RunOutcome.NEVER_RAN, null)); }
             return;
         }
         if (!empty) { return; }
-        boolean mayHaveRun = flight.mayHaveRun();
-        flight.end();
-        flight.handle.terminalLeft();
-        follow(table.complete(loop.now(), asker.key, ending(mayHaveRun), null));
+        boolean mayHaveRun = coreRequest.mayHaveRun();
+        coreRequest.end();
+        coreRequest.handle.terminalLeft();
+        settleWaiters(table.complete(loop.now(), request.key, ending(mayHaveRun), null));
     }
 
     /** Restores a request of an earlier life from the journal; times in milliseconds. */
-    public void restore(long key, long print, int classIndex, double sentAtMs, double endedAtMs, boolean ran) {
-        if (classIndex >= 0 && classIndex < rules.length) { table.restore(loop.now(), key, print, rules[classIndex], sentAtMs, endedAtMs, ran); }
+    public void restore(long key, long fingerprint, int classIndex, double sentAtMs, double endedAtMs, boolean ran) {
+        if (classIndex >= 0 && classIndex < rules.length) { table.restore(loop.now(), key, fingerprint, rules[classIndex], sentAtMs, endedAtMs, ran); }
     }
 
     /** The maximum age, in milliseconds, of a finished request that is still of use to {@link #restore}. */
@@ -240,8 +240,8 @@
 
     /** The state of a key in one line. */
     public String describe(long key) {
-        String told = table.describe(loop.now(), key);
-        return told == null ? "not known" : told;
+        String description = table.describe(loop.now(), key);
+        return description == null ? "not known" : description;
     }
 
     /** The counters as one line of name=value pairs. */
--- a/src/main/java/yardusher/keys/KeysSubsystem.java
+++ b/src/main/java/yardusher/keys/KeysSubsystem.java
@@ -12,7 +12,7 @@
 public final class KeysSubsystem implements Subsystem {
     private final KeySettings settings;
     private final JournalSettings journal;
-    private KeyedRequestAcceptor intake;
+    private KeyedRequestAcceptor acceptor;
 
     /** {@code journal} is null if there is no journal: a restart then forgets all keys. */
     public KeysSubsystem(KeySettings settings, JournalSettings journal) {
@@ -26,17 +26,17 @@
     @Override
     public RequestAcceptor intake(Site site, RequestAcceptor inner) throws IOException {
         List<String> classes = site.classes();
-        intake = new KeyedRequestAcceptor(inner, site.loop(), settings, site.settings().classes(), classes);
+        acceptor = new KeyedRequestAcceptor(inner, site.loop(), settings, site.settings().classes(), classes);
         if (journal != null) {
-            Journal.forEachEarlierRequest(journal, site.name(), site.loop().now() - intake.longestLifetimeMs(), (key, print, className, sentAt, endedAt, ran) ->
-                    intake.restore(key, print, classes.indexOf(className), sentAt, endedAt, ran));
+            Journal.forEachEarlierRequest(journal, site.name(), site.loop().now() - acceptor.longestLifetimeMs(), (key, print, className, sentAt, endedAt, ran) ->
+                    acceptor.restore(key, print, classes.indexOf(className), sentAt, endedAt, ran));
         }
-        return intake;
+        return acceptor;
     }
 
     @Override
-    public void join(Site site) { site.front().enableKeyCommands(intake::describe, intake::line); }
+    public void join(Site site) { site.front().enableKeyCommands(acceptor::describe, acceptor::line); }
 
     @Override
-    public String line() { return intake.line(); }
+    public String line() { return acceptor.line(); }
 }
--- a/src/test/java/yardusher/journal/CrashTest.java
+++ b/src/test/java/yardusher/journal/CrashTest.java
@@ -28,7 +28,7 @@
     }
 
     /** A life written to a disk: its entries in order, and for each batch the number of disk changes before its acknowledgement. */
-    private record Life(FaultyDisk disk, List<Entry> told, List<int[]> acknowledged) { }
+    private record Life(FaultyDisk disk, List<Entry> written, List<int[]> acknowledged) { }
 
     private static Life live(long seed, int batches, JournalSettings.Durability durability) throws IOException {
         Random random = new Random(seed);
@@ -76,7 +76,7 @@
     private static RequestTable read(FaultyDisk disk) throws IOException {
         RequestTable book = new RequestTable();
         for (long number : Recovery.segments(disk)) {
-            Framing<Entry>.Reader reader = SegmentFiles.reader(disk.open(SegmentFiles.name(number)), number, (from, to, torn) -> { });
+            Framing<Entry>.Reader reader = SegmentFiles.reader(disk.open(SegmentFiles.segmentName(number)), number, (from, to, torn) -> { });
             for (Entry entry; (entry = reader.next()) != null;) { book.apply(entry); }
         }
         return book;
@@ -98,7 +98,7 @@
         told.subList(0, acknowledged).forEach(certain::apply);
         Recovery.Result found = Recovery.run(disk, 2e6);
         Map<String, JournaledRequest> toldOrders = byNumber(all.requests());
-        for (JournaledRequest order : found.open().requests()) {
+        for (JournaledRequest order : found.openRequests().requests()) {
             JournaledRequest of = toldOrders.get(order.life + "/" + order.number);
             assertThat(of).as("invented " +  order.life + "/" + order.number).isNotNull();
             assertThat(order.attempts.size()).isLessThanOrEqualTo(of.attempts.size());
@@ -111,13 +111,13 @@
             assertThat(kept.attempts.size()).isGreaterThanOrEqualTo(order.attempts.size());
             assertThat(kept.state()).isGreaterThanOrEqualTo(order.attempts.stream().anyMatch(one -> one.intendedUs > 0)
                     && order.state() == JournaledRequest.State.INTENDED ? JournaledRequest.State.REFUSED : JournaledRequest.State.NEVER_SENT);
-            assertThat(found.open().requests().stream().anyMatch(o -> o.number == order.number) || kept.isOver()).as("open is known").isTrue();
+            assertThat(found.openRequests().requests().stream().anyMatch(o -> o.number == order.number) || kept.isOver()).as("open is known").isTrue();
         }
         // The next life carries and closes the open requests; a third finds none open.
         new Segments(disk, settings(JournalSettings.Durability.PROCESS, 1500, true), found, new Entry.Opened(0, 78, "n0", List.of(), List.of()),
                 () -> 2e6, new Indexer(disk, "test")).close();
-        assertThat(Recovery.run(disk, 2e6).open().size()).isZero();
-        assertThat(Verify.run(disk, false, bytes -> { }).unknown()).isEqualTo(found.open().requests().stream()
+        assertThat(Recovery.run(disk, 2e6).openRequests().size()).isZero();
+        assertThat(Verify.run(disk, false, bytes -> { }).unknown()).isEqualTo(found.openRequests().requests().stream()
                 .filter(order -> order.attempts.stream().anyMatch(one -> one.outcome == null)).count());
     }
 
@@ -134,11 +134,11 @@
             for (int length = 0; length < whole; length++) {
                 FaultyDisk cut = disk.copy(false);
                 cut.redo(change, length);
-                check(cut, life.told, acknowledged);
+                check(cut, life.written, acknowledged);
             }
             disk.redo(change, change.bytes() == null ? 0 : change.bytes().length);
         }
-        check(disk.copy(false), life.told, life.told.size());
+        check(disk.copy(false), life.written, life.written.size());
     }
 
     @Test
@@ -154,7 +154,7 @@
         int done = 0;
         for (int i = 0; i < life.disk.changes.size(); i++) {
             while (done < life.acknowledged.size() && life.acknowledged.get(done)[0] <= i) { done++; }
-            check(disk.copy(true), life.told, done == 0 ? 0 : life.acknowledged.get(done - 1)[1]);
+            check(disk.copy(true), life.written, done == 0 ? 0 : life.acknowledged.get(done - 1)[1]);
             FaultyDisk.Change change = life.disk.changes.get(i);
             disk.redo(change, change.bytes() == null ? 0 : change.bytes().length);
         }
@@ -166,12 +166,12 @@
         Life life = live(seed, 80, JournalSettings.Durability.PROCESS);
         List<Long> numbers = Recovery.segments(life.disk);
         long number = numbers.get(Math.floorMod(noise, numbers.size()));
-        byte[] bytes = life.disk.bytes(SegmentFiles.name(number)).clone();
+        byte[] bytes = life.disk.bytes(SegmentFiles.segmentName(number)).clone();
         int from = place % bytes.length;
         int to = Math.min(bytes.length, from + length);
         List<long[]> frames = new ArrayList<>();     // start and end offset of each
         List<Entry> before = new ArrayList<>();
-        Framing<Entry>.Reader whole = SegmentFiles.reader(life.disk.open(SegmentFiles.name(number)), number, (f, t, torn) -> { });
+        Framing<Entry>.Reader whole = SegmentFiles.reader(life.disk.open(SegmentFiles.segmentName(number)), number, (f, t, torn) -> { });
         for (Entry entry; (entry = whole.next()) != null;) {
             frames.add(new long[] {whole.frameOffset(), whole.position()});
             before.add(entry);
@@ -179,9 +179,9 @@
         Random random = new Random(noise);
         for (int i = from; i < to; i++) { bytes[i] ^= (byte) (1 + random.nextInt(255)); }
         FaultyDisk disk = life.disk.copy(false);
-        disk.put(SegmentFiles.name(number), bytes);
+        disk.put(SegmentFiles.segmentName(number), bytes);
         List<Entry> after = new ArrayList<>();
-        Framing<Entry>.Reader reader = SegmentFiles.reader(disk.open(SegmentFiles.name(number)), number, (f, t, torn) -> { });
+        Framing<Entry>.Reader reader = SegmentFiles.reader(disk.open(SegmentFiles.segmentName(number)), number, (f, t, torn) -> { });
         for (Entry entry; (entry = reader.next()) != null;) { after.add(entry); }
         List<String> untouched = new ArrayList<>();
         for (int i = 0; i < before.size(); i++) {
@@ -193,7 +193,7 @@
     }
 
     private static String plain(Entry entry) {
-        return entry instanceof Entry.Carried c ? "carried " + c.order() + " " + c.attempts().size() : entry.toString();
+        return entry instanceof Entry.Carried c ? "carried " + c.requestNumber() + " " + c.attempts().size() : entry.toString();
     }
 
     @Test
--- a/src/test/java/yardusher/journal/JournalJmh.java
+++ b/src/test/java/yardusher/journal/JournalJmh.java
@@ -100,7 +100,7 @@
     @Benchmark
     public int recovery() throws IOException {
         Recovery.Result found = Recovery.run(Directory.openForReading(folder), 2e12);
-        return found.open().size();
+        return found.openRequests().size();
     }
 
     /** Time to find one request by its key, using the indexes. */
--- a/src/test/java/yardusher/journal/JournalStoryTest.java
+++ b/src/test/java/yardusher/journal/JournalStoryTest.java
@@ -36,9 +36,9 @@
 class JournalStoryTest {
     private static final int ORDER = 1;              // class place-order of the test's settings
     private final FaultyDisk disk = new FaultyDisk();
-    private final BlockingQueue<Attempt> begun = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Attempt> startedAttempts = new LinkedBlockingQueue<>();
     private final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
-    private final List<String> told = new ArrayList<>();
+    private final List<String> loggedLines = new ArrayList<>();
     private volatile double now = 1_000_000;
     private final EventLoop loop = new EventLoop(() -> now, e -> { throw new AssertionError(e); });
     private Journal journal;
@@ -52,10 +52,10 @@
         Config config = Config.read("src/test/resources/ingress.json");
         Events events = new Events() {
             @Override
-            public void info(String text, Object... pairs) { told.add(Events.line("", text, pairs)); }
+            public void info(String text, Object... pairs) { loggedLines.add(Events.line("", text, pairs)); }
 
             @Override
-            public void warn(String text, Object... pairs) { told.add(Events.line("", text, pairs)); }
+            public void warn(String text, Object... pairs) { loggedLines.add(Events.line("", text, pairs)); }
         };
         journal = Journal.open(disk, CrashTest.settings(durability, 64 * 1024, refuses), "n0", config.settings(), config.classes(),
                 config.plans(), loop, events);
@@ -66,7 +66,7 @@
             @Override
             public void start(Attempt attempt, java.nio.ByteBuffer... cargo) {
                 attempt.handToSocket(now);
-                begun.add(attempt);
+                startedAttempts.add(attempt);
             }
         };
         loop.execute(() -> {
@@ -81,7 +81,7 @@
         journal.close(5000);
     }
 
-    private Request take(int classIndex) {
+    private Request submit(int classIndex) {
         Request[] taken = new Request[1];
         long id = ++ids;
         BackendCommand cargo = new BackendCommand() {
@@ -151,14 +151,14 @@
     void anIntentStandsOnTheDiskBeforeItsAttemptBeginsAndALookupNeverWaits() throws Exception {
         start(true, JournalSettings.Durability.MACHINE);
         disk.hang = new CountDownLatch(1);
-        take(ORDER);
-        take(ORDER);
-        take(0);
-        assertThat(next(begun).request.incoming.classIndex()).isZero();
-        assertThat(begun).isEmpty();
+        submit(ORDER);
+        submit(ORDER);
+        submit(0);
+        assertThat(next(startedAttempts).request.incoming.classIndex()).isZero();
+        assertThat(startedAttempts).isEmpty();
         disk.hang.countDown();
         for (int i = 0; i < 2; i++) {
-            Attempt attempt = next(begun);
+            Attempt attempt = next(startedAttempts);
             try (Scan scan = new Scan(disk.copy(true), Query.ALL, bytes -> { })) { // as a power failure at this point would leave it
                 boolean intended = false;
                 for (JournaledRequest order; (order = scan.next()) != null;) {
@@ -179,17 +179,17 @@
     void whoLeavesOrRunsOutOfTimeWhileParkedIsNeverSent() throws Exception {
         start(true, JournalSettings.Durability.PROCESS);
         disk.hang = new CountDownLatch(1);
-        Request leaves = take(ORDER);
+        Request leaves = submit(ORDER);
         loop.execute(() -> leaves.terminalLeft());
         disk.hang.countDown();
         disk.hang = new CountDownLatch(1);
-        take(ORDER);                                 // collected in the next batch, or in the first
+        submit(ORDER);                                 // collected in the next batch, or in the first
         pass(150);
         pass(2100);
         assertThat(next(answers)).isIn("2 refused", "2 failed");
         disk.hang.countDown();
         List<JournaledRequest> orders = read();
-        assertThat(begun).isEmpty();
+        assertThat(startedAttempts).isEmpty();
         assertThat(orders).hasSize(2).allSatisfy(order -> assertThat(order.state()).isEqualTo(JournaledRequest.State.NEVER_SENT));
         assertThat(orders.get(0).answer).isEqualTo(yardusher.core.RequestLog.Answer.GONE);
     }
@@ -197,24 +197,24 @@
     @Test
     void aFullDiskRefusesNewOrdersAtOnceAndStillTakesTheOutcomesOfThoseOut() throws Exception {
         start(true, JournalSettings.Durability.PROCESS);
-        take(ORDER);
-        Attempt out = next(begun);
+        submit(ORDER);
+        Attempt out = next(startedAttempts);
         long used = 0;
         for (String name : disk.list()) { used += disk.size(name); }
         disk.room = used;                            // the next byte does not fit
-        take(ORDER);
-        Attempt reserved = next(begun);              // written in the space of the reserve, which is released now
-        take(ORDER);
+        submit(ORDER);
+        Attempt reserved = next(startedAttempts);              // written in the space of the reserve, which is released now
+        submit(ORDER);
         assertThat(next(answers)).isEqualTo("3 refused");
-        take(0);
-        end(next(begun), Api.Outcome.SERVED);
+        submit(0);
+        end(next(startedAttempts), Api.Outcome.SERVED);
         assertThat(next(answers)).isEqualTo("4 served");
         end(out, Api.Outcome.SERVED);
         end(reserved, Api.Outcome.TIMED_OUT);
         disk.room = Long.MAX_VALUE;
         awaitGood(200);                              // the journal checks for space again
-        take(ORDER);
-        end(begun.peek() == null ? next(begun) : begun.take(), Api.Outcome.REJECTED);
+        submit(ORDER);
+        end(startedAttempts.peek() == null ? next(startedAttempts) : startedAttempts.take(), Api.Outcome.REJECTED);
         List<JournaledRequest> orders = read();
         assertThat(orders.get(0).state()).isEqualTo(JournaledRequest.State.ANSWERED);
         assertThat(orders.get(1).state()).isEqualTo(JournaledRequest.State.SENT);
@@ -227,36 +227,36 @@
         long used = 0;
         for (String name : disk.list()) { used += disk.size(name); }
         disk.room = used;
-        take(ORDER);
-        end(next(begun), Api.Outcome.SERVED);        // recorded in the space of the reserve
+        submit(ORDER);
+        end(next(startedAttempts), Api.Outcome.SERVED);        // recorded in the space of the reserve
         for (int i = 0; i < 3; i++) {
-            take(ORDER);
-            end(next(begun), Api.Outcome.SERVED);    // at once, unrecorded
+            submit(ORDER);
+            end(next(startedAttempts), Api.Outcome.SERVED);    // at once, unrecorded
         }
         for (int i = 1; i <= 4; i++) { assertThat(next(answers)).isEqualTo(i + " served"); }
         disk.room = Long.MAX_VALUE;
         awaitGood(200);
-        take(ORDER);
-        end(next(begun), Api.Outcome.SERVED);
+        submit(ORDER);
+        end(next(startedAttempts), Api.Outcome.SERVED);
         assertThat(read()).hasSize(2).allMatch(order -> order.state() == JournaledRequest.State.ANSWERED);
-        assertThat(Verify.run(disk, false, bytes -> { }).gapOrders()).isEqualTo(3);
+        assertThat(Verify.run(disk, false, bytes -> { }).unrecorded()).isEqualTo(3);
     }
 
     @Test
     void aDiskThatHangsGivesParkedOrdersUpAtOnceOrLetsThemGoWithTheGapCounted() throws Exception {
         start(false, JournalSettings.Durability.PROCESS);
         disk.hang = new CountDownLatch(1);
-        take(ORDER);
-        assertThat(begun).isEmpty();
+        submit(ORDER);
+        assertThat(startedAttempts).isEmpty();
         pass(250);                                   // stall_ms is 200
-        next(begun);
-        take(ORDER);
-        next(begun);                                 // at once, unrecorded
+        next(startedAttempts);
+        submit(ORDER);
+        next(startedAttempts);                                 // at once, unrecorded
         disk.hang.countDown();
         awaitGood(0);
-        assertThat(told.toString()).contains("journal cannot record orders health=stalled").contains("unrecorded=2");
+        assertThat(loggedLines.toString()).contains("journal cannot record orders health=stalled").contains("unrecorded=2");
         read();
-        assertThat(Verify.run(disk, false, bytes -> { }).gapOrders()).isEqualTo(2);
+        assertThat(Verify.run(disk, false, bytes -> { }).unrecorded()).isEqualTo(2);
     }
 
     @Test
@@ -264,13 +264,13 @@
         start(true, JournalSettings.Durability.GROUP);
         disk.room = 0;
         disk.failures = 1;                           // this write fails half way, and so do all that follow
-        take(ORDER);
+        submit(ORDER);
         assertThat(next(answers)).isEqualTo("1 refused");
-        assertThat(begun).isEmpty();
+        assertThat(startedAttempts).isEmpty();
         disk.room = Long.MAX_VALUE;
         awaitGood(200);
-        take(ORDER);
-        end(next(begun), Api.Outcome.SERVED);
+        submit(ORDER);
+        end(next(startedAttempts), Api.Outcome.SERVED);
         List<JournaledRequest> orders = read();
         assertThat(orders.get(0).state()).isEqualTo(JournaledRequest.State.NEVER_SENT);
         assertThat(orders.get(1).state()).isEqualTo(JournaledRequest.State.ANSWERED);
@@ -282,7 +282,7 @@
         start(true, JournalSettings.Durability.PROCESS);
         disk.hang = new CountDownLatch(1);
         for (int i = 0; i < 500; i++) {
-            Request t = take(ORDER);
+            Request t = submit(ORDER);
             loop.execute(() -> t.terminalLeft());
         }
         Thread opens = new Thread(disk.hang::countDown);
@@ -307,12 +307,12 @@
                 public boolean isAvailable(long region) { return true; }
 
                 @Override
-                public void start(Attempt attempt, java.nio.ByteBuffer... cargo) { begun.add(attempt); }
+                public void start(Attempt attempt, java.nio.ByteBuffer... cargo) { startedAttempts.add(attempt); }
             }, (to, body) -> { }, new Counters(), own));
             loop.execute(() -> ingress.deliver(new Api.ServerList(Api.ListKind.FULL, List.of(new Api.Server(0xabc, 0, 0, 1, 0, Api.Readiness.READY)))));
             for (int i = 0; i < 3; i++) {
-                take(ORDER);
-                Attempt attempt = next(begun);
+                submit(ORDER);
+                Attempt attempt = next(startedAttempts);
                 attempt.handToSocket(now);
                 now += 1000;
                 if (i == 0) { end(attempt, Api.Outcome.SERVED); } else { loop.execute(() -> ingress.attemptWritten(attempt)); }
@@ -336,7 +336,7 @@
         assertThat(printed(out -> JournalReports.verify(folders, out, null))).contains("sound");
         assertThatThrownBy(() -> all.states("lost")).hasMessageContaining("state must be some of never-sent, refused, intended, sent, answered, unknown");
         assertThatThrownBy(() -> all.from("noon")).hasMessageStartingWith("from must be a time");
-        Path segment = folder.resolve("n1").resolve(SegmentFiles.name(1));
+        Path segment = folder.resolve("n1").resolve(SegmentFiles.segmentName(1));
         byte[] bytes = Files.readAllBytes(segment);
         bytes[bytes.length / 2] ^= 4;
         Files.write(segment, bytes);
--- a/src/test/java/yardusher/journal/KillRun.java
+++ b/src/test/java/yardusher/journal/KillRun.java
@@ -42,7 +42,7 @@
 
     /** Requests received completely, by id and region; and those in flight, by id. */
     private final Set<String> received = ConcurrentHashMap.newKeySet();
-    private final Map<String, Socket> out = new ConcurrentHashMap<>();
+    private final Map<String, Socket> inFlight = new ConcurrentHashMap<>();
     private final List<String> outTwice = new ArrayList<>();
     private final AtomicInteger count = new AtomicInteger();
     private final AtomicInteger connections = new AtomicInteger();
@@ -63,7 +63,7 @@
                     try {
                         talk(guest, number);
                     } catch (IOException | InterruptedException | RuntimeException | yardusher.resp.MalformedRespException e) { /* the ingress was killed */ }
-                    out.values().removeIf(socket -> socket == guest);
+                    inFlight.values().removeIf(socket -> socket == guest);
                     try {
                         guest.close();
                     } catch (IOException e) { /* already closed */ }
@@ -90,7 +90,7 @@
             }
             String id = new String(words[2], StandardCharsets.US_ASCII);
             received.add(id + "@" + number);
-            if (out.put(id, guest) != null) {
+            if (inFlight.put(id, guest) != null) {
                 synchronized (outTwice) { outTwice.add(id); }
             }
             if (count.incrementAndGet() >= killAt) { reached.countDown(); }
@@ -101,7 +101,7 @@
             Thread.sleep(random.nextInt(4));
             byte[] answer = way < 4 ? new Encoder(16).error("BUSY").toBytes() : way < 6 ? new Encoder(16).error("ERR failed").toBytes()
                     : new Encoder(64).array(3).bulk("made").raw("$-1\r\n$-1\r\n".getBytes(StandardCharsets.US_ASCII)).toBytes();
-            out.remove(id, guest);
+            inFlight.remove(id, guest);
             guest.getOutputStream().write(answer);
         }
     }
--- a/src/test/java/yardusher/keys/KeysTest.java
+++ b/src/test/java/yardusher/keys/KeysTest.java
@@ -26,45 +26,45 @@
 
     private double now = 1_000_000;
     private EventLoop loop;
-    private final List<Sent> out = new ArrayList<>();
-    private final Map<Long, Held> held = new HashMap<>();
+    private final List<CoreRequest> inCore = new ArrayList<>();
+    private final Map<Long, ModelKey> model = new HashMap<>();
     private KeyedRequestAcceptor intake;
     private int sent;
 
     /** A request that the core has accepted and not ended. */
-    private final class Sent implements RequestHandle {
-        final IncomingRequest order;
+    private final class CoreRequest implements RequestHandle {
+        final IncomingRequest incoming;
         boolean mayHaveRun;
 
-        Sent(IncomingRequest order) { this.order = order; }
+        CoreRequest(IncomingRequest order) { this.incoming = order; }
 
         @Override
-        public IncomingRequest incoming() { return order; }
+        public IncomingRequest incoming() { return incoming; }
 
         @Override
         public boolean mayHaveRun() { return mayHaveRun; }
 
         @Override
         public void terminalLeft() {
-            out.remove(this);
-            over(this, null, mayHaveRun);
+            inCore.remove(this);
+            endInModel(this, null, mayHaveRun);
         }
     }
 
     /** The model's state of a key: its value, or that it may have run, and until when it may be sent again. */
-    private record Held(long print, String value, double repeatUntil, double until) { }
+    private record ModelKey(long print, String value, double repeatUntil, double until) { }
 
-    private void over(Sent sent, String value, boolean mayHaveRun) {
-        long key = key(sent.order);
-        Held before = held.get(key);
+    private void endInModel(CoreRequest sent, String value, boolean mayHaveRun) {
+        long key = key(sent.incoming);
+        ModelKey before = model.get(key);
         double until = now + LIFETIME_MS;
         if (value != null) {
-            held.put(key, new Held(sent.order.command().fingerprint(), value, 0, until));
+            model.put(key, new ModelKey(sent.incoming.command().fingerprint(), value, 0, until));
         } else if (mayHaveRun || before != null && before.until > begun.get(key)) {
             double ran = before != null && before.until > begun.get(key) && before.value == null ? before.repeatUntil : now + WINDOW_MS;
-            held.put(key, new Held(sent.order.command().fingerprint(), null, Math.min(ran, begun.get(key) + WINDOW_MS), until));
+            model.put(key, new ModelKey(sent.incoming.command().fingerprint(), null, Math.min(ran, begun.get(key) + WINDOW_MS), until));
         } else {
-            held.remove(key);
+            model.remove(key);
         }
     }
 
@@ -73,13 +73,13 @@
     private static long key(IncomingRequest order) { return Long.parseUnsignedLong(order.command().key(), 16); }
 
     /** A client's request and the answers it received. */
-    private static final class Asked implements Terminal {
+    private static final class ClientRequest implements Terminal {
         final long key;
         final List<String> answers = new ArrayList<>();
-        RequestHandle stay;
+        RequestHandle handle;
         boolean left;
 
-        Asked(long key) { this.key = key; }
+        ClientRequest(long key) { this.key = key; }
 
         @Override
         public void served(byte[] value) { answers.add("served " + new String(value, StandardCharsets.UTF_8)); }
@@ -94,9 +94,9 @@
     private void open(int answerBytes, int mostRunning) {
         loop = new EventLoop(() -> now, e -> { throw new AssertionError(e); }); // a new loop, so that deadlines of an earlier try do not fire
         RequestAcceptor core = order -> {
-            Sent one = new Sent(order);
-            for (Sent other : out) { assertThat(key(other.order)).as("a key out twice").isNotEqualTo(key(order)); }
-            out.add(one);
+            CoreRequest one = new CoreRequest(order);
+            for (CoreRequest other : inCore) { assertThat(key(other.incoming)).as("a key out twice").isNotEqualTo(key(order)); }
+            inCore.add(one);
             sent++;
             begun.put(key(order), now);
             return one;
@@ -106,8 +106,8 @@
                 WINDOW_MS, false)), List.of("place-order"));
     }
 
-    private Asked ask(long key, long print, double waitMs) {
-        Asked asked = new Asked(key);
+    private ClientRequest ask(long key, long print, double waitMs) {
+        ClientRequest asked = new ClientRequest(key);
         BackendCommand cargo = new BackendCommand() {
             @Override
             public java.nio.ByteBuffer[] encoded(long wait) { return new java.nio.ByteBuffer[0]; }
@@ -121,20 +121,20 @@
             @Override
             public long fingerprint() { return print; }
         };
-        loop.execute(() -> asked.stay = intake.accept(new IncomingRequest(0, 0, 1, 1, 0, 1, waitMs, cargo, asked)));
+        loop.execute(() -> asked.handle = intake.accept(new IncomingRequest(0, 0, 1, 1, 0, 1, waitMs, cargo, asked)));
         return asked;
     }
 
     /** Ends a request in the core: 0 served, 1 refused, 2 failed and may have run, 3 failed and never ran. */
-    private void end(Sent one, int how) {
-        out.remove(one);
+    private void end(CoreRequest one, int how) {
+        inCore.remove(one);
         loop.execute(() -> {
             String value = "value " + sent;
-            over(one, how == 0 ? value : null, how == 2);
+            endInModel(one, how == 0 ? value : null, how == 2);
             switch (how) {
-                case 0 -> one.order.terminal().served(value.getBytes(StandardCharsets.UTF_8));
-                case 1 -> one.order.terminal().reject(100, false);
-                default -> one.order.terminal().failed("failed", how == 2);
+                case 0 -> one.incoming.terminal().served(value.getBytes(StandardCharsets.UTF_8));
+                case 1 -> one.incoming.terminal().reject(100, false);
+                default -> one.incoming.terminal().failed("failed", how == 2);
             }
         });
     }
@@ -143,23 +143,23 @@
     void anyOrderOfEventsKeepsTheRules(@ForAll long seed) {
         Random random = new Random(seed);
         now = 1_000_000;
-        out.clear();
-        held.clear();
+        inCore.clear();
+        model.clear();
         begun.clear();
         open(1 << 20, 1000);
-        List<Asked> all = new ArrayList<>();
+        List<ClientRequest> all = new ArrayList<>();
         for (int step = 0; step < 60; step++) {
             switch (random.nextInt(8)) {
                 case 0, 1, 2 -> {
                     long key = random.nextInt(3);
                     long print = random.nextInt(8) == 0 ? 2 : 1;
-                    Held of = held.get(key);
-                    Sent running = out.stream().filter(one -> key(one.order) == key).findFirst().orElse(null);
+                    ModelKey of = model.get(key);
+                    CoreRequest running = inCore.stream().filter(one -> key(one.incoming) == key).findFirst().orElse(null);
                     int before = sent;
-                    Asked asked = ask(key, print, 100 + random.nextInt(3000));
+                    ClientRequest asked = ask(key, print, 100 + random.nextInt(3000));
                     all.add(asked);
                     if (running != null) {
-                        boolean other = running.order.command().fingerprint() != print;
+                        boolean other = running.incoming.command().fingerprint() != print;
                         if (other) {
                             assertThat(asked.answers.get(0)).contains("another request");
                         } else {
@@ -176,11 +176,11 @@
                     }
                 }
                 case 3 -> {
-                    List<Asked> waiting = all.stream().filter(asked -> asked.answers.isEmpty() && !asked.left).toList();
+                    List<ClientRequest> waiting = all.stream().filter(asked -> asked.answers.isEmpty() && !asked.left).toList();
                     if (!waiting.isEmpty()) {
-                        Asked one = waiting.get(random.nextInt(waiting.size()));
+                        ClientRequest one = waiting.get(random.nextInt(waiting.size()));
                         one.left = true;
-                        loop.execute(() -> one.stay.terminalLeft());
+                        loop.execute(() -> one.handle.terminalLeft());
                     }
                 }
                 case 4 -> {
@@ -188,17 +188,17 @@
                     loop.execute(() -> { });
                 }
                 default -> {
-                    if (!out.isEmpty()) {
-                        Sent one = out.get(random.nextInt(out.size()));
+                    if (!inCore.isEmpty()) {
+                        CoreRequest one = inCore.get(random.nextInt(inCore.size()));
                         if (random.nextBoolean()) { one.mayHaveRun = true; }
                         end(one, one.mayHaveRun && random.nextBoolean() ? 2 : random.nextInt(2) == 0 || one.mayHaveRun ? 0 : 1 + 2 * random.nextInt(2));
                     }
                 }
             }
-            for (Asked asked : all) {
+            for (ClientRequest asked : all) {
                 assertThat(asked.answers.size()).as("answers, seed " + seed).isLessThanOrEqualTo(asked.left ? 0 : 1);
                 boolean owed = asked.answers.isEmpty() && !asked.left;
-                assertThat(!owed || out.stream().anyMatch(one -> key(one.order) == asked.key)).as("waits for nothing, seed " + seed).isTrue();
+                assertThat(!owed || inCore.stream().anyMatch(one -> key(one.incoming) == asked.key)).as("waits for nothing, seed " + seed).isTrue();
             }
         }
     }
@@ -206,16 +206,16 @@
     @Test
     void aRepeatExactlyAsTheFirstFailsLeadsInBothOrdersAndOnlyOnce() {
         open(1 << 20, 10);
-        Asked first = ask(5, 1, 2000);
-        Asked before = ask(5, 1, 2000);              // the repeat arrives before the first ends
-        end(out.get(0), 2);
+        ClientRequest first = ask(5, 1, 2000);
+        ClientRequest before = ask(5, 1, 2000);              // the repeat arrives before the first ends
+        end(inCore.get(0), 2);
         assertThat(first.answers).containsExactly("failed failed");
         assertThat(before.answers).isEmpty();
-        assertThat(out).hasSize(1);
-        end(out.get(0), 2);                          // the first ends before the repeat arrives
-        Asked after = ask(5, 1, 2000);
-        assertThat(out).hasSize(1);
-        end(out.get(0), 0);
+        assertThat(inCore).hasSize(1);
+        end(inCore.get(0), 2);                          // the first ends before the repeat arrives
+        ClientRequest after = ask(5, 1, 2000);
+        assertThat(inCore).hasSize(1);
+        end(inCore.get(0), 0);
         assertThat(after.answers).hasSize(1).allMatch(answer -> answer.startsWith("served"));
         assertThat(ask(5, 1, 2000).answers).isEqualTo(after.answers);
     }
@@ -223,22 +223,22 @@
     @Test
     void aFirstThatLeavesHarmsNobodyAndALeaderThatLeavesBeforeItBeginsPassesOn() {
         open(1 << 20, 10);
-        Asked first = ask(5, 1, 2000);
-        Asked second = ask(5, 1, 50);
-        Asked third = ask(5, 1, 3000);
-        loop.execute(() -> first.stay.terminalLeft());
-        assertThat(out).hasSize(1);
+        ClientRequest first = ask(5, 1, 2000);
+        ClientRequest second = ask(5, 1, 50);
+        ClientRequest third = ask(5, 1, 3000);
+        loop.execute(() -> first.handle.terminalLeft());
+        assertThat(inCore).hasSize(1);
         now += 60;                                   // the shorter deadline passes
         loop.execute(() -> { });
         assertThat(second.answers).containsExactly("failed deadline passed");
-        Sent one = out.get(0);
-        out.remove(one);
-        over(one, null, false);
+        CoreRequest one = inCore.get(0);
+        inCore.remove(one);
+        endInModel(one, null, false);
         loop.execute(() -> {
-            one.order.terminal().reject(0, false); // makes the third request the leader after this turn
-            third.stay.terminalLeft();
+            one.incoming.terminal().reject(0, false); // makes the third request the leader after this turn
+            third.handle.terminalLeft();
         });
-        assertThat(out).isEmpty();
+        assertThat(inCore).isEmpty();
         assertThat(intake.line()).contains("keys_running=0 keys_waiting=0");
     }
 
@@ -247,10 +247,10 @@
         open(300_000, 100);
         for (int i = 0; i < 100; i++) { ask(i, 1, 1000); }
         assertThat(ask(100, 1, 1000).answers).containsExactly("refused");
-        while (!out.isEmpty()) { end(out.get(0), 0); }
+        while (!inCore.isEmpty()) { end(inCore.get(0), 0); }
         for (int i = 1000; i < 21_000; i++) {
             ask(i, 1, 1000);
-            end(out.get(0), 0);
+            end(inCore.get(0), 0);
         }
         assertThat(intake.describe(20_999)).startsWith("served");
         assertThat(intake.describe(1000)).isEqualTo("not known");
