--- a/src/main/java/yardusher/disk/DurableLog.java
+++ b/src/main/java/yardusher/disk/DurableLog.java
@@ -21,7 +21,10 @@
 
     /** The state that the owner of a log builds from its records. */
     public interface LoggedState {
-        /** Applies one record, in order, those of the snapshot first. Throws an {@link IOException} for a record that the owner cannot have written. */
+        /**
+         * Applies one record, in order, those of the snapshot first. Throws an {@link IOException} for a record that the owner
+         * cannot have written.
+         */
         void apply(LogRecord record) throws IOException;
 
         /** The current state, as the records that restore it. */
@@ -141,7 +144,9 @@
                     snapshotComplete = true;
                 }
             }
-            if (damage[0] != null || !snapshotComplete) { throw new IOException(damage[0] == null ? name + ": its snapshot is incomplete" : damage[0]); }
+            if (damage[0] != null || !snapshotComplete) {
+                throw new IOException(damage[0] == null ? name + ": its snapshot is incomplete" : damage[0]);
+            }
         }
     }
 
--- a/src/main/java/yardusher/disk/Framing.java
+++ b/src/main/java/yardusher/disk/Framing.java
@@ -69,7 +69,7 @@
 
     /** Is notified of the bytes that a reader skipped. */
     public interface DamageListener {
-        /** The bytes from {@code from} (inclusive) to {@code to} (exclusive) hold no valid frame; {@code torn}: no valid frame follows them. */
+        /** The bytes from {@code from} (inclusive) to {@code to} (exclusive) hold no valid frame; {@code torn}: nor does anything after. */
         void onDamage(long from, long to, boolean torn);
     }
 
--- a/src/main/java/yardusher/file/Toml.java
+++ b/src/main/java/yardusher/file/Toml.java
@@ -24,7 +24,10 @@
         this.prefix = prefix;
     }
 
-    /** Reads a file and converts it; errors name the file. The parser may also throw exceptions that are not its own, which count as syntax errors. */
+    /**
+     * Reads a file and converts it; errors name the file. The parser may also throw exceptions that are not its own, which count
+     * as syntax errors.
+     */
     public static <T> T read(Path file, Function<Toml, T> into) {
         try (Reader text = Files.newBufferedReader(file)) {
             return into.apply(new Toml(new TomlParser().parse(text), ""));
--- a/src/main/java/yardusher/journal/Entry.java
+++ b/src/main/java/yardusher/journal/Entry.java
@@ -4,7 +4,10 @@
 import yardusher.Api;
 import yardusher.core.RequestLog;
 
-/** A record of the journal. Times are microseconds of Unix time. A request's number is unique within one life, that is one run of an instance. */
+/**
+ * A record of the journal. Times are microseconds of Unix time. A request's number is unique within one life, that is one run of
+ * an instance.
+ */
 sealed interface Entry {
     long atUs();
 
@@ -16,8 +19,8 @@
     record Opened(long atUs, long life, String name, List<String> classes, List<String> plans) implements Entry { }
 
     /** A request that was open when the segment began, with its state at that time. */
-    record Carried(long atUs, long life, long requestNumber, RequestFacts facts, RequestLog.Answer answer, List<JournaledRequest.JournaledAttempt> attempts)
-            implements Entry { }
+    record Carried(long atUs, long life, long requestNumber, RequestFacts facts, RequestLog.Answer answer,
+            List<JournaledRequest.JournaledAttempt> attempts) implements Entry { }
 
     record SnapshotEnd(long atUs, long count) implements Entry { }
 
--- a/src/main/java/yardusher/journal/Journal.java
+++ b/src/main/java/yardusher/journal/Journal.java
@@ -152,7 +152,8 @@
             unrecordedIntent(then);
             return;
         }
-        attempt.intentLogged = enqueue(new Entry.Intended(nowUs(), request.number, attempt.number, attempt.backend, facts(request), acceptedUs(request)));
+        attempt.intentLogged = enqueue(new Entry.Intended(nowUs(), request.number, attempt.number, attempt.backend, facts(request),
+                acceptedUs(request)));
         request.logged |= attempt.intentLogged;
         pending.waiters.add(new Waiter(attempt, then));
         if (inFlight == null && !submitScheduled) {
@@ -312,7 +313,11 @@
         Object[] pairs = {"health", next.name().toLowerCase(java.util.Locale.ROOT), "why", why, "then",
             settings.refusesWhenFull() ? "refuse" : "unjournaled", "refused", counts.refused, "unrecorded", counts.unrecorded, "lost",
             counts.lost};
-        if (next == Health.GOOD) { events.info("journal records requests again", pairs); } else { events.warn("journal cannot record orders", pairs); }
+        if (next == Health.GOOD) {
+            events.info("journal records requests again", pairs);
+        } else {
+            events.warn("journal cannot record orders", pairs);
+        }
         if (next == Health.FULL && recheckDeadline == null) { scheduleRecheck(); }
     }
 
@@ -342,7 +347,8 @@
      * Visits the keyed requests of earlier lives that arrived since a time and may have run, in the order of their arrival.
      * Blocks on the disk, so it must be called before the event loop's first turn.
      */
-    public static void forEachEarlierRequest(JournalSettings settings, String instance, double sinceMs, EarlierRequestVisitor visitor) throws IOException {
+    public static void forEachEarlierRequest(JournalSettings settings, String instance, double sinceMs, EarlierRequestVisitor visitor)
+            throws IOException {
         Query query = new Query(java.util.Map.of(), java.util.Set.of(), false, false, (long) (sinceMs * 1e3), Long.MAX_VALUE);
         try (Scan scan = new Scan(Directory.openForReading(settings.folder().resolve(instance)), query, bytes -> { })) {
             for (JournaledRequest order; (order = scan.next()) != null;) {
--- a/src/main/java/yardusher/journal/JournalReports.java
+++ b/src/main/java/yardusher/journal/JournalReports.java
@@ -95,7 +95,8 @@
                 }
                 wanted.add(Stream.of(JournaledRequest.State.values()).filter(state -> state.flag().equals(word)).findFirst()
                         .orElseThrow(() -> new CommandError.Argument("state must be some of "
-                                + String.join(", ", Stream.of(JournaledRequest.State.values()).map(JournaledRequest.State::flag).toList()) + ", unknown")));
+                                + String.join(", ", Stream.of(JournaledRequest.State.values()).map(JournaledRequest.State::flag).toList())
+                                + ", unknown")));
             }
             states = wanted;
             return this;
@@ -338,7 +339,9 @@
         return order.facts == null || !order.facts.keyed() ? "" : hex(order.facts.key());
     }
 
-    private static String region(JournaledRequest.JournaledAttempt one) { return one.region == 0 && one.intendedUs == 0 ? "" : String.format("%08x", one.region); }
+    private static String region(JournaledRequest.JournaledAttempt one) {
+        return one.region == 0 && one.intendedUs == 0 ? "" : String.format("%08x", one.region);
+    }
 
     private static String hex(long number) { return String.format("%016x", number); }
 
--- a/src/main/java/yardusher/journal/JournalSubsystem.java
+++ b/src/main/java/yardusher/journal/JournalSubsystem.java
@@ -14,7 +14,7 @@
 
     private final Journal journal;
 
-    /** {@code prints}: also records a fingerprint of each request, for the detection of repeats. Blocks on the disk. */
+    /** {@code recordFingerprints}: also records a fingerprint of each request, for the detection of repeats. Blocks on the disk. */
     public JournalSubsystem(JournalSettings settings, boolean recordFingerprints, String instance, Api.Settings site, List<String> classes,
             List<String> plans, EventLoop loop, Events events) throws IOException {
         journal = Journal.open(settings, instance, site, classes, plans, loop, events);
--- a/src/main/java/yardusher/journal/SegmentIndex.java
+++ b/src/main/java/yardusher/journal/SegmentIndex.java
@@ -128,7 +128,10 @@
             gathered[count++] = hash;
         }
 
-        /** The distinct hashes of the last block. Sorted for each block, since sorting all of them at once would occupy the CPU core when a segment is sealed. */
+        /**
+         * The distinct hashes of the last block. Sorted for each block, since sorting all of them at once would occupy the CPU core
+         * when a segment is sealed.
+         */
         private int[] sorted() {
             Arrays.sort(gathered, 0, count);
             int kept = 0;
--- a/src/main/java/yardusher/keys/FinishedKeys.java
+++ b/src/main/java/yardusher/keys/FinishedKeys.java
@@ -31,14 +31,14 @@
 
     private final ByteBuffer ring;
     private final Long2LongHashMap positions = new Long2LongHashMap(ABSENT);
-    private long head;                               // positions grow without bound; the offset in the ring is the position modulo its capacity
+    private long head;                               // positions only grow; modulo the capacity they are offsets in the ring
     private long tail;
     private long expired;
     private long evicted;
 
     /** Creates a ring of the given capacity in bytes; the map needs another 16 to 48 bytes per key. */
     FinishedKeys(int bytes) {
-        if (bytes < 2 * (HEADER_BYTES + 65_536)) { throw new IllegalArgumentException("capacity must hold at least two answers of 64 KiB"); }
+        if (bytes < 2 * (HEADER_BYTES + 65_536)) { throw new IllegalArgumentException("capacity is below two answers of 64 KiB"); }
         ring = ByteBuffer.allocateDirect(bytes & ~7);
     }
 
@@ -115,5 +115,6 @@
     /** The number of records that expired. */
     long expired() { return expired; }
 
+    /** The number of records that were evicted for lack of space. */
     long evicted() { return evicted; }
 }
--- a/src/main/java/yardusher/keys/KeyTable.java
+++ b/src/main/java/yardusher/keys/KeyTable.java
@@ -93,7 +93,7 @@
         this.bounds = bounds;
     }
 
-    /** Decides on an incoming request with a key; {@code print} is a fingerprint, equal for repeats of a request. */
+    /** Decides on an incoming request with a key; {@code fingerprint} is equal for repeats of a request. */
     Decision admit(double nowMs, long key, long fingerprint, ClassPolicy rule, W request) {
         Run<W> run = running.get(key);
         if (run != null) {
@@ -176,7 +176,8 @@
         }
         running.remove(key);
         if (mayHaveRun) {
-            finished.put(nowMs, key, run.fingerprint, again ? FinishedKeys.Kind.MAY_REPEAT : FinishedKeys.Kind.UNKNOWN, until, repeatUntil, null);
+            finished.put(nowMs, key, run.fingerprint, again ? FinishedKeys.Kind.MAY_REPEAT : FinishedKeys.Kind.UNKNOWN, until,
+                    repeatUntil, null);
         } else {
             finished.remove(key);
         }
--- a/src/main/java/yardusher/keys/KeyedRequestAcceptor.java
+++ b/src/main/java/yardusher/keys/KeyedRequestAcceptor.java
@@ -28,7 +28,8 @@
     private final double retryAfterMs;
     private final Map<Long, CoreRequest> coreRequests = new HashMap<>(); // by key, one for each run
 
-    public KeyedRequestAcceptor(RequestAcceptor core, EventLoop loop, KeySettings settings, List<Api.RequestClass> classes, List<String> names) {
+    public KeyedRequestAcceptor(RequestAcceptor core, EventLoop loop, KeySettings settings, List<Api.RequestClass> classes,
+            List<String> names) {
         settings.checkClasses(names);
         this.core = core;
         this.loop = loop;
@@ -105,7 +106,9 @@
         public void served(byte[] value) {
             if (end()) {
                 leader.served(value);
-                for (KeyedRequest one : table.complete(loop.now(), leader.key, KeyTable.RunOutcome.SERVED, value).answered()) { one.served(value); }
+                for (KeyedRequest one : table.complete(loop.now(), leader.key, KeyTable.RunOutcome.SERVED, value).answered()) {
+                    one.served(value);
+                }
             }
         }
 
@@ -192,8 +195,8 @@
         CoreRequest coreRequest = new CoreRequest(request);
         coreRequests.put(request.key, coreRequest);
         IncomingRequest incoming = request.incoming;
-        coreRequest.handle = core.accept(new IncomingRequest(incoming.classIndex(), incoming.plan(), incoming.customer(), incoming.units(), incoming.first(), incoming.spread(),
-                Math.max(1, request.deadline - loop.now()), incoming.command(), coreRequest, incoming.binding()));
+        coreRequest.handle = core.accept(new IncomingRequest(incoming.classIndex(), incoming.plan(), incoming.customer(),
+                incoming.units(), incoming.first(), incoming.spread(), Math.max(1, request.deadline - loop.now()), incoming.command(), coreRequest, incoming.binding()));
     }
 
     /** Handles the requests that waited for a run without a value: one becomes the leader, or all fail as possibly run. */
@@ -216,7 +219,9 @@
         boolean empty = table.leave(request.key, request);
         CoreRequest coreRequest = coreRequests.get(request.key);
         if (coreRequest == null) {
-            if (table.hasNoLeader(request.key)) { settleWaiters(table.complete(loop.now(), request.key, KeyTable.RunOutcome.NEVER_RAN, null)); }
+            if (table.hasNoLeader(request.key)) {
+                settleWaiters(table.complete(loop.now(), request.key, KeyTable.RunOutcome.NEVER_RAN, null));
+            }
             return;
         }
         if (!empty) { return; }
@@ -228,7 +233,9 @@
 
     /** Restores a request of an earlier life from the journal; times in milliseconds. */
     public void restore(long key, long fingerprint, int classIndex, double sentAtMs, double endedAtMs, boolean ran) {
-        if (classIndex >= 0 && classIndex < rules.length) { table.restore(loop.now(), key, fingerprint, rules[classIndex], sentAtMs, endedAtMs, ran); }
+        if (classIndex >= 0 && classIndex < rules.length) {
+            table.restore(loop.now(), key, fingerprint, rules[classIndex], sentAtMs, endedAtMs, ran);
+        }
     }
 
     /** The maximum age, in milliseconds, of a finished request that is still of use to {@link #restore}. */
--- a/src/main/java/yardusher/keys/KeysSubsystem.java
+++ b/src/main/java/yardusher/keys/KeysSubsystem.java
@@ -8,7 +8,10 @@
 import yardusher.subsystem.Site;
 import yardusher.subsystem.Subsystem;
 
-/** Idempotency keys as a subsystem of an ingress: deduplicates requests before the core, and restores keys of earlier lives from the journal. */
+/**
+ * Idempotency keys as a subsystem of an ingress: deduplicates requests before the core, and restores keys of earlier lives from
+ * the journal.
+ */
 public final class KeysSubsystem implements Subsystem {
     private final KeySettings settings;
     private final JournalSettings journal;
--- a/src/test/java/yardusher/journal/CrashTest.java
+++ b/src/test/java/yardusher/journal/CrashTest.java
@@ -110,7 +110,8 @@
             assertThat(kept).as("lost").isNotNull();
             assertThat(kept.attempts.size()).isGreaterThanOrEqualTo(order.attempts.size());
             assertThat(kept.state()).isGreaterThanOrEqualTo(order.attempts.stream().anyMatch(one -> one.intendedUs > 0)
-                    && order.state() == JournaledRequest.State.INTENDED ? JournaledRequest.State.REFUSED : JournaledRequest.State.NEVER_SENT);
+                    && order.state() == JournaledRequest.State.INTENDED ? JournaledRequest.State.REFUSED
+                    : JournaledRequest.State.NEVER_SENT);
             assertThat(found.openRequests().requests().stream().anyMatch(o -> o.number == order.number) || kept.isOver()).as("open is known").isTrue();
         }
         // The next life carries and closes the open requests; a third finds none open.
--- a/src/test/java/yardusher/journal/JournalJmh.java
+++ b/src/test/java/yardusher/journal/JournalJmh.java
@@ -28,7 +28,10 @@
 import yardusher.disk.Directory;
 import yardusher.disk.Storage;
 
-/** Benchmarks of appending, recovery and lookup in large journals, with the heap size of an ingress. Run by hand: {@code org.openjdk.jmh.Main JournalJmh}. */
+/**
+ * Benchmarks of appending, recovery and lookup in large journals, with the heap size of an ingress. Run by hand:
+ * {@code org.openjdk.jmh.Main JournalJmh}.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.SingleShotTime)
 @OutputTimeUnit(TimeUnit.MILLISECONDS)
--- a/src/test/java/yardusher/keys/KeysTest.java
+++ b/src/test/java/yardusher/keys/KeysTest.java
@@ -92,7 +92,7 @@
     }
 
     private void open(int answerBytes, int mostRunning) {
-        loop = new EventLoop(() -> now, e -> { throw new AssertionError(e); }); // a new loop, so that deadlines of an earlier try do not fire
+        loop = new EventLoop(() -> now, e -> { throw new AssertionError(e); }); // new: old deadlines must not fire
         RequestAcceptor core = order -> {
             CoreRequest one = new CoreRequest(order);
             for (CoreRequest other : inCore) { assertThat(key(other.incoming)).as("a key out twice").isNotEqualTo(key(order)); }
