--- a/src/main/java/yardusher/disk/DurableLog.java
+++ b/src/main/java/yardusher/disk/DurableLog.java
@@ -32,7 +32,7 @@
     }
 
     private static final int SNAPSHOT_END = 0;
-    private static final int MAX_RECORD_BYTES = 65_000;     // bytes
+    private static final int MAX_RECORD_BYTES = 65_000; // bytes
     private static final Framing.Codec<LogRecord> CODEC = new Framing.Codec<>() {
         @Override
         public void encode(LogRecord line, CodedOutputStream out) throws IOException {
@@ -152,7 +152,7 @@
 
     /** Appends all of the records, or none of them if a write fails. They are durable once {@link #force} has returned. */
     public void append(List<LogRecord> records) throws IOException {
-        if (active == null) { throw new IOException(prefix + ": closed after an earlier failure"); }
+        if (active == null) { throw new IOException(prefix + ": not open for writing"); }
         long good = size;
         try {
             size += put(active, number, records);
@@ -169,7 +169,7 @@
 
     /** Returns once all appended records survive a power failure. After a failure the log is not written again. */
     public void force() throws IOException {
-        if (active == null) { throw new IOException(prefix + ": closed after an earlier failure"); }
+        if (active == null) { throw new IOException(prefix + ": not open for writing"); }
         try {
             active.force();
         } catch (IOException e) {
--- a/src/main/java/yardusher/disk/Fields.java
+++ b/src/main/java/yardusher/disk/Fields.java
@@ -43,12 +43,15 @@
 
     public boolean has(int field) { return values.containsKey(field); }
 
+    /** The last value of a varint field; 0 if it is absent. */
     public long number(int field) { return last(field) instanceof Long number ? number : 0; }
 
+    /** The last value of a varint field, narrowed to an int. */
     public int intNumber(int field) { return (int) number(field); }
 
     public boolean flag(int field) { return number(field) != 0; }
 
+    /** The last value of a bytes field; empty if it is absent. */
     public byte[] bytes(int field) { return last(field) instanceof byte[] bytes ? bytes : EMPTY; }
 
     public String text(int field) { return new String(bytes(field), StandardCharsets.UTF_8); }
--- a/src/main/java/yardusher/disk/Framing.java
+++ b/src/main/java/yardusher/disk/Framing.java
@@ -80,9 +80,9 @@
         private final DamageListener damage;
         private final CRC32C sum = new CRC32C();
         private final ByteBuffer window = ByteBuffer.allocate(256 * 1024);
-        private long windowOffset;                       // file offset of the first byte of the window
+        private long windowOffset;                   // file offset of the first byte of the window
         private long frameOffset;
-        private long damageStart;                           // offset of the first damaged byte not yet reported, or -1
+        private long damageStart;                    // offset of the first damaged byte not yet reported, or -1
         private final long limit;
         private boolean ended;                       // the end of the file has been read
 
@@ -103,7 +103,7 @@
             if (start == 0) {
                 fill();
                 if (window.remaining() < MAGIC_BYTES || window.getLong(window.position()) != magic) {
-                    damageStart = 0;                        // frames after a damaged magic are still found
+                    damageStart = 0;                 // frames after a damaged magic are still found
                 } else {
                     window.position(MAGIC_BYTES);
                 }
--- a/src/main/java/yardusher/file/Toml.java
+++ b/src/main/java/yardusher/file/Toml.java
@@ -49,6 +49,7 @@
         return this;
     }
 
+    /** A required string. */
     public String text(String key) {
         if (table.get(key) instanceof String text) { return text; }
         throw new ConfigError.Missing(null, prefix + key, "a text in " + prefix + key);
@@ -56,6 +57,7 @@
 
     public String text(String key, String defaultValue) { return table.get(key) == null ? defaultValue : text(key); }
 
+    /** An integer from {@code min} to {@code max}, both inclusive. */
     public int integer(String key, int defaultValue, int min, int max) {
         Object value = table.get(key);
         if (value == null) { return defaultValue; }
@@ -80,6 +82,7 @@
         throw invalidValue(key, "one of " + String.join(", ", allowed));
     }
 
+    /** An array of strings; empty if it is absent. */
     public List<String> texts(String key) {
         return list(key, String.class, "texts");
     }
--- a/src/main/java/yardusher/journal/Indexer.java
+++ b/src/main/java/yardusher/journal/Indexer.java
@@ -9,7 +9,7 @@
 
 /** Builds the indexes of sealed segments on a background thread that exists only while there is work. */
 final class Indexer {
-    private static final int MAX_QUEUED = 10_000;  // an index dropped here is built at the next start, and until then readers do without
+    private static final int MAX_QUEUED = 10_000;    // an index dropped here is built at the next start, and until then readers do without
 
     private final Storage storage;
     private final ExecutorService thread;
--- a/src/main/java/yardusher/journal/Journal.java
+++ b/src/main/java/yardusher/journal/Journal.java
@@ -25,9 +25,9 @@
 public final class Journal implements RequestLog {
     /** Maximum number of entries in a batch; further entries are dropped and counted as lost. */
     static final int MAX_PENDING_ENTRIES = 20_000;
-    private static final double INITIAL_RETRY_MS = 100;      // after a failed write; doubles with each failure
+    private static final double INITIAL_RETRY_MS = 100; // after a failed write; doubles with each failure
     private static final double MAX_RETRY_MS = 2000;
-    private static final double RECHECK_MS = 1000;      // between checks for free space while the disk is full
+    private static final double RECHECK_MS = 1000;   // between checks for free space while the disk is full
 
     /** Whether intents can be recorded. */
     enum Health { GOOD, FULL, STALLED, FAILING }
@@ -36,11 +36,11 @@
     public static final class Counts {
         public long entries;
         public long batches;
-        public long refused;
-        public long unrecorded;
-        public long untried;
-        public long lost;
-        public long failures;
+        public long refused;                         // requests refused since they could not be recorded
+        public long unrecorded;                      // requests sent without a record
+        public long untried;                         // requests answered without an attempt
+        public long lost;                            // entries dropped while the disk hung
+        public long failures;                        // failed writes of a batch
         public long stalls;
     }
 
@@ -62,7 +62,7 @@
     private Batch pending = new Batch();
     private Batch spare = new Batch();
     private Batch inFlight;
-    private boolean submitScheduled;                       // for the end of this turn
+    private boolean submitScheduled;                 // for the end of this turn
     // Two long-lived deadlines: a deadline for each batch would wake the timer thread each time.
     private Deadlines.Entry flushDeadline;
     private Deadlines.Entry stallDeadline;
@@ -158,7 +158,7 @@
         pending.waiters.add(new Waiter(attempt, then));
         if (inFlight == null && !submitScheduled) {
             submitScheduled = true;
-            loop.defer(this::submitPending);        // all entries of this turn share one write
+            loop.defer(this::submitPending);         // all entries of this turn share one write
         }
     }
 
@@ -179,7 +179,7 @@
 
     @Override
     public void attemptEnded(Attempt attempt, Api.Outcome outcome) {
-        if (!attempt.intentLogged) { return; }              // sent without a record: counted in the next Gap entry
+        if (!attempt.intentLogged) { return; }       // sent without a record: counted in the next Gap entry
         enqueue(new Entry.Ended(nowUs(), attempt.request.number, attempt.number, outcome, attempt.mayHaveBeenSent()));
     }
 
--- a/src/main/java/yardusher/journal/JournalSubsystem.java
+++ b/src/main/java/yardusher/journal/JournalSubsystem.java
@@ -10,7 +10,7 @@
 
 /** The request journal as a subsystem of an ingress. */
 public final class JournalSubsystem implements Subsystem {
-    private static final long SHUTDOWN_TIMEOUT_MS = 2000;         // lets a slow disk write the last outcomes
+    private static final long SHUTDOWN_TIMEOUT_MS = 2000; // lets a slow disk write the last outcomes
 
     private final Journal journal;
 
--- a/src/main/java/yardusher/journal/JournalWriter.java
+++ b/src/main/java/yardusher/journal/JournalWriter.java
@@ -14,8 +14,8 @@
     private final Thread writer;
     private final Thread syncer;
     private volatile boolean ending;
-    private volatile long syncingSinceNs;              // nanoTime of the oldest write that the current sync covers, 0 for none
-    private volatile long unsyncedSinceNs;             // nanoTime of the oldest unsynced write, 0 for none
+    private volatile long syncingSinceNs;            // nanoTime of the oldest write that the current sync covers, 0 for none
+    private volatile long unsyncedSinceNs;           // nanoTime of the oldest unsynced write, 0 for none
 
     JournalWriter(Segments segments, JournalSettings settings, String name) {
         this.segments = segments;
@@ -76,7 +76,7 @@
                 continue;
             }
             syncingSinceNs = since;
-            unsyncedSinceNs = 0;                       // before the sync: writes during it wait for the next one
+            unsyncedSinceNs = 0;                     // before the sync: writes during it wait for the next one
             segments.forceConcurrently();
             syncingSinceNs = 0;
         }
--- a/src/main/java/yardusher/journal/JournaledRequest.java
+++ b/src/main/java/yardusher/journal/JournaledRequest.java
@@ -43,7 +43,7 @@
     final long life;
     final long number;
     long acceptedUs;
-    Entry.RequestFacts facts;                               // null if every record that holds it was lost
+    Entry.RequestFacts facts;                        // null if every record that holds it was lost
     final List<JournaledAttempt> attempts = new ArrayList<>(1);
     RequestLog.Answer answer;
     long answeredUs;
--- a/src/main/java/yardusher/journal/Segments.java
+++ b/src/main/java/yardusher/journal/Segments.java
@@ -31,9 +31,9 @@
     private final ByteBuffer out = ByteBuffer.allocate(64 * 1024);
     private final CRC32C sum = new CRC32C();
     private volatile Storage.Appender active;        // the sync thread forces it
-    private volatile boolean syncFailed;                 // a sync of the active segment failed, so its content on disk is unknown
-    private long lastNumber;                               // the highest segment number ever used
-    private long activeNumber;                             // of the active segment
+    private volatile boolean syncFailed;             // a sync of the active segment failed, so its content on disk is unknown
+    private long lastNumber;                         // the highest segment number ever used
+    private long activeNumber;                       // of the active segment
     private long activeBytes;
     private long[] offsets = new long[64];           // of the entries of the last batch
     private boolean reserveHeld;
@@ -55,8 +55,8 @@
         retention = new Retention(settings);
         sealed = new ArrayList<>(found.sealed());
         lastNumber = found.last();
-        requests.apply(opened);                             // sets the current life
-        storage.delete(RESERVE_FILE);                     // left by a life that was killed; created again below
+        requests.apply(opened);                      // sets the current life
+        storage.delete(RESERVE_FILE);                // left by a life that was killed; created again below
         List<Entry> first = new ArrayList<>();
         for (JournaledRequest order : found.openRequests().requests()) {
             first.add(new Entry.Carried(order.acceptedUs, order.life, order.number, order.facts, order.answer, order.attempts));
@@ -187,14 +187,14 @@
         try {
             file.force();
         } catch (IOException e) {
-            if (file == active) { syncFailed = true; }   // otherwise it was sealed meanwhile, which forced it
+            if (file == active) { syncFailed = true; } // otherwise it was sealed meanwhile, which forced it
         }
     }
 
     /** Seals the active segment and begins the next. A failure leaves everything as it was. */
     private void roll(List<Entry> snapshot) throws IOException {
         boolean lasting = settings.durability() != JournalSettings.Durability.PROCESS;
-        long next = ++lastNumber;                          // never reused, even if this fails
+        long next = ++lastNumber;                    // never reused, even if this fails
         Storage.Appender old = active;
         if (old != null && lasting && !syncFailed) { force(old); }
         Storage.Appender file = null;
--- a/src/main/java/yardusher/keys/FinishedKeys.java
+++ b/src/main/java/yardusher/keys/FinishedKeys.java
@@ -27,7 +27,7 @@
     private static final Kind[] KINDS = Kind.values();
     private static final int HEADER_BYTES = 4 + 8 + 8 + 8 + 8 + 1;
     private static final int ABSENT = -1;
-    private static final int PADDING = -1;               // marks that no record follows before the end of the ring
+    private static final int PADDING = -1;           // marks that no record follows before the end of the ring
 
     private final ByteBuffer ring;
     private final Long2LongHashMap positions = new Long2LongHashMap(ABSENT);
--- a/src/main/java/yardusher/keys/KeyTable.java
+++ b/src/main/java/yardusher/keys/KeyTable.java
@@ -60,7 +60,7 @@
         final ClassPolicy rule;
         W leader;                                    // null once the leader has left
         final ArrayDeque<W> waiting = new ArrayDeque<>(2);
-        double earliestRunMs = Double.POSITIVE_INFINITY;     // the earliest time at which a request with the key may have run
+        double earliestRunMs = Double.POSITIVE_INFINITY; // the earliest time at which a request with the key may have run
         double startedAtMs;
 
         Run(long fingerprint, ClassPolicy rule, W leader, double begunAt) {
@@ -73,14 +73,14 @@
 
     /** Counters since the start. */
     static final class Counts {
-        long led;
-        long joined;
+        long led;                                    // requests that led a run
+        long joined;                                 // requests that waited for a run
         long answered;
         long ran;
         long unknown;
         long conflicts;
         long full;
-        long ledAgain;
+        long ledAgain;                               // runs repeated after an earlier one ended without a value
     }
 
     private final Map<Long, Run<W>> running = new HashMap<>();
--- a/src/main/java/yardusher/keys/KeyedRequestAcceptor.java
+++ b/src/main/java/yardusher/keys/KeyedRequestAcceptor.java
@@ -48,7 +48,7 @@
         final IncomingRequest incoming;
         final long key;
         final double deadline;
-        Deadlines.Entry deadlineTimer;                    // while it waits; the core watches the leader's deadline
+        Deadlines.Entry deadlineTimer;               // while it waits; the core watches the leader's deadline
         boolean answered;
 
         KeyedRequest(IncomingRequest incoming, long key) {
--- a/src/test/java/yardusher/journal/JournalStoryTest.java
+++ b/src/test/java/yardusher/journal/JournalStoryTest.java
@@ -183,7 +183,7 @@
         loop.execute(() -> leaves.terminalLeft());
         disk.hang.countDown();
         disk.hang = new CountDownLatch(1);
-        submit(ORDER);                                 // collected in the next batch, or in the first
+        submit(ORDER);                               // collected in the next batch, or in the first
         pass(150);
         pass(2100);
         assertThat(next(answers)).isIn("2 refused", "2 failed");
@@ -203,7 +203,7 @@
         for (String name : disk.list()) { used += disk.size(name); }
         disk.room = used;                            // the next byte does not fit
         submit(ORDER);
-        Attempt reserved = next(startedAttempts);              // written in the space of the reserve, which is released now
+        Attempt reserved = next(startedAttempts);    // written in the space of the reserve, which is released now
         submit(ORDER);
         assertThat(next(answers)).isEqualTo("3 refused");
         submit(0);
@@ -228,10 +228,10 @@
         for (String name : disk.list()) { used += disk.size(name); }
         disk.room = used;
         submit(ORDER);
-        end(next(startedAttempts), Api.Outcome.SERVED);        // recorded in the space of the reserve
+        end(next(startedAttempts), Api.Outcome.SERVED); // recorded in the space of the reserve
         for (int i = 0; i < 3; i++) {
             submit(ORDER);
-            end(next(startedAttempts), Api.Outcome.SERVED);    // at once, unrecorded
+            end(next(startedAttempts), Api.Outcome.SERVED); // at once, unrecorded
         }
         for (int i = 1; i <= 4; i++) { assertThat(next(answers)).isEqualTo(i + " served"); }
         disk.room = Long.MAX_VALUE;
@@ -251,7 +251,7 @@
         pass(250);                                   // stall_ms is 200
         next(startedAttempts);
         submit(ORDER);
-        next(startedAttempts);                                 // at once, unrecorded
+        next(startedAttempts);                       // at once, unrecorded
         disk.hang.countDown();
         awaitGood(0);
         assertThat(loggedLines.toString()).contains("journal cannot record orders health=stalled").contains("unrecorded=2");
--- a/src/test/java/yardusher/keys/KeysTest.java
+++ b/src/test/java/yardusher/keys/KeysTest.java
@@ -207,12 +207,12 @@
     void aRepeatExactlyAsTheFirstFailsLeadsInBothOrdersAndOnlyOnce() {
         open(1 << 20, 10);
         ClientRequest first = ask(5, 1, 2000);
-        ClientRequest before = ask(5, 1, 2000);              // the repeat arrives before the first ends
+        ClientRequest before = ask(5, 1, 2000);      // the repeat arrives before the first ends
         end(inCore.get(0), 2);
         assertThat(first.answers).containsExactly("failed failed");
         assertThat(before.answers).isEmpty();
         assertThat(inCore).hasSize(1);
-        end(inCore.get(0), 2);                          // the first ends before the repeat arrives
+        end(inCore.get(0), 2);                       // the first ends before the repeat arrives
         ClientRequest after = ask(5, 1, 2000);
         assertThat(inCore).hasSize(1);
         end(inCore.get(0), 0);
