--- a/src/main/java/yardusher/disk/DurableLog.java
+++ b/src/main/java/yardusher/disk/DurableLog.java
@@ -10,26 +10,29 @@
 import java.util.zip.CRC32C;
 
 /**
- * A log of small records that must never be forgotten: numbered segments, of which each begins with all that still
- * counts (its base), so that the older ones can go. Nothing here passes over damage: a torn tail of the last segment is
- * cut, since what it held was never told to anyone; any other damage is an {@link IOException} in one plain line, and
- * the owner must not go on as if nothing had been written. Used by one thread, which may wait on the disk.
+ * A durable log of small records in numbered segments. Each segment begins with a snapshot of the current state, so older
+ * segments can be deleted. Damage is never skipped: a torn tail of the last segment is dropped, since its records were
+ * never acknowledged; any other damage is an {@link IOException}, and the owner must not continue as if nothing had been
+ * written. Used by a single thread, which may block on the disk.
  */
 public final class DurableLog implements Closeable {
-    /** One record: what it is, in a number above 0 of its owner's, and a message. */
+    /** A record: its kind, a number above 0 that the owner assigns, and its encoded message. */
     public record LogRecord(int kind, byte[] body) { }
 
-    /** What the owner of a ledger keeps of its records. */
+    /** The state that the owner of a log builds from its records. */
     public interface LoggedState {
-        /** One record, in order; those of a base first. An {@link IOException} for one that its owner cannot have written. */
-        void apply(LogRecord line) throws IOException;
+        /**
+         * Applies one record, in order, those of the snapshot first. Throws an {@link IOException} for a record that the owner
+         * cannot have written.
+         */
+        void apply(LogRecord record) throws IOException;
 
-        /** What still counts, as the records that give it again. */
+        /** The current state, as the records that restore it. */
         List<LogRecord> snapshot();
     }
 
     private static final int SNAPSHOT_END = 0;
-    private static final int MAX_RECORD_BYTES = 65_000;     // bytes
+    private static final int MAX_RECORD_BYTES = 65_000; // bytes
     private static final Framing.Codec<LogRecord> CODEC = new Framing.Codec<>() {
         @Override
         public void encode(LogRecord line, CodedOutputStream out) throws IOException {
@@ -47,7 +50,7 @@
     private final Storage storage;
     private final String prefix;
     private final Framing<LogRecord> framing;
-    private final LoggedState content;
+    private final LoggedState state;
     private final long segmentBytes;
     private final ByteBuffer out;
     private final CRC32C sum = new CRC32C();
@@ -55,44 +58,44 @@
     private long number;
     private long size;
 
-    private DurableLog(Storage storage, String prefix, long magic, LoggedState content, long segmentBytes) {
+    private DurableLog(Storage storage, String prefix, long magic, LoggedState state, long segmentBytes) {
         this.storage = storage;
         this.prefix = prefix;
         this.framing = new Framing<>(magic, MAX_RECORD_BYTES, CODEC);
-        this.content = content;
+        this.state = state;
         this.segmentBytes = segmentBytes;
         out = ByteBuffer.allocate(Math.max(64 * 1024, 2 * framing.maxFrameBytes()));
     }
 
-    /** Whether a folder holds a ledger of this name, whole or not. */
+    /** Whether a directory holds segments of this log, complete or not. */
     public static boolean exists(Storage storage, String prefix) throws IOException {
         return !numbers(storage, prefix).isEmpty();
     }
 
-    /** Begins a ledger in a folder that holds none, with the content's base. */
-    public static DurableLog create(Storage storage, String prefix, long magic, LoggedState content, long segmentBytes) throws IOException {
-        DurableLog ledger = new DurableLog(storage, prefix, magic, content, segmentBytes);
-        ledger.roll();
-        return ledger;
+    /** Creates a log in a directory that holds none, with a snapshot of the state. */
+    public static DurableLog create(Storage storage, String prefix, long magic, LoggedState state, long segmentBytes) throws IOException {
+        DurableLog log = new DurableLog(storage, prefix, magic, state, segmentBytes);
+        log.roll();
+        return log;
     }
 
     /**
-     * Reads what was written into the content and goes on behind it, in a segment of its own.
+     * Replays an existing log into the state, then begins a new segment.
      *
-     * @throws IOException where there is none, where it is damaged, or where the next segment cannot be written
+     * @throws IOException if there is none, if it is damaged, or if the next segment cannot be written
      */
-    public static DurableLog open(Storage storage, String prefix, long magic, LoggedState content, long segmentBytes) throws IOException {
-        DurableLog ledger = new DurableLog(storage, prefix, magic, content, segmentBytes);
+    public static DurableLog open(Storage storage, String prefix, long magic, LoggedState state, long segmentBytes) throws IOException {
+        DurableLog log = new DurableLog(storage, prefix, magic, state, segmentBytes);
         List<Long> numbers = numbers(storage, prefix);
         int last = numbers.size() - 1;
-        // A segment whose base was never ended is one of a roll that was cut off: nothing was written behind it.
-        while (last >= 0 && ledger.isSnapshotIncomplete(numbers.get(last))) { last--; }
-        if (last < 0) { throw new IOException("no " + prefix + " segment is whole"); }
-        ledger.replay(numbers.get(last));
-        ledger.number = numbers.get(numbers.size() - 1);
-        ledger.roll();
+        // A segment with an incomplete snapshot comes from an interrupted roll; no records were appended to it.
+        while (last >= 0 && log.isSnapshotIncomplete(numbers.get(last))) { last--; }
+        if (last < 0) { throw new IOException("no " + prefix + " segment is complete"); }
+        log.replay(numbers.get(last));
+        log.number = numbers.get(numbers.size() - 1);
+        log.roll();
         for (long old : numbers) { storage.delete(name(prefix, old)); }
-        return ledger;
+        return log;
     }
 
     private static String name(String prefix, long number) { return String.format("%s-%016d.seg", prefix, number); }
@@ -108,14 +111,14 @@
         return numbers;
     }
 
-    /** Whether a segment ends before its base does, as a crash leaves it; damage before a valid frame is none of that. */
+    /** Whether a segment ends before the end of its snapshot, as a crash leaves it. False if there is damage before a valid frame. */
     private boolean isSnapshotIncomplete(long segment) throws IOException {
-        boolean[] spoilt = new boolean[1];
+        boolean[] damaged = new boolean[1];
         try (Storage.Source source = storage.open(name(prefix, segment))) {
-            Framing<LogRecord>.Reader reader = framing.new Reader(source, segment, (from, to, torn) -> spoilt[0] |= !torn);
+            Framing<LogRecord>.Reader reader = framing.new Reader(source, segment, (from, to, torn) -> damaged[0] |= !torn);
             int count = 0;
             for (LogRecord record; (record = reader.next()) != null; count++) {
-                if (record.kind() == SNAPSHOT_END || spoilt[0]) { return false; }
+                if (record.kind() == SNAPSHOT_END || damaged[0]) { return false; }
             }
         }
         return true;
@@ -129,25 +132,27 @@
             Framing<LogRecord>.Reader reader = framing.new Reader(source, segment, (from, to, tail) -> {
                 if (tail) { torn[0] = from; } else { damage[0] = name + ": damaged, " + (to - from) + " bytes from " + from; }
             });
-            boolean based = false;
+            boolean snapshotComplete = false;
             int count = 0;
             for (LogRecord record; (record = reader.next()) != null; count++) {
                 if (damage[0] != null) { throw new IOException(damage[0]); }
                 if (record.kind() != SNAPSHOT_END) {
-                    content.apply(record);
-                } else if (based || Fields.read(record.body()).number(1) != count) {
-                    throw new IOException(name + ": its base is not whole");
+                    state.apply(record);
+                } else if (snapshotComplete || Fields.read(record.body()).number(1) != count) {
+                    throw new IOException(name + ": its snapshot is incomplete");
                 } else {
-                    based = true;
+                    snapshotComplete = true;
                 }
             }
-            if (damage[0] != null || !based) { throw new IOException(damage[0] == null ? name + ": its base is not whole" : damage[0]); }
+            if (damage[0] != null || !snapshotComplete) {
+                throw new IOException(damage[0] == null ? name + ": its snapshot is incomplete" : damage[0]);
+            }
         }
     }
 
-    /** Writes records; where that fails nothing of them stands. Durable once {@link #force} has returned. */
+    /** Appends all of the records, or none of them if a write fails. They are durable once {@link #force} has returned. */
     public void append(List<LogRecord> records) throws IOException {
-        if (active == null) { throw new IOException(prefix + ": no longer written"); }
+        if (active == null) { throw new IOException(prefix + ": not open for writing"); }
         long good = size;
         try {
             size += put(active, number, records);
@@ -162,25 +167,25 @@
         }
     }
 
-    /** Returns once all that was appended survives a loss of power. After a failure the ledger is never written again. */
+    /** Returns once all appended records survive a power failure. After a failure the log is not written again. */
     public void force() throws IOException {
-        if (active == null) { throw new IOException(prefix + ": no longer written"); }
+        if (active == null) { throw new IOException(prefix + ": not open for writing"); }
         try {
             active.force();
         } catch (IOException e) {
-            abandon();                               // nobody knows what the disk holds now
+            abandon();                               // after a failed sync the content of the disk is unknown
             throw e;
         }
     }
 
-    /** Whether the segment is large enough to be left; the owner calls {@link #roll} when its content is at rest. */
+    /** Whether the segment has reached its maximum size; the owner calls {@link #roll} when its state is not changing. */
     public boolean isDueToRoll() { return size >= segmentBytes; }
 
-    /** Begins the next segment with the content's base, durably, and lets the older ones go. On failure all stays as it was. */
-    public void roll() throws IOException { roll(content.snapshot()); }
+    /** Begins the next segment with a durable snapshot of the state and deletes the older one. A failure leaves everything as it was. */
+    public void roll() throws IOException { roll(state.snapshot()); }
 
-    /** The same with a base that was taken when the content was at rest. */
-    public void roll(List<LogRecord> content) throws IOException {
+    /** The same with a snapshot that was taken while the state was not changing. */
+    public void roll(List<LogRecord> snapshot) throws IOException {
         long next = number + 1;
         String name = name(prefix, next);
         Storage.Appender file = null;
@@ -192,9 +197,9 @@
             framing.putMagic(magic);
             magic.flip();
             while (magic.hasRemaining()) { file.write(magic); }
-            List<LogRecord> base = new ArrayList<>(content);
-            base.add(new LogRecord(SNAPSHOT_END, new Fields.Writer().number(1, base.size()).toBytes()));
-            length = Framing.MAGIC_BYTES + put(file, next, base);
+            List<LogRecord> records = new ArrayList<>(snapshot);
+            records.add(new LogRecord(SNAPSHOT_END, new Fields.Writer().number(1, records.size()).toBytes()));
+            length = Framing.MAGIC_BYTES + put(file, next, records);
             file.force();
             storage.forceDirectory();
         } catch (IOException e) {
@@ -236,10 +241,10 @@
         active = null;
         try {
             file.close();
-        } catch (IOException e) { /* it is left either way */ }
+        } catch (IOException e) { /* the file is no longer used */ }
     }
 
-    /** Leaves the file; the folder stays its owner's. */
+    /** Closes the active file; the directory still belongs to its owner. */
     @Override
     public void close() throws IOException {
         Storage.Appender file = active;
--- a/src/main/java/yardusher/journal/JournalReports.java
+++ b/src/main/java/yardusher/journal/JournalReports.java
@@ -29,9 +29,9 @@
 import yardusher.error.JournalError;
 import yardusher.discovery.DiscoveredBackends;
 
-/** What the sub-command {@code orders} does with one or more folders of journals. */
+/** The reports of the sub-command {@code orders}: lists, shows and verifies the requests in one or more journal folders. */
 public final class JournalReports {
-    /** The ways to write orders. */
+    /** Output formats. */
     public enum OutputFormat { TABLE, JSON, CSV }
 
     private static final String[] COLUMNS = {"taken", "instance", "state", "outcome", "region", "attempts", "answer", "key",
@@ -40,7 +40,7 @@
 
     private JournalReports() { }
 
-    /** The journals that a path means: itself, or each of its folders that holds one. */
+    /** The journals that each path refers to: the path itself, or each of its subfolders that holds a journal. */
     public static List<Path> folders(List<String> paths) throws IOException {
         List<Path> folders = new ArrayList<>();
         for (String text : paths) {
@@ -58,13 +58,13 @@
 
     private static boolean isJournal(Path folder) {
         try (Stream<Path> files = Files.list(folder)) {
-            return files.anyMatch(file -> SegmentFiles.number(file.getFileName().toString()) >= 0);
+            return files.anyMatch(file -> SegmentFiles.segmentNumber(file.getFileName().toString()) >= 0);
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** What is asked for, from texts as people give them; a {@link CommandError} says which is wrong. */
+    /** The filter of a report, from command-line arguments; a {@link CommandError} names an invalid argument. */
     public static final class Filter {
         private final Map<SegmentIndex.Field, Long> values = new EnumMap<>(SegmentIndex.Field.class);
         private Set<JournaledRequest.State> states = Set.of();
@@ -74,7 +74,7 @@
         private long toUs = Long.MAX_VALUE;
         private final Instant now;
 
-        /** {@code now} is what lengths of time count back from. */
+        /** Durations count back from {@code now}. */
         public Filter(Instant now) { this.now = now; }
 
         public Filter by(String field, String text) {
@@ -82,7 +82,7 @@
             if (of != SegmentIndex.Field.REGION && !text.matches("[0-9a-f]{1,16}")) {
                 throw new CommandError.Argument(field + " must be 1 to 16 hex digits");
             }
-            values.put(of, of == SegmentIndex.Field.REGION ? DiscoveredBackends.numericId(text) : Long.parseUnsignedLong(text, 16));
+            values.put(of, of == SegmentIndex.Field.REGION ? DiscoveredBackends.id(text) : Long.parseUnsignedLong(text, 16));
             return this;
         }
 
@@ -95,7 +95,8 @@
                 }
                 wanted.add(Stream.of(JournaledRequest.State.values()).filter(state -> state.flag().equals(word)).findFirst()
                         .orElseThrow(() -> new CommandError.Argument("state must be some of "
-                                + String.join(", ", Stream.of(JournaledRequest.State.values()).map(JournaledRequest.State::flag).toList()) + ", unknown")));
+                                + String.join(", ", Stream.of(JournaledRequest.State.values()).map(JournaledRequest.State::flag).toList())
+                                + ", unknown")));
             }
             states = wanted;
             return this;
@@ -116,7 +117,7 @@
             return this;
         }
 
-        /** An instant such as 2026-12-01T09:30:00Z, or a length of time before now such as 15m or 2h30m. */
+        /** An instant such as 2026-12-01T09:30:00Z, or a duration before now such as 15m or 2h30m. */
         private long time(String text, String name) {
             try {
                 Instant at = text.endsWith("Z") || text.contains("T") ? Instant.parse(text)
@@ -131,7 +132,7 @@
         Query query() { return new Query(values, states, unknown, open, fromUs, toUs); }
     }
 
-    /** Orders of several folders, merged by the time when they came in. */
+    /** The requests of several folders, merged by their time of arrival. */
     private static final class MergedScan implements Closeable {
         private record Head(JournaledRequest order, Scan scan) { }
 
@@ -167,7 +168,7 @@
         }
     }
 
-    /** Tells how far a long read is. */
+    /** Reports the progress of a long read. */
     private static final class Progress {
         private final PrintStream err;
         private final long total;
@@ -179,7 +180,7 @@
             long all = 0;
             for (Path folder : folders) {
                 Storage storage = Directory.openForReading(folder);
-                for (long number : Recovery.segments(storage)) { all += storage.size(SegmentFiles.name(number)); }
+                for (long number : Recovery.segments(storage)) { all += storage.size(SegmentFiles.segmentName(number)); }
             }
             total = Math.max(1, all);
         }
@@ -193,9 +194,9 @@
     }
 
     /**
-     * Writes the orders asked for, oldest first, {@code most} at the most. Returns how many.
+     * Writes the requests that match the filter, oldest first, up to {@code most} of them. Returns how many.
      *
-     * @param err where progress and notes go; null for nowhere
+     * @param err receives progress and notes; null for none
      */
     public static long list(List<Path> folders, Filter asked, OutputFormat form, long most, PrintStream out, PrintStream err)
             throws IOException {
@@ -218,7 +219,7 @@
         return count;
     }
 
-    /** Tells all that is known of the orders asked for. Returns how many. */
+    /** Writes all details of the requests that match the filter. Returns how many. */
     public static long show(List<Path> folders, Filter asked, PrintStream out) throws IOException {
         long count = 0;
         try (MergedScan merged = new MergedScan(folders, asked.query(), new Progress(folders, null))) {
@@ -235,19 +236,19 @@
                     if (one.intendedUs > 0) { out.println("  " + time(one.intendedUs) + " " + name + " intended"); }
                     if (one.writtenUs > 0) { out.println("  " + time(one.writtenUs) + " " + name + " written whole"); }
                     if (one.endedUs > 0) {
-                        out.println("  " + time(one.endedUs) + " " + name + " ended: " + word(one.outcome) + ", "
+                        out.println("  " + time(one.endedUs) + " " + name + " ended: " + label(one.outcome) + ", "
                                 + (one.mayHaveBeenSent ? one.outcome == yardusher.Api.Outcome.REJECTED ? "the region says it never ran" : "it may have run"
                                         : "nothing went out"));
                     }
                 }
-                if (order.answer != null) { out.println("  " + time(order.answeredUs) + " final answer: " + word(order.answer)); }
+                if (order.answer != null) { out.println("  " + time(order.answeredUs) + " final answer: " + label(order.answer)); }
                 if (order.closedUs > 0) { out.println("  " + time(order.closedUs) + " found open by the next life"); }
             }
         }
         return count;
     }
 
-    /** Tells what is damaged. Returns whether all is sound. */
+    /** Reports damage. Returns whether all journals are sound. */
     public static boolean verify(List<Path> folders, PrintStream out, PrintStream err) throws IOException {
         boolean sound = true;
         Progress progress = new Progress(folders, err);
@@ -255,8 +256,8 @@
             boolean written = Directory.isLocked(folder);
             Verify.Report report = Verify.run(Directory.openForReading(folder), written, progress::add);
             out.println(folder + ": " + (report.damage().isEmpty() ? "sound" : "damaged") + (written ? ", being written" : "") + ": "
-                    + report.segments() + " segments, " + report.bytes() + " bytes, " + report.entries() + " entries, " + report.orders()
-                    + " orders, " + report.unknown() + " of unknown end, " + report.gapOrders() + " unrecorded, " + report.gapLost()
+                    + report.segments() + " segments, " + report.bytes() + " bytes, " + report.entries() + " entries, " + report.requests()
+                    + " orders, " + report.unknown() + " of unknown end, " + report.unrecorded() + " unrecorded, " + report.lostRecords()
                     + " records lost");
             report.damage().forEach(line -> out.println("  " + line));
             report.notes().forEach(line -> out.println("  note: " + line));
@@ -272,8 +273,8 @@
     private static String[] columns(JournaledRequest o) {
         JournaledRequest.JournaledAttempt strongest = o.strongest();
         return new String[] {o.firstUs() == 0 ? "" : time(o.firstUs()), o.instance, o.state().flag(),
-            strongest == null || strongest.outcome == null ? "" : word(strongest.outcome), strongest == null ? "" : region(strongest),
-            Integer.toString(o.attempts.size()), o.answer == null ? o.closedUs > 0 ? "unknown" : "" : word(o.answer), key(o),
+            strongest == null || strongest.outcome == null ? "" : label(strongest.outcome), strongest == null ? "" : region(strongest),
+            Integer.toString(o.attempts.size()), o.answer == null ? o.closedUs > 0 ? "unknown" : "" : label(o.answer), key(o),
             o.facts == null ? "" : hex(o.facts.customer()), o.facts == null ? "" : hex(o.facts.id()), o.className, o.plan,
             o.facts == null ? "" : Double.toString(o.facts.units()), o.closedUs == 0 ? "" : time(o.closedUs), hex(o.life),
             Long.toString(o.number)};
@@ -289,7 +290,7 @@
         return String.format("%-27s %-10s %-11s %-15s %-8s %-5s %-17s %-16s %-16s %-16s %s", (Object[]) c).stripTrailing();
     }
 
-    /** One object of names and values; times as texts, ids and keys in hex digits as the protocol writes them. */
+    /** A request as a JSON object; times as ISO 8601 strings, ids and keys in hex digits as in the protocol. */
     static String json(JournaledRequest order) throws IOException {
         StringWriter text = new StringWriter(512);
         try (JsonGenerator out = JSON.createGenerator(text)) {
@@ -317,7 +318,7 @@
                     if (at.getValue() > 0) { out.writeStringField(at.getKey(), time(at.getValue())); }
                 }
                 if (one.outcome != null) {
-                    out.writeStringField("outcome", word(one.outcome));
+                    out.writeStringField("outcome", label(one.outcome));
                     out.writeBooleanField("may_have_gone", one.mayHaveBeenSent);
                 }
                 out.writeEndObject();
@@ -338,11 +339,13 @@
         return order.facts == null || !order.facts.keyed() ? "" : hex(order.facts.key());
     }
 
-    private static String region(JournaledRequest.JournaledAttempt one) { return one.region == 0 && one.intendedUs == 0 ? "" : String.format("%08x", one.region); }
+    private static String region(JournaledRequest.JournaledAttempt one) {
+        return one.region == 0 && one.intendedUs == 0 ? "" : String.format("%08x", one.region);
+    }
 
     private static String hex(long number) { return String.format("%016x", number); }
 
     private static String time(long us) { return Instant.ofEpochSecond(us / 1_000_000, us % 1_000_000 * 1000).toString(); }
 
-    private static String word(Enum<?> of) { return of.name().toLowerCase(Locale.ROOT).replace('_', '-'); }
+    private static String label(Enum<?> of) { return of.name().toLowerCase(Locale.ROOT).replace('_', '-'); }
 }
--- a/src/test/java/yardusher/journal/CrashTest.java
+++ b/src/test/java/yardusher/journal/CrashTest.java
@@ -19,7 +19,7 @@
 import yardusher.core.RequestLog;
 import yardusher.disk.Framing;
 
-/** What a crash, a loss of power and damage at any byte leave of a journal. */
+/** The state of a journal after a crash, a power failure or damage at any byte. */
 class CrashTest {
     private static final Entry.Opened WHO = new Entry.Opened(0, 77, "n0", List.of("lookup", "place-order"), List.of("basis"));
 
@@ -27,8 +27,8 @@
         return new JournalSettings(Path.of("none"), durability, 50, 5, 200, segmentBytes, 1 << 20, 1024, 72, 60, refuses, 500, true);
     }
 
-    /** A life written to a disk: its entries in order, and after how many changes of the disk each batch was acknowledged. */
-    private record Life(FaultyDisk disk, List<Entry> told, List<int[]> acknowledged) { }
+    /** A life written to a disk: its entries in order, and for each batch the number of disk changes before its acknowledgement. */
+    private record Life(FaultyDisk disk, List<Entry> written, List<int[]> acknowledged) { }
 
     private static Life live(long seed, int batches, JournalSettings.Durability durability) throws IOException {
         Random random = new Random(seed);
@@ -37,7 +37,7 @@
         Segments segments = new Segments(disk, settings(durability, 1500, true), Recovery.run(disk, now[0]), WHO, () -> now[0], new Indexer(disk, "test"));
         List<Entry> told = new ArrayList<>();
         List<int[]> acknowledged = new ArrayList<>();
-        List<long[]> open = new ArrayList<>();       // order, attempts, whether one is out
+        List<long[]> open = new ArrayList<>();       // request, number of attempts, state of the last one
         long orders = 0;
         for (int i = 0; i < batches; i++) {
             List<Entry> batch = new ArrayList<>();
@@ -72,11 +72,11 @@
         return new Entry.RequestFacts(order * 31, true, order * 17, order % 7, 1, 0, 1, 0);
     }
 
-    /** What a whole reading of the segments gives, orders that are over included. */
+    /** All requests in the segments, including finished ones. */
     private static RequestTable read(FaultyDisk disk) throws IOException {
         RequestTable book = new RequestTable();
         for (long number : Recovery.segments(disk)) {
-            Framing<Entry>.Reader reader = SegmentFiles.reader(disk.open(SegmentFiles.name(number)), number, (from, to, torn) -> { });
+            Framing<Entry>.Reader reader = SegmentFiles.reader(disk.open(SegmentFiles.segmentName(number)), number, (from, to, torn) -> { });
             for (Entry entry; (entry = reader.next()) != null;) { book.apply(entry); }
         }
         return book;
@@ -88,7 +88,7 @@
         return map;
     }
 
-    /** Recovers, begins a next life, and holds both against the entries told: none invented, none acknowledged lost. */
+    /** Recovers, begins a new life, and compares both with the written entries: none is invented, no acknowledged one is lost. */
     private static void check(FaultyDisk disk, List<Entry> told, int acknowledged) throws IOException {
         RequestTable all = new RequestTable();
         RequestTable certain = new RequestTable();
@@ -98,7 +98,7 @@
         told.subList(0, acknowledged).forEach(certain::apply);
         Recovery.Result found = Recovery.run(disk, 2e6);
         Map<String, JournaledRequest> toldOrders = byNumber(all.requests());
-        for (JournaledRequest order : found.open().requests()) {
+        for (JournaledRequest order : found.openRequests().requests()) {
             JournaledRequest of = toldOrders.get(order.life + "/" + order.number);
             assertThat(of).as("invented " +  order.life + "/" + order.number).isNotNull();
             assertThat(order.attempts.size()).isLessThanOrEqualTo(of.attempts.size());
@@ -110,18 +110,19 @@
             assertThat(kept).as("lost").isNotNull();
             assertThat(kept.attempts.size()).isGreaterThanOrEqualTo(order.attempts.size());
             assertThat(kept.state()).isGreaterThanOrEqualTo(order.attempts.stream().anyMatch(one -> one.intendedUs > 0)
-                    && order.state() == JournaledRequest.State.INTENDED ? JournaledRequest.State.REFUSED : JournaledRequest.State.NEVER_SENT);
-            assertThat(found.open().requests().stream().anyMatch(o -> o.number == order.number) || kept.isOver()).as("open is known").isTrue();
+                    && order.state() == JournaledRequest.State.INTENDED ? JournaledRequest.State.REFUSED
+                    : JournaledRequest.State.NEVER_SENT);
+            assertThat(found.openRequests().requests().stream().anyMatch(o -> o.number == order.number) || kept.isOver()).as("open is known").isTrue();
         }
-        // The next life begins, carries what was open, closed, and a third finds nothing open.
+        // The next life carries and closes the open requests; a third finds none open.
         new Segments(disk, settings(JournalSettings.Durability.PROCESS, 1500, true), found, new Entry.Opened(0, 78, "n0", List.of(), List.of()),
                 () -> 2e6, new Indexer(disk, "test")).close();
-        assertThat(Recovery.run(disk, 2e6).open().size()).isZero();
-        assertThat(Verify.run(disk, false, bytes -> { }).unknown()).isEqualTo(found.open().requests().stream()
+        assertThat(Recovery.run(disk, 2e6).openRequests().size()).isZero();
+        assertThat(Verify.run(disk, false, bytes -> { }).unknown()).isEqualTo(found.openRequests().requests().stream()
                 .filter(order -> order.attempts.stream().anyMatch(one -> one.outcome == null)).count());
     }
 
-    /** The long run cuts 100 lives; this cuts one, at every byte. */
+    /** Cuts one life at every byte; the long run cuts 100 lives. */
     static void cutAtEveryByte(long seed, int batches) throws IOException {
         Life life = live(seed, batches, JournalSettings.Durability.PROCESS);
         FaultyDisk disk = new FaultyDisk();
@@ -134,11 +135,11 @@
             for (int length = 0; length < whole; length++) {
                 FaultyDisk cut = disk.copy(false);
                 cut.redo(change, length);
-                check(cut, life.told, acknowledged);
+                check(cut, life.written, acknowledged);
             }
             disk.redo(change, change.bytes() == null ? 0 : change.bytes().length);
         }
-        check(disk.copy(false), life.told, life.told.size());
+        check(disk.copy(false), life.written, life.written.size());
     }
 
     @Test
@@ -154,7 +155,7 @@
         int done = 0;
         for (int i = 0; i < life.disk.changes.size(); i++) {
             while (done < life.acknowledged.size() && life.acknowledged.get(done)[0] <= i) { done++; }
-            check(disk.copy(true), life.told, done == 0 ? 0 : life.acknowledged.get(done - 1)[1]);
+            check(disk.copy(true), life.written, done == 0 ? 0 : life.acknowledged.get(done - 1)[1]);
             FaultyDisk.Change change = life.disk.changes.get(i);
             disk.redo(change, change.bytes() == null ? 0 : change.bytes().length);
         }
@@ -166,12 +167,12 @@
         Life life = live(seed, 80, JournalSettings.Durability.PROCESS);
         List<Long> numbers = Recovery.segments(life.disk);
         long number = numbers.get(Math.floorMod(noise, numbers.size()));
-        byte[] bytes = life.disk.bytes(SegmentFiles.name(number)).clone();
+        byte[] bytes = life.disk.bytes(SegmentFiles.segmentName(number)).clone();
         int from = place % bytes.length;
         int to = Math.min(bytes.length, from + length);
-        List<long[]> frames = new ArrayList<>();     // where each stood, and which it was
+        List<long[]> frames = new ArrayList<>();     // start and end offset of each
         List<Entry> before = new ArrayList<>();
-        Framing<Entry>.Reader whole = SegmentFiles.reader(life.disk.open(SegmentFiles.name(number)), number, (f, t, torn) -> { });
+        Framing<Entry>.Reader whole = SegmentFiles.reader(life.disk.open(SegmentFiles.segmentName(number)), number, (f, t, torn) -> { });
         for (Entry entry; (entry = whole.next()) != null;) {
             frames.add(new long[] {whole.frameOffset(), whole.position()});
             before.add(entry);
@@ -179,9 +180,9 @@
         Random random = new Random(noise);
         for (int i = from; i < to; i++) { bytes[i] ^= (byte) (1 + random.nextInt(255)); }
         FaultyDisk disk = life.disk.copy(false);
-        disk.put(SegmentFiles.name(number), bytes);
+        disk.put(SegmentFiles.segmentName(number), bytes);
         List<Entry> after = new ArrayList<>();
-        Framing<Entry>.Reader reader = SegmentFiles.reader(disk.open(SegmentFiles.name(number)), number, (f, t, torn) -> { });
+        Framing<Entry>.Reader reader = SegmentFiles.reader(disk.open(SegmentFiles.segmentName(number)), number, (f, t, torn) -> { });
         for (Entry entry; (entry = reader.next()) != null;) { after.add(entry); }
         List<String> untouched = new ArrayList<>();
         for (int i = 0; i < before.size(); i++) {
@@ -189,11 +190,11 @@
         }
         assertThat(after.stream().map(CrashTest::plain)).containsExactlyElementsOf(untouched);
         assertThat(Verify.run(disk, false, b -> { }).damage()).isNotEmpty();
-        Recovery.run(disk, 2e6);                     // whatever it finds, it goes on
+        Recovery.run(disk, 2e6);                     // must not fail, whatever the damage
     }
 
     private static String plain(Entry entry) {
-        return entry instanceof Entry.Carried c ? "carried " + c.order() + " " + c.attempts().size() : entry.toString();
+        return entry instanceof Entry.Carried c ? "carried " + c.requestNumber() + " " + c.attempts().size() : entry.toString();
     }
 
     @Test
@@ -236,7 +237,7 @@
             disk.failures = random.nextInt(4) == 0 ? 1 + random.nextInt(2) : 0;
             disk.syncFailures = random.nextInt(6) == 0 ? 1 : 0;
             List<Entry> batch = List.of(new Entry.Accepted(i, i, facts(i)), new Entry.Intended(i, i, 0, 1, facts(i), i));
-            while (!segments.append(batch).written()) { segments.recheck(); } // as the journal does: again until it stands
+            while (!segments.append(batch).written()) { segments.recheck(); } // retries until written, as the journal does
             told.addAll(batch);
         }
         check(disk.copy(true), told, told.size());
@@ -249,8 +250,8 @@
         List<Retention.SealedSegment> sealed = List.of(new Retention.SealedSegment(1, 400_000, 0), new Retention.SealedSegment(2, 400_000, 80 * hour),
                 new Retention.SealedSegment(3, 400_000, 80.5 * hour));
         assertThat(numbers(retention.decide(sealed, 100_000, 81.2 * hour))).containsExactly(1L);   // older than 72 hours
-        assertThat(numbers(retention.decide(sealed, 300_000, 81.2 * hour))).containsExactly(1L, 2L); // and no room
-        assertThat(retention.decide(sealed.subList(1, 3), 300_000, 80.6 * hour).full()).isTrue();  // all too young to go
+        assertThat(numbers(retention.decide(sealed, 300_000, 81.2 * hour))).containsExactly(1L, 2L); // and over the size limit
+        assertThat(retention.decide(sealed.subList(1, 3), 300_000, 80.6 * hour).full()).isTrue();  // all too young to delete
         assertThat(numbers(retention.decide(sealed, 900_000, -5 * hour))).isEmpty();
     }
 
