--- a/lab/src/yardusher/lab/fleet/Plant.java
+++ b/lab/src/yardusher/lab/fleet/Plant.java
@@ -23,26 +23,26 @@
 
     private record Edit(String file, String from, String to) { }
 
-    private static final Edit SLOW_DISK = new Edit("fence/Memory.java", "ledger.append(lines);",
+    private static final Edit SLOW_DISK = new Edit("fence/FenceStore.java", "ledger.append(lines);",
             "if (Math.random() < 0.25) { try { Thread.sleep(1500); } catch (InterruptedException e) { /* later */ } }\n ledger.append(lines);");
 
     private static final Map<String, List<Edit>> ALL = new LinkedHashMap<>();
 
     static {
         ALL.put("no-fence", List.of(
-                new Edit("fence/Fence.java", "if (token < kept.sealed) { return false; }", ""),
-                new Edit("fence/Fence.java", "if (token < kept.sealed) { return new Refused(kept.sealed); }", ""),
-                new Edit("fence/Fence.java", "if (token > kept.sealed) { return new Unsealed(kept.sealed); }", ""),
-                new Edit("fence/Fence.java", "return sealed(work) == token;", "return true;"),
-                new Edit("fleet/Outpost.java", "long newest = Math.max(given(kind), fence.sealed(kind.word()));", "long newest = 0;"),
-                new Edit("fleet/Outpost.java", "long newest = given(kind);", "long newest = 0;"),
-                new Edit("fleet/Outpost.java", "|| token < given(kind))", "|| false)")));
+                new Edit("fence/Fence.java", "if (token < kept.sealedToken) { return false; }", ""),
+                new Edit("fence/Fence.java", "if (token < kept.sealedToken) { return new Refused(kept.sealedToken); }", ""),
+                new Edit("fence/Fence.java", "if (token > kept.sealedToken) { return new Unsealed(kept.sealedToken); }", ""),
+                new Edit("fence/Fence.java", "return sealedToken(work) == token;", "return true;"),
+                new Edit("fleet/StepExecutor.java", "long newest = Math.max(grantedToken(kind), fence.sealedToken(kind.word()));", "long newest = 0;"),
+                new Edit("fleet/StepExecutor.java", "long newest = grantedToken(kind);", "long newest = 0;"),
+                new Edit("fleet/StepExecutor.java", "|| token < grantedToken(kind))", "|| false)")));
         ALL.put("no-step-ids", List.of(new Edit("fence/Fence.java", "Step known = kept.steps.get(step);",
                 "Step known = kept.steps.get(step);\n if (known != null && known.token() != token) { known = null; }"))); // each owner's steps are its own
-        ALL.put("no-resume", List.of(new Edit("fleet/Outpost.java", "targets.starts(instance) > Long.parseLong(before)", "false")));
-        ALL.put("no-look", List.of(SLOW_DISK, new Edit("fleet/Outpost.java", "!fence.may(kind.word(), token) || token < given(kind)", "false")));
+        ALL.put("no-resume", List.of(new Edit("fleet/StepExecutor.java", "targets.starts(instance) > Long.parseLong(before)", "false")));
+        ALL.put("no-look", List.of(SLOW_DISK, new Edit("fleet/StepExecutor.java", "!fence.isCurrent(kind.word(), token) || token < grantedToken(kind)", "false")));
         // Two that are no breach: what guards against them has to hold.
-        ALL.put("no-lease", List.of(new Edit("fleet/Holder.java", "holdings.get(holding.kind) == holding && leases.holds(loop.now(), holding.kind, holding.token)",
+        ALL.put("no-lease", List.of(new Edit("fleet/LeaseHolder.java", "holdings.get(holding.kind) == holding && leases.holds(loop.now(), holding.kind, holding.token)",
                 "true")));
         ALL.put("slow-disk", List.of(SLOW_DISK));
     }
--- a/src/main/java/yardusher/admin/AdminFront.java
+++ b/src/main/java/yardusher/admin/AdminFront.java
@@ -53,7 +53,7 @@
     /** Follows a call; the answer given to the caller ends in a line end. */
     private void follow(AdminCall call, Caller caller) {
         if (call.verb() == null) {
-            operator.fence().learn(call.token());
+            operator.fence().acceptToken(call.token());
             caller.told("200 done\n");
             return;
         }
@@ -72,7 +72,7 @@
             case COUNTERS -> caller.told(operator.figures() + "EOF\n");
             case CORDON, UNCORDON -> {
                 operator.ban(call.id(), call.verb() == AdminCall.Verb.CORDON, () -> caller.told("200 done\n"));
-                if (call.token() != 0) { operator.fence().took(call.id(), call.revision()); }
+                if (call.token() != 0) { operator.fence().recordApplied(call.id(), call.revision()); }
             }
             default -> {
                 operator.drain(call.verb() == AdminCall.Verb.QUIESCE);
--- a/src/main/java/yardusher/cli/Serve.java
+++ b/src/main/java/yardusher/cli/Serve.java
@@ -19,7 +19,7 @@
 import yardusher.admin.AdminFront;
 import yardusher.admin.Figures;
 import yardusher.admin.Operator;
-import yardusher.agent.Hangup;
+import yardusher.agent.SighupStatus;
 import yardusher.clients.PlatformFrontend;
 import yardusher.core.Counters;
 import yardusher.core.Ingress;
@@ -504,7 +504,7 @@
         Runtime.getRuntime().addShutdownHook(end);
         reloads.set(serve);
         reloadIfAsked(serve, asked, file, settingsFile);
-        if (Hangup.isIgnored()) { System.err.println(config.name() + " " + Hangup.TOLD); }
+        if (SighupStatus.isIgnored()) { System.err.println(config.name() + " " + SighupStatus.IGNORED_HINT); }
         try {
             serve.start();
         } catch (IOException | RuntimeException e) {
