--- a/lab/src/yardusher/lab/fleet/Plant.java
+++ b/lab/src/yardusher/lab/fleet/Plant.java
@@ -14,9 +14,10 @@
 import yardusher.lab.Programs;
 
 /**
- * The program with something left out, to see that the rules notice it in real processes: a few lines of its sources are
- * changed, compiled into a folder, and stand before the program's own classes. The sources and the build stay as they are.
- * Needs the sources in the working folder; a line that is not there any more is an error, so a plant never turns harmless.
+ * The program with one safeguard removed, to check that the rules notice the fault in real processes. A few source
+ * lines are changed, compiled into a folder and put before the program's own classes; the sources and the build stay as
+ * they are. Needs the sources in the working directory. A line that no longer exists is an error, so that a planted
+ * fault cannot become harmless unnoticed.
  */
 final class Plant {
     private static final Path SOURCES = Path.of("src/main/java/yardusher");
@@ -34,14 +35,14 @@
                 new Edit("fence/Fence.java", "if (token < kept.sealedToken) { return new Refused(kept.sealedToken); }", ""),
                 new Edit("fence/Fence.java", "if (token > kept.sealedToken) { return new Unsealed(kept.sealedToken); }", ""),
                 new Edit("fence/Fence.java", "return sealedToken(work) == token;", "return true;"),
-                new Edit("fleet/StepExecutor.java", "long newest = Math.max(grantedToken(kind), fence.sealedToken(kind.word()));", "long newest = 0;"),
+                new Edit("fleet/StepExecutor.java", "long newest = Math.max(grantedToken(kind), fence.sealedToken(kind.label()));", "long newest = 0;"),
                 new Edit("fleet/StepExecutor.java", "long newest = grantedToken(kind);", "long newest = 0;"),
                 new Edit("fleet/StepExecutor.java", "|| token < grantedToken(kind))", "|| false)")));
         ALL.put("no-step-ids", List.of(new Edit("fence/Fence.java", "Step known = kept.steps.get(step);",
-                "Step known = kept.steps.get(step);\n if (known != null && known.token() != token) { known = null; }"))); // each owner's steps are its own
+                "Step known = kept.steps.get(step);\n if (known != null && known.token() != token) { known = null; }"))); // steps of different owners are not deduplicated
         ALL.put("no-resume", List.of(new Edit("fleet/StepExecutor.java", "targets.starts(instance) > Long.parseLong(before)", "false")));
-        ALL.put("no-look", List.of(SLOW_DISK, new Edit("fleet/StepExecutor.java", "!fence.isCurrent(kind.word(), token) || token < grantedToken(kind)", "false")));
-        // Two that are no breach: what guards against them has to hold.
+        ALL.put("no-look", List.of(SLOW_DISK, new Edit("fleet/StepExecutor.java", "!fence.isCurrent(kind.label(), token) || token < grantedToken(kind)", "false")));
+        // The next two must cause no breach: the remaining safeguards have to hold.
         ALL.put("no-lease", List.of(new Edit("fleet/LeaseHolder.java", "holdings.get(holding.kind) == holding && leases.holds(loop.now(), holding.kind, holding.token)",
                 "true")));
         ALL.put("slow-disk", List.of(SLOW_DISK));
@@ -53,7 +54,7 @@
 
     static List<String> names() { return List.copyOf(ALL.keySet()); }
 
-    /** Compiles a plant into a folder. */
+    /** Compiles the faulty classes into a folder. */
     static Plant of(String name, Path folder) throws IOException {
         List<Edit> edits = ALL.get(name);
         if (edits == null) { throw new IllegalArgumentException("one of " + names() + ", not " + name); }
@@ -82,6 +83,6 @@
         return jar != null ? jar : System.getProperty("java.class.path");
     }
 
-    /** The words before the sub-command. */
+    /** The command line before the sub-command. */
     List<String> command(int heapMb) { return Programs.command(heapMb, classes); }
 }
--- a/src/main/java/yardusher/fence/Fence.java
+++ b/src/main/java/yardusher/fence/Fence.java
@@ -7,42 +7,45 @@
 import java.util.Map;
 
 /**
- * What a target holds so that an old owner does no harm: for each work the highest token it was sealed with, and the
- * steps it was ordered. Decisions alone: who calls this writes what they say to disk before anybody hears of it. An
- * order is followed only under the very token that is sealed, and a step once, under whatever token it is asked again.
+ * Fencing at a target, so that a former owner cannot do harm: for each work the highest token sealed here and the steps
+ * requested. Only decides; the caller writes each decision to disk before it replies. A step request is accepted only
+ * under exactly the sealed token, and a step runs once, whichever token it is requested again under.
  */
 public final class Fence {
-    /** Steps of one work that are remembered after their end; the oldest are forgotten, a step that is not over never. */
+    /** Finished steps of one work that are remembered. The oldest are forgotten; an unfinished step never is. */
     public static final int MAX_STEPS = 2000;
 
-    /** What to do with an order. */
+    /** What to do with a step request. */
     public sealed interface Verdict { }
 
-    /** A newer owner has been here: the order is void. */
+    /** A newer owner has sealed its token; the request is void. */
     public record Refused(long newerToken) implements Verdict { }
 
-    /** No owner has sealed this token here yet. */
+    /** The request's token has not been sealed here yet. */
     public record Unsealed(long sealedToken) implements Verdict { }
 
-    /** The step is over; this came of it. */
+    /** The step has finished with this outcome. */
     public record Finished(String outcome) implements Verdict { }
 
-    /** The step is under way, in this life. */
+    /** The step is running in this process. */
     public record Running() implements Verdict { }
 
-    /** The step was begun in an earlier life, which ended before it said how the step went. */
+    /** The step was begun by an earlier process that ended before it recorded the outcome. */
     public record Unknown(String stateBefore) implements Verdict { }
 
-    /** The step is new: it is to be written down, and then to be done if {@link #may} still says so. */
+    /** The step is new. Record it, then run it if {@link #isCurrent} still holds. */
     public record Begin() implements Verdict { }
 
-    /** One step. {@code before}: how the target stood when it was begun. {@code outcome}: null while it is not over. */
+    /**
+     * One step. {@code stateBefore}: the target's state when the step was begun. {@code outcome}: null while it is
+     * unfinished.
+     */
     public record Step(long token, String action, String stateBefore, String outcome) { }
 
     private static final class WorkState {
         long sealedToken;
         final Map<String, Step> steps = new LinkedHashMap<>();
-        final Map<String, Boolean> running = new LinkedHashMap<>(); // of this life
+        final Map<String, Boolean> running = new LinkedHashMap<>(); // steps running in this process
     }
 
     private final Map<String, WorkState> works = new LinkedHashMap<>();
@@ -56,8 +59,8 @@
     }
 
     /**
-     * An owner comes with its token. True where it is not lower than what was sealed; from here on lower ones are refused,
-     * also before the seal is on disk.
+     * Seals an owner's token. True if it is not lower than the sealed token; from here on lower tokens are refused,
+     * even before the seal is on disk.
      */
     public boolean seal(String work, long token) {
         WorkState kept = stateOf(work);
@@ -66,7 +69,7 @@
         return true;
     }
 
-    /** An order comes in. */
+    /** Decides on a step request. */
     public Verdict check(String work, long token, String step) {
         WorkState kept = stateOf(work);
         if (token < kept.sealedToken) { return new Refused(kept.sealedToken); }
@@ -77,27 +80,27 @@
         return kept.running.containsKey(step) ? new Running() : new Unknown(known.stateBefore());
     }
 
-    /** A step is about to be written down as begun. */
+    /** Marks a step as begun, before it is recorded on disk. */
     public void begin(String work, long token, String step, String act, String before) {
         WorkState kept = stateOf(work);
         kept.steps.put(step, new Step(token, act, before, null));
         kept.running.put(step, true);
     }
 
-    /** Whether an order under this token may still be acted on: asked in the turn that acts. */
+    /** Whether a request under this token may still be executed; asked in the same event-loop turn as the execution. */
     public boolean isCurrent(String work, long token) { return sealedToken(work) == token; }
 
-    /** A step that was begun and not acted on is as if it had never been ordered. */
+    /** Removes a step that was begun but not executed, as if it had never been requested. */
     public void drop(String work, String step) {
         WorkState kept = stateOf(work);
         kept.steps.remove(step);
         kept.running.remove(step);
     }
 
-    /** A step is over. */
+    /** Records the outcome of a step. */
     public void end(String work, String step, String outcome) {
         WorkState kept = stateOf(work);
-        Step begun = kept.steps.remove(step);        // the newest end stands last
+        Step begun = kept.steps.remove(step);        // reinserted, so that the step finished last comes last
         kept.running.remove(step);
         kept.steps.put(step, begun == null ? new Step(0, "", "", outcome) : new Step(begun.token(), begun.action(), begun.stateBefore(), outcome));
         int over = kept.steps.size() - MAX_STEPS;
@@ -109,16 +112,16 @@
         }
     }
 
-    /** A step that an earlier life began is taken up again. */
+    /** Marks a step begun by an earlier process as running again. */
     public void resume(String work, String step) { stateOf(work).running.put(step, true); }
 
-    /** A step that was begun by an earlier life is not under way in this one. */
+    /** Marks a step begun by an earlier process as not running in this one. */
     public void clearRunning(String work, String step) { stateOf(work).running.remove(step); }
 
     /** The steps of a work, by id, in the order in which they were begun or ended. */
     public Map<String, Step> steps(String work) { return new LinkedHashMap<>(stateOf(work).steps); }
 
-    /** A step as it is known, or null. */
+    /** The step, or null if it is unknown. */
     public Step step(String work, String step) { return stateOf(work).steps.get(step); }
 
     public List<String> works() { return new ArrayList<>(works.keySet()); }
--- a/src/main/java/yardusher/fence/FenceStore.java
+++ b/src/main/java/yardusher/fence/FenceStore.java
@@ -18,9 +18,9 @@
 import yardusher.error.RegisterError;
 
 /**
- * An agent's lasting memory: tokens sealed, steps begun and ended, and which processes it has started. EventLoop write by
- * handing lines over; a thread of its own writes and syncs them, many at once, and a turn hears of it. In turns only,
- * but for opening.
+ * An agent's durable fencing state: sealed tokens, steps begun and ended, and the processes that it started. Event-loop
+ * turns hand over records; a separate thread writes and syncs them in batches, and the result is reported in a turn.
+ * Used in the event loop only, except for opening.
  */
 public final class FenceStore implements Closeable {
     private static final String PREFIX = "fence";
@@ -28,7 +28,10 @@
     private static final long SEGMENT_BYTES = 1 << 20;
     private static final int OWNER = 1, SEAL = 2, BEGIN = 3, END = 4, DROP = 5, STARTED = 6;
 
-    /** A process that an agent has started: enough to know it again, and not another one with its number. */
+    /**
+     * A process that the agent started, with enough data to recognise it and not mistake another process with the same
+     * id for it.
+     */
     public record StartedProcess(long startCount, long pid, long startedMs) { }
 
     private final String installation;
@@ -45,7 +48,7 @@
     private final List<Ledger.Line> pendingRecords = new ArrayList<>();
     private final List<Consumer<IOException>> pendingCallbacks = new ArrayList<>();
     private boolean writing;
-    private final Map<String, Long> durableTokens = new LinkedHashMap<>(); // tokens whose seal is on disk, by work
+    private final Map<String, Long> durableTokens = new LinkedHashMap<>(); // sealed tokens on disk, by work
     private String lastWriteError;
 
     private FenceStore(String installation, String member, EventLoop loop) {
@@ -55,10 +58,10 @@
     }
 
     /**
-     * Opens an agent's memory, or begins it where the folder holds none.
+     * Opens an agent's store, or creates it if the folder holds none.
      *
-     * @throws RegisterError where the folder is another member's or installation's
-     * @throws RegisterError.Damaged where what it holds is damaged: orders might be followed that were refused before
+     * @throws RegisterError if the folder belongs to another member or installation
+     * @throws RegisterError.Damaged if the store is damaged: commands might be accepted that were refused before
      */
     public static FenceStore open(Storage storage, String installation, String member, EventLoop loop) throws IOException {
         FenceStore memory = new FenceStore(installation, member, loop);
@@ -78,7 +81,7 @@
         return memory;
     }
 
-    /** What is refused and what was done. Changed here alone. */
+    /** The fence. Changed through this store only. */
     public Fence fence() { return fence; }
 
     /** The process last started for an instance, or null. */
@@ -103,11 +106,11 @@
             case END -> fence.end(f.text(1), f.text(3), f.text(6));
             case DROP -> fence.drop(f.text(1), f.text(3));
             case STARTED -> started.put(f.text(1), new StartedProcess(f.number(2), f.number(3), f.number(4)));
-            default -> throw new IOException("a record that is not known here");
+            default -> throw new IOException("unknown record kind");
         }
     }
 
-    /** What still counts. Runs on the disk's thread while turns wait for nothing: see {@link #write}. */
+    /** The records that make up the current state. Called from the disk thread while no turn writes: see {@link #write}. */
     private List<Ledger.Line> currentRecords() {
         List<Ledger.Line> base = new ArrayList<>();
         base.add(new Ledger.Line(OWNER, new Fields.Out().text(1, installation).text(2, member).toBytes()));
@@ -132,7 +135,10 @@
                 .toBytes());
     }
 
-    /** Seals a token; false where a higher one is. {@code then} hears null once it lasts, or why it does not. */
+    /**
+     * Seals a token; false if a higher one is sealed. {@code then} is called with null once the seal is durable, or
+     * with the write error.
+     */
     public boolean seal(String work, long token, Consumer<IOException> then) {
         if (!fence.seal(work, token)) { return false; }
         if (durableTokens.getOrDefault(work, 0L) >= token) {
@@ -161,7 +167,7 @@
         write(line(DROP, work, 0, step, null, null, null), why -> { });
     }
 
-    /** A process was started for an instance, the so manieth. */
+    /** Records that a process was started for an instance, and counts the start. */
     public void recordStart(String instance, long pid, long startedMs) {
         StartedProcess before = started.get(instance);
         StartedProcess now = new StartedProcess(before == null ? 1 : before.startCount() + 1, pid, startedMs);
@@ -169,7 +175,7 @@
         write(startedLine(instance, now), why -> { });
     }
 
-    /** How often an instance was started, over all lives of this agent. */
+    /** Number of starts of an instance, over all lives of this agent. */
     public long startCount(String instance) { return started.containsKey(instance) ? started.get(instance).startCount() : 0; }
 
     private void write(Ledger.Line line, Consumer<IOException> then) {
@@ -203,24 +209,24 @@
                     if (!writing) { flush(); }
                 });
             });
-        } catch (RejectedExecutionException e) { /* closed: the process ends */ }
+        } catch (RejectedExecutionException e) { /* closed: the process is ending */ }
     }
 
-    /** Says that orders cannot be taken, and that they can again: once each. */
+    /** Logs once that commands cannot be accepted, and once that they can be again. */
     private void reportWriteState(IOException why) {
         String now = why == null ? null : why.getMessage();
-        if (now != null && !now.equals(lastWriteError)) { System.err.println("agent: " + member + " takes no orders of the fleet's: " + now); }
-        if (now == null && lastWriteError != null) { System.err.println("agent: " + member + " takes orders of the fleet's again"); }
+        if (now != null && !now.equals(lastWriteError)) { System.err.println("agent: " + member + " accepts no fleet commands: " + now); }
+        if (now == null && lastWriteError != null) { System.err.println("agent: " + member + " accepts fleet commands again"); }
         lastWriteError = now;
     }
 
-    /** The base is taken in a turn, so that nothing changes under it; writing it is the disk's. */
+    /** Collects the records in a turn, so that nothing changes meanwhile; the disk thread writes them. */
     private void rollSegment() {
         List<Ledger.Line> base = currentRecords();
         diskExecutor.execute(() -> {
             try {
                 ledger.roll(base);
-            } catch (IOException e) { /* the segment goes on growing; tried again at the next write */ }
+            } catch (IOException e) { /* the segment keeps growing; retried at the next write */ }
         });
     }
 
--- a/src/main/java/yardusher/fence/InstanceFence.java
+++ b/src/main/java/yardusher/fence/InstanceFence.java
@@ -5,9 +5,9 @@
 import yardusher.error.RegisterError;
 
 /**
- * What one ingress holds against orders of an old owner: the token its agent told it, and for each region the revision
- * that spoke last. Lives as long as the process; until its agent has spoken, no order of the fleet's is taken. An
- * operator's own call at this ingress needs no token, and is what it was before.
+ * Fencing at one ingress instance against commands of a former owner: the token from its agent, and for each region the
+ * revision of the last change. Lives as long as the process; until the agent has sent a token, no fleet command is
+ * accepted. An operator's direct command at this ingress needs no token.
  */
 public final class InstanceFence {
     private static final int MAX_REGIONS = 4096;
@@ -15,22 +15,25 @@
     private long token;
     private final Map<String, Long> revisions = new HashMap<>();
 
-    /** Its agent tells it a token; a {@link RegisterError.Token} where a newer one is known. */
+    /** Accepts a token from the agent. Throws {@link RegisterError.Token} if a newer one is known. */
     public void acceptToken(long told) {
         if (told < token) { throw new RegisterError.Token("token " + token + " is newer", token); }
         token = told;
     }
 
-    /** Whether an order is to be followed; false where a later one holds already. A {@link RegisterError.Token} refuses. */
+    /**
+     * Whether a change is newer than the last one of its region. Throws {@link RegisterError.Token} unless {@code
+     * under} is the known token.
+     */
     public boolean isNew(String region, long under, long revision) {
         if (token == 0) { throw new RegisterError.Token("no token is known here yet", 0); }
         if (under != token) { throw new RegisterError.Token("token " + token + " is known here", token); }
         return revision > revisions.getOrDefault(region, 0L);
     }
 
-    /** An order was followed. */
+    /** Records that a change was applied. */
     public void recordApplied(String region, long revision) {
-        // Guards the heap: who bans so many regions has other troubles than an old owner's order for the first of them.
+        // Bounds the heap: with so many regions banned, a stale command for one of the first is the smaller problem.
         if (revisions.size() >= MAX_REGIONS) { revisions.clear(); }
         revisions.put(region, revision);
     }
--- a/src/main/java/yardusher/register/Answer.java
+++ b/src/main/java/yardusher/register/Answer.java
@@ -4,12 +4,12 @@
 import yardusher.disk.Fields;
 
 /**
- * What the register says to an operation.
+ * The register's reply to an operation.
  *
- * @param ok whether it took effect, now or when it was first asked for
- * @param token the work's token where one was granted, or the newer one by which it was refused
- * @param text for people: what was done, or why not
- * @param state the register's whole state, where that was asked for; else null
+ * @param ok whether the operation took effect, now or when it was first submitted
+ * @param token the token granted with the work, or the newer token because of which the operation was refused
+ * @param text a description for operators: what was done, or why it was refused
+ * @param state the whole state of the register, if it was requested; else null
  */
 public record Answer(boolean ok, long token, String text, byte[] state) {
     static Answer accepted(long token, String text) { return new Answer(true, token, text, null); }
--- a/src/main/java/yardusher/register/Bans.java
+++ b/src/main/java/yardusher/register/Bans.java
@@ -7,23 +7,23 @@
 import yardusher.error.WireError;
 
 /**
- * The regions that are out by hand, and those let in again since, each with the revision that said so last. Written as
- * {@code REVISION:REGION:out} parted by commas. Not changed once made.
+ * The regions that operators have banned at all ingresses, and those unbanned since, each with the revision of its last
+ * change. Written as {@code REVISION:REGION:out}, separated by commas. Immutable.
  */
 public final class Bans {
-    /** Regions held at the most; the longest let in again give way, one that is out never does. */
+    /** Regions held. When full, the region unbanned longest ago is dropped; a banned region never is. */
     public static final int MAX_REGIONS = 256;
-    /** What a region's name may look like here: it stands in lines of words. */
+    /** Pattern of a region name. Names stand in space-separated lines and in the comma-separated list. */
     public static final String REGION_PATTERN = "[!-+./0-9;-~-]{1,64}"; // printable, without comma, colon and blank
 
-    /** One region's last order. */
+    /** The last change of one region. */
     public record Ban(String region, long revision, boolean banned) { }
 
     private final Map<String, Ban> byRegion = new TreeMap<>();
 
     private Bans() { }
 
-    /** Reads the written form; a {@link WireError.Malformed} where it is none. */
+    /** Parses the written form. Throws {@link WireError.Malformed} if the text is invalid. */
     public static Bans of(String text) {
         Bans bans = new Bans();
         if (text.isEmpty()) { return bans; }
@@ -35,7 +35,7 @@
         return bans;
     }
 
-    /** With one more order; a {@link RegisterError.Refused} where no room is left. */
+    /** Returns a copy with one more change. Throws {@link RegisterError.Refused} if all slots hold banned regions. */
     public Bans with(String region, long revision, boolean out) {
         Bans next = new Bans();
         next.byRegion.putAll(byRegion);
--- a/src/main/java/yardusher/register/Member.java
+++ b/src/main/java/yardusher/register/Member.java
@@ -3,13 +3,13 @@
 import io.microraft.RaftEndpoint;
 import yardusher.error.CommandError;
 
-/** An agent as the register's consensus knows it: by its name, which is never used twice. */
+/** An agent as a Raft endpoint, identified by its name. A name is never reused. */
 public record Member(String name) implements RaftEndpoint {
-    /** What a name looks like. */
+    /** Pattern of a member name. */
     public static final String PATTERN = "[A-Za-z0-9][A-Za-z0-9._-]{0,31}";
 
     public Member {
-        if (!name.matches(PATTERN)) { throw new CommandError.Argument("a member's name is up to 32 letters, digits, '.', '_' and '-', a letter or digit first"); }
+        if (!name.matches(PATTERN)) { throw new CommandError.Argument("a member name has up to 32 letters, digits, '.', '_' and '-', and begins with a letter or digit"); }
     }
 
     @Override
--- a/src/main/java/yardusher/register/Operation.java
+++ b/src/main/java/yardusher/register/Operation.java
@@ -3,51 +3,53 @@
 import java.io.IOException;
 import yardusher.disk.Fields;
 
-/** An operation of the register. Each can be asked again after a lost answer and takes effect once. */
+/** An operation on the register. Each can be retried after a lost reply and takes effect once. */
 public sealed interface Operation {
-    /** Bytes of an operation at the most. */
+    /** Size limit of an encoded operation. */
     int MAX_BYTES = 16 * 1024;
 
     /**
-     * An operator's order. {@code command}: its id. {@code order}: in the words of the kind; for bans
-     * {@code REGION out} or {@code REGION in}. {@code takeOver}: also where such a work is running.
+     * An operator's command that starts or changes a work. {@code command}: its id. {@code spec}: what to do, in the
+     * syntax of the kind; for bans {@code REGION out} or {@code REGION in}. {@code takeOver}: replaces a running work
+     * of this kind.
      */
     record Submit(String command, String by, long atMs, WorkKind kind, String spec, boolean takeOver) implements Operation { }
 
-    /** An operator ends a work where it stands. */
+    /** An operator stops a work in its current state. */
     record Stop(String command, String by, long atMs, WorkKind kind) implements Operation { }
 
-    /** An operator takes a work from its holder; any member may claim it. */
+    /** An operator revokes a work from its holder; any member may claim it. */
     record StepDown(String command, String by, WorkKind kind) implements Operation { }
 
     /**
-     * A member wants the work. Granted where nobody holds it, or where it is still held under the token and beat that the
-     * member saw stand still for a lease: the register itself knows no clock. {@code nonce}: not 0, and new for each claim.
+     * A member claims the work. Granted if nobody holds it, or if it is still held under the token and heartbeat that
+     * the member saw unchanged for a lease; the register itself has no clock. {@code nonce}: non-zero and new for each
+     * claim.
      */
     record Claim(String member, long nonce, long atMs, WorkKind kind, long seenToken, long seenHeartbeat) implements Operation { }
 
-    /** The holder is alive. */
+    /** The holder renews its lease. */
     record Renew(WorkKind kind, long token, long heartbeat) implements Operation { }
 
-    /** The holder tells how far the work is; {@code seq} is one more than the last one's. */
+    /** The holder reports the work's progress. {@code seq} is one more than that of the last checkpoint. */
     record Checkpoint(WorkKind kind, long token, long seq, String text, Work.State state, String note) implements Operation { }
 
-    /** The holder gives the work up. */
+    /** The holder releases the work. */
     record Release(WorkKind kind, long token) implements Operation { }
 
-    /** Where a member is to be found. */
+    /** Sets a member's address. */
     record Admit(String command, String member, String address) implements Operation { }
 
-    /** A member whose name is never used again. */
+    /** Removes a member. Its name is never used again. */
     record Forget(String command, String member) implements Operation { }
 
-    /** Asks for the whole state. */
+    /** Reads the whole state. */
     record Read() implements Operation { }
 
     /** The first entry of a leader's term. */
     record NewTerm() implements Operation { }
 
-    /** As a message, in the fields of register.proto. */
+    /** Encodes the operation with the field numbers of register.proto. */
     default byte[] encode() {
         Fields.Out out = new Fields.Out();
         if (this instanceof Submit o) {
@@ -93,12 +95,12 @@
             case 9 -> new Forget(f.text(2), f.text(3));
             case 10 -> new Read();
             case 11 -> new NewTerm();
-            default -> throw new IOException("an operation that is not known here");
+            default -> throw new IOException("unknown operation");
         };
     }
 
     private static int checkedIndex(long number, int size) throws IOException {
-        if (number < 0 || number >= size) { throw new IOException("an operation that is not known here"); }
+        if (number < 0 || number >= size) { throw new IOException("unknown operation"); }
         return (int) number;
     }
 }
--- a/src/main/java/yardusher/register/RaftLogStore.java
+++ b/src/main/java/yardusher/register/RaftLogStore.java
@@ -20,8 +20,9 @@
 import yardusher.error.RegisterError;
 
 /**
- * A member's term, vote, log and snapshot, on a {@link Ledger}: checksummed, and synced before an answer that rests on
- * them leaves. Belongs to one member of one installation and says so. Used by one thread, which may wait on the disk.
+ * A member's term, vote, log and snapshots, stored in a checksummed {@link Ledger} and synced before any reply that
+ * depends on them is sent. Records the installation and member that it belongs to. Used by one thread, which may block
+ * on the disk.
  */
 public final class RaftLogStore implements RaftStore, Closeable {
     private static final String PREFIX = "register";
@@ -45,13 +46,13 @@
         this.joins = joins;
     }
 
-    /** Whether a folder holds a member's store, whole or not. */
+    /** Whether the folder holds a member's store, complete or not. */
     public static boolean exists(Storage storage) throws IOException { return Ledger.isThere(storage, PREFIX); }
 
     /**
-     * Begins a new member in a folder that holds none, once in its life: a member that lost its disk must not come back
-     * under its name, since it would vote anew in terms in which it has voted. {@code joins}: an installation that is
-     * there already takes it in; else it is one of the first.
+     * Creates a new member's store in a folder that holds none, once in the member's life. A member that lost its disk
+     * must not come back under its name, because it could vote again in a term in which it has already voted. {@code
+     * joins}: the member joins an existing installation; else it is one of the first.
      */
     public static RaftLogStore create(Storage storage, String installation, String member, boolean joins) throws IOException {
         if (exists(storage)) { throw new RegisterError.Occupied(null); }
@@ -61,10 +62,10 @@
     }
 
     /**
-     * Opens the store of a member.
+     * Opens a member's store.
      *
-     * @throws RegisterError where the folder is another member's or installation's, holds no store, or where what it holds
-     *         is damaged: the member must not take part
+     * @throws RegisterError if the folder belongs to another member or installation, holds no store, or is damaged: the
+     *         member must not take part
      */
     public static RaftLogStore open(Storage storage, String installation, String member) throws IOException {
         if (!exists(storage)) {
@@ -79,10 +80,10 @@
         return store;
     }
 
-    /** Whether the member was begun to join an installation that is there already. */
+    /** Whether the member was created to join an existing installation. */
     public boolean joinsExisting() { return joins; }
 
-    /** What the member goes on from; null where it never took part. */
+    /** The state to restore the node from; null if the member never took part. */
     public RestoredRaftState restored() {
         if (local == null || members == null) { return null; }
         Map.Entry<Long, TreeMap<Integer, SnapshotChunk>> whole = snapshots.descendingMap().entrySet().stream()
@@ -103,7 +104,7 @@
         return !parts.isEmpty() && parts.size() == parts.firstEntry().getValue().getSnapshotChunkCount();
     }
 
-    /** Log entries kept now. */
+    /** Number of log entries kept now. */
     public int entryCount() { return log.size(); }
 
     private Ledger.Content ledgerContent() {
@@ -147,7 +148,7 @@
                 addSnapshotChunk(part);
             }
             case DELETE_SNAPSHOT -> snapshots.remove(Fields.read(line.body()).number(1));
-            default -> throw new IOException("a record that is not known here");
+            default -> throw new IOException("unknown record kind");
         }
     }
 
--- a/src/main/java/yardusher/register/RaftMessageCodec.java
+++ b/src/main/java/yardusher/register/RaftMessageCodec.java
@@ -18,9 +18,9 @@
 import java.util.List;
 import yardusher.disk.Fields;
 
-/** The consensus library's messages as protobuf messages of at most {@link #MOST_BYTES}. */
+/** Encodes the Raft library's messages as protobuf messages of at most {@link #MAX_MESSAGE_BYTES}. */
 final class RaftMessageCodec {
-    /** Of a message: it travels as one bulk string. */
+    /** Size limit of a message, which is sent as one RESP bulk string. */
     static final int MAX_MESSAGE_BYTES = 60 * 1024;
     private static final int KIND = 1, SENDER = 2, TERM = 3, QUERY = 4, FLOW = 5, A = 6, B = 7, C = 8, FLAG = 9, PART = 10, ENTRY = 11,
             MEMBERS = 12, NAMES = 13;
@@ -36,7 +36,7 @@
             for (LogEntry entry : m.getLogEntries()) {
                 byte[] bytes = RaftModelCodec.entry(entry);
                 room -= bytes.length + 8;
-                if (room < 0) { break; }             // a prefix is a whole request: the next brings the rest
+                if (room < 0) { break; }             // a prefix of the entries is a valid request; the next one carries the rest
                 out.bytes(ENTRY, bytes);
             }
         } else if (message instanceof AppendEntriesSuccessResponse m) {
@@ -62,7 +62,7 @@
         } else if (message instanceof TriggerLeaderElectionRequest m) {
             head(out, 10, m).number(A, m.getLastLogIndex()).number(B, m.getLastLogTerm());
         } else {
-            throw new IllegalArgumentException("no message of this version: " + message.getClass().getSimpleName());
+            throw new IllegalArgumentException("message type not supported by this version: " + message.getClass().getSimpleName());
         }
         return out.toBytes();
     }
@@ -71,11 +71,11 @@
         return out.number(KIND, kind).text(SENDER, RaftModelCodec.name(m.getSender())).number(TERM, m.getTerm());
     }
 
-    /** Reads a message of the installation; an {@link IOException} for bytes that are none. */
+    /** Decodes a message. Throws {@link IOException} if the bytes are not a valid message. */
     static RaftMessage decode(byte[] bytes, String group) throws IOException {
         Fields f = Fields.read(bytes);
         RaftEndpoint from = RaftModelCodec.member(f.text(SENDER));
-        if (from == null || f.number(TERM) < 0 || f.number(TERM) > Integer.MAX_VALUE) { throw new IOException("no message of a member"); }
+        if (from == null || f.number(TERM) < 0 || f.number(TERM) > Integer.MAX_VALUE) { throw new IOException("a message without a valid sender or term"); }
         int term = f.whole(TERM);
         long query = f.number(QUERY);
         long flow = f.number(FLOW);
@@ -106,7 +106,7 @@
                     .setFlowControlSequenceNumber(flow).build();
             case 10 -> RaftModelCodec.FACTORY.createTriggerLeaderElectionRequestBuilder().setGroupId(group).setSender(from).setTerm(term)
                     .setLastLogTerm(f.whole(B)).setLastLogIndex(f.number(A)).build();
-            default -> throw new IOException("a message that is not known here");
+            default -> throw new IOException("unknown message type");
         };
     }
 }
--- a/src/main/java/yardusher/register/RaftModelCodec.java
+++ b/src/main/java/yardusher/register/RaftModelCodec.java
@@ -16,7 +16,7 @@
 import yardusher.disk.Fields;
 import yardusher.error.CommandError;
 
-/** What the consensus library keeps and sends beside messages, as protobuf messages: entries, members, snapshot parts. */
+/** Encodes the Raft library's stored and transferred objects as protobuf messages: log entries, members, snapshot chunks. */
 final class RaftModelCodec {
     static final RaftModelFactory FACTORY = new DefaultRaftModelFactory();
 
@@ -43,10 +43,10 @@
         Fields f = Fields.read(bytes);
         if (f.has(1)) { return Operation.decode(f.bytes(1)); }
         if (f.has(2)) { return f.bytes(2); }
-        if (!f.has(3)) { throw new IOException("an entry without an operation"); }
+        if (!f.has(3)) { throw new IOException("log entry without an operation"); }
         Fields g = Fields.read(f.bytes(3));
         MembershipChangeMode[] modes = MembershipChangeMode.values();
-        if (g.number(4) < 0 || g.number(4) >= modes.length) { throw new IOException("an unknown change of members"); }
+        if (g.number(4) < 0 || g.number(4) >= modes.length) { throw new IOException("unknown membership change mode"); }
         return FACTORY.createUpdateRaftGroupMembersOpBuilder().setMembers(members(g.texts(1))).setVotingMembers(members(g.texts(2)))
                 .setEndpoint(member(g.text(3))).setMode(modes[g.whole(4)]).build();
     }
@@ -74,7 +74,7 @@
                 .setSnapshotChunkIndex(f.whole(4)).setSnapshotChunkCount(f.whole(5)).setGroupMembersView(members(f.bytes(6))).build();
     }
 
-    /** The empty text for none. */
+    /** The member's name; empty for null. */
     static String name(RaftEndpoint member) { return member == null ? "" : (String) member.getId(); }
 
     static RaftEndpoint member(String name) throws IOException {
--- a/src/main/java/yardusher/register/RaftThreadExecutor.java
+++ b/src/main/java/yardusher/register/RaftThreadExecutor.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The register's own thread: it may wait on the disk, which no turn may. The consensus library counts in whole seconds;
- * a second of its time is so many milliseconds of ours.
+ * The register's own thread, which may block on the disk, unlike the event loop. The Raft library measures time in
+ * whole seconds; one of its seconds lasts {@code librarySecondMs} milliseconds of real time.
  */
 public final class RaftThreadExecutor implements RaftNodeExecutor {
     private final ScheduledThreadPoolExecutor thread;
@@ -18,7 +18,7 @@
             Thread made = new Thread(work, name);
             made.setDaemon(true);
             return made;
-        }, (work, pool) -> { /* it has ended, and what comes later with it */ });
+        }, (work, pool) -> { /* shut down: later tasks are dropped */ });
         thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
     }
 
@@ -33,9 +33,9 @@
         thread.schedule(task, (long) (unit.toNanos(delay) / 1e9 * librarySecondMs * 1e6), TimeUnit.NANOSECONDS);
     }
 
-    /** Ends once what is queued has run. */
+    /** Stops after the queued tasks have run. */
     public void shutdown() { thread.shutdown(); }
 
-    /** Waits for the end; false where it does not come in time. */
+    /** Waits for termination; false on timeout. */
     public boolean await(long ms) throws InterruptedException { return thread.awaitTermination(ms, TimeUnit.MILLISECONDS); }
 }
--- a/src/main/java/yardusher/register/Register.java
+++ b/src/main/java/yardusher/register/Register.java
@@ -16,19 +16,19 @@
 import yardusher.error.YardusherError;
 
 /**
- * The register of owners: for each work its holder, token, lease beat and checkpoint. A state machine that every member
- * applies in the same order: no clock, no chance and no I/O. What promises rest on: a token is given once, each later
- * one is higher than all before, and only the holder of a work's last token changes its checkpoint.
+ * The register of owners: for each work its holder, token, lease heartbeat and checkpoint. A state machine that every
+ * member applies in the same order, without clock, randomness or I/O. Its guarantees: a token is granted once, each
+ * later token is higher than all before, and only the holder of a work's latest token changes its checkpoint.
  */
 public final class Register {
-    /** Ids of commands whose answers are remembered; the oldest are forgotten. */
+    /** Command ids whose replies are remembered; the oldest are forgotten. */
     static final int MAX_REMEMBERED_COMMANDS = 1000;
-    /** Lines of history. */
+    /** Lines of history kept. */
     static final int MAX_HISTORY_LINES = 100;
-    private static final int MAX_EVENT_CHARS = 160;       // characters
-    private static final int MAX_MEMBERS = 64;        // members and forgotten ones
+    private static final int MAX_EVENT_CHARS = 160;
+    private static final int MAX_MEMBERS = 64;        // each of known and forgotten members
 
-    private long tokens;                             // the highest ever given, of works' ids too
+    private long tokens;                             // highest number ever granted; ids of works are drawn from the same sequence
     private long applied;
     private final Map<WorkKind, Work> works = new EnumMap<>(WorkKind.class);
     private final Map<String, Answer> commands = new LinkedHashMap<>();
@@ -36,7 +36,7 @@
     private final Map<String, String> addresses = new TreeMap<>();
     private final Set<String> forgotten = new TreeSet<>();
 
-    /** Applies one operation; {@code index} is its place in the order of all. */
+    /** Applies one operation. {@code index} is its index in the log. */
     public Answer apply(long index, Operation op) {
         applied = index;
         if (op instanceof Operation.Submit o) { return applyOnce(o.command(), () -> submit(o)); }
@@ -55,7 +55,7 @@
         Answer run();
     }
 
-    /** A command takes effect once; asked again it gets the answer it got. */
+    /** Runs a command once; a retry gets the reply of the first run. */
     private Answer applyOnce(String command, CommandAction doing) {
         Answer before = commands.get(command);
         if (before != null) { return before; }
@@ -98,7 +98,7 @@
 
     private static String heldSinceSuffix(Work work) { return work.isHeld() ? " since " + java.time.Instant.ofEpochMilli(work.grantedAtMs()) : ""; }
 
-    /** A new work. Its token is what the kind's last one had: who held that is refused from here on. */
+    /** A new work with a new token, so that the holder of the kind's previous work is refused from here on. */
     private Work newWork(WorkKind kind, String spec, Operation.Submit o) {
         return new Work(kind, ++tokens, spec, 0, ++tokens, "", 0, 0, 0, "", Work.State.RUNNING, "", o.by(), o.atMs(), 0);
     }
@@ -122,7 +122,7 @@
         return Answer.accepted(now.token(), o.kind().label() + " taken from " + now.holder());
     }
 
-    /** Held by nobody under a token that nobody has: the one who had it is refused from here on. */
+    /** Revokes the work under a new token that nobody has: the previous holder is refused from here on. */
     private Work revokeHolder(Work now) { return now.withHolder(++tokens, "", 0, now.grantedAtMs()); }
 
     private Answer claim(Operation.Claim o) {
@@ -140,7 +140,7 @@
         return Answer.accepted(next.token(), "granted");
     }
 
-    /** The work where the token is its holder's, else null. */
+    /** The work if the token is its holder's, else null. */
     private Work findHeld(WorkKind kind, long token) {
         Work now = works.get(kind);
         return now != null && now.isHeld() && now.token() == token ? now : null;
@@ -162,7 +162,7 @@
     private Answer checkpoint(Operation.Checkpoint o) {
         Work now = works.get(o.kind());
         if (now != null && now.token() == o.token() && now.seq() == o.seq() && now.checkpoint().equals(o.text())) {
-            return Answer.accepted(o.token(), "");        // its answer was lost
+            return Answer.accepted(o.token(), "");        // a retry after a lost reply
         }
         now = findHeld(o.kind(), o.token());
         if (now == null) { return refusal(o.kind()); }
@@ -205,26 +205,26 @@
         if (history.size() > MAX_HISTORY_LINES) { history.poll(); }
     }
 
-    /** The place of the operation applied last. */
+    /** Log index of the operation applied last. */
     public long appliedIndex() { return applied; }
 
-    /** The highest token ever given. */
+    /** The highest token ever granted. */
     public long highestToken() { return tokens; }
 
-    /** The work of a kind, or null where none was ever ordered. */
+    /** The work of a kind, or null if there never was one. */
     public Work work(WorkKind kind) { return works.get(kind); }
 
     public Collection<Work> works() { return List.copyOf(works.values()); }
 
-    /** Where members are to be found that were admitted since the register began. */
+    /** Addresses of the members admitted since the register began. */
     public Map<String, String> addresses() { return Map.copyOf(addresses); }
 
     public Set<String> forgotten() { return Set.copyOf(forgotten); }
 
-    /** What happened, oldest first: place, time where one was told, and words. */
+    /** The history, oldest first: log index, time if known, and text. */
     public List<String> history() { return List.copyOf(history); }
 
-    /** The whole state, as a message. */
+    /** Encodes the whole state. */
     public byte[] encode() {
         Fields.Out out = new Fields.Out().number(1, tokens).number(2, applied);
         works.values().forEach(work -> out.bytes(3, work.encode()));
@@ -234,7 +234,10 @@
         return out.texts(7, forgotten).toBytes();
     }
 
-    /** What is told to a reader, in one message between agents: without checkpoints, and without the answers to commands. */
+    /**
+     * Encodes the state for readers so that it fits one message between agents: without checkpoints and without
+     * remembered replies.
+     */
     private byte[] encodeSummary() {
         Fields.Out out = new Fields.Out().number(1, tokens).number(2, applied);
         works.values().forEach(work -> out.bytes(3, work.withoutCheckpoint().encode()));
@@ -243,7 +246,7 @@
         return out.texts(7, forgotten).toBytes();
     }
 
-    /** The state that {@link #encode} or {@link #brief} wrote. */
+    /** Decodes what {@link #encode} or {@link #encodeSummary} wrote. */
     public static Register decode(byte[] bytes) throws IOException {
         Fields f = Fields.read(bytes);
         Register register = new Register();
@@ -266,7 +269,7 @@
         return register;
     }
 
-    /** A copy that goes its own way. */
+    /** An independent copy. */
     public Register copy() {
         Register copy = new Register();
         copy.tokens = tokens;
@@ -279,7 +282,7 @@
         return copy;
     }
 
-    /** The state in parts of at most so many bytes, for a snapshot. */
+    /** The encoded state in chunks of at most {@code most} bytes, for a snapshot. */
     List<byte[]> snapshotChunks(int most) {
         byte[] whole = encode();
         List<byte[]> parts = new ArrayList<>();
--- a/src/main/java/yardusher/register/RegisterNode.java
+++ b/src/main/java/yardusher/register/RegisterNode.java
@@ -40,45 +40,45 @@
 import yardusher.resp.Decoder;
 
 /**
- * One member's part of the register: the consensus library, its store, and the member's own copy. It knows no network
- * and no thread: messages go to {@link World}, and work runs where the executor says, a task at a time.
+ * One member's Raft node with its log store and its local copy of the register. It has no network and no thread of its
+ * own: messages go to {@link Environment}, and tasks run on the given executor, one at a time.
  */
 public final class RegisterNode {
-    /** Heartbeats without a word of the leader, after which another may be chosen. */
+    /** Heartbeat periods without a message from the leader after which a new leader may be elected. */
     static final int HEARTBEAT_TIMEOUT_PERIODS = 5;
-    private static final int ELECTION_MS = 1500;     // of the library's time: one and a half heartbeats
+    private static final int ELECTION_MS = 1500;     // library time: one and a half heartbeat periods
     private static final int SNAPSHOT_INTERVAL_OPERATIONS = 1000;  // operations
-    private static final int MAX_PENDING_OPERATIONS = 256;          // operations not yet agreed on; more are refused
-    private static final int MAX_ENTRIES_PER_MESSAGE = 32;             // entries of a message, as far as bytes allow
-    private static final int SNAPSHOT_CHUNK_BYTES = 32 * 1024;       // bytes of a snapshot's part
+    private static final int MAX_PENDING_OPERATIONS = 256;          // uncommitted operations; more are refused
+    private static final int MAX_ENTRIES_PER_MESSAGE = 32;             // fewer if the message would exceed its size limit
+    private static final int SNAPSHOT_CHUNK_BYTES = 32 * 1024;
 
     static {
-        if (RaftMessageCodec.MAX_MESSAGE_BYTES > Decoder.MAX_BULK_BYTES) { throw new IllegalStateException("messages longer than a bulk string"); }
+        if (RaftMessageCodec.MAX_MESSAGE_BYTES > Decoder.MAX_BULK_BYTES) { throw new IllegalStateException("Raft messages may exceed the limit of a RESP bulk string"); }
     }
 
-    /** What a member needs of its surroundings. Called where the executor runs. */
+    /** What a node needs from its host. Called on the executor. */
     public interface Environment {
-        /** Sends a message to another member, or loses it. */
+        /** Sends a message to another member. Delivery is best effort. */
         void send(String member, byte[] message);
 
-        /** Whether there is any sense in sending to a member now. */
+        /** Whether sending to a member is worthwhile now. */
         boolean isReachable(String member);
 
-        /** The member's own copy has changed. */
+        /** The local copy of the register has changed. */
         void onViewChanged(RegisterView view);
 
-        /** The store failed: this member takes part no more. */
+        /** The log store failed; this member no longer takes part. */
         void onStoreFailed(IOException why);
     }
 
-    /** How an operation went that was asked at this member. */
+    /** Receives the result of an operation submitted at this member. */
     public interface OperationCallback {
-        /** The register has spoken. */
+        /** The register replied. */
         void onAnswer(Answer answer);
 
         /**
-         * This member cannot say: it does not lead. {@code leader}: who does, or null. {@code unknown}: the operation may
-         * have taken effect and may not, and is to be asked again.
+         * This member cannot answer because it is not the leader. {@code leader}: the current leader, or null. {@code
+         * unknown}: the operation may or may not have taken effect and should be submitted again.
          */
         void onUnanswered(String leader, boolean unknown);
     }
@@ -93,9 +93,11 @@
     private volatile boolean storeFailed;
 
     /**
-     * {@code first}: the names of the members that an installation began with, in the same words at each of them.
-     * {@code heartbeatMs}: of our time, which the executor counts as the library's second; the clock counts in our
-     * milliseconds and never goes back.
+     * Creates or restores a node.
+     *
+     * @param first the members that the installation began with, the same list at each of them
+     * @param heartbeatMs the real heartbeat period, which the executor treats as one second of library time
+     * @param clockMs a monotonic clock in milliseconds
      */
     public RegisterNode(String installation, String self, List<String> first, RaftLogStore store, double heartbeatMs, RaftNodeExecutor executor,
             DoubleSupplier clockMs, Random random, Environment world) {
@@ -117,7 +119,7 @@
             first.forEach(name -> members.add(new Member(name)));
             builder.setLocalEndpoint(new Member(self)).setInitialGroupMembers(members);
         }
-        raft = (RaftNodeImpl) builder.build();         // its public face does not show that it stands still
+        raft = (RaftNodeImpl) builder.build();         // the public interface does not expose the stalled pre-vote state
     }
 
     private static Clock clock(DoubleSupplier clockMs, double secondMs) {
@@ -142,9 +144,10 @@
     }
 
     /**
-     * Guards against a stand-still of the library: a member that doubted its leader, asked whether it may be voted for, and
-     * then heard the leader after all keeps that it has asked. When that leader dies it waits for itself for ever, and where
-     * all are so nobody leads any more. Here it asks anew, as it would have: an election has all its rules from there.
+     * Works around a deadlock in the library: a member that suspected its leader, started a pre-vote and then heard
+     * from the leader again still remembers the pre-vote as pending. When that leader dies, the member waits for its
+     * own pre-vote for ever, and if all members are in this state no leader is elected again. Starts a new pre-vote in
+     * that case; the election then follows the library's usual rules.
      */
     private void retryStalledPreVote() {
         if (isTerminated()) { return; }
@@ -156,18 +159,18 @@
         executor.schedule(this::retryStalledPreVote, 1, TimeUnit.SECONDS);
     }
 
-    /** Takes part no more; {@code then} runs once that is so. */
+    /** Stops the node. {@code then} runs once it has terminated. */
     public void stop(Runnable then) {
         raft.terminate().whenComplete((none, why) -> then.run());
     }
 
-    /** Whether it was ended, by itself or from outside. */
+    /** Whether the node has failed or terminated. */
     public boolean isTerminated() { return storeFailed || raft.getStatus() == RaftNodeStatus.TERMINATED; }
 
-    /** The member's own copy, which may be old. */
+    /** The local copy of the register, which may be stale. */
     public RegisterView view() { return view; }
 
-    /** Who leads as far as this member knows; null for nobody. */
+    /** The leader known to this member; null if unknown. */
     public String leader() {
         RaftEndpoint leader = raft.getTerm().getLeaderEndpoint();
         return leader == null ? null : (String) leader.getId();
@@ -175,16 +178,16 @@
 
     public int term() { return raft.getTerm().getTerm(); }
 
-    /** Names of the members that the group has agreed on. */
+    /** Names of the committed group members. */
     public List<String> members() { return RaftModelCodec.names(raft.getCommittedMembers().getMembers()); }
 
-    /** A message of another member; an {@link IOException} for bytes that are none. */
+    /** Handles a message from another member. Throws {@link IOException} if the bytes are not a valid message. */
     public void receive(byte[] message) throws IOException {
         RaftMessage decoded = RaftMessageCodec.decode(message, installation);
         if (!storeFailed) { raft.handle(decoded); }
     }
 
-    /** Asks for an operation; {@code asked} hears of it where the executor runs. */
+    /** Submits an operation. {@code asked} is called on the executor. */
     public void submit(Operation op, OperationCallback asked) {
         if (storeFailed) {
             asked.onUnanswered(null, false);
@@ -195,7 +198,7 @@
         asking.whenComplete((done, why) -> complete(asked, done == null ? null : done.getResult(), why));
     }
 
-    /** Takes a member in, or out of the group for good. */
+    /** Adds a member to the group, or removes it for good. */
     public void changeMembership(String member, boolean in, OperationCallback asked) {
         if (storeFailed) {
             asked.onUnanswered(null, false);
@@ -252,7 +255,7 @@
             try {
                 register = Register.decode(whole.toByteArray());
             } catch (IOException e) {
-                throw new UncheckedIOException("a snapshot that cannot be read", e);
+                throw new UncheckedIOException("cannot decode the snapshot", e);
             }
             publish();
         }
@@ -266,11 +269,11 @@
         }
     }
 
-    /** The store; after its first failure nothing that rests on it leaves this member. */
+    /** Wraps the store. After its first failure nothing that depends on it leaves this member. */
     private final class FailStopStore implements RaftStore {
         private void run(StoreWrite writing) throws IOException {
             try {
-                if (storeFailed) { throw new IOException("the store has failed"); }
+                if (storeFailed) { throw new IOException("the log store has failed"); }
                 writing.run();
             } catch (IOException e) {
                 if (!storeFailed) {
--- a/src/main/java/yardusher/register/Work.java
+++ b/src/main/java/yardusher/register/Work.java
@@ -4,26 +4,26 @@
 import yardusher.disk.Fields;
 
 /**
- * One piece of work as the register holds it.
+ * One work as the register holds it.
  *
- * @param id that no other work ever had: steps are named by it
- * @param spec what is to be done, in the words of its kind
- * @param revision how often an order changed it
- * @param token of the holder it was last given to; 0 for none yet. Tokens only grow, over all works
- * @param holder the member that does it, or empty
- * @param nonce by which the holder knows that a grant is its own
- * @param beat grows with each renewal: who watches it stand still for a lease may claim the work
+ * @param id unique among all works; steps are named by it
+ * @param spec what to do, in the syntax of its kind
+ * @param revision number of changes by commands
+ * @param token of the latest holder; 0 if there was none. Tokens only grow, over all works
+ * @param holder the member that does the work, or empty
+ * @param nonce by which the holder recognises its own grant
+ * @param heartbeat grows with each renewal: a member that sees it unchanged for a lease may claim the work
  * @param seq of the last checkpoint
- * @param checkpoint how far the work is, in the words of its kind
- * @param state whether it is to be done
- * @param note how it ended, or how far it is, in words
- * @param by who ordered it
- * @param orderedMs Unix time of the order as its taker knew it; only told
- * @param heldMs Unix time of the last grant as the holder knew it; only told
+ * @param checkpoint the progress, in the syntax of its kind
+ * @param state whether it is still to be done
+ * @param note its outcome or progress, for operators
+ * @param requestedBy the operator that requested it
+ * @param requestedAtMs Unix time of the request by the clock of the agent that took it; informative only
+ * @param grantedAtMs Unix time of the last grant by the holder's clock; informative only
  */
 public record Work(WorkKind kind, long id, String spec, long revision, long token, String holder, long nonce, long heartbeat, long seq,
         String checkpoint, State state, String note, String requestedBy, long requestedAtMs, long grantedAtMs) {
-    /** Whether a work is to be done. */
+    /** Whether a work is still to be done, and else how it ended. */
     public enum State { RUNNING, DONE, STOPPED, FAILED }
 
     public boolean isRunning() { return state == State.RUNNING; }
@@ -50,7 +50,7 @@
                 newNote, requestedBy, requestedAtMs, grantedAtMs);
     }
 
-    /** Without its checkpoint, for readers. */
+    /** A copy without the checkpoint, for readers. */
     Work withoutCheckpoint() {
         return new Work(kind, id, spec, revision, token, holder, nonce, heartbeat, seq, "", state, note, requestedBy, requestedAtMs, grantedAtMs);
     }
@@ -64,7 +64,7 @@
     static Work decode(byte[] bytes) throws IOException {
         Fields f = Fields.read(bytes);
         if (f.number(1) < 0 || f.number(1) >= WorkKind.values().length || f.number(11) < 0 || f.number(11) >= State.values().length) {
-            throw new IOException("a work of an unknown kind");
+            throw new IOException("work of an unknown kind or state");
         }
         return new Work(WorkKind.values()[f.whole(1)], f.number(2), f.text(3), f.number(4), f.number(5), f.text(6), f.number(7),
                 f.number(8), f.number(9), f.text(10), State.values()[f.whole(11)], f.text(12), f.text(13), f.number(14), f.number(15));
--- a/src/main/java/yardusher/register/WorkKind.java
+++ b/src/main/java/yardusher/register/WorkKind.java
@@ -4,20 +4,23 @@
 import java.util.Locale;
 import yardusher.error.CommandError;
 
-/** The kinds of work that are done once for the fleet. There is at most one work of each kind, under the kind's name. */
+/**
+ * The kinds of work that are done once for the whole fleet. There is at most one work of each kind, named after the
+ * kind.
+ */
 public enum WorkKind {
-    /** All instances restart or reload, a few at a time. Ends. */
+    /** Rolling restart or reload of all instances, a few at a time. Ends. */
     ROLL,
-    /** Which regions are out by hand at all ingresses. Goes on for ever; an order changes it. */
+    /** The regions banned at all ingresses. Never ends; each command changes it. */
     BANS;
 
-    /** The work's name, as it stands in orders and fences. */
+    /** The work's name in commands and fences. */
     public String label() { return name().toLowerCase(Locale.ROOT); }
 
-    /** Whether the work goes on by itself: a further order changes it and conflicts with nobody. */
+    /** Whether the work never ends. A further command changes it and never conflicts with a running one. */
     public boolean isContinuous() { return this == BANS; }
 
-    /** The kind of a name; a {@link CommandError} names those there are. */
+    /** Looks up a kind by its name. Throws {@link CommandError} that lists the kinds. */
     public static WorkKind of(String word) {
         return Arrays.stream(values()).filter(kind -> kind.label().equals(word)).findFirst()
                 .orElseThrow(() -> new CommandError.Argument("no work " + word + "; there are roll, bans"));
