--- a/src/main/java/yardusher/agent/Agent.java
+++ b/src/main/java/yardusher/agent/Agent.java
@@ -21,9 +21,9 @@
 import yardusher.resp.Encoder;
 
 /**
- * Manages many instances on this machine, from one file. It listens for RESP commands: AGENT.STATUS, and
- * AGENT.START, AGENT.STOP, AGENT.RESTART and AGENT.RELOAD, each for one name or for all. Restarting all goes one at a time,
- * the next once the one before answers again.
+ * Manages the instances on this machine as one file lists them. Accepts the RESP commands AGENT.STATUS, AGENT.START,
+ * AGENT.STOP, AGENT.RESTART and AGENT.RELOAD, each for the named instances or for all. AGENT.RESTART restarts one
+ * instance at a time, the next once the previous one is ready.
  */
 public final class Agent implements RespServer.CommandHandler {
     private final EventLoop loop;
@@ -34,13 +34,13 @@
     private final long stopMs;
     private final CountDownLatch allExited = new CountDownLatch(1);
     private boolean closing;
-    private final FleetAgent fleet;                  // null where the file names none
+    private final FleetAgent fleet;                  // null if the file has no table fleet
     private final boolean leaveInstances;
     private final FleetInstances targets;
 
     public Agent(AgentConfig config) throws IOException { this(config, entry -> null); }
 
-    /** {@code admins}: the second address of an instance, as its configuration names it; null for none. */
+    /** {@code admins}: an instance's admin address from its configuration; null for none. */
     public Agent(AgentConfig config, Function<AgentConfig.Entry, InetSocketAddress> admins) throws IOException {
         long start = System.nanoTime();
         loop = new EventLoop(() -> (System.nanoTime() - start) / 1e6, Throwable::printStackTrace);
@@ -67,7 +67,10 @@
         });
     }
 
-    /** Stops all instances and waits for their ends; where the file says so, they go on and the next agent adopts them. */
+    /**
+     * Stops all instances and waits for them; with {@code leave_instances} they keep running and the next agent adopts
+     * them.
+     */
     public void close() throws InterruptedException {
         loop.execute(() -> {
             closing = true;
@@ -154,7 +157,7 @@
     }
 
     @Override
-    public void onTerminalLeft(RespServer.Slot slot) { /* nothing is under way for it */ }
+    public void onTerminalLeft(RespServer.Slot slot) { /* nothing is pending for it */ }
 
     private Collection<String> statuses() { return instances.values().stream().map(Instance::status).toList(); }
 }
--- a/src/main/java/yardusher/agent/AgentConfig.java
+++ b/src/main/java/yardusher/agent/AgentConfig.java
@@ -9,7 +9,10 @@
 import yardusher.fleet.FleetSettings;
 import yardusher.net.Sockets;
 
-/** The agent's file: where it listens, how instances are started, which there are, and its part in a fleet, null for none. */
+/**
+ * The agent's file: its control address, the command that starts instances, the instances, and the fleet settings, or
+ * null.
+ */
 public record AgentConfig(String control, List<String> command, long stopMs, List<Entry> instances, FleetSettings fleet) {
     /** One instance: its name, its address, and its configuration, limits and settings files. */
     public record Entry(String name, String address, String config, String limits, String settings) { }
@@ -17,7 +20,7 @@
     private static final Set<String> KEYS = Set.of("control", "command", "stop_ms", "instance", "fleet");
     private static final Set<String> INSTANCE_KEYS = Set.of("name", "address", "config", "limits", "settings");
 
-    /** Reads the file; a {@link ConfigError} says in one line what is wrong with it. */
+    /** Reads the file. Throws {@link ConfigError} with the reason in one line. */
     public static AgentConfig read(Path file) { return Toml.read(file, AgentConfig::of); }
 
     private static AgentConfig of(Toml toml) {
@@ -35,7 +38,7 @@
             entries.add(entry);
         }
         FleetSettings fleet = FleetSettings.of(toml);
-        // An agent without instances may still help the others to agree.
+        // An agent without instances can still be a member of the register's quorum.
         if (entries.isEmpty() && fleet == null) { throw new ConfigError.Missing(null, "instance", "an instance or a table fleet"); }
         String control = toml.text("control");
         Sockets.parseAddress(control);
@@ -44,7 +47,7 @@
                 toml.whole("stop_ms", 10_000, 1, 600_000), entries, fleet);
     }
 
-    /** This very program, with the flags of a small ingress. */
+    /** The command line of this program, with JVM options for a small ingress. */
     private static List<String> ownCommand() {
         String program = System.getProperty("java.class.path");
         List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
--- a/src/main/java/yardusher/agent/FleetInstances.java
+++ b/src/main/java/yardusher/agent/FleetInstances.java
@@ -17,7 +17,7 @@
 import yardusher.net.Connection;
 import yardusher.net.Sockets;
 
-/** This agent's instances as the fleet's work sees them. In loop. */
+/** This agent's instances as the fleet's step executor uses them. In loop. */
 final class FleetInstances implements LocalInstances {
     private static final double CALL_MS = 2000;
 
@@ -28,7 +28,7 @@
     private final Function<AgentConfig.Entry, InetSocketAddress> admins;
     private final List<ReadyWait> waiting = new ArrayList<>();
 
-    /** Who waits for an instance that was started more often than so. */
+    /** Waits until an instance has been started more often than {@code starts} and is ready. */
     private static final class ReadyWait {
         final Instance instance;
         final long starts;
@@ -42,7 +42,7 @@
         }
     }
 
-    /** {@code withinMs}: an instance has so long to end and to answer again. */
+    /** {@code withinMs}: how long an instance may take to end and to become ready again. */
     FleetInstances(Map<String, Instance> instances, Sockets sockets, double withinMs, Function<AgentConfig.Entry, InetSocketAddress> admins) {
         this.instances = instances;
         this.sockets = sockets;
@@ -55,7 +55,7 @@
     public List<WorkProcedure.InstanceStatus> standings() {
         List<WorkProcedure.InstanceStatus> all = new ArrayList<>();
         instances.forEach((name, one) -> {
-            // Who was stopped by hand is no part of the fleet until somebody starts it.
+            // An instance stopped by an operator is not part of the fleet until it is started again.
             if (one.state() != Instance.State.STOPPED) { all.add(new WorkProcedure.InstanceStatus(name, one.state() == Instance.State.READY)); }
         });
         return all;
--- a/src/main/java/yardusher/agent/Instance.java
+++ b/src/main/java/yardusher/agent/Instance.java
@@ -14,12 +14,12 @@
 import yardusher.resp.MalformedRespException;
 import yardusher.resp.Value;
 
-/** One managed instance: started, watched until it answers PING, started again with backoff when it crashes. */
+/** One managed instance: started, pinged until it is ready, and restarted with backoff when it crashes. */
 final class Instance {
     private static final double PING_MS = 100;
     private static final double BACKOFF_MS = 200;
     private static final double MAX_BACKOFF_MS = 10_000;
-    private static final double STABLE_AFTER_MS = 10_000;  // who lived so long starts again without delay
+    private static final double STABLE_AFTER_MS = 10_000;  // after this uptime a crashed instance is restarted with the initial delay
 
     enum State { STOPPED, STARTING, READY, STOPPING, BACKOFF }
 
@@ -31,13 +31,13 @@
     private final Runnable changed;
     private State state = State.STOPPED;
     private ProcessHandle process;
-    private final FenceStore fenceStore;                     // null where this agent keeps none
+    private final FenceStore fenceStore;                     // null if this agent has no fleet
     private double startedAt;
     private double backoffMs = BACKOFF_MS;
     private int restarts;
     private long starts;
     private boolean startAgain;
-    private boolean reloadWhenReady;                         // as soon as it is ready
+    private boolean reloadWhenReady;                         // reload as soon as it is ready
     private Deadlines.Entry pending;
 
     Instance(AgentConfig.Entry entry, AgentConfig config, Sockets sockets, FenceStore memory, Runnable changed) {
@@ -65,7 +65,7 @@
         }
         if (process != null) { return; }
         loop.deadlines().cancel(pending);
-        List<String> command = new ArrayList<>(SighupStatus.withDefaultSighup(config.command())); // an agent under nohup hands it down
+        List<String> command = new ArrayList<>(SighupStatus.withDefaultSighup(config.command())); // an agent under nohup passes the ignored SIGHUP on
         command.addAll(List.of("serve", entry.config(), "--limits", entry.limits(), "--settings", entry.settings()));
         startedAt = loop.now();
         reloadWhenReady = false;
@@ -90,12 +90,15 @@
         ping(handle);
     }
 
-    /** Unix time of a process's start; with its number it is known again and not mistaken. 0 where the system does not say. */
+    /**
+     * Unix time of a process's start, which together with its id identifies the process. 0 if the system does not
+     * report it.
+     */
     private static long startMs(ProcessHandle handle) { return handle.info().startInstant().map(java.time.Instant::toEpochMilli).orElse(0L); }
 
     /**
-     * Takes over the process that an earlier life of this agent started, where it still runs; else starts one. A process
-     * that merely has the number of the old one is left alone.
+     * Adopts the process that an earlier life of this agent started, if it is still running; else starts one. A process
+     * that merely reuses the id is left alone.
      */
     void adoptOrStart() {
         FenceStore.StartedProcess known = fenceStore == null ? null : fenceStore.startedProcess(entry.name());
@@ -113,10 +116,10 @@
         ping(found);
     }
 
-    /** How often it was started, over all lives of this agent where it remembers them. */
+    /** Number of starts, over all lives of this agent if they are recorded. */
     long starts() { return fenceStore == null ? starts : fenceStore.startCount(entry.name()); }
 
-    /** Asks it to end with SIGTERM, so that it answers what it has taken; kills it when it does not. */
+    /** Sends SIGTERM, so that accepted requests are still answered; kills the process if it does not end in time. */
     void stop(boolean again) {
         startAgain = again;
         loop.deadlines().cancel(pending);
@@ -133,12 +136,12 @@
     }
 
     /**
-     * Asks it to read its configuration anew. Guards one that has only just begun: until it answers, the signal
-     * would still end it.
+     * Asks the instance to reload its configuration. Deferred while it is starting: until it is ready, the signal would
+     * still end it.
      */
     void reload() {
         reloadWhenReady = state == State.STARTING;
-        if (state != State.READY) { return; }        // who starts later reads the new file anyway
+        if (state != State.READY) { return; }        // an instance started later reads the new file anyway
         try {
             new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).inheritIO().start();
         } catch (IOException e) {
@@ -146,7 +149,7 @@
         }
     }
 
-    /** For the history of effects, beside what the fences say. */
+    /** Logs a line for the history of effects, in the format of the fence's lines. */
     private void note(String what) { System.err.println("fence " + System.currentTimeMillis() + " instance 0 " + entry.name() + " " + what); }
 
     private void exited(ProcessHandle ended, String how) {
@@ -167,7 +170,7 @@
         backOff();
     }
 
-    /** Guards against a crash loop that takes the machine: each crash soon after a start doubles the wait. */
+    /** Guards against a crash loop that overloads the machine: each crash soon after a start doubles the wait. */
     private void backOff() {
         setState(State.BACKOFF);
         pending = loop.deadlines().schedule(loop.now() + backoffMs, () -> {
@@ -212,6 +215,6 @@
         }, again);
     }
 
-    /** For the agent's own end: true once nothing of it runs any more. */
+    /** Whether no process is running; the agent waits for this when it closes. */
     boolean hasExited() { return process == null; }
 }
--- a/src/main/java/yardusher/agent/SighupStatus.java
+++ b/src/main/java/yardusher/agent/SighupStatus.java
@@ -7,20 +7,21 @@
 import java.util.List;
 
 /**
- * Whether SIGHUP, on which a configuration is read anew, can reach this process at all. A process inherits from its parent which signals are
- * ignored, {@code nohup} and some schedulers ignore this one, and a JVM that finds it ignored leaves it so without a word (signal(7), JDK
- * {@code os::Posix::is_sig_ignored}). Nothing can be done from inside; whoever starts the process can.
+ * Whether SIGHUP, which triggers a reload of the configuration, can reach this process. A process inherits ignored
+ * signals from its parent; {@code nohup} and some schedulers ignore SIGHUP, and a JVM that finds it ignored silently
+ * leaves it so (signal(7), JDK {@code os::Posix::is_sig_ignored}). It cannot be changed from inside the process, only
+ * by whoever starts it.
  */
 public final class SighupStatus {
     private static final Path STATUS = Path.of("/proc/self/status");
 
-    /** For who started a process that the signal cannot reach. */
+    /** Hint for the operator of a process that the signal cannot reach. */
     public static final String IGNORED_HINT = "cannot be told to reload: it was started with SIGHUP ignored, as by nohup; start it with "
             + "deploy/start.sh or behind `env --default-signal=HUP`, or restart it for a new configuration";
 
     private SighupStatus() { }
 
-    /** Read from the system's own table for this process; false where there is none. */
+    /** Reads the kernel's signal mask of this process; false if it is not available. */
     public static boolean isIgnored() {
         try {
             return Files.isReadable(STATUS) && isIgnored(Files.readString(STATUS));
@@ -29,14 +30,17 @@
         }
     }
 
-    /** SigIgn is a mask in hexadecimal digits; SIGHUP is number 1, the lowest bit. */
+    /** SigIgn is a hexadecimal mask; SIGHUP is signal 1, the lowest bit. */
     static boolean isIgnored(String status) {
         int from = status.indexOf("SigIgn:");
         int end = from < 0 ? -1 : status.indexOf('\n', from);
         return end > 0 && (Character.digit(status.charAt(end - 1), 16) & 1) == 1;
     }
 
-    /** The command, so written that what it starts has the signal's default; as it is where this process has it itself. */
+    /**
+     * Wraps the command so that the started process has the default SIGHUP action; unchanged if SIGHUP is not ignored
+     * here.
+     */
     static List<String> withDefaultSighup(List<String> command) {
         if (!isIgnored()) { return command; }
         List<String> with = new ArrayList<>(List.of("env", "--default-signal=HUP"));
--- a/src/main/java/yardusher/fleet/BanWork.java
+++ b/src/main/java/yardusher/fleet/BanWork.java
@@ -10,8 +10,9 @@
 import yardusher.register.Work;
 
 /**
- * Tells every agent which regions are out by hand. The list is told whole under its revision, so that a later one holds
- * whatever came before; the agents tell their instances, those that start later too. Rests once all agents have it.
+ * Distributes the list of banned regions to every agent. The whole list is sent under its revision, so a later list is
+ * valid whatever came before; the agents pass it on to their instances, also to those that start later. Idle once all
+ * agents have it.
  */
 final class BanWork implements WorkProcedure {
     private static final double POLL_MS = 50;
@@ -21,7 +22,7 @@
     private long revision;
     private final Set<String> members;
     private final Set<String> sealed = new HashSet<>();
-    private final Set<String> confirmed = new TreeSet<>();  // who has this revision
+    private final Set<String> confirmed = new TreeSet<>();  // members that have this revision
     private final Set<String> asking = new HashSet<>();
     private final Map<String, Double> askAt = new HashMap<>();
     private long seq;
@@ -35,10 +36,10 @@
         seq = work.seq();
     }
 
-    /** What a checkpoint says once all members have a revision. */
+    /** The checkpoint text once all members have a revision. */
     static String doneText(long revision, Set<String> members) { return revision + " " + String.join(",", new TreeSet<>(members)); }
 
-    /** Whether somebody does not have the list yet. */
+    /** Whether some member does not have the list yet. */
     static boolean hasWork(Work work, Set<String> members) { return !work.checkpoint().equals(doneText(work.revision(), members)); }
 
     @Override
@@ -85,7 +86,7 @@
         idle = of == seq && confirmed.containsAll(members);
     }
 
-    /** Whether all have what is ordered and the register knows it. */
+    /** Whether all members have the list and the register has recorded it. */
     boolean isIdle() { return idle; }
 
     @Override
--- a/src/main/java/yardusher/fleet/FleetAgent.java
+++ b/src/main/java/yardusher/fleet/FleetAgent.java
@@ -11,9 +11,10 @@
 import yardusher.register.RaftLogStore;
 
 /**
- * One agent's part in its fleet: a member of the register ({@link RegisterParticipant}), a target of orders ({@link StepExecutor}), from time to
- * time the holder of a work ({@link Holder}), and who answers for all of it ({@link FleetCommandHandler}). All of it in the agent's loop,
- * but for the register's own thread, which waits on the disk.
+ * One agent's part in its fleet: a member of the register ({@link RegisterParticipant}), a target of step requests
+ * ({@link StepExecutor}), from time to time the holder of a work ({@link LeaseHolder}), and the handler of FLEET
+ * commands ({@link FleetCommandHandler}). Runs in the agent's loop, except for the register's own thread, which waits
+ * on the disk.
  */
 public final class FleetAgent {
     private final Storage folder;
@@ -27,7 +28,7 @@
     /**
      * Opens the agent's folder.
      *
-     * @throws RegisterError where the folder is another's, holds no member, cannot be read or is damaged: one plain line
+     * @throws RegisterError if the folder belongs to another member, holds no member, cannot be read or is damaged
      */
     public FleetAgent(FleetSettings settings, Sockets sockets, LocalInstances targets) throws IOException {
         Random random = new Random(System.nanoTime() ^ settings.member().hashCode());
@@ -52,7 +53,7 @@
         settings.members().forEach(peers::putMember);
     }
 
-    /** Begins a member in a folder that holds none: once in a member's life. */
+    /** Creates a member in a folder that holds none: once in a member's life. */
     public static void init(FleetSettings settings, boolean joins) throws IOException {
         try (Storage folder = folder(settings)) {
             RaftLogStore.create(folder, settings.installation(), settings.member(), joins).close();
@@ -76,7 +77,7 @@
         holder.tick();
     }
 
-    /** The register's copy has changed. */
+    /** The local copy of the register has changed. */
     private void changed() {
         participant.view().addresses().forEach(peers::putMember);
         holder.changed();
@@ -84,10 +85,10 @@
         holder.tickNow();
     }
 
-    /** Answers a command of the fleet's, now or later. */
+    /** Answers a FLEET command, now or later. */
     public void command(byte[][] words, RespServer.Slot slot) { commandHandler.command(words, slot); }
 
-    /** Ends this member's part. What it holds is taken by others once its lease is over. */
+    /** Stops taking part. Other members take over what it holds once its lease has expired. */
     public void close() {
         participant.close();
         holder.close();
@@ -95,7 +96,7 @@
         participant.stop();
     }
 
-    /** After the last turn: what must outlive the process is on disk. */
+    /** Closes the stores after the loop's last turn; what must outlive the process is on disk. */
     public void end() throws IOException {
         fenceStore.close();
         participant.end();
--- a/src/main/java/yardusher/fleet/FleetCommandHandler.java
+++ b/src/main/java/yardusher/fleet/FleetCommandHandler.java
@@ -17,7 +17,10 @@
 import yardusher.resp.Encoder;
 import yardusher.resp.Value;
 
-/** Answers the commands of the fleet that come in: other members' messages, operations and orders, and the operators' own. In loop. */
+/**
+ * Handles the incoming FLEET commands: Raft messages, operations and step requests of other members, and operators'
+ * commands. In loop.
+ */
 final class FleetCommandHandler {
     private static final double TRY_AGAIN_MS = 60;
 
@@ -35,7 +38,7 @@
         this.stepExecutor = outpost;
     }
 
-    /** Answers a command of the fleet's, now or later. */
+    /** Answers a FLEET command, now or later. */
     void command(byte[][] words, RespServer.Slot slot) {
         String name = new String(words[0], StandardCharsets.ISO_8859_1).toUpperCase(Locale.ROOT);
         if (words.length < 2 || !new String(words[1], StandardCharsets.UTF_8).equals(settings.installation())) {
@@ -84,7 +87,7 @@
         slot.answer(new Encoder(16).simpleString("OK").toBytes());
     }
 
-    /** A member asks this one, which it takes for the leader. */
+    /** Handles an operation from a member that takes this one for the leader. */
     private void operation(byte[][] words, RespServer.Slot slot) throws IOException {
         if (words.length != 3 || words[2].length > Operation.MAX_BYTES) { throw new CommandError.Argument("an operation of at most " + Operation.MAX_BYTES + " bytes is needed"); }
         answer(Operation.decode(words[2]), slot);
@@ -96,7 +99,7 @@
                 : new Encoder(128).bulk(answer.encode()).toBytes()));
     }
 
-    /** An operator's order, with its id: passed to the register by whichever agent is asked. */
+    /** Handles an operator's command with its id. Any agent can be asked; it passes the operation to the register. */
     private void order(byte[][] words, RespServer.Slot slot) {
         String command = text(words, 2);
         if (!command.matches("[0-9a-zA-Z-]{8,64}")) { throw new CommandError.Argument("a command's id is 8 to 64 letters, digits and '-'"); }
@@ -135,7 +138,7 @@
         });
     }
 
-    /** Changes who takes part, at the leader, until that is so. */
+    /** Changes the group's membership at the leader; retries until it is done or {@code until} has passed. */
     private void member(String member, boolean in, double until, RespServer.Slot slot, String text) {
         Consumer<Boolean> then = done -> {
             if (done) {
@@ -154,7 +157,7 @@
                 slot.answer(done ? new Encoder(16).bulk("done").toBytes() : failure("TRYAGAIN not now")));
     }
 
-    /** The whole state: through the register, or this member's own copy, and which of the two it is. */
+    /** Reads the whole state through the register, or falls back to the local copy and says so. */
     private void read(RespServer.Slot slot) {
         participant.untilAnswered(new Operation.Read(), loop.now() + 1500, answer -> {
             try {
--- a/src/main/java/yardusher/fleet/FleetSettings.java
+++ b/src/main/java/yardusher/fleet/FleetSettings.java
@@ -10,19 +10,19 @@
 import yardusher.register.Member;
 
 /**
- * What an agent's file says in its table {@code fleet}; left out, an agent knows its own machine alone.
+ * The table {@code fleet} of an agent's file. Without it, an agent manages its own machine only.
  *
  * @param installation the fleet's name, the same at all its agents
  * @param member this agent's name, which is never used again once it is forgotten
- * @param folder where it keeps what must outlive it
- * @param leaseMs how long a holder may be silent
- * @param heartbeatMs of the register's leader
- * @param clockErrorPermille by how much two clocks may differ in rate
- * @param pauseMs added to the wait for a silent holder
- * @param patienceMs after which a work that waits for somebody unreachable ends
+ * @param folder where it keeps its durable state
+ * @param leaseMs how long a holder may go without a renewal
+ * @param heartbeatMs heartbeat period of the register's leader
+ * @param clockErrorPermille by how much the rates of two clocks may differ
+ * @param pauseMs added to the wait before taking over from a silent holder
+ * @param patienceMs after which a work that waits for an unreachable member fails
  * @param readyMs within which an instance has to answer after it was started
- * @param leaves whether instances go on when the agent ends
- * @param members names and addresses of the agents, oneself among them, in the file's order
+ * @param leaveInstances whether instances keep running when the agent ends
+ * @param members names and addresses of the agents, this one among them, in the file's order
  */
 public record FleetSettings(String installation, String member, Path folder, int leaseMs, int heartbeatMs, int clockErrorPermille,
         int pauseMs, int patienceMs, int readyMs, boolean leaveInstances, Map<String, String> members) {
@@ -30,7 +30,7 @@
             "pause_ms", "patience_ms", "ready_ms", "leave_instances", "members");
     private static final Set<String> MEMBER_KEYS = Set.of("name", "address");
 
-    /** Reads the table; a {@link ConfigError} names the key and what is allowed. Null where it is left out. */
+    /** Reads the table; null if it is absent. Throws {@link ConfigError} that names the key and the allowed values. */
     public static FleetSettings of(Toml file) {
         Toml table = file.table("fleet");
         if (table == null) { return null; }
--- a/src/main/java/yardusher/fleet/LeaseHolder.java
+++ b/src/main/java/yardusher/fleet/LeaseHolder.java
@@ -15,14 +15,15 @@
 import yardusher.resp.Value;
 
 /**
- * What this agent does as the holder of works: it claims, renews and loses leases as {@link LeaseManager} says, and while it holds
- * one it seals, orders and keeps what the undertaking wants. In the agent's loop; bounded by the kinds of work.
+ * Holds works on behalf of this agent: claims, renews and gives up leases as {@link LeaseManager} decides, and while it
+ * holds one, seals, requests steps and saves checkpoints as the procedure requires. In the agent's loop; bounded by the
+ * kinds of work.
  */
 final class LeaseHolder {
-    private static final double CALL_MS = 1000;      // for an order's answer
+    private static final double CALL_MS = 1000;      // timeout of a call to another agent
     private static final double TRY_AGAIN_MS = 60;
-    private static final double TICK_MS = 25;        // while a work is held
-    private static final double REST_MS = 500;       // and else: bans for instances that have just started
+    private static final double TICK_MS = 25;        // interval while a work is held
+    private static final double REST_MS = 500;       // interval otherwise, for instances that have just started and need the bans
 
     private final FleetSettings settings;
     private final EventLoop loop;
@@ -33,7 +34,7 @@
     private final Map<WorkKind, HeldWork> holdings = new EnumMap<>(WorkKind.class);
     private Deadlines.Entry tick;
 
-    /** A work this member holds. */
+    /** A work that this member holds. */
     private final class HeldWork {
         final WorkKind kind;
         final long token;
@@ -56,7 +57,7 @@
         this.leases = leases;
     }
 
-    /** The register's copy has changed. */
+    /** The local copy of the register has changed. */
     void changed() {
         for (HeldWork holding : holdings.values()) {
             Work work = participant.view().works().get(holding.kind);
@@ -64,7 +65,7 @@
         }
     }
 
-    /** Looks at once, and not again before it is due. */
+    /** Runs a tick now and reschedules the next one. */
     void tickNow() {
         loop.deadlines().cancel(tick);
         tick();
@@ -72,12 +73,12 @@
 
     void tick() {
         if (participant.isClosed()) { return; }
-        tick = loop.deadlines().schedule(loop.now() + REST_MS, this::tick); // before: a fault in what follows must not end it
+        tick = loop.deadlines().schedule(loop.now() + REST_MS, this::tick); // scheduled first, so that an exception below does not end the ticks
         look();
         stepExecutor.applyBansToAll();
         double now = loop.now();
         double due = leases.nextAt();
-        // What is due already waits for somebody else's word, which brings a turn of its own.
+        // A deadline that has already passed waits for a reply, which causes a turn of its own.
         double next = !holdings.isEmpty() ? now + TICK_MS : due > now ? Math.min(due + 1, now + REST_MS) : now + REST_MS;
         loop.deadlines().cancel(tick);
         tick = loop.deadlines().schedule(next, this::tick);
@@ -113,7 +114,7 @@
         return holdings.get(holding.kind) == holding && leases.holds(loop.now(), holding.kind, holding.token);
     }
 
-    /** Does what the undertaking wants next. Only while the lease lasts; what is on its way then is for the fences. */
+    /** Runs the procedure's next actions while the lease lasts; the fences stop what is still in flight after that. */
     private void advance(HeldWork holding) {
         if (!isCurrent(holding)) { return; }
         if (holding.undertaking instanceof BanWork bans && bans.isIdle()) {
@@ -135,7 +136,7 @@
 
     private void keep(HeldWork holding, WorkProcedure.SaveCheckpoint keep) {
         participant.ask(new Operation.Checkpoint(holding.kind, holding.token, keep.seq(), keep.text(), keep.state(), keep.note()), answer -> {
-            if (answer == null) {                    // nobody knows: asked again until the lease is over
+            if (answer == null) {                    // outcome unknown: retried until the lease has expired
                 loop.deadlines().schedule(loop.now() + TRY_AGAIN_MS, () -> {
                     if (isCurrent(holding)) { keep(holding, keep); }
                 });
@@ -176,7 +177,7 @@
         });
     }
 
-    /** Asks an agent, which may be this one; {@code then} hears null for no answer. */
+    /** Sends a command to an agent, which may be this one. {@code then} gets null if there is no answer. */
     private void ask(String member, List<String> words, Consumer<Value> then) {
         if (member.equals(settings.member())) {
             stepExecutor.command(words.toArray(new String[0]), answer -> loop.defer(() -> then.accept(answer)));
@@ -191,7 +192,10 @@
         peer.ask(peers.command(words.get(0), rest).toBytes(), CALL_MS, then, () -> then.accept(null));
     }
 
-    /** What it holds is taken by others, at once where this reaches the register, else once its lease is over. */
+    /**
+     * Releases all works, so that others take over at once; if that does not reach the register, they do once the lease
+     * has expired.
+     */
     void close() {
         loop.deadlines().cancel(tick);
         holdings.forEach((kind, holding) -> participant.ask(new Operation.Release(kind, holding.token), answer -> { }));
--- a/src/main/java/yardusher/fleet/LeaseManager.java
+++ b/src/main/java/yardusher/fleet/LeaseManager.java
@@ -10,52 +10,55 @@
 import yardusher.register.Work;
 
 /**
- * Who does a work: one member's part in that, free of I/O. The register knows no clock. A holder asks for a renewal now
- * and then and takes its lease to end so long after the moment at which it asked; the others watch the beat, and may
- * claim once they have seen it stand still for a lease by their own clock. What rests on clocks is only how soon another
- * begins and that a holder usually stops before that; that an old one does no harm rests on tokens.
+ * One member's view of the leases, free of I/O. The register has no clock. A holder renews regularly and counts its
+ * lease from the moment at which it sent the request; the other members watch the heartbeat and may claim once they
+ * have seen it unchanged for a lease by their own clock. Clocks only decide how soon another member takes over and that
+ * a holder usually stops before that; safety against a former holder rests on the tokens.
  */
 public final class LeaseManager {
     private static final double CLAIM_SPREAD_MS = 60;
-    private static final int RENEWALS = 4;           // asked for in a lease
+    private static final int RENEWALS = 4;           // renewals per lease
 
-    /** {@code error}: by how much rates of two clocks may differ, as a share of 1. {@code pauseMs}: added to a wait. */
+    /**
+     * {@code error}: by how much the rates of two clocks may differ, as a fraction. {@code pauseMs}: added to the wait
+     * before a take-over.
+     */
     public record LeaseTimings(double leaseMs, double error, double pauseMs) {
         public static LeaseTimings of(FleetSettings settings) {
             return new LeaseTimings(settings.leaseMs(), settings.clockErrorPermille() / 1000.0, settings.pauseMs());
         }
 
-        /** How long after asking a holder may act. */
+        /** How long a holder may act, counted from the request. */
         double usableLeaseMs() { return leaseMs * (1 - error); }
 
-        /** How long a beat must be seen to stand still. */
+        /** How long a heartbeat must be seen unchanged before a claim. */
         double takeOverWaitMs() { return leaseMs * (1 + error) + pauseMs; }
     }
 
-    /** What to do now. */
+    /** What the caller has to do now. */
     public sealed interface Action { }
 
-    /** Ask the register for a work. */
+    /** Claim a work from the register. */
     public record Claim(WorkKind kind, long nonce, long seenToken, long seenBeat) implements Action { }
 
-    /** Ask the register for a longer lease. */
+    /** Renew the lease. */
     public record Renew(WorkKind kind, long token, long beat) implements Action { }
 
-    /** This member holds the work from now on. */
+    /** This member has become the holder. */
     public record Begin(WorkKind kind, long token) implements Action { }
 
-    /** This member must stop: its lease may be over for others, or the register has said so. */
+    /** This member must stop: its lease may have expired for others, or the register refused it. */
     public record Stop(WorkKind kind, long token, String why) implements Action { }
 
     private final class LeaseState {
         final WorkKind kind;
         long seenToken = -1;
         long seenBeat = -1;
-        double seenAt;                               // when the token or beat was new
+        double seenAt;                               // when the token or heartbeat last changed
         double claimAt = Double.POSITIVE_INFINITY;
-        long nonce;                                  // of the claim under way or granted; 0 for none
+        long nonce;                                  // of the pending or granted claim; 0 for none
         double claimedAt;
-        long token;                                  // held; 0 for none
+        long token;                                  // 0 while not held
         double until;
         double renewAt;
         long beat;
@@ -77,8 +80,8 @@
     }
 
     /**
-     * What follows from the member's copy of the register and the time, in ms. {@code wants}: the works that have
-     * something to be done.
+     * The actions due, given the local copy of the register and the time in ms. {@code wants}: whether a work has
+     * anything to be done.
      */
     public List<Action> nextActions(double now, RegisterView view, java.util.function.Predicate<Work> wants) {
         List<Action> acts = new ArrayList<>();
@@ -117,7 +120,7 @@
             return;
         }
         if (one.nonce != 0 && work.isHeld() && work.holder().equals(self) && work.nonce() == one.nonce) {
-            take(one, work.token(), acts);           // granted, also where the answer was lost
+            take(one, work.token(), acts);           // granted, even if the reply was lost
             if (now >= one.until) { stop(one, "its lease was over when the grant was heard of", acts); }
             return;
         }
@@ -143,18 +146,18 @@
         acts.add(new Begin(one.kind, token));
     }
 
-    /** The register has answered a claim, or nobody has ({@code token} 0): then it may be asked again. */
+    /** Handles the reply to a claim; {@code token} is 0 if it was refused or there was no reply, and it may be repeated. */
     public void claimed(double now, WorkKind kind, long nonce, long token) {
         LeaseState one = states.get(kind);
         if (one.nonce != nonce || one.token != 0) { return; }
         if (token == 0) {
             one.nonce = 0;
-            // Never sooner than what was seen allows: who was refused has perhaps seen the winner's grant already.
+            // Never sooner than the observed heartbeat allows: this member may already have seen the winner's grant.
             one.claimAt = Math.max(one.claimAt, now + (0.5 + random.nextDouble()) * 2 * CLAIM_SPREAD_MS);
         }
     }
 
-    /** The register has answered a renewal: whether it holds. Nobody answered: {@code null}. */
+    /** Handles the reply to a renewal: whether this member still holds the work, or null if there was no reply. */
     public void renewed(double now, WorkKind kind, long token, Boolean holds) {
         LeaseState one = states.get(kind);
         if (one.token != token || !one.renewing) { return; }
@@ -165,17 +168,17 @@
             one.until = one.claimedAt + terms.usableLeaseMs();
             one.renewAt = one.claimedAt + terms.leaseMs() / RENEWALS;
         } else {
-            one.until = now;                         // the next look stops
+            one.until = now;                         // the next call of nextActions stops the work
         }
     }
 
-    /** Whether this member may act for the work now, under this token. */
+    /** Whether this member may act for the work now under this token. */
     public boolean holds(double now, WorkKind kind, long token) {
         LeaseState one = states.get(kind);
         return one.token == token && now < one.until;
     }
 
-    /** The work was given up. */
+    /** The work was released. */
     public void released(WorkKind kind, long token) {
         LeaseState one = states.get(kind);
         if (one.token != token) { return; }
--- a/src/main/java/yardusher/fleet/PeerClient.java
+++ b/src/main/java/yardusher/fleet/PeerClient.java
@@ -13,16 +13,16 @@
 import yardusher.resp.Value;
 
 /**
- * The way to one other agent: RESP commands on one connection, answered in their order. What is not answered in time is
- * given up, its answer dropped when it comes. Bounded; a member that is slow or away costs nobody else anything. In loop.
+ * A client of one other agent: RESP commands on one connection, answered in order. A request that times out is given up
+ * and its late answer dropped. Bounded; a slow or unreachable member delays no other. In loop.
  */
 final class PeerClient implements Connection.Owner {
     private static final int MAX_PENDING_REQUESTS = 64;
-    private static final int MAX_QUEUED_BYTES = 512 * 1024; // bytes not yet taken by the system
+    private static final int MAX_QUEUED_BYTES = 512 * 1024; // bytes not yet accepted by the operating system
     private static final double CONNECT_TIMEOUT_MS = 500;
     private static final double MIN_RECONNECT_WAIT_MS = 30;
     private static final double MAX_RECONNECT_WAIT_MS = 1000;
-    private static final double STUCK_MS = 2000;     // nothing at all is answered for so long
+    private static final double STUCK_MS = 2000;     // without any answer for so long, the connection is closed
 
     private static final class PendingRequest {
         final byte[] command;
@@ -37,10 +37,10 @@
     private final EventLoop loop;
     private final RandomGenerator random;
     private InetSocketAddress address;
-    private final ArrayDeque<PendingRequest> pendingRequests = new ArrayDeque<>(); // written and unwritten, in order
+    private final ArrayDeque<PendingRequest> pendingRequests = new ArrayDeque<>(); // sent and unsent, in order
     private Connection connection;
     private boolean connecting;
-    private double reconnectWaitMs;                           // before the next dial; 0 after a success
+    private double reconnectWaitMs;                           // before the next connection attempt; 0 after a success
     private double nextConnectAtMs;
     private double lastAnswerAtMs;
     private boolean closed;
@@ -52,7 +52,7 @@
         this.random = random;
     }
 
-    /** The member has moved. */
+    /** Changes the member's address. */
     void move(InetSocketAddress to) {
         if (to.equals(address)) { return; }
         address = to;
@@ -60,10 +60,13 @@
         connectionLost();
     }
 
-    /** Whether there is a connection, or one is worth trying. */
+    /** Whether there is a connection, or an attempt is worthwhile. */
     boolean isLikely() { return connection != null || connecting || loop.now() >= nextConnectAtMs; }
 
-    /** Asks; one of the two is run later, in a turn, and {@code orElse} after so many ms at the latest. */
+    /**
+     * Sends a command. Exactly one of the two callbacks runs later, in a turn; {@code orElse} after {@code withinMs} at
+     * the latest.
+     */
     void ask(byte[] command, double withinMs, Consumer<Value> then, Runnable orElse) {
         boolean full = pendingRequests.size() >= MAX_PENDING_REQUESTS || connection != null && connection.queuedBytes() > MAX_QUEUED_BYTES;
         if (closed || full || connection == null && !connecting && loop.now() < nextConnectAtMs) {
@@ -98,7 +101,7 @@
             connecting = false;
             connection = new Connection(channel, loop, this);
             lastAnswerAtMs = loop.now();
-            pendingRequests.removeIf(one -> one.then == null);  // given up before they were written
+            pendingRequests.removeIf(one -> one.then == null);  // timed out before they were sent
             for (PendingRequest one : pendingRequests) { connection.write(one.command); }
             connection.readMore();
         }, () -> {
@@ -107,7 +110,7 @@
         });
     }
 
-    /** The connection is gone, and what was asked on it; the next is dialled after a wait that grows. */
+    /** Fails all requests on the lost connection; the next attempt follows after a growing wait. */
     private void connectionLost() {
         connection = null;
         reconnectWaitMs = Math.min(MAX_RECONNECT_WAIT_MS, reconnectWaitMs == 0 ? MIN_RECONNECT_WAIT_MS : reconnectWaitMs * 2);
@@ -128,7 +131,7 @@
                 PendingRequest one = pendingRequests.poll();
                 lastAnswerAtMs = loop.now();
                 reconnectWaitMs = 0;
-                if (one == null) { throw new MalformedRespException("an answer that nobody asked for"); }
+                if (one == null) { throw new MalformedRespException("an answer without a request"); }
                 loop.deadlines().cancel(one.limit);
                 Consumer<Value> then = one.then;
                 if (then != null) { then.accept(answer); }
--- a/src/main/java/yardusher/fleet/PeerDirectory.java
+++ b/src/main/java/yardusher/fleet/PeerDirectory.java
@@ -7,7 +7,7 @@
 import yardusher.net.Sockets;
 import yardusher.resp.Encoder;
 
-/** The other agents that this one has heard of, and the way to each. In the agent's loop; bounded by the register's members. */
+/** The other agents known to this one and the client for each. In the agent's loop; bounded by the register's members. */
 final class PeerDirectory {
     private final FleetSettings settings;
     private final Sockets sockets;
@@ -20,7 +20,7 @@
         this.random = random;
     }
 
-    /** A member is there from now on. */
+    /** Adds a member, or updates its address. */
     void putMember(String name, String address) {
         if (name.equals(settings.member())) { return; }
         InetSocketAddress at = Sockets.parseAddress(address);
@@ -28,10 +28,10 @@
         if (known == null) { peers.put(name, new PeerClient(sockets, at, random)); } else { known.move(at); }
     }
 
-    /** The way to a member, or null for this one and those never heard of. */
+    /** The client for a member, or null for this one and unknown ones. */
     PeerClient peer(String name) { return peers.get(name); }
 
-    /** A command of the fleet's with the installation's name; what is missing of its words follows. */
+    /** Begins a FLEET command with the installation's name; the caller appends the remaining arguments. */
     Encoder command(String name, String... words) {
         int count = switch (name) {
             case "FLEET.RAFT" -> 4;
--- a/src/main/java/yardusher/fleet/RegisterParticipant.java
+++ b/src/main/java/yardusher/fleet/RegisterParticipant.java
@@ -19,11 +19,12 @@
 import yardusher.resp.Value;
 
 /**
- * This agent's seat in the register: its node and the disk under it, opened anew after a fault; operations asked of whoever
- * leads; and the newest copy of the register. In the agent's turns, but for the register's own thread, which waits on the disk.
+ * This agent's membership in the register: its Raft node and log store, reopened after a disk fault; operations sent to
+ * the current leader; and the latest copy of the register. In the agent's turns, except for the register's own thread,
+ * which waits on the disk.
  */
 final class RegisterParticipant {
-    private static final double OP_MS = 1000;        // for an operation's way to the leader and back
+    private static final double OP_MS = 1000;        // for an operation's round trip to the leader
     private static final double TRY_AGAIN_MS = 60;
     private static final double REOPEN_MS = 2000;
 
@@ -39,7 +40,7 @@
     private RegisterView view = RegisterView.EMPTY;
     private boolean closed;
 
-    /** {@code changed}: told in a turn when there is a newer copy. The store is open and becomes this one's. */
+    /** {@code changed}: called in a turn when there is a newer copy. Takes over the open store. */
     RegisterParticipant(FleetSettings settings, PeerDirectory fellows, EventLoop turns, Random random, Storage folder, RaftLogStore store, Runnable changed) {
         this.settings = settings;
         this.peers = fellows;
@@ -56,7 +57,7 @@
 
     boolean isClosed() { return closed; }
 
-    /** Members and where they are, as this agent knows them. */
+    /** Members and their addresses as this agent knows them. */
     Map<String, String> addresses() {
         Map<String, String> all = new LinkedHashMap<>();
         settings.members().forEach((name, address) -> {
@@ -95,7 +96,7 @@
         node.start();
     }
 
-    /** Takes no part until the store can be opened anew: what it holds is then read again from the disk. */
+    /** Stops taking part until the store can be reopened; its content is then read again from the disk. */
     private void brokenStore(RegisterNode failed, IOException why) {
         if (node != failed || closed) { return; }
         System.err.println("agent: " + settings.member() + " takes no part in the register: " + why.getMessage());
@@ -142,7 +143,10 @@
 
     // ---- operations of the register
 
-    /** Asks the register, through whoever leads; {@code then} hears null where nobody can say, in a turn. */
+    /**
+     * Submits an operation through the current leader. {@code then} is called in a turn, with null if the outcome is
+     * unknown.
+     */
     void ask(Operation op, Consumer<Answer> then) {
         askLocal(op, (answer, leader) -> {
             if (answer != null || leader == null || leader.equals(settings.member()) || peers.peer(leader) == null) {
@@ -162,12 +166,12 @@
         }
     }
 
-    /** What this member's own node says; the leader is null where nobody can say. */
+    /** Receives the reply of the local node; without a reply the leader is null if it is unknown. */
     interface LocalReplyCallback {
         void said(Answer answer, String leader);
     }
 
-    /** Asks this member's own node, for at most {@link #OP_MS}. */
+    /** Submits an operation to the local node, for at most {@link #OP_MS}. */
     void askLocal(Operation op, LocalReplyCallback then) {
         boolean[] over = new boolean[1];
         Deadlines.Entry limit = loop.deadlines().schedule(loop.now() + OP_MS, () -> {
@@ -195,7 +199,7 @@
         });
     }
 
-    /** Asks until there is an answer or that time has come; then null. */
+    /** Retries until there is a reply or {@code until} has passed; then null. */
     void untilAnswered(Operation op, double until, Consumer<Answer> then) {
         ask(op, answer -> {
             if (answer != null || loop.now() > until || closed) {
@@ -206,7 +210,7 @@
         });
     }
 
-    /** Changes who takes part, once, wherever the leader is; whether it was done. */
+    /** Tries once to change the group's membership at the leader; {@code then} gets whether it was done. */
     void change(String member, boolean in, Consumer<Boolean> then) {
         String leader = node.leader();
         if (leader == null) {
@@ -221,7 +225,7 @@
         }
     }
 
-    /** The same at this member's own node. */
+    /** Changes the membership at the local node. */
     void changeLocal(String member, boolean in, Consumer<Boolean> then) {
         node.changeMembership(member, in, new RegisterNode.OperationCallback() {
             @Override
@@ -232,13 +236,13 @@
         });
     }
 
-    /** Operations asked before are still answered for as long as this program has turns. */
+    /** Operations submitted before are still answered while the loop runs. */
     void close() { closed = true; }
 
-    /** Takes no more part. */
+    /** Stops the node. */
     void stop() { node.stop(raftExecutor::shutdown); }
 
-    /** After the last turn: what must outlive the process is on disk. */
+    /** Closes the store after the loop's last turn; what must outlive the process is on disk. */
     void end() throws IOException {
         try {
             raftExecutor.await(1000);
--- a/src/main/java/yardusher/fleet/RegisterReport.java
+++ b/src/main/java/yardusher/fleet/RegisterReport.java
@@ -6,11 +6,11 @@
 import yardusher.register.RegisterView;
 import yardusher.register.Work;
 
-/** What an operator is shown of the register, as lines of words and values that are parted by tabs. */
+/** The report on the register for operators: one record a line, with tab-separated {@code key=value} cells. */
 final class RegisterReport {
     private RegisterReport() { }
 
-    /** {@code old}: the member's own copy, since no majority answered. */
+    /** {@code old}: the view is the local copy, because no majority answered. */
     static String text(RegisterView view, boolean old, FleetSettings settings, RegisterNode node, Map<String, String> members) {
         StringBuilder out = new StringBuilder(512);
         line(out, "register", "installation", settings.installation(), "member", settings.member(), "leader",
--- a/src/main/java/yardusher/fleet/RollPlan.java
+++ b/src/main/java/yardusher/fleet/RollPlan.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** How far a roll is: each instance of the fleet, in the order of the roll, and whether its turn was. */
+/** The progress of a roll: every instance of the fleet in the order of the roll, and its state. */
 final class RollPlan {
-    /** Whether an instance's turn was. */
+    /** State of an instance in the roll. Encoded by ordinal. */
     enum TargetState { TODO, OUT, DONE, FAILED }
 
-    /** One instance. */
+    /** An instance, by its agent and name. */
     record Target(String member, String name) {
         @Override
         public String toString() { return member + "/" + name; }
@@ -18,7 +18,7 @@
 
     final Map<Target, TargetState> targets = new LinkedHashMap<>();
 
-    /** One of each agent in turn, so that a batch is spread over machines. */
+    /** Takes one instance of each agent in turn, so that a batch is spread over machines. */
     static RollPlan of(Map<String, List<String>> byMember) {
         RollPlan plan = new RollPlan();
         int most = byMember.values().stream().mapToInt(List::size).max().orElse(0);
@@ -30,7 +30,7 @@
         return plan;
     }
 
-    /** Reads the written form; null for the empty text. */
+    /** Decodes a checkpoint; null for the empty text. */
     static RollPlan decode(String text) {
         if (text.isEmpty()) { return null; }
         RollPlan plan = new RollPlan();
--- a/src/main/java/yardusher/fleet/RollSpec.java
+++ b/src/main/java/yardusher/fleet/RollSpec.java
@@ -3,16 +3,16 @@
 import yardusher.error.CommandError;
 
 /**
- * A roll as it was ordered, in words: {@code restart away=1 failures=0}.
+ * The parameters of a roll, written as {@code restart away=1 failures=0}.
  *
  * @param act {@code restart} or {@code reload}
- * @param away instances of the whole fleet that may be away at once
+ * @param away instances of the whole fleet that may be unavailable at once
  * @param failures instances that may fail before the roll stops
  */
 record RollSpec(String act, int away, int failures) {
     static final String USAGE = "restart|reload away=N failures=N";
 
-    /** Reads the words; a {@link CommandError} says what is allowed. */
+    /** Parses the text. Throws {@link CommandError} that says what is allowed. */
     static RollSpec of(String text) {
         String act = null;
         int away = 1;
--- a/src/main/java/yardusher/fleet/RollWork.java
+++ b/src/main/java/yardusher/fleet/RollWork.java
@@ -12,30 +12,31 @@
 import yardusher.register.Work;
 
 /**
- * All instances of the fleet restart or reload, at most so many away at once over all agents. An instance counts as away
- * from the checkpoint that says so, before its agent is asked, until its agent has said how it went: what an old holder
- * may still have under way is in the checkpoint that the next one begins with. What is not reached is unknown, not done.
+ * A rolling restart or reload of the fleet's instances, with a limit on how many are unavailable at once over all
+ * agents. An instance counts as unavailable from the checkpoint that marks it OUT, which precedes the request to its
+ * agent, until the agent has reported the outcome: a step that a former holder may still have in flight is thus in the
+ * checkpoint that the next holder starts from. Steps at unreachable agents are unknown, not done.
  */
 final class RollWork implements WorkProcedure {
     private static final double POLL_MS = 100;
-    private static final double STATUS_MAX_AGE_MS = 400;       // how old an agent's word on its instances may be
-    private static final int MAX_PLAN_CHARS = 15_000;     // characters of a checkpoint
-    private static final double RETRY_MS = 300;      // who did not answer is asked again
+    private static final double STATUS_MAX_AGE_MS = 400;       // how old an agent's report on its instances may be
+    private static final int MAX_PLAN_CHARS = 15_000;
+    private static final double RETRY_MS = 300;      // before a member that did not answer is asked again
 
     private final long id;
     private final RollSpec spec;
     private final double patienceMs;
     private final Set<String> members;
     private long seq;
-    private RollPlan plan;                               // null until all agents have told their instances
-    private RollPlan kept;                               // as the register holds it
-    private String keeping;                          // the text of the checkpoint under way
+    private RollPlan plan;                               // null until all agents have reported their instances
+    private RollPlan kept;                               // the plan as the register has recorded it
+    private String keeping;                          // text of the checkpoint being saved
     private boolean over;
     private double begunAt = Double.NaN;
-    private double stuckAt = Double.NaN;             // since when nobody may go although somebody is left
-    private final Map<String, List<InstanceStatus>> standings = new TreeMap<>(); // of the agents that sealed
+    private double stuckAt = Double.NaN;             // since when no instance may restart although some are left
+    private final Map<String, List<InstanceStatus>> standings = new TreeMap<>(); // by agent that has sealed the token
     private final Map<String, Double> lookedAt = new HashMap<>();
-    private final Map<String, Double> askAt = new HashMap<>();  // members asked no sooner
+    private final Map<String, Double> askAt = new HashMap<>();  // by member, the earliest time of its next request
     private final Set<String> asking = new HashSet<>();
     private final Map<String, Double> silentSince = new LinkedHashMap<>();
     private final Map<String, String> silentWhy = new HashMap<>();
@@ -76,14 +77,14 @@
 
     private String step(RollPlan.Target target) { return id + "/" + target.name(); }
 
-    /** Asks a member, one thing at a time. */
+    /** Sends a member one request at a time. */
     private void ask(double now, String member, Action act, List<Action> acts) {
         if (asking.contains(member) || now < askAt.getOrDefault(member, Double.NEGATIVE_INFINITY)) { return; }
         asking.add(member);
         acts.add(act);
     }
 
-    /** The plan is made once every agent has told its instances: none is passed over unseen. */
+    /** Makes the plan once every agent has reported its instances, so that none is left out. */
     private void begin(double now, List<Action> acts) {
         if (keeping != null) { return; }
         if (standings.keySet().containsAll(members)) {
@@ -141,7 +142,10 @@
         }
     }
 
-    /** Why the roll cannot go on: an agent with something left in it is silent for too long. */
+    /**
+     * Why the roll cannot go on: an agent that still has instances to restart has not answered for too long. Null if
+     * there is no reason.
+     */
     private String lost(double now, List<RollPlan.Target> out) {
         Set<String> needed = new TreeSet<>();
         plan.in(RollPlan.TargetState.TODO).forEach(target -> needed.add(target.member()));
@@ -157,12 +161,12 @@
         return null;
     }
 
-    /** Marks the next ones as away, as far as the fleet's state of just now allows. */
+    /** Marks the next instances as OUT, as far as the fleet's recent state allows. */
     private boolean sendOut(double now, List<RollPlan.Target> out) {
         int away = out.size();
         for (String member : members) {
             if (now - lookedAt.getOrDefault(member, Double.NEGATIVE_INFINITY) > STATUS_MAX_AGE_MS) {
-                // Whom nobody reaches may have everything away.
+                // All instances of an unreachable agent may be unavailable.
                 away += (int) plan.targets.keySet().stream().filter(target -> target.member().equals(member) && !out.contains(target)).count();
                 continue;
             }
@@ -208,7 +212,7 @@
         RollPlan.Target target = new RollPlan.Target(member, step.substring(step.indexOf('/') + 1));
         if (plan.targets.get(target) != RollPlan.TargetState.OUT) { return; }
         plan.targets.put(target, outcome.startsWith("done") ? RollPlan.TargetState.DONE : RollPlan.TargetState.FAILED);
-        lookedAt.remove(member);                     // its word on its instances is from before
+        lookedAt.remove(member);                     // its report predates this outcome
     }
 
     @Override
@@ -227,5 +231,5 @@
     }
 
     @Override
-    public void onWorkChanged(Work work) { /* a roll is not changed, only replaced */ }
+    public void onWorkChanged(Work work) { /* a roll is never changed, only replaced */ }
 }
--- a/src/main/java/yardusher/fleet/StepExecutor.java
+++ b/src/main/java/yardusher/fleet/StepExecutor.java
@@ -19,28 +19,28 @@
 import yardusher.resp.Value;
 
 /**
- * Where the fleet's work takes effect: one agent's instances, behind its fence. A token is taken only once this member's
- * own copy of the register says that it was given; an order is written down before it is followed, and the look at the
- * fence and the act are one turn. In loop.
+ * Executes step requests at one agent's instances, behind its fence. A token is accepted only once this member's own
+ * copy of the register shows that it was granted. A step is recorded before it is executed, and the fence is checked in
+ * the same turn as the execution. In loop.
  */
 final class StepExecutor {
-    private static final double SEAL_WAIT_MS = 800;  // for the own copy to hear of a token
-    private static final double UNLISTED_RETRY_MS = 1000;    // until a region that an instance never saw is told again
+    private static final double SEAL_WAIT_MS = 800;  // for the local copy to show a token
+    private static final double UNLISTED_RETRY_MS = 1000;    // before a region unknown to an instance is retried
     private static final double RETRY_MS = 300;
     private static final int MAX_WAITING_SEALS = 64;
     private static final long MAX_TOKEN = Long.MAX_VALUE / 2;
 
     private record WaitingSeal(WorkKind kind, long token, double until, Consumer<Value> then) { }
 
-    /** What one life of an instance has been told of the bans. */
+    /** The bans that one process of an instance has received. */
     private static final class InstanceBanState {
         long starts = -1;
-        long fenced;                                 // the token it was told
+        long fenced;                                 // the token it has accepted
         final Map<String, Long> revisions = new HashMap<>();
         final Map<String, Double> later = new HashMap<>();
         boolean busy;
         double notBefore;
-        String unable;                               // why it cannot be told at all
+        String unable;                               // why it cannot take bans at all
 
         void begin(long now) {
             starts = now;
@@ -60,8 +60,8 @@
     private final List<WaitingSeal> waiting = new ArrayList<>();
     private final Map<String, InstanceBanState> banStates = new HashMap<>();
     private Bans bans = Bans.of("");
-    private long revision;                           // of the bans held
-    private String pendingBanStep;                          // the step that waits for the instances, or null
+    private long revision;                           // revision of {@code bans}
+    private String pendingBanStep;                          // the step that waits until all instances have the bans, or null
 
     StepExecutor(FenceStore memory, LocalInstances targets, EventLoop loop, Supplier<RegisterView> view) {
         this.fenceStore = memory;
@@ -72,7 +72,7 @@
         fence.steps(WorkKind.BANS.label()).forEach((id, step) -> adoptBans(id, step.action()));
     }
 
-    /** Takes a list of bans where it is newer than the one held. */
+    /** Adopts a list of bans if it is newer than the current one. */
     private boolean adoptBans(String step, String act) {
         long of = Long.parseLong(step.substring(step.indexOf('/') + 1));
         if (of <= revision) { return false; }
@@ -81,7 +81,7 @@
         return true;
     }
 
-    /** One command of an owner; the answer is a bulk string, or an error that begins with its kind. */
+    /** Handles one command of an owner; the reply is a bulk string, or an error that begins with its kind. */
     void command(String[] words, Consumer<Value> then) {
         try {
             if (words.length != (words[0].equals("FLEET.SEAL") ? 3 : 5)) { throw new CommandError.Argument("wrong number of arguments"); }
@@ -99,7 +99,7 @@
 
     private static Value text(String text) { return new Value.BulkString(text.getBytes(StandardCharsets.UTF_8)); }
 
-    /** The token that this member's own copy says was given last. */
+    /** The token last granted according to the local copy of the register. */
     private long grantedToken(WorkKind kind) {
         Work work = view.get().works().get(kind);
         return work == null ? 0 : work.token();
@@ -111,7 +111,7 @@
             note(kind, token, "-", "refused seal, " + newest + " is newer");
             then.accept(fenced(newest));
         } else if (token > grantedToken(kind)) {
-            // Guards against tokens made up: what the register has not given here is not believed.
+            // Guards against forged tokens: a token that the local copy does not show as granted is not accepted.
             if (waiting.size() >= MAX_WAITING_SEALS) { then.accept(unproven(token)); } else {
                 waiting.add(new WaitingSeal(kind, token, loop.now() + SEAL_WAIT_MS, then));
                 loop.deadlines().schedule(loop.now() + SEAL_WAIT_MS, this::changed);
@@ -139,7 +139,7 @@
         return text(out.toString());
     }
 
-    /** The own copy has changed, or time has passed: seals that waited for it. */
+    /** Retries the waiting seals after the local copy has changed or their time is up. */
     void changed() {
         for (WaitingSeal one : List.copyOf(waiting)) {
             boolean late = loop.now() >= one.until();
@@ -174,7 +174,7 @@
         }
     }
 
-    /** Guards the fence against steps that could never be followed. */
+    /** Rejects requests that could never be executed before they reach the fence. */
     private void check(WorkKind kind, String step, String act) {
         String[] words = act.split(" ", 2);
         if (kind == WorkKind.BANS) {
@@ -194,7 +194,7 @@
                 fence.drop(kind.label(), step);
                 then.accept(new Value.ErrorReply("DISK " + why.getMessage()));
             } else if (!fence.isCurrent(kind.label(), token) || token < grantedToken(kind)) {
-                fenceStore.drop(kind.label(), step);      // a newer owner came while this was being written
+                fenceStore.drop(kind.label(), step);      // a newer owner sealed its token during the write
                 note(kind, token, step, "dropped, " + Math.max(fence.sealedToken(kind.label()), grantedToken(kind)) + " is newer");
                 then.accept(fenced(Math.max(fence.sealedToken(kind.label()), grantedToken(kind))));
             } else {
@@ -204,7 +204,7 @@
         });
     }
 
-    /** Follows an order, in the turn that looked at the fence. */
+    /** Executes a step, in the turn that checked the fence. */
     private void act(WorkKind kind, long token, String step, String act) {
         String[] words = act.split(" ", 2);
         note(kind, token, step, "acts " + (kind == WorkKind.BANS ? "set" : act));
@@ -223,7 +223,7 @@
         }
     }
 
-    /** An earlier life began the step. What it did shows in how often the instance was started. */
+    /** Resumes a step that an earlier process began. The start count shows whether the restart was done. */
     private void resume(WorkKind kind, long token, String step, String act, String before) {
         String instance = act.substring(act.indexOf(' ') + 1);
         if (kind == WorkKind.ROLL && act.startsWith("restart") && targets.starts(instance) > Long.parseLong(before)) {
@@ -239,19 +239,19 @@
         fenceStore.end(kind.label(), step, outcome, why -> { });
     }
 
-    /** What the fence did, with the time: the history of effects, as the target saw them. */
+    /** Logs what the fence decided, with the time: the history of effects as the target saw them. */
     private static void note(WorkKind kind, long token, String step, String what) {
         System.err.println("fence " + System.currentTimeMillis() + " " + kind.label() + " " + token + " " + step + " " + what);
     }
 
-    // ---- bans: told to every instance, those that start later too
+    // ---- bans: sent to every instance, also to those that start later
 
-    /** Tells each ready instance what it does not know yet; called when something changed and now and then. */
+    /** Sends each ready instance the bans that it does not have yet; called after changes and periodically. */
     void applyBansToAll() {
         boolean all = true;
         for (WorkProcedure.InstanceStatus one : targets.standings()) {
             InstanceBanState knows = banStates.computeIfAbsent(one.name(), none -> new InstanceBanState());
-            if (!one.ready()) { continue; }          // it is told once it is
+            if (!one.ready()) { continue; }          // it gets the bans once it is ready
             long starts = targets.starts(one.name());
             if (knows.starts != starts) { knows.begin(starts); }
             all &= tell(one.name(), knows);
@@ -267,7 +267,7 @@
         }
     }
 
-    /** Whether an instance knows all that can be told it. */
+    /** Whether an instance has all bans that it can take; sends the next one if not. */
     private boolean tell(String instance, InstanceBanState knows) {
         long token = fence.sealedToken(WorkKind.BANS.label());
         if (revision == 0 || knows.unable != null) { return true; }
@@ -300,7 +300,7 @@
             } else if (answer.contains("was ever listed")) {
                 knows.later.put(line.split(" ")[1], loop.now() + UNLISTED_RETRY_MS);
             } else if (answer.contains("token")) {
-                knows.fenced = 0;                    // it has heard of a newer one, or of none: told anew
+                knows.fenced = 0;                    // it has a newer token, or none: the token is sent again
                 knows.notBefore = loop.now() + RETRY_MS;
             } else {
                 knows.unable = answer;
