--- a/lab/src/yardusher/lab/fleet/Checker.java
+++ b/lab/src/yardusher/lab/fleet/Checker.java
@@ -19,14 +19,14 @@
      */
     public static List<String> breaches(List<Event> events, int away, Set<String> done, Set<String> all) {
         List<String> found = new ArrayList<>();
-        tokens(events, found);
-        away(events, away, found);
-        effects(events, done, all, found);
+        checkTokens(events, found);
+        checkAway(events, away, found);
+        checkEffects(events, done, all, found);
         return found;
     }
 
     /** At each target the tokens that are sealed and acted under never fall. */
-    private static void tokens(List<Event> events, List<String> found) {
+    private static void checkTokens(List<Event> events, List<String> found) {
         Map<String, Long> highest = new HashMap<>();
         for (Event event : events) {
             if (event.work().equals("instance")) { continue; }
@@ -41,7 +41,7 @@
     }
 
     /** From the act to the moment at which the instance is ready again it is away; never more at once than allowed. */
-    private static void away(List<Event> events, int allowed, List<String> found) {
+    private static void checkAway(List<Event> events, int allowed, List<String> found) {
         Set<String> gone = new HashSet<>();
         for (Event event : events) {
             if (event.work().equals("roll") && event.what().startsWith("acts restart ")) {
@@ -54,7 +54,7 @@
     }
 
     /** Each step takes effect once: an instance is started anew once for each roll, and not without one. */
-    private static void effects(List<Event> events, Set<String> done, Set<String> all, List<String> found) {
+    private static void checkEffects(List<Event> events, Set<String> done, Set<String> all, List<String> found) {
         Map<String, Integer> starts = new LinkedHashMap<>();
         Map<String, Set<String>> rolls = new HashMap<>(); // by instance, the rolls whose step was acted on
         for (Event event : events) {
--- a/lab/src/yardusher/lab/fleet/Costs.java
+++ b/lab/src/yardusher/lab/fleet/Costs.java
@@ -37,7 +37,7 @@
     }
 
     private static Installation begin(Path folder, int agents, int instances) throws IOException, InterruptedException {
-        Installation site = new Installation(folder, agents, instances, Installation.Tuning.USUAL);
+        Installation site = new Installation(folder, agents, instances, Installation.Tuning.DEFAULT);
         site.init();
         for (int i = 0; i < agents; i++) { site.start(i); }
         for (int i = 0; i < agents; i++) { ready(site, i); }
--- a/lab/src/yardusher/lab/fleet/FleetRun.java
+++ b/lab/src/yardusher/lab/fleet/FleetRun.java
@@ -23,16 +23,16 @@
 public final class FleetRun {
     private static final long CALM_MS = 60_000;
     private static final double LOAD_PER_S = 40;
-    private static final int TRIES = 6;
-    private static final long MOST_TAKEOVER_MS = 3500;
+    private static final int MAX_ATTEMPTS = 6;
+    private static final long MAX_TAKEOVER_MS = 3500;
 
     /** How a seed went. */
-    public record Verdict(long seed, int faults, int rolls, int rollsDone, int owners, long effects, long refused, int transactions, long unserved, List<String> breaches) { }
+    public record Verdict(long seed, int faults, int rolls, int rollsDone, int owners, long effects, long refused, int requests, long unserved, List<String> breaches) { }
 
     private final Installation site;
     private final Random random;
     private final List<String> schedule = new ArrayList<>();
-    private final long began = System.currentTimeMillis();
+    private final long startedAtMs = System.currentTimeMillis();
     private final int away;
     private int faults;
 
@@ -59,7 +59,7 @@
         }
     }
 
-    private void say(String what) { schedule.add((System.currentTimeMillis() - began) + " " + what); }
+    private void record(String what) { schedule.add((System.currentTimeMillis() - startedAtMs) + " " + what); }
 
     /** Transactions come all the while; each has to be served in the end, with what a region made for it. */
     private Verdict underLoad(long seed, int troubles) throws IOException, InterruptedException {
@@ -71,7 +71,7 @@
             if (!await(i, 20_000)) { breaches.add("agent " + i + " was never ready"); }
         }
         Verdict verdict;
-        try (Terminals.Load load = terminals.load(4, LOAD_PER_S, TRIES, (terminal, number) -> {
+        try (Terminals.Load load = terminals.load(4, LOAD_PER_S, MAX_ATTEMPTS, (terminal, number) -> {
             long customer = 1000 + terminal * 100L + number % 100;
             return number % 2 == 0 ? terminals.get(customer, 1500, 0, 3) : terminals.post(customer, 1500, 0, 3, terminal * 1_000_000L + number, "b");
         })) {
@@ -81,23 +81,23 @@
         for (Terminals.Try one : site.terminalHistory()) { last.put(one.retryOf(), one); }
         long lost = last.values().stream().filter(one -> one.end() != Terminals.End.SERVED).count();
         // A machine that stands still for seconds fails all tries of one: a figure then, and no breach.
-        if (lost * 100 > last.size()) { breaches.add(lost + " transactions of " + last.size() + " were not served in " + TRIES + " tries"); }
+        if (lost * 100 > last.size()) { breaches.add(lost + " transactions of " + last.size() + " were not served in " + MAX_ATTEMPTS + " tries"); }
         breaches.addAll(Checks.served(site.regionHistory(), site.terminalHistory()));
         breaches.addAll(Checks.connections(site.regionHistory()));
         return new Verdict(seed, verdict.faults(), verdict.rolls(), verdict.rollsDone(), verdict.owners(), verdict.effects(), verdict.refused(), last.size(), lost, breaches);
     }
 
     private Verdict play(long seed, int troubles, List<String> breaches) throws IOException, InterruptedException {
-        say("seed " + seed + ", away " + away);
+        record("seed " + seed + ", away " + away);
         int rolls = 1;
         order(0, seed + "-roll-" + rolls, "-");
         for (int i = 0; i < troubles && breaches.isEmpty(); i++) {
-            trouble();
+            injectFault();
             if (random.nextInt(3) > 0) { order(random.nextInt(site.agents()), seed + "-roll-" + ++rolls, random.nextBoolean() ? "take-over" : "-"); }
             if (random.nextInt(3) == 0) { ban(random.nextInt(site.agents()), seed + "-ban-" + i); }
         }
-        calm();
-        String last = settled();
+        endFaults();
+        String last = awaitSettled();
         if (last == null) { breaches.add("the last roll did not end within " + CALM_MS + " ms of calm"); }
         List<History.Event> history = site.history();
         Set<String> done = new HashSet<>();
@@ -133,23 +133,23 @@
     }
 
     private void order(int agent, String id, String takeOver) {
-        say("a" + agent + " is told to roll, " + takeOver + ": " + site.order(agent, id, "roll", "restart away=" + away + " failures=0", takeOver));
+        record("a" + agent + " is told to roll, " + takeOver + ": " + site.order(agent, id, "roll", "restart away=" + away + " failures=0", takeOver));
     }
 
     private void ban(int agent, String id) {
         String verb = random.nextBoolean() ? "ban" : "unban";
-        say("a" + agent + " is told to " + verb + ": " + site.order(agent, id, verb, "s-00000001"));
+        record("a" + agent + " is told to " + verb + ": " + site.order(agent, id, verb, "s-00000001"));
     }
 
     /** One fault, from its beginning to its end. */
-    private void trouble() throws IOException, InterruptedException {
+    private void injectFault() throws IOException, InterruptedException {
         faults++;
         int holder = random.nextInt(2) == 0 ? site.holder(random.nextInt(site.agents()), "roll") : -1;
         int a = holder >= 0 ? holder : random.nextInt(site.agents());
         int b = (a + 1 + random.nextInt(site.agents() - 1)) % site.agents();
         long ms = 200 + random.nextInt(2500);
         int kind = random.nextInt(12);
-        say("kind " + kind + " at a" + a + ", a" + b + " for " + ms);
+        record("kind " + kind + " at a" + a + ", a" + b + " for " + ms);
         switch (kind) {
             case 0, 1 -> {
                 site.kill(a);
@@ -164,19 +164,19 @@
             case 4 -> {                              // cut off from all others
                 for (int j = 0; j < site.agents(); j++) {
                     if (j != a) {
-                        site.way(a, j).cut();
-                        site.way(j, a).cut();
+                        site.relay(a, j).cut();
+                        site.relay(j, a).cut();
                     }
                 }
                 Thread.sleep(ms);
             }
             case 5 -> {                              // one way only
-                site.way(a, b).there.lose(true);
+                site.relay(a, b).there.lose(true);
                 Thread.sleep(ms);
             }
             case 6 -> {                              // what it has sent comes later, also when it is dead by then
                 for (int j = 0; j < site.agents(); j++) {
-                    if (j != a) { site.way(a, j).there.hold(); }
+                    if (j != a) { site.relay(a, j).there.hold(); }
                 }
                 Thread.sleep(ms / 2);
                 boolean dies = random.nextBoolean();
@@ -195,8 +195,8 @@
             default -> {
                 for (int j = 0; j < site.agents(); j++) {
                     if (j == a) { continue; }
-                    site.way(a, j).there.delay(random.nextInt(60));
-                    site.way(j, a).back.reset(random.nextInt(40));
+                    site.relay(a, j).there.delay(random.nextInt(60));
+                    site.relay(j, a).back.reset(random.nextInt(40));
                 }
                 Thread.sleep(ms);
             }
@@ -206,21 +206,21 @@
 
     /** A new roll's order to one target is kept until the next owner, maybe of yet another roll, has begun; then it comes, and its sender wakes or starts. */
     private void lateOrder(int asked, int which, boolean dies, boolean another) throws IOException, InterruptedException {
-        long seen = sealed();
-        order(asked, "late-" + faults + "-" + began, "take-over");
-        long until = System.currentTimeMillis() + MOST_TAKEOVER_MS;
+        long seen = highestSealedToken();
+        order(asked, "late-" + faults + "-" + startedAtMs, "take-over");
+        long until = System.currentTimeMillis() + MAX_TAKEOVER_MS;
         int owner;
-        while ((owner = site.holder(asked, "roll")) < 0 || sealed() <= seen) {
+        while ((owner = site.holder(asked, "roll")) < 0 || highestSealedToken() <= seen) {
             if (System.currentTimeMillis() > until) { return; }
             Thread.sleep(10);
         }
         int target = (owner + 1 + which) % site.agents();
-        site.way(owner, target).there.holdAt("FLEET.DO");
-        for (until = System.currentTimeMillis() + MOST_TAKEOVER_MS; System.currentTimeMillis() < until && !site.way(owner, target).there.isHolding();) { Thread.sleep(10); }
-        say((site.way(owner, target).there.isHolding() ? "an order of a" : "no order of a") + owner + " to a" + target + " is held");
+        site.relay(owner, target).there.holdAt("FLEET.DO");
+        for (until = System.currentTimeMillis() + MAX_TAKEOVER_MS; System.currentTimeMillis() < until && !site.relay(owner, target).there.isHolding();) { Thread.sleep(10); }
+        record((site.relay(owner, target).there.isHolding() ? "an order of a" : "no order of a") + owner + " to a" + target + " is held");
         if (dies) { site.kill(owner); } else { site.pause(owner); }
         // Before anybody takes the roll up: else the next owner has the step done, and the late order finds it known.
-        if (another) { order(target, "later-" + faults + "-" + began, "take-over"); }
+        if (another) { order(target, "later-" + faults + "-" + startedAtMs, "take-over"); }
         awaitNext(owner, target);
         heal();
         if (dies) { site.start(owner); } else { site.resume(owner); }
@@ -228,27 +228,27 @@
 
     /** Waits until another owner of a roll has sealed at some target, where {@code a} held one; not for longer than it takes. */
     private void awaitNext(int a, int asked) throws IOException, InterruptedException {
-        long until = System.currentTimeMillis() + MOST_TAKEOVER_MS;
-        long sealed = sealed();
-        while (System.currentTimeMillis() < until && sealed() <= sealed) { Thread.sleep(50); }
-        say("a" + a + " comes back; a" + site.holder(asked, "roll") + " holds the roll");
+        long until = System.currentTimeMillis() + MAX_TAKEOVER_MS;
+        long sealed = highestSealedToken();
+        while (System.currentTimeMillis() < until && highestSealedToken() <= sealed) { Thread.sleep(50); }
+        record("a" + a + " comes back; a" + site.holder(asked, "roll") + " holds the roll");
     }
 
     /** The highest token that any target has sealed for a roll. */
-    private long sealed() throws IOException {
+    private long highestSealedToken() throws IOException {
         return site.history().stream().filter(event -> event.work().equals("roll") && event.what().equals("seals")).mapToLong(History.Event::token).max().orElse(0);
     }
 
     private void heal() {
         for (int i = 0; i < site.agents(); i++) {
             for (int j = 0; j < site.agents(); j++) {
-                if (i != j) { site.way(i, j).heal(); }
+                if (i != j) { site.relay(i, j).heal(); }
             }
         }
     }
 
-    private void calm() throws IOException, InterruptedException {
-        say("calm");
+    private void endFaults() throws IOException, InterruptedException {
+        record("calm");
         heal();
         for (int i = 0; i < site.agents(); i++) {
             site.resume(i);
@@ -257,7 +257,7 @@
     }
 
     /** Waits until no roll runs and all instances are ready; the last report, or null. */
-    private String settled() throws InterruptedException {
+    private String awaitSettled() throws InterruptedException {
         for (long until = System.currentTimeMillis() + CALM_MS; System.currentTimeMillis() < until; Thread.sleep(100)) {
             String report = site.report(0);
             if (report != null && report.contains("state=current") && !Installation.cell(report, "roll", "state").equals("running")) {
@@ -296,7 +296,7 @@
                         if (Files.exists(folder)) { Seeds.delete(folder); }
                         Verdict verdict = play(folder, seed, agents, instances, troubles, plant);
                         System.out.printf("seed %d: %d faults, %d rolls ordered, %d done, %d owners, %d effects, %d late orders refused, %d transactions, %d unserved, %.0f s%s%n", seed,
-                                verdict.faults(), verdict.rolls(), verdict.rollsDone(), verdict.owners(), verdict.effects(), verdict.refused(), verdict.transactions(), verdict.unserved(),
+                                verdict.faults(), verdict.rolls(), verdict.rollsDone(), verdict.owners(), verdict.effects(), verdict.refused(), verdict.requests(), verdict.unserved(),
                                 (System.nanoTime() - from) / 1e9, verdict.breaches().isEmpty() ? "" : "  BREACH " + verdict.breaches());
                         if (verdict.breaches().isEmpty()) { Seeds.delete(folder); } else { broken.incrementAndGet(); }
                     } catch (IOException | InterruptedException | RuntimeException e) {
--- a/lab/src/yardusher/lab/fleet/Installation.java
+++ b/lab/src/yardusher/lab/fleet/Installation.java
@@ -34,7 +34,7 @@
 
     /** Settings of the agents' table fleet, beside those that have to be as they are. */
     public record Tuning(int leaseMs, int heartbeatMs, int patienceMs) {
-        public static final Tuning USUAL = new Tuning(1500, 200, 30_000);
+        public static final Tuning DEFAULT = new Tuning(1500, 200, 30_000);
     }
 
     private final Path folder;
@@ -43,17 +43,17 @@
     private final Tuning tuning;
     private final InetSocketAddress[] controls;
     private final Process[] processes;
-    private final Map<List<Integer>, Relay> ways = new LinkedHashMap<>();
+    private final Map<List<Integer>, Relay> relays = new LinkedHashMap<>();
     private final int number = Programs.nextGroup();
     private final List<InetSocketAddress> addresses = new ArrayList<>(); // of instances, agent by agent
     private final Plant plant;
-    private final Set<Integer> piped = new HashSet<>();
+    private final Set<Integer> pipedAgents = new HashSet<>();
     private final Discovery discovery;
     private final List<Region> regions = new ArrayList<>();
     private final Chronicle<Region.Event> regionHistory;
     private final Chronicle<Terminals.Try> terminalHistory;
     private final Terminals terminals;
-    private final Thread whenCutOff = new Thread(this::end);
+    private final Thread shutdownHook = new Thread(this::end);
 
     /** {@code instances}: of each agent. */
     public Installation(Path folder, int agents, int instances, Tuning tuning) throws IOException {
@@ -73,7 +73,7 @@
         for (int i = 0; i < agents; i++) { controls[i] = free(i); }
         for (int i = 0; i < agents; i++) {
             for (int j = 0; j < agents; j++) {
-                if (i != j) { ways.put(List.of(i, j), new Relay(controls[i].getAddress(), controls[j])); }
+                if (i != j) { relays.put(List.of(i, j), new Relay(controls[i].getAddress(), controls[j])); }
             }
         }
         regionHistory = new Chronicle<>(folder.resolve("regions.tsv"));
@@ -86,7 +86,7 @@
         }
         for (int i = 0; i < agents; i++) { write(i); }
         terminals = new Terminals(addresses, terminalHistory, number);
-        Runtime.getRuntime().addShutdownHook(whenCutOff); // a run that is cut off leaves no process behind either
+        Runtime.getRuntime().addShutdownHook(shutdownHook); // a run that is cut off leaves no process behind either
     }
 
     private InetSocketAddress free(int machine) throws IOException { return Programs.free(Programs.place(number, machine)); }
@@ -100,7 +100,7 @@
         out.append("]\n\n[fleet]\ninstallation = \"" + NAME + "\"\nmember = \"a" + i + "\"\nfolder = '" + folder.resolve("a" + i)
                 + "'\nlease_ms = " + tuning.leaseMs() + "\nheartbeat_ms = " + tuning.heartbeatMs() + "\npatience_ms = " + tuning.patienceMs() + "\n");
         for (int j = 0; j < agents; j++) {
-            out.append("[[fleet.members]]\nname = \"a" + j + "\"\naddress = \"" + text(i == j ? controls[i] : way(i, j).address()) + "\"\n");
+            out.append("[[fleet.members]]\nname = \"a" + j + "\"\naddress = \"" + text(i == j ? controls[i] : relay(i, j).address()) + "\"\n");
         }
         Path settings = folder.resolve("settings.toml");
         Files.writeString(settings, "[fleet]\norders = true\n");
@@ -128,7 +128,7 @@
     public Path log(int agent) { return folder.resolve("a" + agent + ".log"); }
 
     /** The way from one agent to another. */
-    public Relay way(int from, int to) { return ways.get(List.of(from, to)); }
+    public Relay relay(int from, int to) { return relays.get(List.of(from, to)); }
 
     public int agents() { return agents; }
 
@@ -166,7 +166,7 @@
     public void start(int agent) throws IOException {
         List<String> command = new ArrayList<>();
         // A limit on the size of files would be one on the log too, so a process that has none writes it.
-        if (piped.contains(agent)) { command.addAll(List.of("bash", "-c", "exec \"$@\" > >(exec cat >> '" + log(agent) + "') 2>&1", "bash")); }
+        if (pipedAgents.contains(agent)) { command.addAll(List.of("bash", "-c", "exec \"$@\" > >(exec cat >> '" + log(agent) + "') 2>&1", "bash")); }
         command.addAll(plant == null ? command() : plant.command(48));
         command.addAll(List.of("agent", "start", file(agent).toString()));
         processes[agent] = new ProcessBuilder(command).redirectInput(new File("/dev/null")).redirectErrorStream(true)
@@ -174,13 +174,13 @@
     }
 
     /** From its next start on its files can be kept from growing by {@link #full}. */
-    public void limitable(int agent) { piped.add(agent); }
+    public void allowDiskFull(int agent) { pipedAgents.add(agent); }
 
     /**
      * No file of an agent that is {@link #limitable} grows any more, as on a full disk; or there is room again. What its
      * processes see is "File too large" in place of "No space left on device": a disk with a quota is not to be had here.
      */
-    public void full(int agent, boolean yes) throws IOException, InterruptedException {
+    public void setDiskFull(int agent, boolean yes) throws IOException, InterruptedException {
         String limit = yes ? "--fsize=0:unlimited" : "--fsize=unlimited:unlimited";
         int status = new ProcessBuilder("prlimit", "--pid", Long.toString(processes[agent].pid()), limit).inheritIO().start().waitFor();
         if (status != 0) { throw new IOException("prlimit ended with " + status); }
@@ -277,7 +277,7 @@
     public void close() {
         end();
         try {
-            Runtime.getRuntime().removeShutdownHook(whenCutOff);
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException e) { /* the end of this program is what closes it */ }
     }
 
@@ -301,7 +301,7 @@
                         .ifPresent(ProcessHandle::destroyForcibly);
             }
         }
-        List<Closeable> rest = new ArrayList<>(ways.values());
+        List<Closeable> rest = new ArrayList<>(relays.values());
         rest.addAll(regions);
         rest.addAll(List.of(terminals, discovery, regionHistory, terminalHistory));
         for (Closeable one : rest) {
--- a/lab/src/yardusher/lab/fleet/Model.java
+++ b/lab/src/yardusher/lab/fleet/Model.java
@@ -31,18 +31,18 @@
 
     private record State(String bytes, long sent) { }
 
-    private record Came(State from, String by) { }
+    private record Predecessor(State from, String by) { }
 
     /** What was found: how many states there are, and the way to the first that breaks a rule, or null. */
-    public record Found(int states, List<String> breach) { }
+    public record Result(int states, List<String> breach) { }
 
     private final Without without;
     private final int tokens;
     private final int targets;
-    private final Map<State, Came> seen = new HashMap<>();
+    private final Map<State, Predecessor> visited = new HashMap<>();
     private final ArrayDeque<State> next = new ArrayDeque<>();
     private State now;
-    private byte[] b;
+    private byte[] bytes;
     private long sent;
 
     private Model(Without without, int tokens, int targets) {
@@ -52,54 +52,54 @@
     }
 
     /** Visits all states that so many grants of tokens allow, with two or three targets. */
-    public static Found explore(Without without, int tokens, int targets) { return new Model(without, tokens, targets).run(); }
+    public static Result explore(Without without, int tokens, int targets) { return new Model(without, tokens, targets).run(); }
 
-    private Found run() {
+    private Result run() {
         State first = new State(text(new byte[SIZE]), 0);
-        seen.put(first, new Came(null, "begins"));
+        visited.put(first, new Predecessor(null, "begins"));
         next.add(first);
         while (!next.isEmpty()) {
             now = next.poll();
-            String broken = broken();
+            String broken = violation();
             if (broken != null) {
                 List<String> way = new ArrayList<>();
-                for (State at = now; at != null; at = seen.get(at).from()) { way.add(seen.get(at).by()); }
+                for (State at = now; at != null; at = visited.get(at).from()) { way.add(visited.get(at).by()); }
                 Collections.reverse(way);
                 way.add("BREACH: " + broken);
-                return new Found(seen.size(), way);
+                return new Result(visited.size(), way);
             }
             register();
             for (int i = 0; i < 2; i++) { owner(i); }
             targets();
         }
-        return new Found(seen.size(), null);
+        return new Result(visited.size(), null);
     }
 
     private static String text(byte[] bytes) { return new String(bytes, java.nio.charset.StandardCharsets.ISO_8859_1); }
 
     private void load() {
-        b = now.bytes().getBytes(java.nio.charset.StandardCharsets.ISO_8859_1);
+        bytes = now.bytes().getBytes(java.nio.charset.StandardCharsets.ISO_8859_1);
         sent = now.sent();
     }
 
-    private void reach(String by) {
-        State to = new State(text(b), sent);
-        if (seen.putIfAbsent(to, new Came(now, by)) == null) { next.add(to); }
+    private void addState(String by) {
+        State to = new State(text(bytes), sent);
+        if (visited.putIfAbsent(to, new Predecessor(now, by)) == null) { next.add(to); }
     }
 
-    private String broken() {
+    private String violation() {
         load();
         int away = 0;
         for (int s = 0; s < WORKS * STEPS; s++) {
-            away += b[step(s) + STATUS] == AWAY ? 1 : 0;
-            if (b[step(s) + EFFECTS] > 1) { return "step " + s + " took effect twice"; }
+            away += bytes[stepOffset(s) + STATUS] == AWAY ? 1 : 0;
+            if (bytes[stepOffset(s) + EFFECTS] > 1) { return "step " + s + " took effect twice"; }
         }
         return away > 1 ? "two restarts are under way at once" : null;
     }
 
-    private static int step(int s) { return STEP + s * STEP_SIZE; }
+    private static int stepOffset(int s) { return STEP + s * STEP_SIZE; }
 
-    private static int my(int owner, int what) { return OWNER + owner * OWNER_SIZE + what; }
+    private static int ownerOffset(int owner, int what) { return OWNER + owner * OWNER_SIZE + what; }
 
     // Messages, by the bit that says that one was sent. Tokens count from 1.
     private long seal(int token, int target) { return 1L << (token - 1) * TARGETS + target; }
@@ -110,67 +110,67 @@
 
     private long order(int token, int s) { return 1L << 12 * TARGETS + (token - 1) * WORKS * STEPS + s; }
 
-    private boolean told(int s) { return b[step(s) + STATUS] == OVER; } // an answer may come once the step is over
+    private boolean answered(int s) { return bytes[stepOffset(s) + STATUS] == OVER; } // an answer may come once the step is over
 
     private void register() {
         for (int i = 0; i < 2; i++) {
             load();
-            if (b[TOKEN] >= tokens) { break; }
-            b[TOKEN]++;                              // any time: the lease may be over
-            b[HOLDER] = (byte) (i + 1);
-            b[my(i, MY_TOKEN)] = b[TOKEN];
-            b[my(i, MY_WORK)] = b[WORK];
-            b[my(i, MY_OUT)] = b[OUT];
-            b[my(i, MY_DONE)] = b[DONE];
-            b[my(i, MY_SEALED)] = 0;
-            b[my(i, MY_READY)] = 0;
-            reach("owner " + i + " is given token " + b[TOKEN] + " of work " + b[WORK] + ", " + b[OUT] + " out, " + b[DONE] + " done");
+            if (bytes[TOKEN] >= tokens) { break; }
+            bytes[TOKEN]++;                              // any time: the lease may be over
+            bytes[HOLDER] = (byte) (i + 1);
+            bytes[ownerOffset(i, MY_TOKEN)] = bytes[TOKEN];
+            bytes[ownerOffset(i, MY_WORK)] = bytes[WORK];
+            bytes[ownerOffset(i, MY_OUT)] = bytes[OUT];
+            bytes[ownerOffset(i, MY_DONE)] = bytes[DONE];
+            bytes[ownerOffset(i, MY_SEALED)] = 0;
+            bytes[ownerOffset(i, MY_READY)] = 0;
+            addState("owner " + i + " is given token " + bytes[TOKEN] + " of work " + bytes[WORK] + ", " + bytes[OUT] + " out, " + bytes[DONE] + " done");
         }
         load();
-        if (b[WORK] == 0 && b[TOKEN] < tokens) {
-            b[WORK] = 1;
-            b[TOKEN]++;
-            b[HOLDER] = 0;
-            b[OUT] = b[DONE] = 0;
-            reach("an operator takes over: work 1");
+        if (bytes[WORK] == 0 && bytes[TOKEN] < tokens) {
+            bytes[WORK] = 1;
+            bytes[TOKEN]++;
+            bytes[HOLDER] = 0;
+            bytes[OUT] = bytes[DONE] = 0;
+            addState("an operator takes over: work 1");
         }
     }
 
     private void owner(int i) {
         load();
-        int token = b[my(i, MY_TOKEN)];
+        int token = bytes[ownerOffset(i, MY_TOKEN)];
         if (token == 0) { return; }
         for (int j = 0; j < targets; j++) { sent |= seal(token, j); }
-        reach("owner " + i + " asks all to seal token " + token);
+        addState("owner " + i + " asks all to seal token " + token);
         for (int j = 0; j < targets; j++) {
             for (boolean ready : new boolean[] {false, true}) {
                 load();
                 if ((sent & sealed(token, j, ready)) == 0) { continue; }
-                b[my(i, MY_SEALED)] |= 1 << j;
-                if (ready) { b[my(i, MY_READY)] |= 1 << j; }
-                reach("owner " + i + " hears that target " + j + " has sealed " + token + (ready ? ", ready" : ", away"));
+                bytes[ownerOffset(i, MY_SEALED)] |= 1 << j;
+                if (ready) { bytes[ownerOffset(i, MY_READY)] |= 1 << j; }
+                addState("owner " + i + " hears that target " + j + " has sealed " + token + (ready ? ", ready" : ", away"));
             }
         }
         load();
-        int out = b[my(i, MY_OUT)];
-        int done = b[my(i, MY_DONE)];
-        int work = b[my(i, MY_WORK)];
-        boolean current = b[TOKEN] == token;
+        int out = bytes[ownerOffset(i, MY_OUT)];
+        int done = bytes[ownerOffset(i, MY_DONE)];
+        int work = bytes[ownerOffset(i, MY_WORK)];
+        boolean current = bytes[TOKEN] == token;
         int all = (1 << targets) - 1;
-        boolean mayGoOn = without == Without.SEALING || b[my(i, MY_SEALED)] == all && b[my(i, MY_READY)] == all;
+        boolean mayGoOn = without == Without.SEALING || bytes[ownerOffset(i, MY_SEALED)] == all && bytes[ownerOffset(i, MY_READY)] == all;
         if (out == done && out < STEPS && mayGoOn && current) {
-            b[OUT] = ++b[my(i, MY_OUT)];
-            reach("owner " + i + " writes down that step " + out + " of work " + work + " is out");
+            bytes[OUT] = ++bytes[ownerOffset(i, MY_OUT)];
+            addState("owner " + i + " writes down that step " + out + " of work " + work + " is out");
         }
         load();
-        if (out > done && (without == Without.SEALING || (b[my(i, MY_SEALED)] & 1 << out - 1) != 0)) {
+        if (out > done && (without == Without.SEALING || (bytes[ownerOffset(i, MY_SEALED)] & 1 << out - 1) != 0)) {
             sent |= order(token, work * STEPS + out - 1);
-            reach("owner " + i + " orders step " + (out - 1) + " of work " + work + " under token " + token);
+            addState("owner " + i + " orders step " + (out - 1) + " of work " + work + " under token " + token);
         }
         load();
-        if (out > done && told(work * STEPS + out - 1) && current) {
-            b[DONE] = ++b[my(i, MY_DONE)];
-            reach("owner " + i + " writes down that step " + (out - 1) + " of work " + work + " is done");
+        if (out > done && answered(work * STEPS + out - 1) && current) {
+            bytes[DONE] = ++bytes[ownerOffset(i, MY_DONE)];
+            addState("owner " + i + " writes down that step " + (out - 1) + " of work " + work + " is done");
         }
     }
 
@@ -180,33 +180,33 @@
                 load();
                 if ((sent & seal(token, j)) == 0) { continue; }
                 boolean ready = true;
-                for (int work = 0; work < WORKS && j < STEPS; work++) { ready &= b[step(work * STEPS + j) + STATUS] != AWAY; }
+                for (int work = 0; work < WORKS && j < STEPS; work++) { ready &= bytes[stepOffset(work * STEPS + j) + STATUS] != AWAY; }
                 if (without != Without.FENCE) {
-                    if (token < b[SEALED + j]) { continue; }
-                    b[SEALED + j] = (byte) token;
+                    if (token < bytes[SEALED + j]) { continue; }
+                    bytes[SEALED + j] = (byte) token;
                 }
                 sent |= sealed(token, j, ready);
-                reach("target " + j + " seals token " + token + (ready ? ", ready" : ", away"));
+                addState("target " + j + " seals token " + token + (ready ? ", ready" : ", away"));
             }
             for (int s = 0; s < WORKS * STEPS; s++) { deliver(token, s); }
         }
         for (int s = 0; s < WORKS * STEPS; s++) {
             load();
-            int at = step(s);
-            if (b[at + STATUS] == BEGUN) {
-                boolean may = b[SEALED + s % STEPS] == b[at + BY] || without == Without.LOOK_AT_THE_ACT || without == Without.FENCE;
-                b[at + STATUS] = (byte) (may ? AWAY : NONE);
-                b[at + EFFECTS] += may ? 1 : 0;
-                reach("target " + s % STEPS + (may ? " acts on" : " drops") + " step " + s % STEPS + " of work " + s / STEPS);
+            int at = stepOffset(s);
+            if (bytes[at + STATUS] == BEGUN) {
+                boolean may = bytes[SEALED + s % STEPS] == bytes[at + BY] || without == Without.LOOK_AT_THE_ACT || without == Without.FENCE;
+                bytes[at + STATUS] = (byte) (may ? AWAY : NONE);
+                bytes[at + EFFECTS] += may ? 1 : 0;
+                addState("target " + s % STEPS + (may ? " acts on" : " drops") + " step " + s % STEPS + " of work " + s / STEPS);
                 load();
-                if (b[CRASHES] < 1) {
-                    b[CRASHES]++;
-                    b[at + STATUS] = UNKNOWN;
-                    reach("target " + s % STEPS + " dies between its record and the act");
+                if (bytes[CRASHES] < 1) {
+                    bytes[CRASHES]++;
+                    bytes[at + STATUS] = UNKNOWN;
+                    addState("target " + s % STEPS + " dies between its record and the act");
                 }
-            } else if (b[at + STATUS] == AWAY) {
-                b[at + STATUS] = OVER;
-                reach("target " + s % STEPS + " is ready again");
+            } else if (bytes[at + STATUS] == AWAY) {
+                bytes[at + STATUS] = OVER;
+                addState("target " + s % STEPS + " is ready again");
             }
         }
     }
@@ -215,18 +215,18 @@
         load();
         int j = s % STEPS;
         if ((sent & order(token, s)) == 0) { return; }
-        int at = step(s);
+        int at = stepOffset(s);
         Fence fence = new Fence();
-        if (b[SEALED + j] > 0) { fence.seal("roll", b[SEALED + j]); }
-        if (b[at + STATUS] != NONE) { fence.begin("roll", b[at + BY], "s", "", ""); }
-        if (b[at + STATUS] == OVER) { fence.end("roll", "s", "done"); }
-        if (b[at + STATUS] == UNKNOWN) { fence.clearRunning("roll", "s"); }
-        Fence.Verdict verdict = fence.check("roll", without == Without.FENCE ? b[SEALED + j] : token, "s");
-        boolean again = without == Without.STEP_IDS && b[at + STATUS] == OVER && verdict instanceof Fence.Finished;
+        if (bytes[SEALED + j] > 0) { fence.seal("roll", bytes[SEALED + j]); }
+        if (bytes[at + STATUS] != NONE) { fence.begin("roll", bytes[at + BY], "s", "", ""); }
+        if (bytes[at + STATUS] == OVER) { fence.end("roll", "s", "done"); }
+        if (bytes[at + STATUS] == UNKNOWN) { fence.clearRunning("roll", "s"); }
+        Fence.Verdict verdict = fence.check("roll", without == Without.FENCE ? bytes[SEALED + j] : token, "s");
+        boolean again = without == Without.STEP_IDS && bytes[at + STATUS] == OVER && verdict instanceof Fence.Finished;
         if (!(verdict instanceof Fence.Begin) && !(verdict instanceof Fence.Unknown) && !again) { return; }
-        b[at + STATUS] = BEGUN;
-        b[at + BY] = (byte) token;
-        reach("target " + j + " writes down step " + j + " of work " + s / STEPS + " under token " + token);
+        bytes[at + STATUS] = BEGUN;
+        bytes[at + BY] = (byte) token;
+        addState("target " + j + " writes down step " + j + " of work " + s / STEPS + " under token " + token);
     }
 
     /** All states, and what each part is there for. */
@@ -235,7 +235,7 @@
         int targets = args.length > 1 ? Integer.parseInt(args[1]) : TARGETS;
         for (Without without : Without.values()) {
             long from = System.nanoTime();
-            Found found = explore(without, tokens, targets);
+            Result found = explore(without, tokens, targets);
             System.out.printf("without %s: %d states in %.1f s, %s%n", without, found.states(), (System.nanoTime() - from) / 1e9,
                     found.breach() == null ? "no breach" : "breach after " + (found.breach().size() - 2) + " events:");
             if (found.breach() != null) { found.breach().forEach(line -> System.out.println("    " + line)); }
--- a/lab/src/yardusher/lab/fleet/Plant.java
+++ b/lab/src/yardusher/lab/fleet/Plant.java
@@ -31,15 +31,15 @@
 
     static {
         ALL.put("no-fence", List.of(
-                new Edit("fence/Fence.java", "if (token < kept.sealedToken) { return false; }", ""),
-                new Edit("fence/Fence.java", "if (token < kept.sealedToken) { return new Refused(kept.sealedToken); }", ""),
-                new Edit("fence/Fence.java", "if (token > kept.sealedToken) { return new Unsealed(kept.sealedToken); }", ""),
+                new Edit("fence/Fence.java", "if (token < state.sealedToken) { return false; }", ""),
+                new Edit("fence/Fence.java", "if (token < state.sealedToken) { return new Refused(state.sealedToken); }", ""),
+                new Edit("fence/Fence.java", "if (token > state.sealedToken) { return new Unsealed(state.sealedToken); }", ""),
                 new Edit("fence/Fence.java", "return sealedToken(work) == token;", "return true;"),
                 new Edit("fleet/StepExecutor.java", "long newest = Math.max(grantedToken(kind), fence.sealedToken(kind.label()));", "long newest = 0;"),
                 new Edit("fleet/StepExecutor.java", "long newest = grantedToken(kind);", "long newest = 0;"),
                 new Edit("fleet/StepExecutor.java", "|| token < grantedToken(kind))", "|| false)")));
-        ALL.put("no-step-ids", List.of(new Edit("fence/Fence.java", "Step known = kept.steps.get(step);",
-                "Step known = kept.steps.get(step);\n if (known != null && known.token() != token) { known = null; }"))); // steps of different owners are not deduplicated
+        ALL.put("no-step-ids", List.of(new Edit("fence/Fence.java", "Step known = state.steps.get(step);",
+                "Step known = state.steps.get(step);\n if (known != null && known.token() != token) { known = null; }"))); // steps of different owners are not deduplicated
         ALL.put("no-resume", List.of(new Edit("fleet/StepExecutor.java", "targets.starts(instance) > Long.parseLong(before)", "false")));
         ALL.put("no-look", List.of(SLOW_DISK, new Edit("fleet/StepExecutor.java", "!fence.isCurrent(kind.label(), token) || token < grantedToken(kind)", "false")));
         // The next two must cause no breach: the remaining safeguards have to hold.
--- a/lab/src/yardusher/lab/register/Linearizable.java
+++ b/lab/src/yardusher/lab/register/Linearizable.java
@@ -15,39 +15,39 @@
  * taken effect at any time after its call, or never.
  */
 public final class Linearizable {
-    private static final int MOST_TRIED = 300_000;
+    private static final int MAX_VISITED_STATES = 300_000;
 
-    private final List<Scripted.Asked> asked = new ArrayList<>();
-    private final Set<List<Object>> tried = new HashSet<>();
-    private int answered;
+    private final List<Scripted.ClientCall> calls = new ArrayList<>();
+    private final Set<List<Object>> visited = new HashSet<>();
+    private int answeredCount;
 
-    public Linearizable(List<Scripted.Asked> history) {
-        for (Scripted.Asked one : history) {
-            if (one.op() != null) { asked.add(one); }
+    public Linearizable(List<Scripted.ClientCall> history) {
+        for (Scripted.ClientCall one : history) {
+            if (one.op() != null) { calls.add(one); }
         }
-        asked.sort((a, b) -> Double.compare(a.from(), b.from()));
-        for (Scripted.Asked one : asked) { answered += one.answer() != null ? 1 : 0; }
+        calls.sort((a, b) -> Double.compare(a.calledAtMs(), b.calledAtMs()));
+        for (Scripted.ClientCall one : calls) { answeredCount += one.answer() != null ? 1 : 0; }
     }
 
-    public boolean holds() { return search(new Register(), new BitSet(asked.size()), 0); }
+    public boolean holds() { return search(new Register(), new BitSet(calls.size()), 0); }
 
     private boolean search(Register register, BitSet placed, int answers) {
-        if (answers == answered) { return true; }
+        if (answers == answeredCount) { return true; }
         byte[] state = register.encode();
-        if (tried.size() > MOST_TRIED) { return true; } // not decided: no breach was shown
-        if (!tried.add(List.of(placed.clone(), Arrays.hashCode(state)))) { return false; }
+        if (visited.size() > MAX_VISITED_STATES) { return true; } // not decided: no breach was shown
+        if (!visited.add(List.of(placed.clone(), Arrays.hashCode(state)))) { return false; }
         double first = Double.POSITIVE_INFINITY;     // the earliest end of what is not placed bounds what may come next
-        for (int i = 0; i < asked.size(); i++) {
-            if (!placed.get(i)) { first = Math.min(first, asked.get(i).until()); }
+        for (int i = 0; i < calls.size(); i++) {
+            if (!placed.get(i)) { first = Math.min(first, calls.get(i).answeredAtMs()); }
         }
         // Answered ones first: an operation without an answer is placed only where nothing else fits.
         for (boolean wantsAnswer : new boolean[] {true, false}) {
-            for (int i = 0; i < asked.size() && asked.get(i).from() <= first; i++) {
-                Scripted.Asked one = asked.get(i);
+            for (int i = 0; i < calls.size() && calls.get(i).calledAtMs() <= first; i++) {
+                Scripted.ClientCall one = calls.get(i);
                 if (placed.get(i) || (one.answer() != null) != wantsAnswer) { continue; }
                 Register next = register.copy();
                 Answer answer = next.apply(0, one.op());
-                if (wantsAnswer && !same(answer, one.answer())) { continue; }
+                if (wantsAnswer && !sameReply(answer, one.answer())) { continue; }
                 if (!wantsAnswer && Arrays.equals(next.encode(), state)) { continue; }
                 placed.set(i);
                 if (search(next, placed, answers + (wantsAnswer ? 1 : 0))) { return true; }
@@ -58,7 +58,7 @@
     }
 
     /** Places of entries differ from one order to another, and what is written of them; tokens and states do not. */
-    private static boolean same(Answer a, Answer b) {
+    private static boolean sameReply(Answer a, Answer b) {
         if (a.ok() != b.ok() || a.token() != b.token()) { return false; }
         if (a.state() == null || b.state() == null) { return a.state() == b.state(); }
         try {
--- a/lab/src/yardusher/lab/register/Scripted.java
+++ b/lab/src/yardusher/lab/register/Scripted.java
@@ -25,35 +25,35 @@
  * checkpoints and read; what they were told is held against one register in one order.
  */
 public final class Scripted {
-    private static final double SECOND_MS = 200;
+    private static final double LIBRARY_SECOND_MS = 200;
     private static final double OP_MS = 1500;
 
     /** What a client asked and what it was told; {@code answer} null where it never knew. */
-    public record Asked(double from, double until, Operation op, Answer answer) { }
+    public record ClientCall(double calledAtMs, double answeredAtMs, Operation op, Answer answer) { }
 
     /** How a run went. */
     public record Run(long seed, int asked, int answered, int deaths, String breach) { }
 
-    private record Due(double at, long order, Runnable work) implements Comparable<Due> {
+    private record ScheduledTask(double atMs, long sequence, Runnable work) implements Comparable<ScheduledTask> {
         @Override
-        public int compareTo(Due other) {
-            int byTime = Double.compare(at, other.at);
-            return byTime != 0 ? byTime : Long.compare(order, other.order);
+        public int compareTo(ScheduledTask other) {
+            int byTime = Double.compare(atMs, other.atMs);
+            return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
         }
     }
 
-    private final class One {
+    private final class SimulatedMember {
         final String name;
         final MemoryDisk disk = new MemoryDisk();
         RegisterNode node;
         RaftLogStore store;
-        int life;
+        int lifeNumber;
         final Map<Long, String> states = new HashMap<>(); // by place, what it had applied
 
-        One(String name) { this.name = name; }
+        SimulatedMember(String name) { this.name = name; }
 
         void start() {
-            int mine = ++life;
+            int mine = ++lifeNumber;
             try {
                 store = node == null && !RaftLogStore.exists(disk) ? RaftLogStore.create(disk, "sim", name, false) : RaftLogStore.open(disk, "sim", name);
             } catch (IOException | RuntimeException e) {
@@ -62,23 +62,23 @@
             }
             RaftNodeExecutor executor = new RaftNodeExecutor() {
                 @Override
-                public void execute(Runnable task) { later(0, () -> run(task)); }
+                public void execute(Runnable task) { runLater(0, () -> run(task)); }
 
                 @Override
                 public void submit(Runnable task) { execute(task); }
 
                 @Override
                 public void schedule(Runnable task, long delay, TimeUnit unit) {
-                    later(unit.toMicros(delay) / 1e6 * SECOND_MS, () -> run(task));
+                    runLater(unit.toMicros(delay) / 1e6 * LIBRARY_SECOND_MS, () -> run(task));
                 }
 
                 private void run(Runnable task) {
-                    if (mine == life) { task.run(); }
+                    if (mine == lifeNumber) { task.run(); }
                 }
             };
-            node = new RegisterNode("sim", name, names, store, SECOND_MS, executor, () -> now, new Random(random.nextLong()), new RegisterNode.Environment() {
+            node = new RegisterNode("sim", name, names, store, LIBRARY_SECOND_MS, executor, () -> now, new Random(random.nextLong()), new RegisterNode.Environment() {
                 @Override
-                public void send(String member, byte[] message) { Scripted.this.send(One.this, member, message); }
+                public void send(String member, byte[] message) { Scripted.this.send(SimulatedMember.this, member, message); }
 
                 @Override
                 public boolean isReachable(String member) { return true; }
@@ -87,7 +87,7 @@
                 public void onViewChanged(RegisterView view) {
                     String state = view.highestToken() + " " + view.works();
                     states.put(view.appliedIndex(), state);
-                    String other = agreed.putIfAbsent(view.appliedIndex(), state);
+                    String other = stateByIndex.putIfAbsent(view.appliedIndex(), state);
                     if (other != null && !other.equals(state) && breach == null) { breach = "members differ at " + view.appliedIndex() + ": " + other + " and " + state; }
                 }
 
@@ -97,45 +97,45 @@
             node.start();
         }
 
-        void die() {
-            life++;
+        void crash() {
+            lifeNumber++;
             disk.die(random);
         }
     }
 
     private final Random random;
     private final long seed;
-    private final double loss;
+    private final double lossRate;
     private double now;
-    private long order;
-    private final PriorityQueue<Due> due = new PriorityQueue<>();
+    private long nextSequence;
+    private final PriorityQueue<ScheduledTask> due = new PriorityQueue<>();
     private final List<String> names = new ArrayList<>();
-    private final Map<String, One> all = new HashMap<>();
-    private final Map<Long, String> agreed = new HashMap<>();
+    private final Map<String, SimulatedMember> membersByName = new HashMap<>();
+    private final Map<Long, String> stateByIndex = new HashMap<>();
     private final Map<String, Double> cutUntil = new HashMap<>();
-    private final List<Asked> history = new ArrayList<>();
-    private int deaths;
+    private final List<ClientCall> history = new ArrayList<>();
+    private int crashes;
     private String breach;
 
     private Scripted(long seed, int members, boolean liesAboutSync) {
         this.seed = seed;
         random = new Random(seed);
-        loss = random.nextDouble() * 0.2;
+        lossRate = random.nextDouble() * 0.2;
         for (int i = 0; i < members; i++) { names.add("m" + i); }
-        for (String name : names) { all.put(name, new One(name)); }
-        all.values().forEach(one -> one.disk.liesAboutSync = liesAboutSync);
+        for (String name : names) { membersByName.put(name, new SimulatedMember(name)); }
+        membersByName.values().forEach(one -> one.disk.liesAboutSync = liesAboutSync);
     }
 
-    private void later(double ms, Runnable work) { due.add(new Due(now + ms, order++, work)); }
+    private void runLater(double ms, Runnable work) { due.add(new ScheduledTask(now + ms, nextSequence++, work)); }
 
-    private void send(One from, String to, byte[] message) {
-        if (random.nextDouble() < loss || isCut(from.name, to)) { return; }
+    private void send(SimulatedMember from, String to, byte[] message) {
+        if (random.nextDouble() < lossRate || isCut(from.name, to)) { return; }
         int copies = random.nextInt(20) == 0 ? 2 : 1;
         for (int i = 0; i < copies; i++) {
             double late = random.nextInt(30) == 0 ? random.nextDouble() * 800 : 1 + random.nextDouble() * 20;
-            later(late, () -> {
-                One target = all.get(to);
-                if (isCut(from.name, to) || target.node == null || target.life % 2 == 0) { return; }
+            runLater(late, () -> {
+                SimulatedMember target = membersByName.get(to);
+                if (isCut(from.name, to) || target.node == null || target.lifeNumber % 2 == 0) { return; }
                 try {
                     target.node.receive(message);
                 } catch (IOException e) {
@@ -148,24 +148,24 @@
     private boolean isCut(String a, String b) { return cutUntil.getOrDefault(a + b, 0.0) > now; }
 
     /** Plays a seed: so many ms of faults, then calm, then the verdict. */
-    public static Run run(long seed, int members, double ms, boolean liesAboutSync) { return new Scripted(seed, members, liesAboutSync).play(ms); }
+    public static Run run(long seed, int members, double ms, boolean liesAboutSync) { return new Scripted(seed, members, liesAboutSync).simulate(ms); }
 
-    private Run play(double ms) {
-        names.forEach(name -> all.get(name).start());
-        trouble(ms);
+    private Run simulate(double ms) {
+        names.forEach(name -> membersByName.get(name).start());
+        injectFaults(ms);
         for (int i = 0; i < 3; i++) { client(i, ms); }
-        while (!due.isEmpty() && due.peek().at() < ms + 8000 && breach == null) {
-            Due one = due.poll();
-            now = one.at();
+        while (!due.isEmpty() && due.peek().atMs() < ms + 8000 && breach == null) {
+            ScheduledTask one = due.poll();
+            now = one.atMs();
             one.work().run();
         }
         if (breach == null && !new Linearizable(history).holds()) { breach = "no one order of all operations fits what clients were told"; }
         int answered = (int) history.stream().filter(one -> one.answer() != null).count();
-        return new Run(seed, history.size(), answered, deaths, breach);
+        return new Run(seed, history.size(), answered, crashes, breach);
     }
 
-    private void trouble(double until) {
-        later(100 + random.nextDouble() * 900, () -> {
+    private void injectFaults(double until) {
+        runLater(100 + random.nextDouble() * 900, () -> {
             if (now > until) { return; }
             String one = names.get(random.nextInt(names.size()));
             if (random.nextBoolean()) {
@@ -173,22 +173,22 @@
                 double end = now + random.nextDouble() * 3000;
                 cutUntil.put(one + other, end);
                 if (random.nextBoolean()) { cutUntil.put(other + one, end); }
-            } else if (all.get(one).life % 2 == 1) {
-                deaths++;
-                all.get(one).die();
-                later(50 + random.nextDouble() * 1500, all.get(one)::start);
+            } else if (membersByName.get(one).lifeNumber % 2 == 1) {
+                crashes++;
+                membersByName.get(one).crash();
+                runLater(50 + random.nextDouble() * 1500, membersByName.get(one)::start);
             }
-            trouble(until);
+            injectFaults(until);
         });
     }
 
     /** A client asks one thing after another, at any member, and forgets what is not answered in time. */
     private void client(int i, double until) {
-        later(random.nextDouble() * 300, () -> {
+        runLater(random.nextDouble() * 300, () -> {
             if (now > until) { return; }
-            Operation op = op(i);
-            One one = all.get(hint != null ? hint : names.get(random.nextInt(names.size())));
-            hint = null;
+            Operation op = nextOperation(i);
+            SimulatedMember one = membersByName.get(leaderHint != null ? leaderHint : names.get(random.nextInt(names.size())));
+            leaderHint = null;
             double from = now;
             boolean[] over = new boolean[1];
             Runnable next = () -> {
@@ -197,38 +197,38 @@
                     client(i, until);
                 }
             };
-            if (one.life % 2 == 0 || one.node == null) {
+            if (one.lifeNumber % 2 == 0 || one.node == null) {
                 next.run();
                 return;
             }
             int place = history.size();
-            history.add(new Asked(from, Double.POSITIVE_INFINITY, op, null));
+            history.add(new ClientCall(from, Double.POSITIVE_INFINITY, op, null));
             one.node.submit(op, new RegisterNode.OperationCallback() {
                 @Override
                 public void onAnswer(Answer answer) {
-                    if (!over[0]) { history.set(place, new Asked(from, now, op, answer)); }
+                    if (!over[0]) { history.set(place, new ClientCall(from, now, op, answer)); }
                     next.run();
                 }
 
                 @Override
                 public void onUnanswered(String leader, boolean unknown) {
                     // Refused before anything was done: it is known not to have taken effect.
-                    if (!unknown && !over[0]) { history.set(place, new Asked(from, now, null, null)); }
-                    hint = random.nextInt(4) > 0 ? leader : null;
+                    if (!unknown && !over[0]) { history.set(place, new ClientCall(from, now, null, null)); }
+                    leaderHint = random.nextInt(4) > 0 ? leader : null;
                     next.run();
                 }
             });
-            later(OP_MS, next);
+            runLater(OP_MS, next);
         });
     }
 
-    private String hint;                             // who leads, as a client was told last
+    private String leaderHint;                             // who leads, as a client was told last
     private long token;
     private long seq;
 
-    private Operation op(int i) {
+    private Operation nextOperation(int i) {
         Work seen = null;
-        for (Asked one : history) {
+        for (ClientCall one : history) {
             if (one.answer() != null && one.answer().state() != null) {
                 try {
                     seen = Register.decode(one.answer().state()).work(WorkKind.ROLL);
@@ -237,7 +237,7 @@
                 }
             }
         }
-        for (Asked one : history) {
+        for (ClientCall one : history) {
             if (one.op() instanceof Operation.Claim && one.answer() != null && one.answer().ok()) { token = Math.max(token, one.answer().token()); }
         }
         return switch (random.nextInt(6)) {
--- a/src/main/java/yardusher/agent/Agent.java
+++ b/src/main/java/yardusher/agent/Agent.java
@@ -30,7 +30,7 @@
     private final Sockets sockets;
     private final Map<String, Instance> instances = new LinkedHashMap<>();
     private final ArrayDeque<Instance> restartQueue = new ArrayDeque<>();
-    private final RespServer answers;
+    private final RespServer server;
     private final long stopMs;
     private final CountDownLatch allExited = new CountDownLatch(1);
     private boolean closing;
@@ -53,16 +53,16 @@
         for (AgentConfig.Entry entry : config.instances()) {
             instances.put(entry.name(), new Instance(entry, config, sockets, fleet == null ? null : fleet.fenceStore(), this::changed));
         }
-        answers = new RespServer(sockets, Sockets.parseAddress(config.control()), part == null ? 16 : 16 + 8 * part.members().size(), this);
+        server = new RespServer(sockets, Sockets.parseAddress(config.control()), part == null ? 16 : 16 + 8 * part.members().size(), this);
     }
 
-    public InetSocketAddress address() throws IOException { return answers.address(); }
+    public InetSocketAddress address() throws IOException { return server.address(); }
 
     public void start() {
         loop.startTimer();
         loop.execute(() -> {
             instances.values().forEach(Instance::adoptOrStart);
-            answers.startAccepting();
+            server.startAccepting();
             if (fleet != null) { fleet.start(); }
         });
     }
@@ -75,7 +75,7 @@
         loop.execute(() -> {
             closing = true;
             restartQueue.clear();
-            answers.close();
+            server.close();
             if (fleet != null) { fleet.close(); }
             if (leaveInstances) { allExited.countDown(); } else { instances.values().forEach(instance -> instance.stop(false)); }
             changed();
--- a/src/main/java/yardusher/agent/FleetInstances.java
+++ b/src/main/java/yardusher/agent/FleetInstances.java
@@ -24,16 +24,16 @@
     private final Map<String, Instance> instances;
     private final Sockets sockets;
     private final EventLoop loop;
-    private final double withinMs;
-    private final Function<AgentConfig.Entry, InetSocketAddress> admins;
-    private final List<ReadyWait> waiting = new ArrayList<>();
+    private final double readyTimeoutMs;
+    private final Function<AgentConfig.Entry, InetSocketAddress> adminAddresses;
+    private final List<ReadyWait> readyWaits = new ArrayList<>();
 
     /** Waits until an instance has been started more often than {@code starts} and is ready. */
     private static final class ReadyWait {
         final Instance instance;
         final long starts;
         final Consumer<Boolean> then;
-        Deadlines.Entry limit;
+        Deadlines.Entry timeout;
 
         ReadyWait(Instance instance, long starts, Consumer<Boolean> then) {
             this.instance = instance;
@@ -47,12 +47,12 @@
         this.instances = instances;
         this.sockets = sockets;
         this.loop = sockets.loop();
-        this.withinMs = withinMs;
-        this.admins = admins;
+        this.readyTimeoutMs = withinMs;
+        this.adminAddresses = admins;
     }
 
     @Override
-    public List<WorkProcedure.InstanceStatus> standings() {
+    public List<WorkProcedure.InstanceStatus> instanceStatuses() {
         List<WorkProcedure.InstanceStatus> all = new ArrayList<>();
         instances.forEach((name, one) -> {
             // An instance stopped by an operator is not part of the fleet until it is started again.
@@ -82,21 +82,21 @@
 
     private void await(Instance instance, long starts, Consumer<Boolean> then) {
         ReadyWait one = new ReadyWait(instance, starts, then);
-        one.limit = loop.deadlines().schedule(loop.now() + withinMs, () -> {
-            waiting.remove(one);
+        one.timeout = loop.deadlines().schedule(loop.now() + readyTimeoutMs, () -> {
+            readyWaits.remove(one);
             then.accept(false);
         });
-        waiting.add(one);
+        readyWaits.add(one);
         loop.defer(this::changed);
     }
 
     /** An instance's state has changed. */
     void changed() {
-        for (Iterator<ReadyWait> all = waiting.iterator(); all.hasNext();) {
+        for (Iterator<ReadyWait> all = readyWaits.iterator(); all.hasNext();) {
             ReadyWait one = all.next();
             if (one.instance.state() != Instance.State.READY || one.instance.starts() <= one.starts) { continue; }
             all.remove();
-            loop.deadlines().cancel(one.limit);
+            loop.deadlines().cancel(one.timeout);
             loop.defer(() -> one.then.accept(true));
         }
     }
@@ -106,7 +106,7 @@
 
     @Override
     public void call(String instance, String line, Consumer<String> then) {
-        InetSocketAddress at = admins.apply(instances.get(instance).entry);
+        InetSocketAddress at = adminAddresses.apply(instances.get(instance).entry);
         if (at == null) {
             loop.defer(() -> then.accept("400 no second address is configured"));
             return;
--- a/src/main/java/yardusher/agent/Instance.java
+++ b/src/main/java/yardusher/agent/Instance.java
@@ -32,7 +32,7 @@
     private State state = State.STOPPED;
     private ProcessHandle process;
     private final FenceStore fenceStore;                     // null if this agent has no fleet
-    private double startedAt;
+    private double startedAtMs;
     private double backoffMs = BACKOFF_MS;
     private int restarts;
     private long starts;
@@ -55,7 +55,7 @@
     String status() {
         return entry.name() + " " + state.name().toLowerCase(Locale.ROOT) + " address=" + entry.address() + " pid="
                 + (process == null ? "-" : process.pid()) + " restarts=" + restarts + " up_s="
-                + (process == null ? 0 : (long) ((loop.now() - startedAt) / 1000));
+                + (process == null ? 0 : (long) ((loop.now() - startedAtMs) / 1000));
     }
 
     void start() {
@@ -67,7 +67,7 @@
         loop.deadlines().cancel(pending);
         List<String> command = new ArrayList<>(SighupStatus.withDefaultSighup(config.command())); // an agent under nohup passes the ignored SIGHUP on
         command.addAll(List.of("serve", entry.config(), "--limits", entry.limits(), "--settings", entry.settings()));
-        startedAt = loop.now();
+        startedAtMs = loop.now();
         reloadWhenReady = false;
         Process begun;
         try {
@@ -110,7 +110,7 @@
         }
         System.err.println("agent: " + entry.name() + " runs already, pid " + found.pid() + ": adopted");
         process = found;
-        startedAt = loop.now();
+        startedAtMs = loop.now();
         setState(State.STARTING);
         found.onExit().thenRun(() -> loop.execute(() -> exited(found, "")));
         ping(found);
@@ -166,7 +166,7 @@
             return;
         }
         System.err.println("agent: " + entry.name() + " ended by itself" + how);
-        if (loop.now() - startedAt > STABLE_AFTER_MS) { backoffMs = BACKOFF_MS; }
+        if (loop.now() - startedAtMs > STABLE_AFTER_MS) { backoffMs = BACKOFF_MS; }
         backOff();
     }
 
--- a/src/main/java/yardusher/fence/Fence.java
+++ b/src/main/java/yardusher/fence/Fence.java
@@ -54,8 +54,8 @@
 
     /** The highest token sealed for a work; 0 for none. */
     public long sealedToken(String work) {
-        WorkState kept = works.get(work);
-        return kept == null ? 0 : kept.sealedToken;
+        WorkState state = works.get(work);
+        return state == null ? 0 : state.sealedToken;
     }
 
     /**
@@ -63,28 +63,28 @@
      * even before the seal is on disk.
      */
     public boolean seal(String work, long token) {
-        WorkState kept = stateOf(work);
-        if (token < kept.sealedToken) { return false; }
-        kept.sealedToken = token;
+        WorkState state = stateOf(work);
+        if (token < state.sealedToken) { return false; }
+        state.sealedToken = token;
         return true;
     }
 
     /** Decides on a step request. */
     public Verdict check(String work, long token, String step) {
-        WorkState kept = stateOf(work);
-        if (token < kept.sealedToken) { return new Refused(kept.sealedToken); }
-        if (token > kept.sealedToken) { return new Unsealed(kept.sealedToken); }
-        Step known = kept.steps.get(step);
+        WorkState state = stateOf(work);
+        if (token < state.sealedToken) { return new Refused(state.sealedToken); }
+        if (token > state.sealedToken) { return new Unsealed(state.sealedToken); }
+        Step known = state.steps.get(step);
         if (known == null) { return new Begin(); }
         if (known.outcome() != null) { return new Finished(known.outcome()); }
-        return kept.running.containsKey(step) ? new Running() : new Unknown(known.stateBefore());
+        return state.running.containsKey(step) ? new Running() : new Unknown(known.stateBefore());
     }
 
     /** Marks a step as begun, before it is recorded on disk. */
     public void begin(String work, long token, String step, String act, String before) {
-        WorkState kept = stateOf(work);
-        kept.steps.put(step, new Step(token, act, before, null));
-        kept.running.put(step, true);
+        WorkState state = stateOf(work);
+        state.steps.put(step, new Step(token, act, before, null));
+        state.running.put(step, true);
     }
 
     /** Whether a request under this token may still be executed; asked in the same event-loop turn as the execution. */
@@ -92,19 +92,19 @@
 
     /** Removes a step that was begun but not executed, as if it had never been requested. */
     public void drop(String work, String step) {
-        WorkState kept = stateOf(work);
-        kept.steps.remove(step);
-        kept.running.remove(step);
+        WorkState state = stateOf(work);
+        state.steps.remove(step);
+        state.running.remove(step);
     }
 
     /** Records the outcome of a step. */
     public void end(String work, String step, String outcome) {
-        WorkState kept = stateOf(work);
-        Step begun = kept.steps.remove(step);        // reinserted, so that the step finished last comes last
-        kept.running.remove(step);
-        kept.steps.put(step, begun == null ? new Step(0, "", "", outcome) : new Step(begun.token(), begun.action(), begun.stateBefore(), outcome));
-        int over = kept.steps.size() - MAX_STEPS;
-        for (Iterator<Step> oldest = kept.steps.values().iterator(); over > 0 && oldest.hasNext();) {
+        WorkState state = stateOf(work);
+        Step begun = state.steps.remove(step);        // reinserted, so that the step finished last comes last
+        state.running.remove(step);
+        state.steps.put(step, begun == null ? new Step(0, "", "", outcome) : new Step(begun.token(), begun.action(), begun.stateBefore(), outcome));
+        int over = state.steps.size() - MAX_STEPS;
+        for (Iterator<Step> oldest = state.steps.values().iterator(); over > 0 && oldest.hasNext();) {
             if (oldest.next().outcome() != null) {
                 oldest.remove();
                 over--;
--- a/src/main/java/yardusher/fence/InstanceFence.java
+++ b/src/main/java/yardusher/fence/InstanceFence.java
@@ -16,18 +16,18 @@
     private final Map<String, Long> revisions = new HashMap<>();
 
     /** Accepts a token from the agent. Throws {@link RegisterError.Token} if a newer one is known. */
-    public void acceptToken(long told) {
-        if (told < token) { throw new RegisterError.Token("token " + token + " is newer", token); }
-        token = told;
+    public void acceptToken(long newToken) {
+        if (newToken < token) { throw new RegisterError.Token("token " + token + " is newer", token); }
+        token = newToken;
     }
 
     /**
      * Whether a change is newer than the last one of its region. Throws {@link RegisterError.Token} unless {@code
      * under} is the known token.
      */
-    public boolean isNew(String region, long under, long revision) {
+    public boolean isNew(String region, long commandToken, long revision) {
         if (token == 0) { throw new RegisterError.Token("no token is known here yet", 0); }
-        if (under != token) { throw new RegisterError.Token("token " + token + " is known here", token); }
+        if (commandToken != token) { throw new RegisterError.Token("token " + token + " is known here", token); }
         return revision > revisions.getOrDefault(region, 0L);
     }
 
--- a/src/main/java/yardusher/fleet/BanWork.java
+++ b/src/main/java/yardusher/fleet/BanWork.java
@@ -23,10 +23,10 @@
     private final Set<String> members;
     private final Set<String> sealed = new HashSet<>();
     private final Set<String> confirmed = new TreeSet<>();  // members that have this revision
-    private final Set<String> asking = new HashSet<>();
-    private final Map<String, Double> askAt = new HashMap<>();
+    private final Set<String> pendingMembers = new HashSet<>();
+    private final Map<String, Double> nextRequestAtMs = new HashMap<>();
     private long seq;
-    private boolean keeping;
+    private boolean savePending;
     private boolean idle;
 
     BanWork(Work work, Set<String> members) {
@@ -47,12 +47,12 @@
         List<Action> acts = new ArrayList<>();
         if (idle) { return acts; }
         for (String member : members) {
-            if (confirmed.contains(member) || asking.contains(member) || now < askAt.getOrDefault(member, Double.NEGATIVE_INFINITY)) { continue; }
-            asking.add(member);
+            if (confirmed.contains(member) || pendingMembers.contains(member) || now < nextRequestAtMs.getOrDefault(member, Double.NEGATIVE_INFINITY)) { continue; }
+            pendingMembers.add(member);
             acts.add(sealed.contains(member) ? new RunStep(member, step(), "set " + spec) : new Seal(member));
         }
-        if (confirmed.containsAll(members) && !keeping) {
-            keeping = true;
+        if (confirmed.containsAll(members) && !savePending) {
+            savePending = true;
             acts.add(new SaveCheckpoint(++seq, doneText(revision, members), Work.State.RUNNING, "revision " + revision + " at all " + members.size() + " agents"));
         }
         return acts;
@@ -62,28 +62,28 @@
 
     @Override
     public void onSealed(double now, String member, List<InstanceStatus> instances) {
-        asking.remove(member);
+        pendingMembers.remove(member);
         sealed.add(member);
-        askAt.put(member, now);
+        nextRequestAtMs.put(member, now);
     }
 
     @Override
     public void onOutcome(double now, String member, String step, String outcome) {
-        asking.remove(member);
-        askAt.put(member, now + (outcome.startsWith("failed") ? RETRY_MS : POLL_MS));
+        pendingMembers.remove(member);
+        nextRequestAtMs.put(member, now + (outcome.startsWith("failed") ? RETRY_MS : POLL_MS));
         if (step.equals(step()) && outcome.startsWith("done")) { confirmed.add(member); }
     }
 
     @Override
     public void onNoAnswer(double now, String member, String why) {
-        asking.remove(member);
-        askAt.put(member, now + RETRY_MS);
+        pendingMembers.remove(member);
+        nextRequestAtMs.put(member, now + RETRY_MS);
     }
 
     @Override
-    public void onCheckpointSaved(long of) {
-        keeping = false;
-        idle = of == seq && confirmed.containsAll(members);
+    public void onCheckpointSaved(long savedSeq) {
+        savePending = false;
+        idle = savedSeq == seq && confirmed.containsAll(members);
     }
 
     /** Whether all members have the list and the register has recorded it. */
--- a/src/main/java/yardusher/fleet/FleetCommandHandler.java
+++ b/src/main/java/yardusher/fleet/FleetCommandHandler.java
@@ -47,7 +47,7 @@
         }
         try {
             switch (name) {
-                case "FLEET.RAFT" -> raft(words, slot);
+                case "FLEET.RAFT" -> raftMessage(words, slot);
                 case "FLEET.OP" -> operation(words, slot);
                 case "FLEET.SEAL", "FLEET.DO" -> {
                     String[] texts = new String[words.length - 1];
@@ -55,7 +55,7 @@
                     for (int i = 2; i < words.length; i++) { texts[i - 1] = new String(words[i], StandardCharsets.UTF_8); }
                     stepExecutor.command(texts, answer -> slot.answer(encoded(answer)));
                 }
-                case "FLEET.ASK" -> order(words, slot);
+                case "FLEET.ASK" -> operatorCommand(words, slot);
                 case "FLEET.READ" -> read(slot);
                 case "FLEET.MEMBERS" -> slot.answer(new Encoder(256).bulk(membersText()).toBytes());
                 case "FLEET.CHANGE" -> change(text(words, 2), text(words, 3).equals("in"), slot);
@@ -80,7 +80,7 @@
         return new String(words[at], StandardCharsets.UTF_8);
     }
 
-    private void raft(byte[][] words, RespServer.Slot slot) throws IOException {
+    private void raftMessage(byte[][] words, RespServer.Slot slot) throws IOException {
         if (words.length != 4) { throw new CommandError.Argument("wrong number of arguments"); }
         if (peers.peer(text(words, 2)) == null) { throw new CommandError.NotFound("no member " + text(words, 2)); }
         participant.node().receive(words[3]);
@@ -100,7 +100,7 @@
     }
 
     /** Handles an operator's command with its id. Any agent can be asked; it passes the operation to the register. */
-    private void order(byte[][] words, RespServer.Slot slot) {
+    private void operatorCommand(byte[][] words, RespServer.Slot slot) {
         String command = text(words, 2);
         if (!command.matches("[0-9a-zA-Z-]{8,64}")) { throw new CommandError.Argument("a command's id is 8 to 64 letters, digits and '-'"); }
         String by = text(words, 3);
@@ -129,9 +129,9 @@
             } else if (!answer.ok()) {
                 slot.answer(failure("REFUSED " + answer.text()));
             } else if (op instanceof Operation.Admit admit) {
-                member(admit.member(), true, loop.now() + 4000, slot, answer.text());
+                changeMemberUntil(admit.member(), true, loop.now() + 4000, slot, answer.text());
             } else if (op instanceof Operation.Forget forget) {
-                member(forget.member(), false, loop.now() + 4000, slot, answer.text());
+                changeMemberUntil(forget.member(), false, loop.now() + 4000, slot, answer.text());
             } else {
                 slot.answer(new Encoder(128).bulk(answer.text()).toBytes());
             }
@@ -139,14 +139,14 @@
     }
 
     /** Changes the group's membership at the leader; retries until it is done or {@code until} has passed. */
-    private void member(String member, boolean in, double until, RespServer.Slot slot, String text) {
+    private void changeMemberUntil(String member, boolean in, double until, RespServer.Slot slot, String text) {
         Consumer<Boolean> then = done -> {
             if (done) {
                 slot.answer(new Encoder(128).bulk(text).toBytes());
             } else if (loop.now() > until || participant.isClosed()) {
                 slot.answer(failure("TRYAGAIN the members could not be changed yet; ask again"));
             } else {
-                loop.deadlines().schedule(loop.now() + TRY_AGAIN_MS, () -> member(member, in, until, slot, text));
+                loop.deadlines().schedule(loop.now() + TRY_AGAIN_MS, () -> changeMemberUntil(member, in, until, slot, text));
             }
         };
         participant.change(member, in, then);
--- a/src/main/java/yardusher/fleet/LeaseHolder.java
+++ b/src/main/java/yardusher/fleet/LeaseHolder.java
@@ -74,23 +74,23 @@
     void tick() {
         if (participant.isClosed()) { return; }
         tick = loop.deadlines().schedule(loop.now() + REST_MS, this::tick); // scheduled first, so that an exception below does not end the ticks
-        look();
+        runLeaseActions();
         stepExecutor.applyBansToAll();
         double now = loop.now();
-        double due = leases.nextAt();
+        double due = leases.nextDueAtMs();
         // A deadline that has already passed waits for a reply, which causes a turn of its own.
         double next = !holdings.isEmpty() ? now + TICK_MS : due > now ? Math.min(due + 1, now + REST_MS) : now + REST_MS;
         loop.deadlines().cancel(tick);
         tick = loop.deadlines().schedule(next, this::tick);
     }
 
-    private boolean wants(Work work) {
+    private boolean hasWork(Work work) {
         return work.kind() != WorkKind.BANS || BanWork.hasWork(work, new TreeSet<>(participant.addresses().keySet()));
     }
 
-    private void look() {
+    private void runLeaseActions() {
         double now = loop.now();
-        for (LeaseManager.Action act : leases.nextActions(now, participant.view(), this::wants)) {
+        for (LeaseManager.Action act : leases.nextActions(now, participant.view(), this::hasWork)) {
             if (act instanceof LeaseManager.Claim claim) {
                 participant.ask(new Operation.Claim(settings.member(), claim.nonce(), System.currentTimeMillis(), claim.kind(), claim.seenToken(), claim.seenBeat()),
                         answer -> leases.claimed(loop.now(), claim.kind(), claim.nonce(), answer != null && answer.ok() ? answer.token() : 0));
@@ -127,18 +127,18 @@
             if (act instanceof WorkProcedure.Seal seal) {
                 seal(holding, seal.member());
             } else if (act instanceof WorkProcedure.RunStep order) {
-                order(holding, order);
+                requestStep(holding, order);
             } else if (act instanceof WorkProcedure.SaveCheckpoint keep) {
-                keep(holding, keep);
+                saveCheckpoint(holding, keep);
             }
         }
     }
 
-    private void keep(HeldWork holding, WorkProcedure.SaveCheckpoint keep) {
+    private void saveCheckpoint(HeldWork holding, WorkProcedure.SaveCheckpoint keep) {
         participant.ask(new Operation.Checkpoint(holding.kind, holding.token, keep.seq(), keep.text(), keep.state(), keep.note()), answer -> {
             if (answer == null) {                    // outcome unknown: retried until the lease has expired
                 loop.deadlines().schedule(loop.now() + TRY_AGAIN_MS, () -> {
-                    if (isCurrent(holding)) { keep(holding, keep); }
+                    if (isCurrent(holding)) { saveCheckpoint(holding, keep); }
                 });
             } else if (answer.ok()) {
                 holding.undertaking.onCheckpointSaved(keep.seq());
@@ -151,7 +151,7 @@
     }
 
     private void seal(HeldWork holding, String member) {
-        ask(member, List.of("FLEET.SEAL", holding.kind.label(), Long.toString(holding.token)), answer -> {
+        callAgent(member, List.of("FLEET.SEAL", holding.kind.label(), Long.toString(holding.token)), answer -> {
             if (answer instanceof Value.BulkString told) {
                 List<WorkProcedure.InstanceStatus> standings = new ArrayList<>();
                 for (String line : told.text().lines().toList()) {
@@ -166,8 +166,8 @@
         });
     }
 
-    private void order(HeldWork holding, WorkProcedure.RunStep order) {
-        ask(order.member(), List.of("FLEET.DO", holding.kind.label(), Long.toString(holding.token), order.step(), order.act()), answer -> {
+    private void requestStep(HeldWork holding, WorkProcedure.RunStep order) {
+        callAgent(order.member(), List.of("FLEET.DO", holding.kind.label(), Long.toString(holding.token), order.step(), order.act()), answer -> {
             if (answer instanceof Value.BulkString told) {
                 holding.undertaking.onOutcome(loop.now(), order.member(), order.step(), told.text());
             } else {
@@ -178,7 +178,7 @@
     }
 
     /** Sends a command to an agent, which may be this one. {@code then} gets null if there is no answer. */
-    private void ask(String member, List<String> words, Consumer<Value> then) {
+    private void callAgent(String member, List<String> words, Consumer<Value> then) {
         if (member.equals(settings.member())) {
             stepExecutor.command(words.toArray(new String[0]), answer -> loop.defer(() -> then.accept(answer)));
             return;
--- a/src/main/java/yardusher/fleet/LeaseManager.java
+++ b/src/main/java/yardusher/fleet/LeaseManager.java
@@ -23,16 +23,16 @@
      * {@code error}: by how much the rates of two clocks may differ, as a fraction. {@code pauseMs}: added to the wait
      * before a take-over.
      */
-    public record LeaseTimings(double leaseMs, double error, double pauseMs) {
+    public record LeaseTimings(double leaseMs, double clockError, double pauseMs) {
         public static LeaseTimings of(FleetSettings settings) {
             return new LeaseTimings(settings.leaseMs(), settings.clockErrorPermille() / 1000.0, settings.pauseMs());
         }
 
         /** How long a holder may act, counted from the request. */
-        double usableLeaseMs() { return leaseMs * (1 - error); }
+        double usableLeaseMs() { return leaseMs * (1 - clockError); }
 
         /** How long a heartbeat must be seen unchanged before a claim. */
-        double takeOverWaitMs() { return leaseMs * (1 + error) + pauseMs; }
+        double takeOverWaitMs() { return leaseMs * (1 + clockError) + pauseMs; }
     }
 
     /** What the caller has to do now. */
@@ -54,15 +54,15 @@
         final WorkKind kind;
         long seenToken = -1;
         long seenBeat = -1;
-        double seenAt;                               // when the token or heartbeat last changed
-        double claimAt = Double.POSITIVE_INFINITY;
+        double seenAtMs;                               // when the token or heartbeat last changed
+        double nextClaimAtMs = Double.POSITIVE_INFINITY;
         long nonce;                                  // of the pending or granted claim; 0 for none
-        double claimedAt;
+        double requestedAtMs;
         long token;                                  // 0 while not held
-        double until;
-        double renewAt;
+        double expiresAtMs;
+        double nextRenewalAtMs;
         long beat;
-        boolean renewing;
+        boolean renewalPending;
 
         LeaseState(WorkKind kind) { this.kind = kind; }
     }
@@ -85,113 +85,113 @@
      */
     public List<Action> nextActions(double now, RegisterView view, java.util.function.Predicate<Work> wants) {
         List<Action> acts = new ArrayList<>();
-        for (LeaseState one : states.values()) {
-            Work work = view.works().get(one.kind);
-            if (one.token != 0) { held(one, work, now, acts); }
-            if (one.token == 0) { watched(one, work, now, wants, acts); }
+        for (LeaseState lease : states.values()) {
+            Work work = view.works().get(lease.kind);
+            if (lease.token != 0) { checkHeld(lease, work, now, acts); }
+            if (lease.token == 0) { checkClaim(lease, work, now, wants, acts); }
         }
         return acts;
     }
 
-    private void held(LeaseState one, Work work, double now, List<Action> acts) {
-        if (work != null && work.token() > one.token) {
-            stop(one, "token " + work.token() + " was given since", acts);
-        } else if (work != null && work.token() == one.token && !work.isRunning()) {
-            stop(one, "the work is over", acts);
-        } else if (now >= one.until) {
-            stop(one, "its lease was not renewed in time", acts);
-        } else if (now >= one.renewAt && !one.renewing) {
-            one.renewing = true;
-            one.claimedAt = now;
-            acts.add(new Renew(one.kind, one.token, ++one.beat));
+    private void checkHeld(LeaseState lease, Work work, double now, List<Action> acts) {
+        if (work != null && work.token() > lease.token) {
+            stop(lease, "token " + work.token() + " was given since", acts);
+        } else if (work != null && work.token() == lease.token && !work.isRunning()) {
+            stop(lease, "the work is over", acts);
+        } else if (now >= lease.expiresAtMs) {
+            stop(lease, "its lease was not renewed in time", acts);
+        } else if (now >= lease.nextRenewalAtMs && !lease.renewalPending) {
+            lease.renewalPending = true;
+            lease.requestedAtMs = now;
+            acts.add(new Renew(lease.kind, lease.token, ++lease.beat));
         }
     }
 
-    private void stop(LeaseState one, String why, List<Action> acts) {
-        acts.add(new Stop(one.kind, one.token, why));
-        one.token = 0;
-        one.nonce = 0;
-        one.renewing = false;
+    private void stop(LeaseState lease, String why, List<Action> acts) {
+        acts.add(new Stop(lease.kind, lease.token, why));
+        lease.token = 0;
+        lease.nonce = 0;
+        lease.renewalPending = false;
     }
 
-    private void watched(LeaseState one, Work work, double now, java.util.function.Predicate<Work> wants, List<Action> acts) {
+    private void checkClaim(LeaseState lease, Work work, double now, java.util.function.Predicate<Work> wants, List<Action> acts) {
         if (work == null || !work.isRunning()) {
-            one.nonce = 0;
+            lease.nonce = 0;
             return;
         }
-        if (one.nonce != 0 && work.isHeld() && work.holder().equals(self) && work.nonce() == one.nonce) {
-            take(one, work.token(), acts);           // granted, even if the reply was lost
-            if (now >= one.until) { stop(one, "its lease was over when the grant was heard of", acts); }
+        if (lease.nonce != 0 && work.isHeld() && work.holder().equals(self) && work.nonce() == lease.nonce) {
+            take(lease, work.token(), acts);           // granted, even if the reply was lost
+            if (now >= lease.expiresAtMs) { stop(lease, "its lease was over when the grant was heard of", acts); }
             return;
         }
-        if (work.token() != one.seenToken || work.heartbeat() != one.seenBeat) {
-            one.seenToken = work.token();
-            one.seenBeat = work.heartbeat();
-            one.seenAt = now;
-            one.claimAt = now + random.nextDouble() * CLAIM_SPREAD_MS + (work.isHeld() ? terms.takeOverWaitMs() : 0);
+        if (work.token() != lease.seenToken || work.heartbeat() != lease.seenBeat) {
+            lease.seenToken = work.token();
+            lease.seenBeat = work.heartbeat();
+            lease.seenAtMs = now;
+            lease.nextClaimAtMs = now + random.nextDouble() * CLAIM_SPREAD_MS + (work.isHeld() ? terms.takeOverWaitMs() : 0);
         }
         boolean free = !work.isHeld();
-        if (now < one.claimAt || one.nonce != 0 || free && !wants.test(work)) { return; }
-        one.nonce = random.nextLong() >>> 1 | 1;
-        one.claimedAt = now;
-        acts.add(new Claim(one.kind, one.nonce, work.token(), work.heartbeat()));
+        if (now < lease.nextClaimAtMs || lease.nonce != 0 || free && !wants.test(work)) { return; }
+        lease.nonce = random.nextLong() >>> 1 | 1;
+        lease.requestedAtMs = now;
+        acts.add(new Claim(lease.kind, lease.nonce, work.token(), work.heartbeat()));
     }
 
-    private void take(LeaseState one, long token, List<Action> acts) {
-        one.token = token;
-        one.beat = 0;
-        one.until = one.claimedAt + terms.usableLeaseMs();
-        one.renewAt = one.claimedAt + terms.leaseMs() / RENEWALS;
-        one.renewing = false;
-        acts.add(new Begin(one.kind, token));
+    private void take(LeaseState lease, long token, List<Action> acts) {
+        lease.token = token;
+        lease.beat = 0;
+        lease.expiresAtMs = lease.requestedAtMs + terms.usableLeaseMs();
+        lease.nextRenewalAtMs = lease.requestedAtMs + terms.leaseMs() / RENEWALS;
+        lease.renewalPending = false;
+        acts.add(new Begin(lease.kind, token));
     }
 
     /** Handles the reply to a claim; {@code token} is 0 if it was refused or there was no reply, and it may be repeated. */
     public void claimed(double now, WorkKind kind, long nonce, long token) {
-        LeaseState one = states.get(kind);
-        if (one.nonce != nonce || one.token != 0) { return; }
+        LeaseState lease = states.get(kind);
+        if (lease.nonce != nonce || lease.token != 0) { return; }
         if (token == 0) {
-            one.nonce = 0;
+            lease.nonce = 0;
             // Never sooner than the observed heartbeat allows: this member may already have seen the winner's grant.
-            one.claimAt = Math.max(one.claimAt, now + (0.5 + random.nextDouble()) * 2 * CLAIM_SPREAD_MS);
+            lease.nextClaimAtMs = Math.max(lease.nextClaimAtMs, now + (0.5 + random.nextDouble()) * 2 * CLAIM_SPREAD_MS);
         }
     }
 
     /** Handles the reply to a renewal: whether this member still holds the work, or null if there was no reply. */
     public void renewed(double now, WorkKind kind, long token, Boolean holds) {
-        LeaseState one = states.get(kind);
-        if (one.token != token || !one.renewing) { return; }
-        one.renewing = false;
+        LeaseState lease = states.get(kind);
+        if (lease.token != token || !lease.renewalPending) { return; }
+        lease.renewalPending = false;
         if (holds == null) {
-            one.renewAt = now + terms.leaseMs() / (4 * RENEWALS);
+            lease.nextRenewalAtMs = now + terms.leaseMs() / (4 * RENEWALS);
         } else if (holds) {
-            one.until = one.claimedAt + terms.usableLeaseMs();
-            one.renewAt = one.claimedAt + terms.leaseMs() / RENEWALS;
+            lease.expiresAtMs = lease.requestedAtMs + terms.usableLeaseMs();
+            lease.nextRenewalAtMs = lease.requestedAtMs + terms.leaseMs() / RENEWALS;
         } else {
-            one.until = now;                         // the next call of nextActions stops the work
+            lease.expiresAtMs = now;                         // the next call of nextActions stops the work
         }
     }
 
     /** Whether this member may act for the work now under this token. */
     public boolean holds(double now, WorkKind kind, long token) {
-        LeaseState one = states.get(kind);
-        return one.token == token && now < one.until;
+        LeaseState lease = states.get(kind);
+        return lease.token == token && now < lease.expiresAtMs;
     }
 
     /** The work was released. */
     public void released(WorkKind kind, long token) {
-        LeaseState one = states.get(kind);
-        if (one.token != token) { return; }
-        one.token = 0;
-        one.nonce = 0;
-        one.renewing = false;
+        LeaseState lease = states.get(kind);
+        if (lease.token != token) { return; }
+        lease.token = 0;
+        lease.nonce = 0;
+        lease.renewalPending = false;
     }
 
     /** When {@link #look} is due again at the latest. */
-    public double nextAt() {
+    public double nextDueAtMs() {
         double next = Double.POSITIVE_INFINITY;
-        for (LeaseState one : states.values()) {
-            next = Math.min(next, one.token != 0 ? one.renewing ? one.until : Math.min(one.renewAt, one.until) : one.claimAt);
+        for (LeaseState lease : states.values()) {
+            next = Math.min(next, lease.token != 0 ? lease.renewalPending ? lease.expiresAtMs : Math.min(lease.nextRenewalAtMs, lease.expiresAtMs) : lease.nextClaimAtMs);
         }
         return next;
     }
--- a/src/main/java/yardusher/fleet/LocalInstances.java
+++ b/src/main/java/yardusher/fleet/LocalInstances.java
@@ -5,7 +5,7 @@
 
 /** The instances of one agent, as the step executor uses them. In loop. */
 public interface LocalInstances {
-    List<WorkProcedure.InstanceStatus> standings();
+    List<WorkProcedure.InstanceStatus> instanceStatuses();
 
     boolean has(String instance);
 
--- a/src/main/java/yardusher/fleet/PeerClient.java
+++ b/src/main/java/yardusher/fleet/PeerClient.java
@@ -26,9 +26,9 @@
 
     private static final class PendingRequest {
         final byte[] command;
-        Consumer<Value> then;
-        Runnable orElse;
-        Deadlines.Entry limit;
+        Consumer<Value> onAnswer;
+        Runnable onFailure;
+        Deadlines.Entry timeout;
 
         PendingRequest(byte[] command) { this.command = command; }
     }
@@ -61,7 +61,7 @@
     }
 
     /** Whether there is a connection, or an attempt is worthwhile. */
-    boolean isLikely() { return connection != null || connecting || loop.now() >= nextConnectAtMs; }
+    boolean isWorthTrying() { return connection != null || connecting || loop.now() >= nextConnectAtMs; }
 
     /**
      * Sends a command. Exactly one of the two callbacks runs later, in a turn; {@code orElse} after {@code withinMs} at
@@ -74,10 +74,10 @@
             return;
         }
         PendingRequest one = new PendingRequest(command);
-        one.then = then;
-        one.orElse = orElse;
-        one.limit = loop.deadlines().schedule(loop.now() + withinMs, () -> {
-            giveUp(one);
+        one.onAnswer = then;
+        one.onFailure = orElse;
+        one.timeout = loop.deadlines().schedule(loop.now() + withinMs, () -> {
+            fail(one);
             if (connection != null && loop.now() - lastAnswerAtMs > STUCK_MS) {
                 connection.close();
                 connectionLost();
@@ -87,10 +87,10 @@
         if (connection != null) { connection.write(command); } else { connect(); }
     }
 
-    private static void giveUp(PendingRequest one) {
-        Runnable orElse = one.orElse;
-        one.then = null;
-        one.orElse = null;
+    private static void fail(PendingRequest one) {
+        Runnable orElse = one.onFailure;
+        one.onAnswer = null;
+        one.onFailure = null;
         if (orElse != null) { orElse.run(); }
     }
 
@@ -101,7 +101,7 @@
             connecting = false;
             connection = new Connection(channel, loop, this);
             lastAnswerAtMs = loop.now();
-            pendingRequests.removeIf(one -> one.then == null);  // timed out before they were sent
+            pendingRequests.removeIf(one -> one.onAnswer == null);  // timed out before they were sent
             for (PendingRequest one : pendingRequests) { connection.write(one.command); }
             connection.readMore();
         }, () -> {
@@ -118,8 +118,8 @@
         ArrayDeque<PendingRequest> left = new ArrayDeque<>(pendingRequests);
         pendingRequests.clear();
         for (PendingRequest one : left) {
-            loop.deadlines().cancel(one.limit);
-            giveUp(one);
+            loop.deadlines().cancel(one.timeout);
+            fail(one);
         }
     }
 
@@ -132,8 +132,8 @@
                 lastAnswerAtMs = loop.now();
                 reconnectWaitMs = 0;
                 if (one == null) { throw new MalformedRespException("an answer without a request"); }
-                loop.deadlines().cancel(one.limit);
-                Consumer<Value> then = one.then;
+                loop.deadlines().cancel(one.timeout);
+                Consumer<Value> then = one.onAnswer;
                 if (then != null) { then.accept(answer); }
                 if (connection != from) { return false; }
             }
@@ -154,7 +154,7 @@
         closed = true;
         if (connection != null) { connection.close(); }
         for (Iterator<PendingRequest> all = pendingRequests.iterator(); all.hasNext();) {
-            loop.deadlines().cancel(all.next().limit);
+            loop.deadlines().cancel(all.next().timeout);
             all.remove();
         }
     }
--- a/src/main/java/yardusher/fleet/RegisterParticipant.java
+++ b/src/main/java/yardusher/fleet/RegisterParticipant.java
@@ -90,14 +90,14 @@
                     }
 
                     @Override
-                    public void onStoreFailed(IOException why) { loop.execute(() -> brokenStore(made[0], why)); }
+                    public void onStoreFailed(IOException why) { loop.execute(() -> reopenAfterFailure(made[0], why)); }
                 });
         node = made[0];
         node.start();
     }
 
     /** Stops taking part until the store can be reopened; its content is then read again from the disk. */
-    private void brokenStore(RegisterNode failed, IOException why) {
+    private void reopenAfterFailure(RegisterNode failed, IOException why) {
         if (node != failed || closed) { return; }
         System.err.println("agent: " + settings.member() + " takes no part in the register: " + why.getMessage());
         failed.stop(() -> { });
@@ -168,16 +168,16 @@
 
     /** Receives the reply of the local node; without a reply the leader is null if it is unknown. */
     interface LocalReplyCallback {
-        void said(Answer answer, String leader);
+        void onReply(Answer answer, String leader);
     }
 
     /** Submits an operation to the local node, for at most {@link #OP_MS}. */
-    void askLocal(Operation op, LocalReplyCallback then) {
+    void askLocal(Operation op, LocalReplyCallback callback) {
         boolean[] over = new boolean[1];
         Deadlines.Entry limit = loop.deadlines().schedule(loop.now() + OP_MS, () -> {
             if (!over[0]) {
                 over[0] = true;
-                then.said(null, null);
+                callback.onReply(null, null);
             }
         });
         node.submit(op, new RegisterNode.OperationCallback() {
@@ -192,7 +192,7 @@
                     loop.deadlines().cancel(limit);
                     if (!over[0]) {
                         over[0] = true;
-                        then.said(answer, leader);
+                        callback.onReply(answer, leader);
                     }
                 });
             }
@@ -211,14 +211,14 @@
     }
 
     /** Tries once to change the group's membership at the leader; {@code then} gets whether it was done. */
-    void change(String member, boolean in, Consumer<Boolean> then) {
+    void change(String member, boolean add, Consumer<Boolean> then) {
         String leader = node.leader();
         if (leader == null) {
             then.accept(false);
         } else if (leader.equals(settings.member())) {
-            changeLocal(member, in, then);
+            changeLocal(member, add, then);
         } else if (peers.peer(leader) != null) {
-            peers.peer(leader).ask(peers.command("FLEET.CHANGE", member, in ? "in" : "out").toBytes(), OP_MS,
+            peers.peer(leader).ask(peers.command("FLEET.CHANGE", member, add ? "in" : "out").toBytes(), OP_MS,
                     answer -> then.accept(answer instanceof Value.BulkString), () -> then.accept(false));
         } else {
             then.accept(false);
@@ -226,8 +226,8 @@
     }
 
     /** Changes the membership at the local node. */
-    void changeLocal(String member, boolean in, Consumer<Boolean> then) {
-        node.changeMembership(member, in, new RegisterNode.OperationCallback() {
+    void changeLocal(String member, boolean add, Consumer<Boolean> then) {
+        node.changeMembership(member, add, new RegisterNode.OperationCallback() {
             @Override
             public void onAnswer(Answer answer) { loop.execute(() -> then.accept(true)); }
 
--- a/src/main/java/yardusher/fleet/RollPlan.java
+++ b/src/main/java/yardusher/fleet/RollPlan.java
@@ -53,7 +53,7 @@
         return copy;
     }
 
-    List<Target> in(TargetState turn) {
+    List<Target> inState(TargetState turn) {
         List<Target> found = new ArrayList<>();
         targets.forEach((target, now) -> {
             if (now == turn) { found.add(target); }
--- a/src/main/java/yardusher/fleet/StepExecutor.java
+++ b/src/main/java/yardusher/fleet/StepExecutor.java
@@ -35,19 +35,19 @@
     /** The bans that one process of an instance has received. */
     private static final class InstanceBanState {
         long starts = -1;
-        long fenced;                                 // the token it has accepted
+        long acceptedToken;                                 // the token it has accepted
         final Map<String, Long> revisions = new HashMap<>();
-        final Map<String, Double> later = new HashMap<>();
+        final Map<String, Double> retryAtMs = new HashMap<>();
         boolean busy;
-        double notBefore;
-        String unable;                               // why it cannot take bans at all
+        double nextCallAtMs;
+        String rejection;                               // why it cannot take bans at all
 
-        void begin(long now) {
+        void reset(long now) {
             starts = now;
-            fenced = 0;
+            acceptedToken = 0;
             revisions.clear();
-            later.clear();
-            unable = null;
+            retryAtMs.clear();
+            rejection = null;
             busy = false;
         }
     }
@@ -89,13 +89,13 @@
             if (!words[2].matches("[0-9]{1,18}")) { throw new CommandError.Argument("a token is a whole number"); }
             long token = Long.parseLong(words[2]);
             if (token == 0 || token > MAX_TOKEN) { throw new CommandError.Argument("no token"); }
-            if (words[0].equals("FLEET.SEAL")) { seal(kind, token, then); } else { order(kind, token, words[3], words[4], then); }
+            if (words[0].equals("FLEET.SEAL")) { seal(kind, token, then); } else { handleStep(kind, token, words[3], words[4], then); }
         } catch (YardusherError e) {
             then.accept(new Value.ErrorReply("ERR " + e.getMessage()));
         }
     }
 
-    private static Value fenced(long newer) { return new Value.ErrorReply("FENCED token " + newer + " is newer"); }
+    private static Value fencedReply(long newer) { return new Value.ErrorReply("FENCED token " + newer + " is newer"); }
 
     private static Value text(String text) { return new Value.BulkString(text.getBytes(StandardCharsets.UTF_8)); }
 
@@ -108,34 +108,34 @@
     private void seal(WorkKind kind, long token, Consumer<Value> then) {
         long newest = Math.max(grantedToken(kind), fence.sealedToken(kind.label()));
         if (token < newest) {
-            note(kind, token, "-", "refused seal, " + newest + " is newer");
-            then.accept(fenced(newest));
+            logEffect(kind, token, "-", "refused seal, " + newest + " is newer");
+            then.accept(fencedReply(newest));
         } else if (token > grantedToken(kind)) {
             // Guards against forged tokens: a token that the local copy does not show as granted is not accepted.
-            if (waiting.size() >= MAX_WAITING_SEALS) { then.accept(unproven(token)); } else {
+            if (waiting.size() >= MAX_WAITING_SEALS) { then.accept(unprovenReply(token)); } else {
                 waiting.add(new WaitingSeal(kind, token, loop.now() + SEAL_WAIT_MS, then));
                 loop.deadlines().schedule(loop.now() + SEAL_WAIT_MS, this::changed);
             }
         } else {
             boolean anew = token > fence.sealedToken(kind.label());
-            if (anew) { note(kind, token, "-", "seals"); }
+            if (anew) { logEffect(kind, token, "-", "seals"); }
             fenceStore.seal(kind.label(), token, why -> {
                 if (why != null) {
                     then.accept(new Value.ErrorReply("DISK " + why.getMessage()));
                 } else if (!fence.isCurrent(kind.label(), token)) {
-                    then.accept(fenced(fence.sealedToken(kind.label())));
+                    then.accept(fencedReply(fence.sealedToken(kind.label())));
                 } else {
-                    then.accept(standings());
+                    then.accept(instanceReport());
                 }
             });
         }
     }
 
-    private static Value unproven(long token) { return new Value.ErrorReply("UNPROVEN token " + token + " is not known here"); }
+    private static Value unprovenReply(long token) { return new Value.ErrorReply("UNPROVEN token " + token + " is not known here"); }
 
-    private Value standings() {
+    private Value instanceReport() {
         StringBuilder out = new StringBuilder();
-        targets.standings().forEach(one -> out.append(one.name()).append(one.ready() ? " ready\n" : " away\n"));
+        targets.instanceStatuses().forEach(one -> out.append(one.name()).append(one.ready() ? " ready\n" : " away\n"));
         return text(out.toString());
     }
 
@@ -145,18 +145,18 @@
             boolean late = loop.now() >= one.until();
             if (one.token() > grantedToken(one.kind()) && !late) { continue; }
             waiting.remove(one);
-            if (one.token() > grantedToken(one.kind())) { one.then().accept(unproven(one.token())); } else { seal(one.kind(), one.token(), one.then()); }
+            if (one.token() > grantedToken(one.kind())) { one.then().accept(unprovenReply(one.token())); } else { seal(one.kind(), one.token(), one.then()); }
         }
     }
 
-    private void order(WorkKind kind, long token, String step, String act, Consumer<Value> then) {
+    private void handleStep(WorkKind kind, long token, String step, String act, Consumer<Value> then) {
         if (!step.matches("[0-9a-z]{1,20}/[A-Za-z0-9._-]{1,64}")) { throw new CommandError.Argument("no name of a step"); }
-        check(kind, step, act);
+        checkRequest(kind, step, act);
         long newest = grantedToken(kind);
         Fence.Verdict verdict = token < newest ? new Fence.Refused(newest) : fence.check(kind.label(), token, step);
         if (verdict instanceof Fence.Refused refused) {
-            note(kind, token, step, "refused, " + refused.newerToken() + " is newer");
-            then.accept(fenced(refused.newerToken()));
+            logEffect(kind, token, step, "refused, " + refused.newerToken() + " is newer");
+            then.accept(fencedReply(refused.newerToken()));
         } else if (verdict instanceof Fence.Unsealed unsealed) {
             then.accept(new Value.ErrorReply("UNSEALED token " + token + ", sealed is " + unsealed.sealedToken()));
         } else if (verdict instanceof Fence.Finished over) {
@@ -175,7 +175,7 @@
     }
 
     /** Rejects requests that could never be executed before they reach the fence. */
-    private void check(WorkKind kind, String step, String act) {
+    private void checkRequest(WorkKind kind, String step, String act) {
         String[] words = act.split(" ", 2);
         if (kind == WorkKind.BANS) {
             if (!step.matches("bans/[0-9]{1,18}") || words.length != 2 || !words[0].equals("set")) { throw new CommandError.Argument("no order of bans"); }
@@ -195,19 +195,19 @@
                 then.accept(new Value.ErrorReply("DISK " + why.getMessage()));
             } else if (!fence.isCurrent(kind.label(), token) || token < grantedToken(kind)) {
                 fenceStore.drop(kind.label(), step);      // a newer owner sealed its token during the write
-                note(kind, token, step, "dropped, " + Math.max(fence.sealedToken(kind.label()), grantedToken(kind)) + " is newer");
-                then.accept(fenced(Math.max(fence.sealedToken(kind.label()), grantedToken(kind))));
+                logEffect(kind, token, step, "dropped, " + Math.max(fence.sealedToken(kind.label()), grantedToken(kind)) + " is newer");
+                then.accept(fencedReply(Math.max(fence.sealedToken(kind.label()), grantedToken(kind))));
             } else {
-                act(kind, token, step, act);
+                execute(kind, token, step, act);
                 then.accept(text("running"));
             }
         });
     }
 
     /** Executes a step, in the turn that checked the fence. */
-    private void act(WorkKind kind, long token, String step, String act) {
+    private void execute(WorkKind kind, long token, String step, String act) {
         String[] words = act.split(" ", 2);
-        note(kind, token, step, "acts " + (kind == WorkKind.BANS ? "set" : act));
+        logEffect(kind, token, step, "acts " + (kind == WorkKind.BANS ? "set" : act));
         if (kind == WorkKind.BANS) {
             for (String old : fence.steps(kind.label()).keySet()) {
                 if (!old.equals(step)) { fenceStore.drop(kind.label(), old); }
@@ -227,20 +227,20 @@
     private void resume(WorkKind kind, long token, String step, String act, String before) {
         String instance = act.substring(act.indexOf(' ') + 1);
         if (kind == WorkKind.ROLL && act.startsWith("restart") && targets.starts(instance) > Long.parseLong(before)) {
-            note(kind, token, step, "finds done " + act);
+            logEffect(kind, token, step, "finds done " + act);
             targets.awaitReady(instance, ready -> end(kind, step, ready ? "done" : "failed, not ready in time"));
         } else {
-            act(kind, token, step, act);
+            execute(kind, token, step, act);
         }
     }
 
     private void end(WorkKind kind, String step, String outcome) {
-        note(kind, fence.sealedToken(kind.label()), step, "ends " + outcome);
+        logEffect(kind, fence.sealedToken(kind.label()), step, "ends " + outcome);
         fenceStore.end(kind.label(), step, outcome, why -> { });
     }
 
     /** Logs what the fence decided, with the time: the history of effects as the target saw them. */
-    private static void note(WorkKind kind, long token, String step, String what) {
+    private static void logEffect(WorkKind kind, long token, String step, String what) {
         System.err.println("fence " + System.currentTimeMillis() + " " + kind.label() + " " + token + " " + step + " " + what);
     }
 
@@ -249,61 +249,61 @@
     /** Sends each ready instance the bans that it does not have yet; called after changes and periodically. */
     void applyBansToAll() {
         boolean all = true;
-        for (WorkProcedure.InstanceStatus one : targets.standings()) {
-            InstanceBanState knows = banStates.computeIfAbsent(one.name(), none -> new InstanceBanState());
+        for (WorkProcedure.InstanceStatus one : targets.instanceStatuses()) {
+            InstanceBanState state = banStates.computeIfAbsent(one.name(), none -> new InstanceBanState());
             if (!one.ready()) { continue; }          // it gets the bans once it is ready
             long starts = targets.starts(one.name());
-            if (knows.starts != starts) { knows.begin(starts); }
-            all &= tell(one.name(), knows);
+            if (state.starts != starts) { state.reset(starts); }
+            all &= applyBans(one.name(), state);
         }
         if (all && pendingBanStep != null) {
             String step = pendingBanStep;
             pendingBanStep = null;
             List<String> unable = new ArrayList<>();
             banStates.forEach((name, one) -> {
-                if (one.unable != null) { unable.add(name + " " + one.unable); }
+                if (one.rejection != null) { unable.add(name + " " + one.rejection); }
             });
             end(WorkKind.BANS, step, unable.isEmpty() ? "done" : "done, but not at " + String.join(", ", unable));
         }
     }
 
     /** Whether an instance has all bans that it can take; sends the next one if not. */
-    private boolean tell(String instance, InstanceBanState knows) {
+    private boolean applyBans(String instance, InstanceBanState state) {
         long token = fence.sealedToken(WorkKind.BANS.label());
-        if (revision == 0 || knows.unable != null) { return true; }
-        if (knows.busy) { return false; }
-        if (loop.now() < knows.notBefore) { return false; }
-        if (knows.fenced < token) {
-            call(instance, knows, "fence bans " + token, () -> knows.fenced = token);
+        if (revision == 0 || state.rejection != null) { return true; }
+        if (state.busy) { return false; }
+        if (loop.now() < state.nextCallAtMs) { return false; }
+        if (state.acceptedToken < token) {
+            callInstance(instance, state, "fence bans " + token, () -> state.acceptedToken = token);
             return false;
         }
         for (Bans.Ban ban : bans.all()) {
-            if (knows.revisions.getOrDefault(ban.region(), 0L) >= ban.revision()) { continue; }
-            if (loop.now() < knows.later.getOrDefault(ban.region(), 0.0)) { continue; }
-            call(instance, knows, (ban.banned() ? "cordon " : "uncordon ") + ban.region() + " " + token + " " + ban.revision(),
-                    () -> knows.revisions.put(ban.region(), ban.revision()));
+            if (state.revisions.getOrDefault(ban.region(), 0L) >= ban.revision()) { continue; }
+            if (loop.now() < state.retryAtMs.getOrDefault(ban.region(), 0.0)) { continue; }
+            callInstance(instance, state, (ban.banned() ? "cordon " : "uncordon ") + ban.region() + " " + token + " " + ban.revision(),
+                    () -> state.revisions.put(ban.region(), ban.revision()));
             return false;
         }
         return true;
     }
 
-    private void call(String instance, InstanceBanState knows, String line, Runnable done) {
-        knows.busy = true;
-        long starts = knows.starts;
+    private void callInstance(String instance, InstanceBanState state, String line, Runnable done) {
+        state.busy = true;
+        long starts = state.starts;
         targets.call(instance, line, answer -> {
-            if (knows.starts != starts) { return; }
-            knows.busy = false;
+            if (state.starts != starts) { return; }
+            state.busy = false;
             if (answer == null) {
-                knows.notBefore = loop.now() + RETRY_MS;
+                state.nextCallAtMs = loop.now() + RETRY_MS;
             } else if (answer.startsWith("200")) {
                 done.run();
             } else if (answer.contains("was ever listed")) {
-                knows.later.put(line.split(" ")[1], loop.now() + UNLISTED_RETRY_MS);
+                state.retryAtMs.put(line.split(" ")[1], loop.now() + UNLISTED_RETRY_MS);
             } else if (answer.contains("token")) {
-                knows.fenced = 0;                    // it has a newer token, or none: the token is sent again
-                knows.notBefore = loop.now() + RETRY_MS;
+                state.acceptedToken = 0;                    // it has a newer token, or none: the token is sent again
+                state.nextCallAtMs = loop.now() + RETRY_MS;
             } else {
-                knows.unable = answer;
+                state.rejection = answer;
             }
             loop.defer(this::applyBansToAll);
         });
--- a/src/main/java/yardusher/register/Member.java
+++ b/src/main/java/yardusher/register/Member.java
@@ -9,7 +9,7 @@
     public static final String PATTERN = "[A-Za-z0-9][A-Za-z0-9._-]{0,31}";
 
     public Member {
-        if (!name.matches(PATTERN)) { throw new CommandError.Argument("a member name has up to 32 letters, digits, '.', '_' and '-', and begins with a letter or digit"); }
+        if (!name.matches(PATTERN)) { throw new CommandError.Argument("a member's name is up to 32 letters, digits, '.', '_' and '-', a letter or digit first"); }
     }
 
     @Override
--- a/src/main/java/yardusher/register/Operation.java
+++ b/src/main/java/yardusher/register/Operation.java
@@ -13,13 +13,13 @@
      * syntax of the kind; for bans {@code REGION out} or {@code REGION in}. {@code takeOver}: replaces a running work
      * of this kind.
      */
-    record Submit(String command, String by, long atMs, WorkKind kind, String spec, boolean takeOver) implements Operation { }
+    record Submit(String command, String requestedBy, long atMs, WorkKind kind, String spec, boolean takeOver) implements Operation { }
 
     /** An operator stops a work in its current state. */
-    record Stop(String command, String by, long atMs, WorkKind kind) implements Operation { }
+    record Stop(String command, String requestedBy, long atMs, WorkKind kind) implements Operation { }
 
     /** An operator revokes a work from its holder; any member may claim it. */
-    record StepDown(String command, String by, WorkKind kind) implements Operation { }
+    record StepDown(String command, String requestedBy, WorkKind kind) implements Operation { }
 
     /**
      * A member claims the work. Granted if nobody holds it, or if it is still held under the token and heartbeat that
@@ -53,12 +53,12 @@
     default byte[] encode() {
         Fields.Out out = new Fields.Out();
         if (this instanceof Submit o) {
-            out.number(1, 1).text(2, o.command).text(3, o.by).number(4, o.atMs).number(5, o.kind.ordinal()).text(6, o.spec)
+            out.number(1, 1).text(2, o.command).text(3, o.requestedBy).number(4, o.atMs).number(5, o.kind.ordinal()).text(6, o.spec)
                     .flag(7, o.takeOver);
         } else if (this instanceof Stop o) {
-            out.number(1, 2).text(2, o.command).text(3, o.by).number(4, o.atMs).number(5, o.kind.ordinal());
+            out.number(1, 2).text(2, o.command).text(3, o.requestedBy).number(4, o.atMs).number(5, o.kind.ordinal());
         } else if (this instanceof StepDown o) {
-            out.number(1, 3).text(2, o.command).text(3, o.by).number(5, o.kind.ordinal());
+            out.number(1, 3).text(2, o.command).text(3, o.requestedBy).number(5, o.kind.ordinal());
         } else if (this instanceof Claim o) {
             out.number(1, 4).text(3, o.member).number(4, o.atMs).number(5, o.kind.ordinal()).number(8, o.nonce).number(9, o.seenToken)
                     .number(10, o.seenHeartbeat);
@@ -95,12 +95,12 @@
             case 9 -> new Forget(f.text(2), f.text(3));
             case 10 -> new Read();
             case 11 -> new NewTerm();
-            default -> throw new IOException("unknown operation");
+            default -> throw new IOException("an operation that is not known here");
         };
     }
 
-    private static int checkedIndex(long number, int size) throws IOException {
-        if (number < 0 || number >= size) { throw new IOException("unknown operation"); }
-        return (int) number;
+    private static int checkedIndex(long index, int size) throws IOException {
+        if (index < 0 || index >= size) { throw new IOException("an operation that is not known here"); }
+        return (int) index;
     }
 }
--- a/src/main/java/yardusher/register/RaftMessageCodec.java
+++ b/src/main/java/yardusher/register/RaftMessageCodec.java
@@ -75,7 +75,7 @@
     static RaftMessage decode(byte[] bytes, String group) throws IOException {
         Fields f = Fields.read(bytes);
         RaftEndpoint from = RaftModelCodec.member(f.text(SENDER));
-        if (from == null || f.number(TERM) < 0 || f.number(TERM) > Integer.MAX_VALUE) { throw new IOException("a message without a valid sender or term"); }
+        if (from == null || f.number(TERM) < 0 || f.number(TERM) > Integer.MAX_VALUE) { throw new IOException("no message of a member"); }
         int term = f.whole(TERM);
         long query = f.number(QUERY);
         long flow = f.number(FLOW);
@@ -106,7 +106,7 @@
                     .setFlowControlSequenceNumber(flow).build();
             case 10 -> RaftModelCodec.FACTORY.createTriggerLeaderElectionRequestBuilder().setGroupId(group).setSender(from).setTerm(term)
                     .setLastLogTerm(f.whole(B)).setLastLogIndex(f.number(A)).build();
-            default -> throw new IOException("unknown message type");
+            default -> throw new IOException("a message that is not known here");
         };
     }
 }
--- a/src/main/java/yardusher/register/RaftModelCodec.java
+++ b/src/main/java/yardusher/register/RaftModelCodec.java
@@ -43,10 +43,10 @@
         Fields f = Fields.read(bytes);
         if (f.has(1)) { return Operation.decode(f.bytes(1)); }
         if (f.has(2)) { return f.bytes(2); }
-        if (!f.has(3)) { throw new IOException("log entry without an operation"); }
+        if (!f.has(3)) { throw new IOException("an entry without an operation"); }
         Fields g = Fields.read(f.bytes(3));
         MembershipChangeMode[] modes = MembershipChangeMode.values();
-        if (g.number(4) < 0 || g.number(4) >= modes.length) { throw new IOException("unknown membership change mode"); }
+        if (g.number(4) < 0 || g.number(4) >= modes.length) { throw new IOException("an unknown change of members"); }
         return FACTORY.createUpdateRaftGroupMembersOpBuilder().setMembers(members(g.texts(1))).setVotingMembers(members(g.texts(2)))
                 .setEndpoint(member(g.text(3))).setMode(modes[g.whole(4)]).build();
     }
--- a/src/main/java/yardusher/register/Register.java
+++ b/src/main/java/yardusher/register/Register.java
@@ -76,12 +76,12 @@
             String[] words = o.spec().split(" ");
             try {
                 String spec = Bans.of(now.spec()).with(words[0], now.revision() + 1, words[1].equals("out")).toString();
-                now = now.withSpec(spec, o.by(), o.atMs());
+                now = now.withSpec(spec, o.requestedBy(), o.atMs());
             } catch (YardusherError e) {
                 return Answer.rejected(now.token(), e.getMessage());
             }
             works.put(o.kind(), now);
-            addHistory(o.atMs(), o.kind().label() + " ordered by " + o.by() + ": " + o.spec());
+            addHistory(o.atMs(), o.kind().label() + " ordered by " + o.requestedBy() + ": " + o.spec());
             return Answer.accepted(now.token(), o.kind().label() + " revision " + now.revision());
         }
         if (now != null && now.isRunning() && !o.takeOver()) {
@@ -89,10 +89,10 @@
                     + (now.isHeld() ? "held by " + now.holder() + " under token " + now.token() : "held by nobody") + heldSinceSuffix(now)
                     + (now.note().isEmpty() ? "" : ", " + now.note()));
         }
-        if (now != null && now.isRunning()) { addHistory(o.atMs(), o.kind().label() + " of " + now.requestedBy() + " taken over by " + o.by()); }
+        if (now != null && now.isRunning()) { addHistory(o.atMs(), o.kind().label() + " of " + now.requestedBy() + " taken over by " + o.requestedBy()); }
         Work next = newWork(o.kind(), o.spec(), o);
         works.put(o.kind(), next);
-        addHistory(o.atMs(), o.kind().label() + " " + next.id() + " ordered by " + o.by() + ": " + o.spec());
+        addHistory(o.atMs(), o.kind().label() + " " + next.id() + " ordered by " + o.requestedBy() + ": " + o.spec());
         return Answer.accepted(next.token(), o.kind().label() + " " + next.id() + " ordered");
     }
 
@@ -100,15 +100,15 @@
 
     /** A new work with a new token, so that the holder of the kind's previous work is refused from here on. */
     private Work newWork(WorkKind kind, String spec, Operation.Submit o) {
-        return new Work(kind, ++tokens, spec, 0, ++tokens, "", 0, 0, 0, "", Work.State.RUNNING, "", o.by(), o.atMs(), 0);
+        return new Work(kind, ++tokens, spec, 0, ++tokens, "", 0, 0, 0, "", Work.State.RUNNING, "", o.requestedBy(), o.atMs(), 0);
     }
 
     private Answer stop(Operation.Stop o) {
         Work now = works.get(o.kind());
         if (now == null || !now.isRunning()) { return Answer.rejected(0, "no " + o.kind().label() + " is running"); }
         if (o.kind().isContinuous()) { return Answer.rejected(now.token(), o.kind().label() + " goes on; orders change it"); }
-        works.put(o.kind(), revokeHolder(now).withProgress(now.seq(), now.checkpoint(), Work.State.STOPPED, "stopped by " + o.by() + progressSuffix(now)));
-        addHistory(o.atMs(), o.kind().label() + " " + now.id() + " stopped by " + o.by());
+        works.put(o.kind(), revokeHolder(now).withProgress(now.seq(), now.checkpoint(), Work.State.STOPPED, "stopped by " + o.requestedBy() + progressSuffix(now)));
+        addHistory(o.atMs(), o.kind().label() + " " + now.id() + " stopped by " + o.requestedBy());
         return Answer.accepted(now.token(), o.kind().label() + " stopped" + progressSuffix(now));
     }
 
@@ -118,7 +118,7 @@
         Work now = works.get(o.kind());
         if (now == null || !now.isHeld()) { return Answer.rejected(0, "nobody holds " + o.kind().label()); }
         works.put(o.kind(), revokeHolder(now));
-        addHistory(0, o.kind().label() + " taken from " + now.holder() + " by " + o.by());
+        addHistory(0, o.kind().label() + " taken from " + now.holder() + " by " + o.requestedBy());
         return Answer.accepted(now.token(), o.kind().label() + " taken from " + now.holder());
     }
 
@@ -283,11 +283,11 @@
     }
 
     /** The encoded state in chunks of at most {@code most} bytes, for a snapshot. */
-    List<byte[]> snapshotChunks(int most) {
+    List<byte[]> snapshotChunks(int maxBytes) {
         byte[] whole = encode();
         List<byte[]> parts = new ArrayList<>();
-        for (int from = 0; from == 0 || from < whole.length; from += most) {
-            parts.add(java.util.Arrays.copyOfRange(whole, from, Math.min(whole.length, from + most)));
+        for (int from = 0; from == 0 || from < whole.length; from += maxBytes) {
+            parts.add(java.util.Arrays.copyOfRange(whole, from, Math.min(whole.length, from + maxBytes)));
         }
         return parts;
     }
--- a/src/main/java/yardusher/register/RegisterNode.java
+++ b/src/main/java/yardusher/register/RegisterNode.java
@@ -188,42 +188,42 @@
     }
 
     /** Submits an operation. {@code asked} is called on the executor. */
-    public void submit(Operation op, OperationCallback asked) {
+    public void submit(Operation op, OperationCallback callback) {
         if (storeFailed) {
-            asked.onUnanswered(null, false);
+            callback.onUnanswered(null, false);
             return;
         }
         CompletableFuture<Ordered<Answer>> asking = op instanceof Operation.Read
                 ? raft.query(op, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty()) : raft.replicate(op);
-        asking.whenComplete((done, why) -> complete(asked, done == null ? null : done.getResult(), why));
+        asking.whenComplete((done, why) -> complete(callback, done == null ? null : done.getResult(), why));
     }
 
     /** Adds a member to the group, or removes it for good. */
-    public void changeMembership(String member, boolean in, OperationCallback asked) {
+    public void changeMembership(String member, boolean add, OperationCallback callback) {
         if (storeFailed) {
-            asked.onUnanswered(null, false);
+            callback.onUnanswered(null, false);
             return;
         }
         boolean isIn = members().contains(member);
-        if (isIn == in) {
-            asked.onAnswer(Answer.accepted(0, "member " + member + (in ? " takes part" : " is out")));
+        if (isIn == add) {
+            callback.onAnswer(Answer.accepted(0, "member " + member + (add ? " takes part" : " is out")));
             return;
         }
-        raft.changeMembership(new Member(member), in ? MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER : MembershipChangeMode.REMOVE_MEMBER,
+        raft.changeMembership(new Member(member), add ? MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER : MembershipChangeMode.REMOVE_MEMBER,
                 raft.getCommittedMembers().getLogIndex()).whenComplete((done, why) ->
-                complete(asked, done == null ? null : Answer.accepted(0, "member " + member + (in ? " takes part" : " is out")), why));
+                complete(callback, done == null ? null : Answer.accepted(0, "member " + member + (add ? " takes part" : " is out")), why));
     }
 
-    private void complete(OperationCallback asked, Answer answer, Throwable why) {
+    private void complete(OperationCallback callback, Answer answer, Throwable why) {
         if (answer != null) {
-            asked.onAnswer(answer);
+            callback.onAnswer(answer);
             return;
         }
         Throwable cause = why instanceof CompletionException && why.getCause() != null ? why.getCause() : why;
         if (cause instanceof NotLeaderException not) {
-            asked.onUnanswered(RaftModelCodec.name(not.getLeader()).isEmpty() ? null : RaftModelCodec.name(not.getLeader()), false);
+            callback.onUnanswered(RaftModelCodec.name(not.getLeader()).isEmpty() ? null : RaftModelCodec.name(not.getLeader()), false);
         } else {
-            asked.onUnanswered(null, true);
+            callback.onUnanswered(null, true);
         }
     }
 
--- a/src/main/java/yardusher/register/Work.java
+++ b/src/main/java/yardusher/register/Work.java
@@ -64,7 +64,7 @@
     static Work decode(byte[] bytes) throws IOException {
         Fields f = Fields.read(bytes);
         if (f.number(1) < 0 || f.number(1) >= WorkKind.values().length || f.number(11) < 0 || f.number(11) >= State.values().length) {
-            throw new IOException("work of an unknown kind or state");
+            throw new IOException("a work of an unknown kind");
         }
         return new Work(WorkKind.values()[f.whole(1)], f.number(2), f.text(3), f.number(4), f.number(5), f.text(6), f.number(7),
                 f.number(8), f.number(9), f.text(10), State.values()[f.whole(11)], f.text(12), f.text(13), f.number(14), f.number(15));
--- a/src/test/java/yardusher/agent/HangupTest.java
+++ b/src/test/java/yardusher/agent/HangupTest.java
@@ -7,7 +7,7 @@
 
 class HangupTest {
     @Test
-    void theLowestBitOfTheMaskIsThisSignal() {
+    void lowestMaskBitIsSighup() {
         assertThat(SighupStatus.isIgnored("Name:\tjava\nSigBlk:\t0000000000000001\nSigIgn:\t0000000000000001\nSigCgt:\t2000000181005ccf\n")).isTrue();
         assertThat(SighupStatus.isIgnored("SigIgn:\t0000000000001003\n")).isTrue();
         assertThat(SighupStatus.isIgnored("SigBlk:\t0000000000000001\nSigIgn:\t0000000000001002\n")).isFalse();
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void whoHasTheSignalStartsACommandAsItIs() {
+    void commandUnchangedWhenSighupNotIgnored() {
         List<String> command = List.of("java", "-jar", "yardusher.jar");
         assertThat(SighupStatus.withDefaultSighup(command)).endsWith("java", "-jar", "yardusher.jar").hasSize(SighupStatus.isIgnored() ? 5 : 3);
     }
--- a/src/test/java/yardusher/fence/FenceTest.java
+++ b/src/test/java/yardusher/fence/FenceTest.java
@@ -14,7 +14,7 @@
 /** What a target refuses, and that it still does after its death. */
 class FenceTest {
     @Test
-    void onlyTheSealedTokenIsFollowedAndAStepOnce() {
+    void acceptsOnlySealedTokenAndRunsStepOnce() {
         Fence fence = new Fence();
         assertThat(fence.check("roll", 5, "s")).isEqualTo(new Fence.Unsealed(0));
         assertThat(fence.seal("roll", 5)).isTrue();
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void onlyFinishedStepsAreForgotten() {
+    void dropsOnlyFinishedSteps() {
         Fence fence = new Fence();
         fence.seal("roll", 1);
         fence.begin("roll", 1, "running", "", "");
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void whatWasSealedAndBegunOutlivesADeath() throws Exception {
+    void sealsAndBegunStepsSurviveCrash() throws Exception {
         MemoryDisk disk = new MemoryDisk();
         EventLoop loop = new EventLoop(() -> System.nanoTime() / 1e6, Throwable::printStackTrace);
         FenceStore memory = FenceStore.open(disk, "site", "a1", loop);
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void aSealThatFoundNoRoomIsNotCalledSealedUntilItIs() throws Exception {
+    void sealIsConfirmedOnlyOnceWritten() throws Exception {
         MemoryDisk disk = new MemoryDisk();
         EventLoop loop = new EventLoop(() -> System.nanoTime() / 1e6, Throwable::printStackTrace);
         FenceStore memory = FenceStore.open(disk, "site", "a1", loop);
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void anInstanceTakesNothingBeforeItsAgentHasSpokenAndNoOlderOrder() {
+    void instanceRefusesCommandsBeforeTokenAndOlderRevisions() {
         InstanceFence fence = new InstanceFence();
         assertThatThrownBy(() -> fence.isNew("s-1", 5, 1)).hasMessageContaining("no token");
         fence.acceptToken(5);
--- a/src/test/java/yardusher/fleet/CheckerTest.java
+++ b/src/test/java/yardusher/fleet/CheckerTest.java
@@ -24,7 +24,7 @@
     private List<String> breaches(int away) { return Checker.breaches(events, away, Set.of("5"), Set.of("n0", "n1")); }
 
     @Test
-    void aGoodHistoryHasNone() {
+    void validHistoryHasNoBreaches() {
         for (String name : List.of("n0", "n1")) { event("a0", "instance", 0, name, "started pid=1"); }
         event("a0", "roll", 3, "-", "seals");
         restart("a0", 3, "5", "n0");
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void eachRuleIsSeenBroken() {
+    void detectsBreachOfEachRule() {
         event("a0", "roll", 4, "-", "seals");
         event("a0", "roll", 3, "5/n0", "acts restart n0");
         event("a1", "roll", 4, "5/n1", "acts restart n1");
--- a/src/test/java/yardusher/fleet/FleetStoryTest.java
+++ b/src/test/java/yardusher/fleet/FleetStoryTest.java
@@ -22,7 +22,7 @@
     Path folder;
 
     @Test
-    void aRollGoesOnUnderTheNextOwnerAndTheOldOneDoesNoHarmWhenItWakes() throws Exception {
+    void rollContinuesUnderNextOwnerAndFencesFormerOne() throws Exception {
         try (Installation site = begun(folder, 3, 1)) {
             assertThat(site.order(1, "command-1", "roll", "restart away=1 failures=0", "-")).contains("roll ").contains(" ordered");
             assertThat(site.order(2, "command-1", "roll", "restart away=1 failures=0", "-")).contains(" ordered"); // the same once more
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void strangersAndMadeUpTokensAreRefused() throws Exception {
+    void refusesForeignInstallationsAndForgedTokens() throws Exception {
         try (Installation site = begun(folder, 3, 1)) {
             assertThat(site.ask(0, 2000, "FLEET.SEAL", "elsewhere", "roll", "5")).startsWith("-ERR this agent belongs to installation lab");
             assertThat(site.ask(0, 2000, "FLEET.SEAL", "lab", "roll", "999999999")).startsWith("-UNPROVEN");
--- a/src/test/java/yardusher/fleet/HardCasesTest.java
+++ b/src/test/java/yardusher/fleet/HardCasesTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void whatADeadOwnerHadSentComesLateAndDoesNothing() throws Exception {
+    void lateRequestOfDeadOwnerHasNoEffect() throws Exception {
         try (Installation site = begun(folder, 3, 1)) {
             roll(site, 0, "command-1");
             String id = Installation.cell(site.report(1), "roll", "id");
@@ -44,12 +44,12 @@
             int owner = site.holder(1, "roll");
             int other = (owner + 1) % 3;
             for (int j = 0; j < 3; j++) {
-                if (j != owner) { site.way(owner, j).there.hold(); }
+                if (j != owner) { site.relay(owner, j).there.hold(); }
             }
             await("another owner", () -> site.holder(other, "roll") >= 0 && site.holder(other, "roll") != owner);
             site.kill(owner);
             for (int j = 0; j < 3; j++) {
-                if (j != owner) { site.way(owner, j).heal(); }
+                if (j != owner) { site.relay(owner, j).heal(); }
             }
             site.start(owner);
             await("the end of the roll", () -> state(site, other).equals("done"));
@@ -69,16 +69,16 @@
             int left = (owner + 1) % 5 == leader ? (owner + 2) % 5 : (owner + 1) % 5;
             for (int j = 0; j < 5; j++) {
                 if (j != owner && j != left) {
-                    site.way(owner, j).cut();
-                    site.way(j, owner).cut();
+                    site.relay(owner, j).cut();
+                    site.relay(j, owner).cut();
                 }
             }
             int other = (owner + 3) % 5;
             await("another owner", () -> site.holder(other, "roll") >= 0 && site.holder(other, "roll") != owner);
             for (int j = 0; j < 5; j++) {
                 if (j != owner) {
-                    site.way(owner, j).heal();
-                    site.way(j, owner).heal();
+                    site.relay(owner, j).heal();
+                    site.relay(j, owner).heal();
                 }
             }
             await("the end of the roll", () -> state(site, other).equals("done"));
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void withoutAMajorityWorkStopsInstancesGoOnAndItIsTakenUpWhenItIsBack() throws Exception {
+    void workPausesWithoutMajorityAndResumes() throws Exception {
         try (Installation site = begun(folder, 3, 1)) {
             roll(site, 0, "command-1");
             String id = Installation.cell(site.report(0), "roll", "id");
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void anAgentThatDiesBetweenActAndRecordAndAnInstanceThatHangsAreOneEffectEach() throws Exception {
+    void restartsOnceDespiteAgentCrashOrHangingInstance() throws Exception {
         try (Installation site = begun(folder, 3, 1)) {
             long hanging = Long.parseLong(Files.readString(site.log(2)).replaceAll("(?s).*started pid=([0-9]+).*", "$1"));
             new ProcessBuilder("kill", "-STOP", Long.toString(hanging)).start().waitFor(); // it takes no SIGTERM
@@ -122,18 +122,18 @@
     }
 
     @Test
-    void ofTwoOperatorsOnBothSidesOfACutOneIsTaken() throws Exception {
+    void oneOfTwoCommandsIsAcceptedDuringPartition() throws Exception {
         try (Installation site = begun(folder, 3, 1)) {
             for (int j = 1; j < 3; j++) {
-                site.way(0, j).cut();
-                site.way(j, 0).cut();
+                site.relay(0, j).cut();
+                site.relay(j, 0).cut();
             }
             await("a leader on the other side", () -> site.leader(1) > 0);
             assertThat(roll(site, 0, "command-1")).startsWith("-TRYAGAIN");
             assertThat(roll(site, 1, "command-2")).contains("ordered");
             for (int j = 1; j < 3; j++) {
-                site.way(0, j).heal();
-                site.way(j, 0).heal();
+                site.relay(0, j).heal();
+                site.relay(j, 0).heal();
             }
             await("the end of the roll", () -> state(site, 0).equals("done"));
             assertThat(roll(site, 0, "command-2")).contains("ordered"); // its answer, no second roll
@@ -143,7 +143,7 @@
     }
 
     @Test
-    void aTargetThatRestartsBetweenSealAndActActsOnceInItsNextLife() throws Exception {
+    void targetRestartedBetweenSealAndStepRunsItOnce() throws Exception {
         try (Installation site = begun(folder, 3, 1)) {
             roll(site, 0, "command-1");
             String id = Installation.cell(site.report(0), "roll", "id");
@@ -162,14 +162,14 @@
 
     /** The folder cannot be filled here; a limit on the size of the process's files fails its writes with another text. */
     @Test
-    void aMemberWhoseFolderIsFullTakesNoPartAndGoesOnOnceThereIsRoom() throws Exception {
+    void memberWithFullDiskRejoinsOnceThereIsSpace() throws Exception {
         try (Installation site = begun(folder, 3, 1)) {
             int full = (site.leader(0) + 1) % 3;
             site.kill(full);
-            site.limitable(full);
+            site.allowDiskFull(full);
             site.start(full);
             await("agent " + full + " again", () -> Labs.ready(site, full));
-            site.full(full, true);
+            site.setDiskFull(full, true);
             assertThat(site.order((full + 1) % 3, "command-0", "ban", "s-00000001")).doesNotStartWith("-"); // the others are a majority
             said(site, full, "takes no part in the register: ");
             roll(site, (full + 1) % 3, "command-1");
@@ -177,7 +177,7 @@
             await("an owner that has room", () -> site.holder((full + 1) % 3, "roll") >= 0);
             assertThat(site.holder((full + 1) % 3, "roll")).isNotEqualTo(full);
             assertThat(site.history()).filteredOn(event -> event.target().equals("a" + full) && event.what().startsWith("acts")).isEmpty();
-            site.full(full, false);
+            site.setDiskFull(full, false);
             said(site, full, "takes part in the register again");
             await("the end of the roll", () -> state(site, full).equals("done"));
             assertThat(breaches(site, 1, Set.of(id))).isEmpty();
--- a/src/test/java/yardusher/fleet/LeasesTest.java
+++ b/src/test/java/yardusher/fleet/LeasesTest.java
@@ -23,7 +23,7 @@
     private static RegisterView view(Register register) { return new RegisterView(register.appliedIndex(), register.highestToken(), Map.of(WorkKind.ROLL, register.work(WorkKind.ROLL)), Map.of(), List.of()); }
 
     @Test
-    void theHolderStopsBeforeAnotherMayBeginAndGoesOnWhileItIsHeard() {
+    void holderStopsBeforeTakeOverAndContinuesWhileRenewed() {
         Register register = new Register();
         register.apply(1, new Operation.Submit("c", "eva", 0, WorkKind.ROLL, "restart", false));
         LeaseManager one = new LeaseManager("a1", TERMS, new Random(1));
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void whoIsRefusedAfterItSawTheWinnerWaitsAWholeLease() {
+    void refusedClaimWaitsWholeLease() {
         Register register = new Register();
         register.apply(1, new Operation.Submit("c", "eva", 0, WorkKind.ROLL, "restart", false));
         LeaseManager late = new LeaseManager("a2", TERMS, new Random(1));
--- a/src/test/java/yardusher/fleet/ModelTest.java
+++ b/src/test/java/yardusher/fleet/ModelTest.java
@@ -11,7 +11,7 @@
 class ModelTest {
     @Test
     void noStateBreaksARule() {
-        Model.Found found = Model.explore(Model.Without.NOTHING, 3, 2);
+        Model.Result found = Model.explore(Model.Without.NOTHING, 3, 2);
         assertThat(found.breach()).isNull();
         assertThat(found.states()).isGreaterThan(100_000);
     }
--- a/src/test/java/yardusher/fleet/RollTest.java
+++ b/src/test/java/yardusher/fleet/RollTest.java
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void nothingIsOrderedBeforeTheRegisterHoldsThatItIsOut() {
+    void requestsStepOnlyAfterCheckpointIsSaved() {
         RollWork roll = new RollWork(work("", 0), Set.of("a0", "a1"), 5000);
         assertThat(roll.nextActions(0)).containsExactlyInAnyOrder(new WorkProcedure.Seal("a0"), new WorkProcedure.Seal("a1"));
         seal(roll, 10, "a0", true);
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void theNextHolderTakesUpWhatIsOutAndWaitsForWhoIsAwayAnyway() {
+    void nextHolderResumesOutInstancesAndCountsUnavailableOnes() {
         RollWork roll = new RollWork(work("a0/n0:o,a1/n0:t", 4), Set.of("a0", "a1"), 5000);
         roll.nextActions(0);
         seal(roll, 10, "a1", true);
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void whoeverIsAwayForTooLongByItselfEndsItWithItsName() {
+    void failsNamingInstanceUnavailableForTooLong() {
         RollWork roll = new RollWork(work("a0/n0:d,a1/n0:t", 4), Set.of("a0", "a1"), 5000);
         for (double now = 0; now < 5000; now += 100) {
             seal(roll, now, "a0", false);
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void whoIsSilentForTooLongEndsItAndWhatItDidIsCalledUnknown() {
+    void failsWithUnknownOutcomeWhenMemberIsSilent() {
         RollWork roll = new RollWork(work("a0/n0:o,a1/n0:t", 4), Set.of("a0", "a1"), 5000);
         roll.nextActions(0);
         seal(roll, 10, "a1", true);
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void oneFailureTooManyStopsIt() {
+    void stopsAfterTooManyFailures() {
         RollWork roll = new RollWork(work("a0/n0:o,a1/n0:t", 4), Set.of("a0", "a1"), 5000);
         roll.nextActions(0);
         seal(roll, 10, "a0", true);
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void ordersAreReadStrictly() {
+    void rejectsInvalidRollSpecs() {
         assertThat(RollSpec.of("reload away=3").toString()).isEqualTo("reload away=3 failures=0");
         for (String bad : new String[] {"", "restart away=0", "restart twice", "away=2", "restart failures=-1"}) {
             assertThatThrownBy(() -> RollSpec.of(bad)).as(bad).isInstanceOf(CommandError.class);
--- a/src/test/java/yardusher/lab/fleet/PlantTest.java
+++ b/src/test/java/yardusher/lab/fleet/PlantTest.java
@@ -13,7 +13,7 @@
     Path folder;
 
     @Test
-    void eachPlantCompilesIntoClassesThatStandFirst() throws Exception {
+    void everyPlantCompilesAndTakesPrecedence() throws Exception {
         for (String name : Plant.names()) {
             Plant plant = Plant.of(name, folder.resolve(name));
             assertThat(plant.command(24).get(plant.command(24).indexOf("-cp") + 1)).startsWith(folder.resolve(name).resolve("classes").toString());
--- a/src/test/java/yardusher/register/RegisterTest.java
+++ b/src/test/java/yardusher/register/RegisterTest.java
@@ -23,7 +23,7 @@
     private Answer claim(String member, long nonce, long token, long beat) { return apply(new Operation.Claim(member, nonce, 2, WorkKind.ROLL, token, beat)); }
 
     @Test
-    void aWorkIsGivenToOneAtATimeAndTokensOnlyGrow() {
+    void grantsWorkToOneHolderUnderGrowingTokens() {
         assertThat(roll("c1", false).ok()).isTrue();
         long first = register.work(WorkKind.ROLL).token();
         Answer granted = claim("a1", 7, 0, 0);
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void aSecondOrderIsToldWhoHoldsWhatAndHowFarItIs() {
+    void refusesSecondCommandWithHolderAndProgress() {
         roll("c1", false);
         Answer granted = claim("a1", 7, 0, 0);
         apply(new Operation.Checkpoint(WorkKind.ROLL, granted.token(), 1, "x", Work.State.RUNNING, "3 of 12 done"));
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void bansAreOneListWithRevisionsAndBounded() {
+    void bansFormOneBoundedListWithRevisions() {
         for (int i = 0; i < Bans.MAX_REGIONS; i++) { assertThat(apply(new Operation.Submit("b" + i, "eva", 1, WorkKind.BANS, "s-" + i + " out", false)).ok()).isTrue(); }
         assertThat(apply(new Operation.Submit("more", "eva", 1, WorkKind.BANS, "s-x out", false)).ok()).isFalse();
         assertThat(apply(new Operation.Submit("in", "eva", 1, WorkKind.BANS, "s-7 in", false)).ok()).isTrue();
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void aForgottenMemberNeitherHoldsNorClaimsNorComesBack() {
+    void forgottenMemberCannotHoldClaimOrReturn() {
         roll("c1", false);
         long token = claim("a1", 7, 0, 0).token();
         apply(new Operation.Forget("c2", "a1"));
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void theWholeStateComesBackFromItsMessage() throws IOException {
+    void decodesEncodedState() throws IOException {
         roll("c1", false);
         claim("a1", 7, 0, 0);
         apply(new Operation.Admit("c3", "a9", "127.0.0.1:1"));
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void whatAReaderIsToldFitsOneMessageHoweverMuchIsHeld() throws IOException {
+    void readReplyFitsOneMessageAtFullState() throws IOException {
         for (int i = 0; i < 2 * Register.MAX_REMEMBERED_COMMANDS; i++) {
             apply(new Operation.Submit("command-" + i + "-" + "x".repeat(40), "e".repeat(64), 1, WorkKind.BANS, "s-" + "y".repeat(55) + i % 250 + " out", false));
         }
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void aStoreOfAnotherMemberAndADamagedOneAreRefused() throws Exception {
+    void refusesForeignOrDamagedStore() throws Exception {
         MemoryDisk disk = new MemoryDisk();
         assertThatThrownBy(() -> RaftLogStore.open(disk, "site", "a1")).hasMessageContaining("holds no store of a1");
         RaftLogStore.create(disk, "site", "a1", false).close();
--- a/src/test/java/yardusher/register/ScriptedTest.java
+++ b/src/test/java/yardusher/register/ScriptedTest.java
@@ -16,7 +16,7 @@
     static void quiet() { ((Logger) LoggerFactory.getLogger("io.microraft")).setLevel(Level.OFF); }
 
     @Test
-    void whatClientsAreToldFitsOneOrderThroughDeathsCutsAndLoss() {
+    void repliesAreLinearizableUnderCrashesPartitionsAndLoss() {
         LongStream.range(0, 30).parallel().forEach(seed -> {
             Scripted.Run run = Scripted.run(seed, seed % 3 == 0 ? 5 : 3, 12_000, false);
             assertThat(run.breach()).as("seed " + seed).isNull();
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void disksThatOnlySayThatTheySyncAreNoticed() {
+    void detectsDisksThatDoNotSync() {
         assertThat(LongStream.range(0, 10).filter(seed -> Scripted.run(seed, 3, 12_000, true).breach() != null).count()).isPositive();
     }
 }
--- a/src/test/java/yardusher/register/StandstillTest.java
+++ b/src/test/java/yardusher/register/StandstillTest.java
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void membersThatDoubtedTheirLeaderForAMomentChooseAnotherWhenItDies() throws IOException {
+    void electsLeaderAfterStalledPreVotes() throws IOException {
         for (int i = 0; i < 3; i++) { begin(NAMES.get(i), i); }
         run(3000);
         String leader = nodes.get("m0").leader();
