--- a/lab/src/yardusher/lab/fleet/Checker.java
+++ b/lab/src/yardusher/lab/fleet/Checker.java
@@ -9,13 +9,14 @@
 import java.util.Set;
 import yardusher.lab.fleet.History.Event;
 
-/** Holds a history of effects against what is promised for work on behalf of the fleet. Knows the targets' word alone. */
+/** Checks a history of effects against the guarantees of fleet work. Uses the targets' logs only. */
 public final class Checker {
     private Checker() { }
 
     /**
-     * The breaches, a line each; empty for none. {@code away}: instances that a roll may have away at once. {@code done}:
-     * the ids of rolls that the register calls done, and {@code all} the instances that each of those had to restart.
+     * The breaches, one line each; empty if there are none. {@code away}: instances that a roll may have unavailable at
+     * once. {@code done}: ids of the rolls that the register reports as done; {@code all}: the instances that each of
+     * them had to restart.
      */
     public static List<String> breaches(List<Event> events, int away, Set<String> done, Set<String> all) {
         List<String> found = new ArrayList<>();
@@ -25,7 +26,7 @@
         return found;
     }
 
-    /** At each target the tokens that are sealed and acted under never fall. */
+    /** At each target the tokens of seals and executed steps never decrease. */
     private static void checkTokens(List<Event> events, List<String> found) {
         Map<String, Long> highest = new HashMap<>();
         for (Event event : events) {
@@ -40,7 +41,7 @@
         }
     }
 
-    /** From the act to the moment at which the instance is ready again it is away; never more at once than allowed. */
+    /** An instance is unavailable from its restart until it is ready again; never more at once than allowed. */
     private static void checkAway(List<Event> events, int allowed, List<String> found) {
         Set<String> gone = new HashSet<>();
         for (Event event : events) {
@@ -53,10 +54,10 @@
         }
     }
 
-    /** Each step takes effect once: an instance is started anew once for each roll, and not without one. */
+    /** Each step takes effect once: an instance is started once for each roll and never without one. */
     private static void checkEffects(List<Event> events, Set<String> done, Set<String> all, List<String> found) {
         Map<String, Integer> starts = new LinkedHashMap<>();
-        Map<String, Set<String>> rolls = new HashMap<>(); // by instance, the rolls whose step was acted on
+        Map<String, Set<String>> rolls = new HashMap<>(); // by instance, the rolls whose step was executed
         for (Event event : events) {
             if (event.work().equals("instance") && event.what().startsWith("started")) { starts.merge(event.step(), 1, Integer::sum); }
             if (event.work().equals("roll") && event.what().startsWith("acts restart ")) {
--- a/lab/src/yardusher/lab/fleet/Costs.java
+++ b/lab/src/yardusher/lab/fleet/Costs.java
@@ -19,7 +19,10 @@
 import yardusher.register.RaftLogStore;
 import yardusher.register.RegisterView;
 
-/** What the register of owners costs and how soon the next owner goes on: the figures of docs/measurements/owners.md. */
+/**
+ * Measures the cost of the register and the time until the next owner continues; the figures are in
+ * docs/measurements/owners.md.
+ */
 public final class Costs {
     private Costs() { }
 
@@ -51,7 +54,10 @@
         }
     }
 
-    /** From the owner's SIGKILL to the first target that has sealed the next owner's token; so many installations side by side. */
+    /**
+     * Time from the owner's SIGKILL to the first target that has sealed the next owner's token; {@code side}
+     * installations run in parallel.
+     */
     private static void takeover(Path folder, int agents, int times, int side) throws InterruptedException {
         List<Long> all = java.util.Collections.synchronizedList(new ArrayList<>());
         List<Thread> threads = new ArrayList<>();
@@ -96,13 +102,13 @@
         }
     }
 
-    /** When a target first did so for a roll under this token or a later one; -1 for not yet. */
+    /** When a target first logged {@code what} for a roll under this token or a later one; -1 if none has. */
     private static long first(Installation site, long token, String what) throws IOException {
         return site.history().stream().filter(event -> event.work().equals("roll") && event.token() >= token && event.what().startsWith(what))
                 .mapToLong(History.Event::atMs).min().orElse(-1);
     }
 
-    /** Processor time and memory of agents that have nothing to do, beside one without a fleet. */
+    /** CPU time and memory of idle agents, next to one without a fleet. */
     private static void idle(Path folder, int agents, int seconds) throws IOException, InterruptedException {
         try (Installation site = begin(folder, agents, 1)) {
             Thread.sleep(5000);
@@ -135,7 +141,7 @@
         return -1;
     }
 
-    /** Orders one after another at a member that does not lead. */
+    /** Sends commands one after another to a member that is not the leader. */
     private static void commands(Path folder, int agents, int seconds) throws IOException, InterruptedException {
         try (Installation site = begin(folder, agents, 1)) {
             int asked = (site.leader(0) + 1) % agents;
@@ -149,7 +155,10 @@
         }
     }
 
-    /** A member alone writes so many entries, with snapshots; then how long its store takes to open and to be applied. */
+    /**
+     * A single member writes {@code entries} entries, with snapshots; then measures how long opening its store and
+     * applying it takes.
+     */
     private static void recovery(Path path, int entries) throws Exception {
         Files.createDirectories(path);
         Storage folder = Folder.writing(path, "m0");
--- a/lab/src/yardusher/lab/fleet/FleetRun.java
+++ b/lab/src/yardusher/lab/fleet/FleetRun.java
@@ -16,9 +16,9 @@
 import yardusher.lab.Terminals;
 
 /**
- * One seed of an installation under faults: agents that die, are paused and come back, ways that are cut, lose, hold and
- * reset, while operators order rolls and bans at any agent. Then calm, until what was ordered has ended; then the verdict.
- * The folder keeps schedule, logs and histories; the same seed gives the same schedule.
+ * Runs one seed of an installation under faults: agents are killed, paused and restarted, links are cut, lose, hold and
+ * reset, while operators request rolls and bans at any agent. Then a fault-free phase until the work has ended, then
+ * the checks. The folder keeps the schedule, logs and histories; the same seed gives the same schedule.
  */
 public final class FleetRun {
     private static final long CALM_MS = 60_000;
@@ -26,7 +26,7 @@
     private static final int MAX_ATTEMPTS = 6;
     private static final long MAX_TAKEOVER_MS = 3500;
 
-    /** How a seed went. */
+    /** The result of one seed. */
     public record Verdict(long seed, int faults, int rolls, int rollsDone, int owners, long effects, long refused, int requests, long unserved, List<String> breaches) { }
 
     private final Installation site;
@@ -42,12 +42,12 @@
         away = 1 + random.nextInt(2);
     }
 
-    /** Plays a seed in a folder that is not there yet. */
+    /** Runs a seed in a new folder. */
     public static Verdict play(Path folder, long seed, int agents, int instances, int troubles) throws IOException, InterruptedException {
         return play(folder, seed, agents, instances, troubles, null);
     }
 
-    /** With something left out of the agents' program, or null. */
+    /** The same with a faulty agent program, or null. */
     static Verdict play(Path folder, long seed, int agents, int instances, int troubles, Plant plant) throws IOException, InterruptedException {
         try (Installation site = new Installation(folder, agents, instances, new Installation.Tuning(800, 100, 20_000), plant)) {
             FleetRun run = new FleetRun(site, seed);
@@ -61,7 +61,10 @@
 
     private void record(String what) { schedule.add((System.currentTimeMillis() - startedAtMs) + " " + what); }
 
-    /** Transactions come all the while; each has to be served in the end, with what a region made for it. */
+    /**
+     * Runs the seed under a constant load of requests; each must be served in the end, with the answer that a region
+     * made for it.
+     */
     private Verdict underLoad(long seed, int troubles) throws IOException, InterruptedException {
         Terminals terminals = site.terminals();
         site.init();
@@ -80,7 +83,7 @@
         Map<String, Terminals.Try> last = new HashMap<>();
         for (Terminals.Try one : site.terminalHistory()) { last.put(one.retryOf(), one); }
         long lost = last.values().stream().filter(one -> one.end() != Terminals.End.SERVED).count();
-        // A machine that stands still for seconds fails all tries of one: a figure then, and no breach.
+        // A machine that stalls for seconds fails all attempts of a request: reported as a figure, not as a breach.
         if (lost * 100 > last.size()) { breaches.add(lost + " transactions of " + last.size() + " were not served in " + MAX_ATTEMPTS + " tries"); }
         breaches.addAll(Checks.served(site.regionHistory(), site.terminalHistory()));
         breaches.addAll(Checks.connections(site.regionHistory()));
@@ -141,7 +144,7 @@
         record("a" + agent + " is told to " + verb + ": " + site.order(agent, id, verb, "s-00000001"));
     }
 
-    /** One fault, from its beginning to its end. */
+    /** Injects one fault and ends it. */
     private void injectFault() throws IOException, InterruptedException {
         faults++;
         int holder = random.nextInt(2) == 0 ? site.holder(random.nextInt(site.agents()), "roll") : -1;
@@ -161,7 +164,7 @@
                 Thread.sleep(ms);
                 site.resume(a);
             }
-            case 4 -> {                              // cut off from all others
+            case 4 -> {                              // isolated from all others
                 for (int j = 0; j < site.agents(); j++) {
                     if (j != a) {
                         site.relay(a, j).cut();
@@ -170,11 +173,11 @@
                 }
                 Thread.sleep(ms);
             }
-            case 5 -> {                              // one way only
+            case 5 -> {                              // loss in one direction only
                 site.relay(a, b).there.lose(true);
                 Thread.sleep(ms);
             }
-            case 6 -> {                              // what it has sent comes later, also when it is dead by then
+            case 6 -> {                              // its messages are delivered later, even if it is dead by then
                 for (int j = 0; j < site.agents(); j++) {
                     if (j != a) { site.relay(a, j).there.hold(); }
                 }
@@ -186,7 +189,7 @@
                 if (dies) { site.start(a); }
             }
             case 7 -> lateOrder(b, random.nextInt(site.agents() - 1), random.nextBoolean(), random.nextBoolean());
-            case 8 -> {                              // it wakes when another owner has begun
+            case 8 -> {                              // it resumes after another owner has begun
                 site.pause(a);
                 awaitNext(a, b);
                 site.resume(a);
@@ -204,7 +207,10 @@
         heal();
     }
 
-    /** A new roll's order to one target is kept until the next owner, maybe of yet another roll, has begun; then it comes, and its sender wakes or starts. */
+    /**
+     * Holds a step request of a new roll until the next owner, possibly of yet another roll, has begun; then delivers
+     * it and resumes or restarts its sender.
+     */
     private void lateOrder(int asked, int which, boolean dies, boolean another) throws IOException, InterruptedException {
         long seen = highestSealedToken();
         order(asked, "late-" + faults + "-" + startedAtMs, "take-over");
@@ -219,14 +225,14 @@
         for (until = System.currentTimeMillis() + MAX_TAKEOVER_MS; System.currentTimeMillis() < until && !site.relay(owner, target).there.isHolding();) { Thread.sleep(10); }
         record((site.relay(owner, target).there.isHolding() ? "an order of a" : "no order of a") + owner + " to a" + target + " is held");
         if (dies) { site.kill(owner); } else { site.pause(owner); }
-        // Before anybody takes the roll up: else the next owner has the step done, and the late order finds it known.
+        // Before the roll is taken over: otherwise the next owner completes the step, and the late request finds it finished.
         if (another) { order(target, "later-" + faults + "-" + startedAtMs, "take-over"); }
         awaitNext(owner, target);
         heal();
         if (dies) { site.start(owner); } else { site.resume(owner); }
     }
 
-    /** Waits until another owner of a roll has sealed at some target, where {@code a} held one; not for longer than it takes. */
+    /** Waits, within the usual take-over time, until another owner of a roll has sealed at some target. */
     private void awaitNext(int a, int asked) throws IOException, InterruptedException {
         long until = System.currentTimeMillis() + MAX_TAKEOVER_MS;
         long sealed = highestSealedToken();
@@ -256,7 +262,7 @@
         }
     }
 
-    /** Waits until no roll runs and all instances are ready; the last report, or null. */
+    /** Waits until no roll is running and all instances are ready; returns the last report, or null on timeout. */
     private String awaitSettled() throws InterruptedException {
         for (long until = System.currentTimeMillis() + CALM_MS; System.currentTimeMillis() < until; Thread.sleep(100)) {
             String report = site.report(0);
@@ -270,8 +276,9 @@
     }
 
     /**
-     * {@code FOLDER FIRST COUNT [AGENTS [INSTANCES [TROUBLES [SIDE [PLANT]]]]]}: a line a seed, SIDE of them side by side; keeps the
-     * folders of those with breaches. No seed is begun once {@code lab.seconds} have gone by. With a plant it ends at the first breach, and 1 says that there was none.
+     * {@code FOLDER FIRST COUNT [AGENTS [INSTANCES [TROUBLES [SIDE [PLANT]]]]]}: prints a line for each seed and runs
+     * SIDE of them in parallel; keeps the folders of seeds with breaches. Starts no seed after {@code lab.seconds} have
+     * passed. With a plant it ends at the first breach; exit status 1 means that there was none.
      */
     public static void main(String[] args) throws Exception {
         long first = Long.parseLong(args[1]);
--- a/lab/src/yardusher/lab/fleet/History.java
+++ b/lab/src/yardusher/lab/fleet/History.java
@@ -6,14 +6,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What targets have written down of effects: lines {@code fence MS WORK TOKEN STEP WHAT}, in the order of each target. */
+/** The effects that targets have logged: lines {@code fence MS WORK TOKEN STEP WHAT}, in the order of each target. */
 public final class History {
-    /** One line. {@code target}: the agent that wrote it. Of an instance's own life the work is {@code instance}. */
+    /** One line. {@code target}: the agent that wrote it. Lines on an instance's process have the work {@code instance}. */
     public record Event(long atMs, String target, String work, long token, String step, String what) { }
 
     private History() { }
 
-    /** Reads a target's file; half a line, as a kill leaves it, is passed over. */
+    /** Reads a target's log; skips an incomplete last line, as a kill leaves it. */
     public static List<Event> read(Path file, String target) throws IOException {
         List<Event> events = new ArrayList<>();
         if (!Files.exists(file)) { return events; }
--- a/lab/src/yardusher/lab/fleet/Installation.java
+++ b/lab/src/yardusher/lab/fleet/Installation.java
@@ -25,14 +25,14 @@
 import yardusher.resp.Value;
 
 /**
- * An installation of real processes of this program: agents with instances, each agent on a loopback address of its own
- * and every way from one agent to another through a {@link Relay}. Each process's output goes to a file that its next
- * lives write on in. Ends every process it has started.
+ * An installation of real processes: agents with instances, each agent on a loopback address of its own and every link
+ * between two agents through a {@link Relay}. A process's output goes to a file that its restarts append to. Ends every
+ * process that it has started.
  */
 public final class Installation implements AutoCloseable {
     private static final String NAME = "lab";
 
-    /** Settings of the agents' table fleet, beside those that have to be as they are. */
+    /** Values for the agents' table {@code fleet} that a test may choose. */
     public record Tuning(int leaseMs, int heartbeatMs, int patienceMs) {
         public static final Tuning DEFAULT = new Tuning(1500, 200, 30_000);
     }
@@ -45,7 +45,7 @@
     private final Process[] processes;
     private final Map<List<Integer>, Relay> relays = new LinkedHashMap<>();
     private final int number = Programs.nextGroup();
-    private final List<InetSocketAddress> addresses = new ArrayList<>(); // of instances, agent by agent
+    private final List<InetSocketAddress> addresses = new ArrayList<>(); // of the instances, in the order of the agents
     private final Plant plant;
     private final Set<Integer> pipedAgents = new HashSet<>();
     private final Discovery discovery;
@@ -55,12 +55,12 @@
     private final Terminals terminals;
     private final Thread shutdownHook = new Thread(this::end);
 
-    /** {@code instances}: of each agent. */
+    /** {@code instances}: per agent. */
     public Installation(Path folder, int agents, int instances, Tuning tuning) throws IOException {
         this(folder, agents, instances, tuning, null);
     }
 
-    /** With something left out of the agents' program, or null. Three stand-in regions are known to every instance. */
+    /** The same with a faulty agent program, or null. Every instance knows three stand-in regions. */
     public Installation(Path folder, int agents, int instances, Tuning tuning, Plant plant) throws IOException {
         this.plant = plant;
         this.folder = folder;
@@ -86,7 +86,7 @@
         }
         for (int i = 0; i < agents; i++) { write(i); }
         terminals = new Terminals(addresses, terminalHistory, number);
-        Runtime.getRuntime().addShutdownHook(shutdownHook); // a run that is cut off leaves no process behind either
+        Runtime.getRuntime().addShutdownHook(shutdownHook); // an interrupted run leaves no process behind either
     }
 
     private InetSocketAddress free(int machine) throws IOException { return Programs.free(Programs.place(number, machine)); }
@@ -121,13 +121,13 @@
 
     private static List<String> command() { return Programs.command(48); }
 
-    /** An agent's file. */
+    /** An agent's configuration file. */
     public Path file(int agent) { return folder.resolve("a" + agent + ".toml"); }
 
-    /** What an agent and its instances have said, over all its lives. */
+    /** The output of an agent and its instances, over all their lives. */
     public Path log(int agent) { return folder.resolve("a" + agent + ".log"); }
 
-    /** The way from one agent to another. */
+    /** The relay from one agent to another. */
     public Relay relay(int from, int to) { return relays.get(List.of(from, to)); }
 
     public int agents() { return agents; }
@@ -136,7 +136,7 @@
 
     public Path folder() { return folder; }
 
-    /** Begins each member once. */
+    /** Creates each member's store; called once. */
     public void init() throws IOException, InterruptedException {
         List<Process> all = new ArrayList<>();
         for (int i = 0; i < agents; i++) {
@@ -147,14 +147,14 @@
         for (Process one : all) { one.waitFor(); }
     }
 
-    /** Terminals, whose ingresses are the instances, agent by agent. */
+    /** Terminals that use the instances as ingresses, in the order of the agents. */
     public Terminals terminals() { return terminals; }
 
     public List<Region.Event> regionHistory() { return regionHistory.all(); }
 
     public List<Terminals.Try> terminalHistory() { return terminalHistory.all(); }
 
-    /** Runs a sub-command to its end and gives what it said, its exit status first. */
+    /** Runs a sub-command and returns its exit status and output. */
     public String run(int agent, String... words) throws IOException, InterruptedException {
         List<String> command = command();
         command.addAll(List.of(words));
@@ -165,7 +165,7 @@
 
     public void start(int agent) throws IOException {
         List<String> command = new ArrayList<>();
-        // A limit on the size of files would be one on the log too, so a process that has none writes it.
+        // A file size limit on the agent would also limit its log, so a separate process writes it.
         if (pipedAgents.contains(agent)) { command.addAll(List.of("bash", "-c", "exec \"$@\" > >(exec cat >> '" + log(agent) + "') 2>&1", "bash")); }
         command.addAll(plant == null ? command() : plant.command(48));
         command.addAll(List.of("agent", "start", file(agent).toString()));
@@ -173,12 +173,13 @@
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log(agent).toFile())).start();
     }
 
-    /** From its next start on its files can be kept from growing by {@link #full}. */
+    /** From its next start on, the agent's files can be kept from growing by {@link #setDiskFull}. */
     public void allowDiskFull(int agent) { pipedAgents.add(agent); }
 
     /**
-     * No file of an agent that is {@link #limitable} grows any more, as on a full disk; or there is room again. What its
-     * processes see is "File too large" in place of "No space left on device": a disk with a quota is not to be had here.
+     * Keeps all files of an agent prepared by {@link #allowDiskFull} from growing, as on a full disk, or lifts the
+     * limit. Its processes see "File too large" instead of "No space left on device", because a disk with a quota is
+     * not available here.
      */
     public void setDiskFull(int agent, boolean yes) throws IOException, InterruptedException {
         String limit = yes ? "--fsize=0:unlimited" : "--fsize=unlimited:unlimited";
@@ -186,7 +187,7 @@
         if (status != 0) { throw new IOException("prlimit ended with " + status); }
     }
 
-    /** Starts one more agent from a file; its output is dropped and its end is its starter's. */
+    /** Starts one more agent from a file. Its output is dropped; the caller must end it. */
     public ProcessHandle agent(Path file) throws IOException {
         List<String> command = command();
         command.addAll(List.of("agent", "start", file.toString()));
@@ -204,7 +205,7 @@
         processes[agent].waitFor(10, TimeUnit.SECONDS);
     }
 
-    /** SIGTERM, and its end. */
+    /** Sends SIGTERM and waits for the end. */
     public void stop(int agent) throws InterruptedException {
         processes[agent].destroy();
         processes[agent].waitFor(20, TimeUnit.SECONDS);
@@ -218,7 +219,10 @@
         if (isAlive(agent)) { new ProcessBuilder("kill", signal, Long.toString(processes[agent].pid())).start().waitFor(); }
     }
 
-    /** Asks an agent's control address; an error is given as its text behind a '-'. Null where it does not answer. */
+    /**
+     * Sends a command to an agent's control address. An error is returned as its text after a '-'; null if there is no
+     * answer.
+     */
     public String ask(int agent, int withinMs, String... words) {
         try {
             Value answer = Asking.ask(text(controls[agent]), withinMs, words);
@@ -230,7 +234,7 @@
         }
     }
 
-    /** An operator's order with its id. */
+    /** Sends an operator's command with its id. */
     public String order(int agent, String id, String... words) {
         List<String> all = new ArrayList<>(List.of("FLEET.ASK", NAME, id, "lab"));
         all.addAll(List.of(words));
@@ -240,7 +244,7 @@
     /** An agent's report on the register, or null. */
     public String report(int agent) { return ask(agent, 4000, "FLEET.READ", NAME); }
 
-    /** A cell of a work's line in a report; empty where there is none. */
+    /** A cell of a work's line in a report; empty if there is none. */
     public static String cell(String report, String kind, String name) {
         if (report == null) { return ""; }
         for (String line : report.split("\n")) {
@@ -252,14 +256,14 @@
         return "";
     }
 
-    /** Who leads the register as an agent knows it; -1 for nobody. */
+    /** The leader of the register as an agent knows it; -1 if unknown. */
     public int leader(int agent) {
         String report = report(agent);
         if (report == null || !report.contains("\tleader=a")) { return -1; }
         return Integer.parseInt(report.replaceAll("(?s).*?\tleader=a([0-9]+)\t.*", "$1"));
     }
 
-    /** Who holds a work; -1 for nobody. */
+    /** The holder of a work; -1 for none. */
     public int holder(int asked, String kind) {
         String holder = cell(report(asked), kind, "holder");
         return holder.startsWith("a") ? Integer.parseInt(holder.substring(1)) : -1;
@@ -272,13 +276,13 @@
         return all;
     }
 
-    /** Ends everything: agents, and the instances that they left running. */
+    /** Ends the agents and the instances that they left running. */
     @Override
     public void close() {
         end();
         try {
             Runtime.getRuntime().removeShutdownHook(shutdownHook);
-        } catch (IllegalStateException e) { /* the end of this program is what closes it */ }
+        } catch (IllegalStateException e) { /* called from the shutdown hook */ }
     }
 
     private void end() {
@@ -307,7 +311,7 @@
         for (Closeable one : rest) {
             try {
                 one.close();
-            } catch (IOException e) { /* it is gone either way */ }
+            } catch (IOException e) { /* nothing more to release */ }
         }
     }
 }
--- a/lab/src/yardusher/lab/fleet/Model.java
+++ b/lab/src/yardusher/lab/fleet/Model.java
@@ -9,21 +9,21 @@
 import yardusher.fence.Fence;
 
 /**
- * Owners, targets and the register as one small state machine, every state of which is visited. Two owners; three
- * targets with an instance each; two rolls of two steps, the second of which takes over from the first; one instance may
- * be away at once. A message that was sent may arrive at any time, any number of times or never; an owner acts on what it
- * knew for as long as it likes, since the leases' clocks are not believed here; a target loses what it holds in memory.
- * An owner that dies is one that does nothing more. The targets decide by {@link Fence}, the very code that runs.
+ * Model checker: owners, targets and the register as one small state machine whose states are all visited. Two owners;
+ * three targets with one instance each; two rolls of two steps, the second of which takes over from the first; one
+ * instance may be unavailable at once. A sent message may arrive at any time, any number of times or never; an owner
+ * acts on stale knowledge for as long as it likes, since the model does not rely on the leases' clocks; a target loses
+ * its memory. A dead owner is one that does nothing more. The targets decide with {@link Fence}, the production code.
  */
 public final class Model {
-    /** What is left out, to see that the rules notice. */
+    /** The safeguard that is removed, to check that the rules notice. */
     public enum Without { NOTHING, FENCE, SEALING, STEP_IDS, LOOK_AT_THE_ACT }
 
-    private static final int TARGETS = 3;            // at the most
+    private static final int TARGETS = 3;            // maximum
     private static final int STEPS = 2;
     private static final int WORKS = 2;
     private static final int NONE = 0, BEGUN = 1, UNKNOWN = 2, AWAY = 3, OVER = 4;
-    // Of a state's bytes: the register, two owners, targets, steps by work and place.
+    // Layout of a state's bytes:
     private static final int TOKEN = 0, HOLDER = 1, WORK = 2, OUT = 3, DONE = 4, CRASHES = 5, OWNER = 6, OWNER_SIZE = 6,
             SEALED = OWNER + 2 * OWNER_SIZE, STEP = SEALED + TARGETS, STEP_SIZE = 3, SIZE = STEP + WORKS * STEPS * STEP_SIZE;
     private static final int MY_TOKEN = 0, MY_WORK = 1, MY_OUT = 2, MY_DONE = 3, MY_SEALED = 4, MY_READY = 5;
@@ -33,7 +33,7 @@
 
     private record Predecessor(State from, String by) { }
 
-    /** What was found: how many states there are, and the way to the first that breaks a rule, or null. */
+    /** The number of states, and the path to the first that breaks a rule, or null. */
     public record Result(int states, List<String> breach) { }
 
     private final Without without;
@@ -51,7 +51,7 @@
         this.tokens = tokens;
     }
 
-    /** Visits all states that so many grants of tokens allow, with two or three targets. */
+    /** Visits all states with up to {@code tokens} granted tokens and two or three targets. */
     public static Result explore(Without without, int tokens, int targets) { return new Model(without, tokens, targets).run(); }
 
     private Result run() {
@@ -101,7 +101,7 @@
 
     private static int ownerOffset(int owner, int what) { return OWNER + owner * OWNER_SIZE + what; }
 
-    // Messages, by the bit that says that one was sent. Tokens count from 1.
+    // Messages sent, as a bit set. Tokens count from 1.
     private long seal(int token, int target) { return 1L << (token - 1) * TARGETS + target; }
 
     private long sealed(int token, int target, boolean ready) {
@@ -110,13 +110,13 @@
 
     private long order(int token, int s) { return 1L << 12 * TARGETS + (token - 1) * WORKS * STEPS + s; }
 
-    private boolean answered(int s) { return bytes[stepOffset(s) + STATUS] == OVER; } // an answer may come once the step is over
+    private boolean answered(int s) { return bytes[stepOffset(s) + STATUS] == OVER; } // a reply may arrive once the step has finished
 
     private void register() {
         for (int i = 0; i < 2; i++) {
             load();
             if (bytes[TOKEN] >= tokens) { break; }
-            bytes[TOKEN]++;                              // any time: the lease may be over
+            bytes[TOKEN]++;                              // at any time: the lease may have expired
             bytes[HOLDER] = (byte) (i + 1);
             bytes[ownerOffset(i, MY_TOKEN)] = bytes[TOKEN];
             bytes[ownerOffset(i, MY_WORK)] = bytes[WORK];
@@ -229,7 +229,7 @@
         addState("target " + j + " writes down step " + j + " of work " + s / STEPS + " under token " + token);
     }
 
-    /** All states, and what each part is there for. */
+    /** Visits all states, and repeats it with each safeguard removed. */
     public static void main(String[] args) {
         int tokens = args.length > 0 ? Integer.parseInt(args[0]) : 3;
         int targets = args.length > 1 ? Integer.parseInt(args[1]) : TARGETS;
--- a/lab/src/yardusher/lab/register/Linearizable.java
+++ b/lab/src/yardusher/lab/register/Linearizable.java
@@ -10,9 +10,9 @@
 import yardusher.register.Register;
 
 /**
- * Whether what clients were told fits one register that did one operation after another, each between its call and its
- * answer (Wing and Gong's search, pruned by Lowe's memory of what was tried). An operation without an answer may have
- * taken effect at any time after its call, or never.
+ * Checks that the clients' replies are linearizable: that they match one register that executed the operations one by
+ * one, each between its call and its reply (Wing and Gong's search, with Lowe's cache of visited states). An operation
+ * without a reply may have taken effect at any time after its call, or never.
  */
 public final class Linearizable {
     private static final int MAX_VISITED_STATES = 300_000;
@@ -34,13 +34,13 @@
     private boolean search(Register register, BitSet placed, int answers) {
         if (answers == answeredCount) { return true; }
         byte[] state = register.encode();
-        if (visited.size() > MAX_VISITED_STATES) { return true; } // not decided: no breach was shown
+        if (visited.size() > MAX_VISITED_STATES) { return true; } // undecided: no breach was found
         if (!visited.add(List.of(placed.clone(), Arrays.hashCode(state)))) { return false; }
-        double first = Double.POSITIVE_INFINITY;     // the earliest end of what is not placed bounds what may come next
+        double first = Double.POSITIVE_INFINITY;     // the earliest reply among the unplaced operations bounds which may come next
         for (int i = 0; i < calls.size(); i++) {
             if (!placed.get(i)) { first = Math.min(first, calls.get(i).answeredAtMs()); }
         }
-        // Answered ones first: an operation without an answer is placed only where nothing else fits.
+        // Operations with a reply first: one without is placed only where nothing else fits.
         for (boolean wantsAnswer : new boolean[] {true, false}) {
             for (int i = 0; i < calls.size() && calls.get(i).calledAtMs() <= first; i++) {
                 Scripted.ClientCall one = calls.get(i);
@@ -57,7 +57,7 @@
         return false;
     }
 
-    /** Places of entries differ from one order to another, and what is written of them; tokens and states do not. */
+    /** Compares replies but for log indexes and texts that contain them, which differ from one order to another. */
     private static boolean sameReply(Answer a, Answer b) {
         if (a.ok() != b.ok() || a.token() != b.token()) { return false; }
         if (a.state() == null || b.state() == null) { return a.state() == b.state(); }
--- a/lab/src/yardusher/lab/register/Scripted.java
+++ b/lab/src/yardusher/lab/register/Scripted.java
@@ -20,18 +20,18 @@
 import yardusher.register.Work;
 
 /**
- * The register's members on scripted time, by seed: real nodes and stores, disks that lose what was not synced, messages
- * that are lost, late and doubled, cuts between members, members that die and come back. Clients claim, renew, write
- * checkpoints and read; what they were told is held against one register in one order.
+ * Simulates the register's members on virtual time, by seed: real nodes and stores, disks that lose what was not
+ * synced, lost, delayed and duplicated messages, partitions, crashes and restarts. Clients claim, renew, save
+ * checkpoints and read; their replies must be linearizable.
  */
 public final class Scripted {
     private static final double LIBRARY_SECOND_MS = 200;
     private static final double OP_MS = 1500;
 
-    /** What a client asked and what it was told; {@code answer} null where it never knew. */
+    /** An operation of a client and its reply; {@code answer} is null if it never arrived. */
     public record ClientCall(double calledAtMs, double answeredAtMs, Operation op, Answer answer) { }
 
-    /** How a run went. */
+    /** The result of one seed. */
     public record Run(long seed, int asked, int answered, int deaths, String breach) { }
 
     private record ScheduledTask(double atMs, long sequence, Runnable work) implements Comparable<ScheduledTask> {
@@ -48,7 +48,7 @@
         RegisterNode node;
         RaftLogStore store;
         int lifeNumber;
-        final Map<Long, String> states = new HashMap<>(); // by place, what it had applied
+        final Map<Long, String> states = new HashMap<>(); // by log index, the state after applying it
 
         SimulatedMember(String name) { this.name = name; }
 
@@ -57,7 +57,7 @@
             try {
                 store = node == null && !RaftLogStore.exists(disk) ? RaftLogStore.create(disk, "sim", name, false) : RaftLogStore.open(disk, "sim", name);
             } catch (IOException | RuntimeException e) {
-                breach = breach == null ? name + " cannot open its store: " + e.getMessage() : breach;
+                breach = breach == null ? name + " failed to open its store: " + e.getMessage() : breach;
                 return;
             }
             RaftNodeExecutor executor = new RaftNodeExecutor() {
@@ -92,7 +92,7 @@
                 }
 
                 @Override
-                public void onStoreFailed(IOException why) { /* dies with its machine */ }
+                public void onStoreFailed(IOException why) { /* the simulated crash ends it */ }
             });
             node.start();
         }
@@ -139,7 +139,7 @@
                 try {
                     target.node.receive(message);
                 } catch (IOException e) {
-                    breach = "a message cannot be read: " + e.getMessage();
+                    breach = "cannot decode a message: " + e.getMessage();
                 }
             });
         }
@@ -147,7 +147,7 @@
 
     private boolean isCut(String a, String b) { return cutUntil.getOrDefault(a + b, 0.0) > now; }
 
-    /** Plays a seed: so many ms of faults, then calm, then the verdict. */
+    /** Runs a seed: {@code ms} of faults, then a fault-free phase, then the check. */
     public static Run run(long seed, int members, double ms, boolean liesAboutSync) { return new Scripted(seed, members, liesAboutSync).simulate(ms); }
 
     private Run simulate(double ms) {
@@ -159,7 +159,7 @@
             now = one.atMs();
             one.work().run();
         }
-        if (breach == null && !new Linearizable(history).holds()) { breach = "no one order of all operations fits what clients were told"; }
+        if (breach == null && !new Linearizable(history).holds()) { breach = "the clients' replies are not linearizable"; }
         int answered = (int) history.stream().filter(one -> one.answer() != null).count();
         return new Run(seed, history.size(), answered, crashes, breach);
     }
@@ -182,7 +182,7 @@
         });
     }
 
-    /** A client asks one thing after another, at any member, and forgets what is not answered in time. */
+    /** A client submits one operation after another at any member and gives up on what is not answered in time. */
     private void client(int i, double until) {
         runLater(random.nextDouble() * 300, () -> {
             if (now > until) { return; }
@@ -212,7 +212,7 @@
 
                 @Override
                 public void onUnanswered(String leader, boolean unknown) {
-                    // Refused before anything was done: it is known not to have taken effect.
+                    // Refused before it was proposed: known not to have taken effect.
                     if (!unknown && !over[0]) { history.set(place, new ClientCall(from, now, null, null)); }
                     leaderHint = random.nextInt(4) > 0 ? leader : null;
                     next.run();
@@ -222,7 +222,7 @@
         });
     }
 
-    private String leaderHint;                             // who leads, as a client was told last
+    private String leaderHint;                             // the leader that a client was told last
     private long token;
     private long seq;
 
@@ -233,7 +233,7 @@
                 try {
                     seen = Register.decode(one.answer().state()).work(WorkKind.ROLL);
                 } catch (IOException e) {
-                    breach = "a state cannot be read: " + e.getMessage();
+                    breach = "cannot decode a state: " + e.getMessage();
                 }
             }
         }
@@ -249,7 +249,7 @@
         };
     }
 
-    /** Seeds from one on, so many; prints each breach with its seed. */
+    /** Runs COUNT seeds from FIRST on and prints each breach with its seed. */
     public static void main(String[] args) {
         long first = Long.parseLong(args[0]);
         long count = Long.parseLong(args[1]);
--- a/src/main/java/yardusher/agent/AgentConfig.java
+++ b/src/main/java/yardusher/agent/AgentConfig.java
@@ -33,7 +33,7 @@
             Sockets.parseAddress(entry.address());
             if (!entry.name().matches("[A-Za-z0-9._-]{1,64}")) { throw new ConfigError.Value(null, "instance.name", "1 to 64 letters, digits, '.', '_' and '-'"); }
             if (entries.stream().anyMatch(other -> other.name().equals(entry.name()))) {
-                throw new ConfigError.Conflict(null, "instance.name", "instance " + entry.name() + " stands twice");
+                throw new ConfigError.Conflict(null, "instance.name", "instance " + entry.name() + " is listed twice");
             }
             entries.add(entry);
         }
--- a/src/main/java/yardusher/fleet/FleetSettings.java
+++ b/src/main/java/yardusher/fleet/FleetSettings.java
@@ -43,11 +43,11 @@
             String name = name(one, "name");
             String address = one.text("address");
             Sockets.parseAddress(address);
-            if (members.containsKey(name)) { throw new ConfigError.Conflict(null, "fleet.members", "fleet.members: " + name + " stands twice"); }
+            if (members.containsKey(name)) { throw new ConfigError.Conflict(null, "fleet.members", "fleet.members: " + name + " is listed twice"); }
             if (members.containsValue(address)) { throw new ConfigError.Conflict(null, "fleet.members", "fleet.members: two members at " + address); }
             members.put(name, address);
         }
-        if (!members.containsKey(member)) { throw new ConfigError.Conflict(null, "fleet.members", "fleet.members must hold fleet.member, " + member); }
+        if (!members.containsKey(member)) { throw new ConfigError.Conflict(null, "fleet.members", "fleet.members must include fleet.member, " + member); }
         if (members.size() > 7) { throw new ConfigError.Value(null, "fleet.members", "at most 7"); }
         int heartbeat = table.whole("heartbeat_ms", 200, 20, 10_000);
         return new FleetSettings(installation, member, Path.of(table.text("folder")), table.whole("lease_ms", 1500, 200, 600_000), heartbeat,
--- a/src/main/java/yardusher/fleet/LeaseManager.java
+++ b/src/main/java/yardusher/fleet/LeaseManager.java
@@ -187,7 +187,7 @@
         lease.renewalPending = false;
     }
 
-    /** When {@link #look} is due again at the latest. */
+    /** When {@link #nextActions} must be called again at the latest. */
     public double nextDueAtMs() {
         double next = Double.POSITIVE_INFINITY;
         for (LeaseState lease : states.values()) {
--- a/src/test/java/yardusher/fence/FenceTest.java
+++ b/src/test/java/yardusher/fence/FenceTest.java
@@ -11,7 +11,7 @@
 import yardusher.error.RegisterError;
 import yardusher.lab.MemoryDisk;
 
-/** What a target refuses, and that it still does after its death. */
+/** What a target's fence refuses, also after a crash. */
 class FenceTest {
     @Test
     void acceptsOnlySealedTokenAndRunsStepOnce() {
--- a/src/test/java/yardusher/fleet/CheckerTest.java
+++ b/src/test/java/yardusher/fleet/CheckerTest.java
@@ -9,7 +9,7 @@
 import yardusher.lab.fleet.Checker;
 import yardusher.lab.fleet.History.Event;
 
-/** The checker of histories can fail, for each of its rules. */
+/** The history checker detects a breach of each of its rules. */
 class CheckerTest {
     private final List<Event> events = new ArrayList<>();
 
--- a/src/test/java/yardusher/fleet/FleetStoryTest.java
+++ b/src/test/java/yardusher/fleet/FleetStoryTest.java
@@ -15,7 +15,7 @@
 import yardusher.lab.fleet.History;
 import yardusher.lab.fleet.Installation;
 
-/** Real agents with real instances, every way between agents through a relay. */
+/** Real agents with real instances; every link between agents runs through a relay. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class FleetStoryTest {
     @TempDir
@@ -25,13 +25,13 @@
     void rollContinuesUnderNextOwnerAndFencesFormerOne() throws Exception {
         try (Installation site = begun(folder, 3, 1)) {
             assertThat(site.order(1, "command-1", "roll", "restart away=1 failures=0", "-")).contains("roll ").contains(" ordered");
-            assertThat(site.order(2, "command-1", "roll", "restart away=1 failures=0", "-")).contains(" ordered"); // the same once more
+            assertThat(site.order(2, "command-1", "roll", "restart away=1 failures=0", "-")).contains(" ordered"); // retry
             assertThat(site.order(2, "command-2", "roll", "reload", "-")).startsWith("-REFUSED roll ordered by lab is running");
             String id = Installation.cell(site.report(1), "roll", "id");
             await("an owner", () -> site.holder(1, "roll") >= 0);
             int owner = site.holder(1, "roll");
             int other = (owner + 1) % 3;
-            site.pause(owner);                       // for longer than its lease; its instance goes on
+            site.pause(owner);                       // for longer than its lease; its instance keeps running
             await("another owner", () -> site.holder(other, "roll") >= 0 && site.holder(other, "roll") != owner);
             assertThat(Installation.cell(site.report(other), "roll", "state")).isEqualTo("running");
             site.resume(owner);
--- a/src/test/java/yardusher/fleet/HardCasesTest.java
+++ b/src/test/java/yardusher/fleet/HardCasesTest.java
@@ -15,7 +15,7 @@
 import yardusher.lab.fleet.FleetRun;
 import yardusher.lab.fleet.Installation;
 
-/** Failures at the worst moment, with real processes. */
+/** Failures at critical moments, with real processes. */
 @Timeout(value = 150, unit = TimeUnit.SECONDS)
 class HardCasesTest {
     @TempDir
@@ -64,7 +64,7 @@
             String id = Installation.cell(site.report(1), "roll", "id");
             await("an owner", () -> site.holder(1, "roll") >= 0);
             int owner = site.holder(1, "roll");
-            // Through the register's leader an owner does reach the majority, and keeps its lease by right.
+            // If the reachable target were the leader, the owner would still reach the majority and rightly keep its lease.
             int leader = site.leader(1);
             int left = (owner + 1) % 5 == leader ? (owner + 2) % 5 : (owner + 1) % 5;
             for (int j = 0; j < 5; j++) {
@@ -110,7 +110,7 @@
     void restartsOnceDespiteAgentCrashOrHangingInstance() throws Exception {
         try (Installation site = begun(folder, 3, 1)) {
             long hanging = Long.parseLong(Files.readString(site.log(2)).replaceAll("(?s).*started pid=([0-9]+).*", "$1"));
-            new ProcessBuilder("kill", "-STOP", Long.toString(hanging)).start().waitFor(); // it takes no SIGTERM
+            new ProcessBuilder("kill", "-STOP", Long.toString(hanging)).start().waitFor(); // it does not react to SIGTERM
             roll(site, 0, "command-1");
             String id = Installation.cell(site.report(0), "roll", "id");
             said(site, 1, "acts restart n1x0");
@@ -136,7 +136,7 @@
                 site.relay(j, 0).heal();
             }
             await("the end of the roll", () -> state(site, 0).equals("done"));
-            assertThat(roll(site, 0, "command-2")).contains("ordered"); // its answer, no second roll
+            assertThat(roll(site, 0, "command-2")).contains("ordered"); // the remembered reply, no second roll
             assertThat(breaches(site, 1, Set.of(Installation.cell(site.report(0), "roll", "id")))).isEmpty();
             assertThat(site.history()).filteredOn(event -> event.what().startsWith("acts restart")).hasSize(3);
         }
@@ -149,7 +149,7 @@
             String id = Installation.cell(site.report(0), "roll", "id");
             await("an owner", () -> site.holder(0, "roll") >= 0);
             int owner = site.holder(0, "roll");
-            int target = owner == 2 ? 1 : 2;         // as late in the roll as one can be that is not the owner's own
+            int target = owner == 2 ? 1 : 2;         // the last in the roll that does not belong to the owner
             said(site, target, " seals");
             site.kill(target);
             assertThat(site.history()).filteredOn(event -> event.target().equals("a" + target) && event.what().startsWith("acts")).isEmpty();
@@ -160,7 +160,7 @@
         }
     }
 
-    /** The folder cannot be filled here; a limit on the size of the process's files fails its writes with another text. */
+    /** A real full disk is not available here; a file size limit makes writes fail with another error text. */
     @Test
     void memberWithFullDiskRejoinsOnceThereIsSpace() throws Exception {
         try (Installation site = begun(folder, 3, 1)) {
@@ -170,7 +170,7 @@
             site.start(full);
             await("agent " + full + " again", () -> Labs.ready(site, full));
             site.setDiskFull(full, true);
-            assertThat(site.order((full + 1) % 3, "command-0", "ban", "s-00000001")).doesNotStartWith("-"); // the others are a majority
+            assertThat(site.order((full + 1) % 3, "command-0", "ban", "s-00000001")).doesNotStartWith("-"); // the other members form a majority
             said(site, full, "takes no part in the register: ");
             roll(site, (full + 1) % 3, "command-1");
             String id = Installation.cell(site.report((full + 1) % 3), "roll", "id");
--- a/src/test/java/yardusher/fleet/Labs.java
+++ b/src/test/java/yardusher/fleet/Labs.java
@@ -10,13 +10,13 @@
 import yardusher.lab.fleet.Checker;
 import yardusher.lab.fleet.Installation;
 
-/** What stories with real agents share. */
+/** Helpers for tests with real agents. */
 final class Labs {
     private static final Installation.Tuning QUICK = new Installation.Tuning(800, 100, 8000);
 
     private Labs() { }
 
-    /** Waits for what the processes say, bounded. */
+    /** Waits for a condition on the processes, with a timeout. */
     static void await(String what, BooleanSupplier so) throws InterruptedException {
         Awaitility.await(what).pollInSameThread().pollDelay(Duration.ZERO).pollInterval(Duration.ofMillis(20)).atMost(Duration.ofSeconds(60)).until(so::getAsBoolean);
     }
@@ -33,7 +33,7 @@
             await("a leader", () -> site.leader(0) >= 0);
             return site;
         } catch (Exception | AssertionError e) {
-            site.close();                            // nobody else would end its processes
+            site.close();                            // nothing else would end its processes
             throw e;
         }
     }
--- a/src/test/java/yardusher/fleet/LeasesTest.java
+++ b/src/test/java/yardusher/fleet/LeasesTest.java
@@ -16,7 +16,7 @@
 import yardusher.register.RegisterView;
 import yardusher.register.Work;
 
-/** Leases on clocks of their own, against a real register; no two members believe that they hold a work at one time. */
+/** Leases on drifting clocks against a real register; no two members consider themselves the holder at the same time. */
 class LeasesTest {
     private static final LeaseManager.LeaseTimings TERMS = new LeaseManager.LeaseTimings(1000, 0.01, 50);
 
@@ -27,12 +27,12 @@
         Register register = new Register();
         register.apply(1, new Operation.Submit("c", "eva", 0, WorkKind.ROLL, "restart", false));
         LeaseManager one = new LeaseManager("a1", TERMS, new Random(1));
-        assertThat(one.nextActions(0, view(register), work -> true)).isEmpty();   // spread a little
+        assertThat(one.nextActions(0, view(register), work -> true)).isEmpty();   // claims are spread
         LeaseManager.Claim claim = (LeaseManager.Claim) one.nextActions(100, view(register), work -> true).get(0);
         long token = register.apply(2, new Operation.Claim("a1", claim.nonce(), 0, WorkKind.ROLL, claim.seenToken(), claim.seenBeat())).token();
         assertThat(one.nextActions(130, view(register), work -> true)).containsExactly(new LeaseManager.Begin(WorkKind.ROLL, token));
         assertThat(one.holds(1089, WorkKind.ROLL, token)).isTrue();
-        assertThat(one.holds(1091, WorkKind.ROLL, token)).isFalse();           // 990 after it asked
+        assertThat(one.holds(1091, WorkKind.ROLL, token)).isFalse();           // 990 ms after the claim was sent
         LeaseManager.Renew renew = (LeaseManager.Renew) one.nextActions(400, view(register), work -> true).get(0);
         one.renewed(420, WorkKind.ROLL, token, true);
         assertThat(renew.beat()).isEqualTo(1);
@@ -47,14 +47,14 @@
         LeaseManager late = new LeaseManager("a2", TERMS, new Random(1));
         late.nextActions(0, view(register), work -> true);
         LeaseManager.Claim claim = (LeaseManager.Claim) late.nextActions(100, view(register), work -> true).get(0);
-        register.apply(2, new Operation.Claim("a1", 5, 0, WorkKind.ROLL, 0, 0));      // was first
+        register.apply(2, new Operation.Claim("a1", 5, 0, WorkKind.ROLL, 0, 0));      // a1 claimed first
         assertThat(late.nextActions(110, view(register), work -> true)).isEmpty();
         late.claimed(120, WorkKind.ROLL, claim.nonce(), 0);
         assertThat(late.nextActions(1100, view(register), work -> true)).isEmpty();
         assertThat(late.nextActions(1300, view(register), work -> true)).hasAtLeastOneElementOfType(LeaseManager.Claim.class);
     }
 
-    /** Two members with clocks of different rate, answers that are late or lost, and pauses: belief overlaps nowhere. */
+    /** Two members with clocks of different rates, late or lost replies, and pauses: their holding times never overlap. */
     @Property(tries = 200)
     void noTwoBelieveAtOnce(@ForAll long seed, @ForAll @IntRange(min = -5, max = 5) int permille) {
         double rate = 1 + permille / 1000.0;
--- a/src/test/java/yardusher/fleet/ModelTest.java
+++ b/src/test/java/yardusher/fleet/ModelTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import yardusher.lab.fleet.Model;
 
-/** Every state of two owners, two targets and a roll that is taken over. Three targets by {@code lab.fleet.Model}. */
+/**
+ * Visits every state of two owners, two targets and a roll that is taken over; {@code lab.fleet.Model} covers three
+ * targets.
+ */
 class ModelTest {
     @Test
     void noStateBreaksARule() {
--- a/src/test/java/yardusher/fleet/RollTest.java
+++ b/src/test/java/yardusher/fleet/RollTest.java
@@ -11,7 +11,7 @@
 import yardusher.register.WorkKind;
 import yardusher.register.Work;
 
-/** A roll, asked and answered by hand. */
+/** A roll procedure, driven by hand. */
 class RollTest {
     private static Work work(String checkpoint, long seq) {
         return new Work(WorkKind.ROLL, 5, "restart away=1 failures=0", 0, 9, "a0", 1, 0, seq, checkpoint, Work.State.RUNNING, "", "eva", 0, 0);
@@ -38,19 +38,19 @@
         RollWork roll = new RollWork(work("", 0), Set.of("a0", "a1"), 5000);
         assertThat(roll.nextActions(0)).containsExactlyInAnyOrder(new WorkProcedure.Seal("a0"), new WorkProcedure.Seal("a1"));
         seal(roll, 10, "a0", true);
-        assertThat(keep(roll.nextActions(10))).isNull();                          // a1 has not told its instances
+        assertThat(keep(roll.nextActions(10))).isNull();                          // a1 has not reported its instances
         seal(roll, 20, "a1", true);
         WorkProcedure.SaveCheckpoint plan = keep(roll.nextActions(20));
         assertThat(plan.text()).isEqualTo("a0/n0:t,a1/n0:t");
         roll.onCheckpointSaved(plan.seq());
         WorkProcedure.SaveCheckpoint out = keep(roll.nextActions(30));
-        assertThat(out.text()).isEqualTo("a0/n0:o,a1/n0:t");               // one away at once
+        assertThat(out.text()).isEqualTo("a0/n0:o,a1/n0:t");               // one unavailable at once
         assertThat(orders(roll.nextActions(40))).isEmpty();
         roll.onCheckpointSaved(out.seq());
         assertThat(orders(roll.nextActions(50))).containsExactly(new WorkProcedure.RunStep("a0", "5/n0", "restart n0"));
         roll.onOutcome(60, "a0", "5/n0", "running");
         roll.onOutcome(200, "a0", "5/n0", "done");
-        assertThat(keep(roll.nextActions(200)).text()).isEqualTo("a0/n0:d,a1/n0:t"); // the next only after a new look at a0
+        assertThat(keep(roll.nextActions(200)).text()).isEqualTo("a0/n0:d,a1/n0:t"); // the next only after a new report from a0
     }
 
     @Test
@@ -64,7 +64,7 @@
         roll.onOutcome(30, "a0", "5/n0", "done");
         WorkProcedure.SaveCheckpoint done = keep(roll.nextActions(40));
         roll.onCheckpointSaved(done.seq());
-        seal(roll, 50, "a0", false);                                       // crashed by itself meanwhile
+        seal(roll, 50, "a0", false);                                       // crashed meanwhile
         seal(roll, 50, "a1", true);
         assertThat(keep(roll.nextActions(50))).isNull();
         seal(roll, 400, "a0", true);
--- a/src/test/java/yardusher/lab/fleet/PlantTest.java
+++ b/src/test/java/yardusher/lab/fleet/PlantTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What is planted still fits the sources that it changes. */
+/** The planted faults still match the sources that they change. */
 class PlantTest {
     @TempDir
     Path folder;
--- a/src/test/java/yardusher/register/RegisterTest.java
+++ b/src/test/java/yardusher/register/RegisterTest.java
@@ -11,7 +11,7 @@
 import yardusher.error.WireError;
 import yardusher.lab.MemoryDisk;
 
-/** The register's own rules, operation by operation. */
+/** Rules of the register, operation by operation. */
 class RegisterTest {
     private final Register register = new Register();
     private long index;
@@ -28,17 +28,17 @@
         long first = register.work(WorkKind.ROLL).token();
         Answer granted = claim("a1", 7, 0, 0);
         assertThat(granted.token()).isGreaterThan(first);
-        assertThat(claim("a1", 7, 0, 0)).isEqualTo(granted);               // its answer was lost
+        assertThat(claim("a1", 7, 0, 0)).isEqualTo(granted);               // retry after a lost reply
         assertThat(claim("a2", 8, 0, 0).ok()).isFalse();
         apply(new Operation.Renew(WorkKind.ROLL, granted.token(), 1));
-        assertThat(claim("a2", 9, granted.token(), 0).ok()).isFalse();     // it has moved since a2 looked
+        assertThat(claim("a2", 9, granted.token(), 0).ok()).isFalse();     // the heartbeat or token has changed since a2 saw it
         Answer next = claim("a2", 9, granted.token(), 1);
         assertThat(next.token()).isGreaterThan(granted.token());
         assertThat(apply(new Operation.Renew(WorkKind.ROLL, granted.token(), 2)).ok()).isFalse();
         assertThat(apply(new Operation.Checkpoint(WorkKind.ROLL, granted.token(), 1, "x", Work.State.RUNNING, "")).token()).isEqualTo(next.token());
         Operation.Checkpoint kept = new Operation.Checkpoint(WorkKind.ROLL, next.token(), 1, "x", Work.State.RUNNING, "half");
         assertThat(apply(kept).ok()).isTrue();
-        assertThat(apply(kept).ok()).isTrue();                             // the same once more
+        assertThat(apply(kept).ok()).isTrue();                             // retry
         assertThat(apply(new Operation.Checkpoint(WorkKind.ROLL, next.token(), 3, "y", Work.State.RUNNING, "")).ok()).isFalse();
         assertThat(apply(new Operation.Checkpoint(WorkKind.ROLL, next.token(), 2, "y", Work.State.DONE, "all")).ok()).isTrue();
         assertThat(register.work(WorkKind.ROLL).isHeld()).isFalse();
@@ -89,7 +89,7 @@
         Register again = Register.decode(register.encode());
         assertThat(again.encode()).isEqualTo(register.encode());
         assertThat(register.copy().encode()).isEqualTo(register.encode());
-        assertThat(again.apply(index + 1, new Operation.Submit("c1", "eva", 1, WorkKind.ROLL, "x", false)).text()).contains("ordered"); // remembered
+        assertThat(again.apply(index + 1, new Operation.Submit("c1", "eva", 1, WorkKind.ROLL, "x", false)).text()).contains("ordered"); // remembered after decoding
     }
 
     @Test
--- a/src/test/java/yardusher/register/ScriptedTest.java
+++ b/src/test/java/yardusher/register/ScriptedTest.java
@@ -10,7 +10,7 @@
 import org.slf4j.LoggerFactory;
 import yardusher.lab.register.Scripted;
 
-/** The register's members on scripted time, by seed; thousands of seeds by {@code lab.register.Scripted}. */
+/** A few simulated seeds of the register's members; {@code lab.register.Scripted} runs thousands. */
 class ScriptedTest {
     @BeforeAll
     static void quiet() { ((Logger) LoggerFactory.getLogger("io.microraft")).setLevel(Level.OFF); }
--- a/src/test/java/yardusher/register/StandstillTest.java
+++ b/src/test/java/yardusher/register/StandstillTest.java
@@ -19,7 +19,11 @@
 import org.slf4j.LoggerFactory;
 import yardusher.lab.MemoryDisk;
 
-/** Members on scripted time, whose leader is silent for a moment to each of the others before it dies. */
+/**
+ * Guards against a deadlock of the Raft library. A member that starts a pre-vote while its leader is briefly silent,
+ * and then hears from the leader again, keeps the pre-vote as pending; when that leader dies, no member starts an
+ * election. Here each follower misses the leader for a moment before it dies.
+ */
 class StandstillTest {
     private static final double SECOND_MS = 100;
     private static final List<String> NAMES = List.of("m0", "m1", "m2");
@@ -65,7 +69,7 @@
             public boolean isReachable(String member) { return true; }
 
             @Override
-            public void onViewChanged(RegisterView view) { /* nobody looks */ }
+            public void onViewChanged(RegisterView view) { /* not used */ }
 
             @Override
             public void onStoreFailed(IOException why) { throw new java.io.UncheckedIOException(why); }
@@ -91,7 +95,7 @@
         int term = nodes.get(leader).term();
         for (String other : NAMES) {
             if (other.equals(leader)) { continue; }
-            cut.add(leader + other);                 // it asks whether it may be voted for, and is told that the leader is there
+            cut.add(leader + other);                 // it starts a pre-vote and learns that the leader is alive
             run((RegisterNode.HEARTBEAT_TIMEOUT_PERIODS + 2) * SECOND_MS);
             cut.clear();
             run(10 * SECOND_MS);
