--- a/src/main/java/yardusher/agent/FleetInstances.java
+++ b/src/main/java/yardusher/agent/FleetInstances.java
@@ -42,13 +42,14 @@
         }
     }
 
-    /** {@code withinMs}: how long an instance may take to end and to become ready again. */
-    FleetInstances(Map<String, Instance> instances, Sockets sockets, double withinMs, Function<AgentConfig.Entry, InetSocketAddress> admins) {
+    /** {@code readyTimeoutMs}: how long an instance may take to end and to become ready again. */
+    FleetInstances(Map<String, Instance> instances, Sockets sockets, double readyTimeoutMs,
+            Function<AgentConfig.Entry, InetSocketAddress> adminAddresses) {
         this.instances = instances;
         this.sockets = sockets;
         this.loop = sockets.loop();
-        this.readyTimeoutMs = withinMs;
-        this.adminAddresses = admins;
+        this.readyTimeoutMs = readyTimeoutMs;
+        this.adminAddresses = adminAddresses;
     }
 
     @Override
@@ -56,7 +57,9 @@
         List<WorkProcedure.InstanceStatus> all = new ArrayList<>();
         instances.forEach((name, one) -> {
             // An instance stopped by an operator is not part of the fleet until it is started again.
-            if (one.state() != Instance.State.STOPPED) { all.add(new WorkProcedure.InstanceStatus(name, one.state() == Instance.State.READY)); }
+            if (one.state() != Instance.State.STOPPED) {
+                all.add(new WorkProcedure.InstanceStatus(name, one.state() == Instance.State.READY));
+            }
         });
         return all;
     }
--- a/src/main/java/yardusher/agent/Instance.java
+++ b/src/main/java/yardusher/agent/Instance.java
@@ -40,8 +40,8 @@
     private boolean reloadWhenReady;                         // reload as soon as it is ready
     private Deadlines.Entry pending;
 
-    Instance(AgentConfig.Entry entry, AgentConfig config, Sockets sockets, FenceStore memory, Runnable changed) {
-        this.fenceStore = memory;
+    Instance(AgentConfig.Entry entry, AgentConfig config, Sockets sockets, FenceStore fenceStore, Runnable changed) {
+        this.fenceStore = fenceStore;
         this.entry = entry;
         this.config = config;
         this.sockets = sockets;
@@ -65,7 +65,8 @@
         }
         if (process != null) { return; }
         loop.deadlines().cancel(pending);
-        List<String> command = new ArrayList<>(SighupStatus.withDefaultSighup(config.command())); // an agent under nohup passes the ignored SIGHUP on
+        // An agent under nohup would pass the ignored SIGHUP on.
+        List<String> command = new ArrayList<>(SighupStatus.withDefaultSighup(config.command()));
         command.addAll(List.of("serve", entry.config(), "--limits", entry.limits(), "--settings", entry.settings()));
         startedAtMs = loop.now();
         reloadWhenReady = false;
--- a/src/main/java/yardusher/fence/Fence.java
+++ b/src/main/java/yardusher/fence/Fence.java
@@ -102,7 +102,8 @@
         WorkState state = stateOf(work);
         Step begun = state.steps.remove(step);        // reinserted, so that the step finished last comes last
         state.running.remove(step);
-        state.steps.put(step, begun == null ? new Step(0, "", "", outcome) : new Step(begun.token(), begun.action(), begun.stateBefore(), outcome));
+        state.steps.put(step, begun == null ? new Step(0, "", "", outcome)
+                : new Step(begun.token(), begun.action(), begun.stateBefore(), outcome));
         int over = state.steps.size() - MAX_STEPS;
         for (Iterator<Step> oldest = state.steps.values().iterator(); over > 0 && oldest.hasNext();) {
             if (oldest.next().outcome() != null) {
--- a/src/main/java/yardusher/fence/FenceStore.java
+++ b/src/main/java/yardusher/fence/FenceStore.java
@@ -131,8 +131,8 @@
     }
 
     private static Ledger.Line startedLine(String name, StartedProcess one) {
-        return new Ledger.Line(STARTED, new Fields.Out().text(1, name).number(2, one.startCount()).number(3, one.pid()).number(4, one.startedMs())
-                .toBytes());
+        return new Ledger.Line(STARTED, new Fields.Out().text(1, name).number(2, one.startCount())
+                .number(3, one.pid()).number(4, one.startedMs()).toBytes());
     }
 
     /**
--- a/src/main/java/yardusher/fleet/BanWork.java
+++ b/src/main/java/yardusher/fleet/BanWork.java
@@ -47,13 +47,15 @@
         List<Action> acts = new ArrayList<>();
         if (idle) { return acts; }
         for (String member : members) {
-            if (confirmed.contains(member) || pendingMembers.contains(member) || now < nextRequestAtMs.getOrDefault(member, Double.NEGATIVE_INFINITY)) { continue; }
+            if (confirmed.contains(member) || pendingMembers.contains(member)
+                    || now < nextRequestAtMs.getOrDefault(member, Double.NEGATIVE_INFINITY)) { continue; }
             pendingMembers.add(member);
             acts.add(sealed.contains(member) ? new RunStep(member, step(), "set " + spec) : new Seal(member));
         }
         if (confirmed.containsAll(members) && !savePending) {
             savePending = true;
-            acts.add(new SaveCheckpoint(++seq, doneText(revision, members), Work.State.RUNNING, "revision " + revision + " at all " + members.size() + " agents"));
+            acts.add(new SaveCheckpoint(++seq, doneText(revision, members), Work.State.RUNNING,
+                    "revision " + revision + " at all " + members.size() + " agents"));
         }
         return acts;
     }
--- a/src/main/java/yardusher/fleet/FleetCommandHandler.java
+++ b/src/main/java/yardusher/fleet/FleetCommandHandler.java
@@ -30,12 +30,12 @@
     private final PeerDirectory peers;
     private final StepExecutor stepExecutor;
 
-    FleetCommandHandler(FleetSettings settings, EventLoop loop, RegisterParticipant seat, PeerDirectory fellows, StepExecutor outpost) {
+    FleetCommandHandler(FleetSettings settings, EventLoop loop, RegisterParticipant participant, PeerDirectory peers, StepExecutor stepExecutor) {
         this.settings = settings;
         this.loop = loop;
-        this.participant = seat;
-        this.peers = fellows;
-        this.stepExecutor = outpost;
+        this.participant = participant;
+        this.peers = peers;
+        this.stepExecutor = stepExecutor;
     }
 
     /** Answers a FLEET command, now or later. */
@@ -108,7 +108,8 @@
         String verb = text(words, 4);
         long now = System.currentTimeMillis();
         Operation op = switch (verb) {
-            case "roll" -> new Operation.Submit(command, by, now, WorkKind.ROLL, RollSpec.of(text(words, 5)).toString(), text(words, 6).equals("take-over"));
+            case "roll" -> new Operation.Submit(command, by, now, WorkKind.ROLL, RollSpec.of(text(words, 5)).toString(),
+                    text(words, 6).equals("take-over"));
             case "ban", "unban" -> {
                 String region = text(words, 5);
                 if (!region.matches(yardusher.register.Bans.REGION_PATTERN)) { throw new CommandError.Argument("no name of a region: " + region); }
@@ -162,7 +163,8 @@
         participant.untilAnswered(new Operation.Read(), loop.now() + 1500, answer -> {
             try {
                 RegisterView told = answer == null || answer.state() == null ? participant.view() : RegisterView.of(answer.state());
-                slot.answer(new Encoder(1024).bulk(RegisterReport.text(told, answer == null, settings, participant.node(), participant.addresses())).toBytes());
+                slot.answer(new Encoder(1024).bulk(RegisterReport.text(told, answer == null, settings,
+                        participant.node(), participant.addresses())).toBytes());
             } catch (IOException e) {
                 slot.answer(failure("ERR " + e.getMessage()));
             }
--- a/src/main/java/yardusher/fleet/LeaseHolder.java
+++ b/src/main/java/yardusher/fleet/LeaseHolder.java
@@ -38,22 +38,23 @@
     private final class HeldWork {
         final WorkKind kind;
         final long token;
-        final WorkProcedure undertaking;
+        final WorkProcedure procedure;
 
         HeldWork(WorkKind kind, long token, Work work) {
             this.kind = kind;
             this.token = token;
             Set<String> members = new TreeSet<>(participant.addresses().keySet());
-            undertaking = kind == WorkKind.ROLL ? new RollWork(work, members, settings.patienceMs()) : new BanWork(work, members);
+            procedure = kind == WorkKind.ROLL ? new RollWork(work, members, settings.patienceMs()) : new BanWork(work, members);
         }
     }
 
-    LeaseHolder(FleetSettings settings, EventLoop loop, RegisterParticipant seat, PeerDirectory fellows, StepExecutor outpost, LeaseManager leases) {
+    LeaseHolder(FleetSettings settings, EventLoop loop, RegisterParticipant participant, PeerDirectory peers,
+            StepExecutor stepExecutor, LeaseManager leases) {
         this.settings = settings;
         this.loop = loop;
-        this.participant = seat;
-        this.peers = fellows;
-        this.stepExecutor = outpost;
+        this.participant = participant;
+        this.peers = peers;
+        this.stepExecutor = stepExecutor;
         this.leases = leases;
     }
 
@@ -61,7 +62,7 @@
     void changed() {
         for (HeldWork holding : holdings.values()) {
             Work work = participant.view().works().get(holding.kind);
-            if (work != null && work.token() == holding.token) { holding.undertaking.onWorkChanged(work); }
+            if (work != null && work.token() == holding.token) { holding.procedure.onWorkChanged(work); }
         }
     }
 
@@ -73,7 +74,7 @@
 
     void tick() {
         if (participant.isClosed()) { return; }
-        tick = loop.deadlines().schedule(loop.now() + REST_MS, this::tick); // scheduled first, so that an exception below does not end the ticks
+        tick = loop.deadlines().schedule(loop.now() + REST_MS, this::tick); // scheduled first: an exception below must not end the ticks
         runLeaseActions();
         stepExecutor.applyBansToAll();
         double now = loop.now();
@@ -92,10 +93,11 @@
         double now = loop.now();
         for (LeaseManager.Action act : leases.nextActions(now, participant.view(), this::hasWork)) {
             if (act instanceof LeaseManager.Claim claim) {
-                participant.ask(new Operation.Claim(settings.member(), claim.nonce(), System.currentTimeMillis(), claim.kind(), claim.seenToken(), claim.seenBeat()),
+                participant.ask(new Operation.Claim(settings.member(), claim.nonce(), System.currentTimeMillis(), claim.kind(),
+                        claim.seenToken(), claim.seenHeartbeat()),
                         answer -> leases.claimed(loop.now(), claim.kind(), claim.nonce(), answer != null && answer.ok() ? answer.token() : 0));
             } else if (act instanceof LeaseManager.Renew renew) {
-                participant.ask(new Operation.Renew(renew.kind(), renew.token(), renew.beat()), answer ->
+                participant.ask(new Operation.Renew(renew.kind(), renew.token(), renew.heartbeat()), answer ->
                         leases.renewed(loop.now(), renew.kind(), renew.token(), answer == null ? null : Boolean.valueOf(answer.ok())));
             } else if (act instanceof LeaseManager.Begin begin) {
                 Work work = participant.view().works().get(begin.kind());
@@ -117,13 +119,13 @@
     /** Runs the procedure's next actions while the lease lasts; the fences stop what is still in flight after that. */
     private void advance(HeldWork holding) {
         if (!isCurrent(holding)) { return; }
-        if (holding.undertaking instanceof BanWork bans && bans.isIdle()) {
+        if (holding.procedure instanceof BanWork bans && bans.isIdle()) {
             holdings.remove(holding.kind);
             participant.ask(new Operation.Release(holding.kind, holding.token), answer -> { });
             leases.released(holding.kind, holding.token);
             return;
         }
-        for (WorkProcedure.Action act : holding.undertaking.nextActions(loop.now())) {
+        for (WorkProcedure.Action act : holding.procedure.nextActions(loop.now())) {
             if (act instanceof WorkProcedure.Seal seal) {
                 seal(holding, seal.member());
             } else if (act instanceof WorkProcedure.RunStep order) {
@@ -134,14 +136,14 @@
         }
     }
 
-    private void saveCheckpoint(HeldWork holding, WorkProcedure.SaveCheckpoint keep) {
-        participant.ask(new Operation.Checkpoint(holding.kind, holding.token, keep.seq(), keep.text(), keep.state(), keep.note()), answer -> {
+    private void saveCheckpoint(HeldWork holding, WorkProcedure.SaveCheckpoint request) {
+        participant.ask(new Operation.Checkpoint(holding.kind, holding.token, request.seq(), request.text(), request.state(), request.note()), answer -> {
             if (answer == null) {                    // outcome unknown: retried until the lease has expired
                 loop.deadlines().schedule(loop.now() + TRY_AGAIN_MS, () -> {
-                    if (isCurrent(holding)) { saveCheckpoint(holding, keep); }
+                    if (isCurrent(holding)) { saveCheckpoint(holding, request); }
                 });
             } else if (answer.ok()) {
-                holding.undertaking.onCheckpointSaved(keep.seq());
+                holding.procedure.onCheckpointSaved(request.seq());
                 advance(holding);
             } else if (holdings.get(holding.kind) == holding) {
                 leases.renewed(loop.now(), holding.kind, holding.token, false);
@@ -158,9 +160,9 @@
                     String[] words = line.split(" ");
                     if (words.length == 2) { standings.add(new WorkProcedure.InstanceStatus(words[0], words[1].equals("ready"))); }
                 }
-                holding.undertaking.onSealed(loop.now(), member, standings);
+                holding.procedure.onSealed(loop.now(), member, standings);
             } else {
-                holding.undertaking.onNoAnswer(loop.now(), member, answer instanceof Value.ErrorReply failure ? failure.text() : "no answer");
+                holding.procedure.onNoAnswer(loop.now(), member, answer instanceof Value.ErrorReply failure ? failure.text() : "no answer");
             }
             advance(holding);
         });
@@ -169,9 +171,9 @@
     private void requestStep(HeldWork holding, WorkProcedure.RunStep order) {
         callAgent(order.member(), List.of("FLEET.DO", holding.kind.label(), Long.toString(holding.token), order.step(), order.act()), answer -> {
             if (answer instanceof Value.BulkString told) {
-                holding.undertaking.onOutcome(loop.now(), order.member(), order.step(), told.text());
+                holding.procedure.onOutcome(loop.now(), order.member(), order.step(), told.text());
             } else {
-                holding.undertaking.onNoAnswer(loop.now(), order.member(), answer instanceof Value.ErrorReply failure ? failure.text() : "no answer");
+                holding.procedure.onNoAnswer(loop.now(), order.member(), answer instanceof Value.ErrorReply failure ? failure.text() : "no answer");
             }
             advance(holding);
         });
--- a/src/main/java/yardusher/fleet/LeaseManager.java
+++ b/src/main/java/yardusher/fleet/LeaseManager.java
@@ -39,10 +39,10 @@
     public sealed interface Action { }
 
     /** Claim a work from the register. */
-    public record Claim(WorkKind kind, long nonce, long seenToken, long seenBeat) implements Action { }
+    public record Claim(WorkKind kind, long nonce, long seenToken, long seenHeartbeat) implements Action { }
 
     /** Renew the lease. */
-    public record Renew(WorkKind kind, long token, long beat) implements Action { }
+    public record Renew(WorkKind kind, long token, long heartbeat) implements Action { }
 
     /** This member has become the holder. */
     public record Begin(WorkKind kind, long token) implements Action { }
@@ -53,7 +53,7 @@
     private final class LeaseState {
         final WorkKind kind;
         long seenToken = -1;
-        long seenBeat = -1;
+        long seenHeartbeat = -1;
         double seenAtMs;                               // when the token or heartbeat last changed
         double nextClaimAtMs = Double.POSITIVE_INFINITY;
         long nonce;                                  // of the pending or granted claim; 0 for none
@@ -61,7 +61,7 @@
         long token;                                  // 0 while not held
         double expiresAtMs;
         double nextRenewalAtMs;
-        long beat;
+        long heartbeat;
         boolean renewalPending;
 
         LeaseState(WorkKind kind) { this.kind = kind; }
@@ -103,7 +103,7 @@
         } else if (now >= lease.nextRenewalAtMs && !lease.renewalPending) {
             lease.renewalPending = true;
             lease.requestedAtMs = now;
-            acts.add(new Renew(lease.kind, lease.token, ++lease.beat));
+            acts.add(new Renew(lease.kind, lease.token, ++lease.heartbeat));
         }
     }
 
@@ -124,9 +124,9 @@
             if (now >= lease.expiresAtMs) { stop(lease, "its lease was over when the grant was heard of", acts); }
             return;
         }
-        if (work.token() != lease.seenToken || work.heartbeat() != lease.seenBeat) {
+        if (work.token() != lease.seenToken || work.heartbeat() != lease.seenHeartbeat) {
             lease.seenToken = work.token();
-            lease.seenBeat = work.heartbeat();
+            lease.seenHeartbeat = work.heartbeat();
             lease.seenAtMs = now;
             lease.nextClaimAtMs = now + random.nextDouble() * CLAIM_SPREAD_MS + (work.isHeld() ? terms.takeOverWaitMs() : 0);
         }
@@ -139,7 +139,7 @@
 
     private void take(LeaseState lease, long token, List<Action> acts) {
         lease.token = token;
-        lease.beat = 0;
+        lease.heartbeat = 0;
         lease.expiresAtMs = lease.requestedAtMs + terms.usableLeaseMs();
         lease.nextRenewalAtMs = lease.requestedAtMs + terms.leaseMs() / RENEWALS;
         lease.renewalPending = false;
@@ -191,7 +191,9 @@
     public double nextDueAtMs() {
         double next = Double.POSITIVE_INFINITY;
         for (LeaseState lease : states.values()) {
-            next = Math.min(next, lease.token != 0 ? lease.renewalPending ? lease.expiresAtMs : Math.min(lease.nextRenewalAtMs, lease.expiresAtMs) : lease.nextClaimAtMs);
+            next = Math.min(next, lease.token != 0
+                    ? lease.renewalPending ? lease.expiresAtMs : Math.min(lease.nextRenewalAtMs, lease.expiresAtMs)
+                    : lease.nextClaimAtMs);
         }
         return next;
     }
--- a/src/main/java/yardusher/fleet/RegisterParticipant.java
+++ b/src/main/java/yardusher/fleet/RegisterParticipant.java
@@ -41,10 +41,11 @@
     private boolean closed;
 
     /** {@code changed}: called in a turn when there is a newer copy. Takes over the open store. */
-    RegisterParticipant(FleetSettings settings, PeerDirectory fellows, EventLoop turns, Random random, Storage folder, RaftLogStore store, Runnable changed) {
+    RegisterParticipant(FleetSettings settings, PeerDirectory peers, EventLoop loop, Random random, Storage folder,
+            RaftLogStore store, Runnable changed) {
         this.settings = settings;
-        this.peers = fellows;
-        this.loop = turns;
+        this.peers = peers;
+        this.loop = loop;
         this.random = random;
         this.folder = folder;
         this.store = store;
--- a/src/main/java/yardusher/fleet/RegisterReport.java
+++ b/src/main/java/yardusher/fleet/RegisterReport.java
@@ -20,7 +20,8 @@
         for (Work work : view.works().values()) {
             line(out, "work", "kind", work.kind().label(), "id", work.id(), "state", work.state().name().toLowerCase(java.util.Locale.ROOT),
                     "holder", work.isHeld() ? work.holder() : "-", "token", work.token(), "since",
-                    work.isHeld() ? Instant.ofEpochMilli(work.grantedAtMs()) : "-", "by", work.requestedBy(), "ordered", Instant.ofEpochMilli(work.requestedAtMs()),
+                    work.isHeld() ? Instant.ofEpochMilli(work.grantedAtMs()) : "-", "by", work.requestedBy(),
+                    "ordered", Instant.ofEpochMilli(work.requestedAtMs()),
                     "order", work.spec().isEmpty() ? "-" : work.spec(), "progress", work.note().isEmpty() ? "-" : work.note());
         }
         for (String one : view.history()) { line(out, "history", "event", one); }
--- a/src/main/java/yardusher/fleet/RollPlan.java
+++ b/src/main/java/yardusher/fleet/RollPlan.java
@@ -64,6 +64,7 @@
     long count(TargetState turn) { return targets.values().stream().filter(now -> now == turn).count(); }
 
     String progress() {
-        return count(TargetState.DONE) + " of " + targets.size() + " done, " + count(TargetState.OUT) + " away, " + count(TargetState.FAILED) + " failed";
+        return count(TargetState.DONE) + " of " + targets.size() + " done, " + count(TargetState.OUT) + " away, "
+                + count(TargetState.FAILED) + " failed";
     }
 }
--- a/src/main/java/yardusher/fleet/StepExecutor.java
+++ b/src/main/java/yardusher/fleet/StepExecutor.java
@@ -63,9 +63,9 @@
     private long revision;                           // revision of {@code bans}
     private String pendingBanStep;                          // the step that waits until all instances have the bans, or null
 
-    StepExecutor(FenceStore memory, LocalInstances targets, EventLoop loop, Supplier<RegisterView> view) {
-        this.fenceStore = memory;
-        this.fence = memory.fence();
+    StepExecutor(FenceStore fenceStore, LocalInstances targets, EventLoop loop, Supplier<RegisterView> view) {
+        this.fenceStore = fenceStore;
+        this.fence = fenceStore.fence();
         this.targets = targets;
         this.loop = loop;
         this.view = view;
@@ -145,7 +145,11 @@
             boolean late = loop.now() >= one.until();
             if (one.token() > grantedToken(one.kind()) && !late) { continue; }
             waiting.remove(one);
-            if (one.token() > grantedToken(one.kind())) { one.then().accept(unprovenReply(one.token())); } else { seal(one.kind(), one.token(), one.then()); }
+            if (one.token() > grantedToken(one.kind())) {
+                one.then().accept(unprovenReply(one.token()));
+            } else {
+                seal(one.kind(), one.token(), one.then());
+            }
         }
     }
 
--- a/src/main/java/yardusher/fleet/WorkProcedure.java
+++ b/src/main/java/yardusher/fleet/WorkProcedure.java
@@ -36,7 +36,7 @@
     void onOutcome(double now, String member, String step, String outcome);
 
     /** A member did not answer, or could not do what was requested. What it did is unknown. */
-    void onNoAnswer(double now, String member, String why);
+    void onNoAnswer(double now, String member, String reason);
 
     /** The register has recorded the checkpoint. */
     void onCheckpointSaved(long seq);
--- a/src/main/java/yardusher/register/RaftLogStore.java
+++ b/src/main/java/yardusher/register/RaftLogStore.java
@@ -28,7 +28,8 @@
     private static final String PREFIX = "register";
     private static final long MAGIC = 0x5944524547530001L; // YDREGS and format version 1
     private static final long SEGMENT_BYTES = 4 << 20;
-    private static final int OWNER = 1, LOCAL_ENDPOINT = 2, MEMBERS = 3, TERM = 4, ENTRY = 5, TRUNCATE_FROM = 6, TRUNCATE_UNTIL = 7, SNAPSHOT_CHUNK = 8, DELETE_SNAPSHOT = 9;
+    private static final int OWNER = 1, LOCAL_ENDPOINT = 2, MEMBERS = 3, TERM = 4, ENTRY = 5, TRUNCATE_FROM = 6,
+            TRUNCATE_UNTIL = 7, SNAPSHOT_CHUNK = 8, DELETE_SNAPSHOT = 9;
 
     private final String installation;
     private final String member;
@@ -135,7 +136,8 @@
             case MEMBERS -> members = RaftModelCodec.members(line.body());
             case TERM -> {
                 Fields f = Fields.read(line.body());
-                term = RaftModelCodec.FACTORY.createRaftTermPersistentStateBuilder().setTerm(f.whole(1)).setVotedFor(RaftModelCodec.member(f.text(2))).build();
+                term = RaftModelCodec.FACTORY.createRaftTermPersistentStateBuilder().setTerm(f.whole(1))
+                        .setVotedFor(RaftModelCodec.member(f.text(2))).build();
             }
             case ENTRY -> {
                 LogEntry entry = RaftModelCodec.entry(line.body());
@@ -163,13 +165,15 @@
         if (local != null) { base.add(localLine()); }
         if (members != null) { base.add(new Ledger.Line(MEMBERS, RaftModelCodec.members(members))); }
         if (term != null) { base.add(termLine()); }
-        snapshots.values().forEach(parts -> parts.values().forEach(part -> base.add(new Ledger.Line(SNAPSHOT_CHUNK, RaftModelCodec.snapshotChunk(part)))));
+        snapshots.values().forEach(parts -> parts.values().forEach(part ->
+                base.add(new Ledger.Line(SNAPSHOT_CHUNK, RaftModelCodec.snapshotChunk(part)))));
         log.values().forEach(entry -> base.add(new Ledger.Line(ENTRY, RaftModelCodec.entry(entry))));
         return base;
     }
 
     private Ledger.Line localLine() {
-        return new Ledger.Line(LOCAL_ENDPOINT, new Fields.Out().text(1, RaftModelCodec.name(local.getLocalEndpoint())).flag(2, local.isVoting()).toBytes());
+        return new Ledger.Line(LOCAL_ENDPOINT, new Fields.Out().text(1, RaftModelCodec.name(local.getLocalEndpoint()))
+                .flag(2, local.isVoting()).toBytes());
     }
 
     private Ledger.Line termLine() {
--- a/src/main/java/yardusher/register/RaftMessageCodec.java
+++ b/src/main/java/yardusher/register/RaftMessageCodec.java
@@ -54,8 +54,10 @@
         } else if (message instanceof InstallSnapshotRequest m) {
             head(out, 8, m).number(QUERY, m.getQuerySequenceNumber()).number(FLOW, m.getFlowControlSequenceNumber())
                     .number(A, m.getSnapshotIndex()).number(B, m.getSnapshotTerm()).number(C, m.getTotalSnapshotChunkCount())
-                    .flag(FLAG, m.isSenderLeader()).bytes(PART, m.getSnapshotChunk() == null ? null : RaftModelCodec.snapshotChunk(m.getSnapshotChunk()))
-                    .bytes(MEMBERS, RaftModelCodec.members(m.getGroupMembersView())).texts(NAMES, RaftModelCodec.names(m.getSnapshottedMembers()));
+                    .flag(FLAG, m.isSenderLeader())
+                    .bytes(PART, m.getSnapshotChunk() == null ? null : RaftModelCodec.snapshotChunk(m.getSnapshotChunk()))
+                    .bytes(MEMBERS, RaftModelCodec.members(m.getGroupMembersView()))
+                    .texts(NAMES, RaftModelCodec.names(m.getSnapshottedMembers()));
         } else if (message instanceof InstallSnapshotResponse m) {
             head(out, 9, m).number(QUERY, m.getQuerySequenceNumber()).number(FLOW, m.getFlowControlSequenceNumber())
                     .number(A, m.getSnapshotIndex()).number(B, m.getRequestedSnapshotChunkIndex());
@@ -91,16 +93,22 @@
                     .setLastLogIndex(f.number(A)).setQuerySequenceNumber(query).setFlowControlSequenceNumber(flow).build();
             case 3 -> RaftModelCodec.FACTORY.createAppendEntriesFailureResponseBuilder().setGroupId(group).setSender(from).setTerm(term)
                     .setExpectedNextIndex(f.number(A)).setQuerySequenceNumber(query).setFlowControlSequenceNumber(flow).build();
-            case 4 -> RaftModelCodec.FACTORY.createVoteRequestBuilder().setGroupId(group).setSender(from).setTerm(term).setLastLogTerm(f.whole(B))
+            case 4 -> RaftModelCodec.FACTORY.createVoteRequestBuilder().setGroupId(group).setSender(from).setTerm(term)
+                    .setLastLogTerm(f.whole(B))
                     .setLastLogIndex(f.number(A)).setSticky(f.flag(FLAG)).build();
-            case 5 -> RaftModelCodec.FACTORY.createVoteResponseBuilder().setGroupId(group).setSender(from).setTerm(term).setGranted(f.flag(FLAG)).build();
-            case 6 -> RaftModelCodec.FACTORY.createPreVoteRequestBuilder().setGroupId(group).setSender(from).setTerm(term).setLastLogTerm(f.whole(B))
+            case 5 -> RaftModelCodec.FACTORY.createVoteResponseBuilder().setGroupId(group).setSender(from).setTerm(term)
+                    .setGranted(f.flag(FLAG)).build();
+            case 6 -> RaftModelCodec.FACTORY.createPreVoteRequestBuilder().setGroupId(group).setSender(from).setTerm(term)
+                    .setLastLogTerm(f.whole(B))
                     .setLastLogIndex(f.number(A)).build();
-            case 7 -> RaftModelCodec.FACTORY.createPreVoteResponseBuilder().setGroupId(group).setSender(from).setTerm(term).setGranted(f.flag(FLAG)).build();
+            case 7 -> RaftModelCodec.FACTORY.createPreVoteResponseBuilder().setGroupId(group).setSender(from).setTerm(term)
+                    .setGranted(f.flag(FLAG)).build();
             case 8 -> RaftModelCodec.FACTORY.createInstallSnapshotRequestBuilder().setGroupId(group).setSender(from).setTerm(term)
                     .setSenderLeader(f.flag(FLAG)).setSnapshotTerm(f.whole(B)).setSnapshotIndex(f.number(A)).setTotalSnapshotChunkCount(f.whole(C))
-                    .setSnapshotChunk(f.has(PART) ? RaftModelCodec.snapshotChunk(f.bytes(PART)) : null).setSnapshottedMembers(RaftModelCodec.members(f.texts(NAMES)))
-                    .setGroupMembersView(RaftModelCodec.members(f.bytes(MEMBERS))).setQuerySequenceNumber(query).setFlowControlSequenceNumber(flow).build();
+                    .setSnapshotChunk(f.has(PART) ? RaftModelCodec.snapshotChunk(f.bytes(PART)) : null)
+                    .setSnapshottedMembers(RaftModelCodec.members(f.texts(NAMES)))
+                    .setGroupMembersView(RaftModelCodec.members(f.bytes(MEMBERS)))
+                    .setQuerySequenceNumber(query).setFlowControlSequenceNumber(flow).build();
             case 9 -> RaftModelCodec.FACTORY.createInstallSnapshotResponseBuilder().setGroupId(group).setSender(from).setTerm(term)
                     .setSnapshotIndex(f.number(A)).setRequestedSnapshotChunkIndex(f.whole(B)).setQuerySequenceNumber(query)
                     .setFlowControlSequenceNumber(flow).build();
--- a/src/main/java/yardusher/register/Register.java
+++ b/src/main/java/yardusher/register/Register.java
@@ -89,14 +89,18 @@
                     + (now.isHeld() ? "held by " + now.holder() + " under token " + now.token() : "held by nobody") + heldSinceSuffix(now)
                     + (now.note().isEmpty() ? "" : ", " + now.note()));
         }
-        if (now != null && now.isRunning()) { addHistory(o.atMs(), o.kind().label() + " of " + now.requestedBy() + " taken over by " + o.requestedBy()); }
+        if (now != null && now.isRunning()) {
+            addHistory(o.atMs(), o.kind().label() + " of " + now.requestedBy() + " taken over by " + o.requestedBy());
+        }
         Work next = newWork(o.kind(), o.spec(), o);
         works.put(o.kind(), next);
         addHistory(o.atMs(), o.kind().label() + " " + next.id() + " ordered by " + o.requestedBy() + ": " + o.spec());
         return Answer.accepted(next.token(), o.kind().label() + " " + next.id() + " ordered");
     }
 
-    private static String heldSinceSuffix(Work work) { return work.isHeld() ? " since " + java.time.Instant.ofEpochMilli(work.grantedAtMs()) : ""; }
+    private static String heldSinceSuffix(Work work) {
+        return work.isHeld() ? " since " + java.time.Instant.ofEpochMilli(work.grantedAtMs()) : "";
+    }
 
     /** A new work with a new token, so that the holder of the kind's previous work is refused from here on. */
     private Work newWork(WorkKind kind, String spec, Operation.Submit o) {
@@ -107,7 +111,8 @@
         Work now = works.get(o.kind());
         if (now == null || !now.isRunning()) { return Answer.rejected(0, "no " + o.kind().label() + " is running"); }
         if (o.kind().isContinuous()) { return Answer.rejected(now.token(), o.kind().label() + " goes on; orders change it"); }
-        works.put(o.kind(), revokeHolder(now).withProgress(now.seq(), now.checkpoint(), Work.State.STOPPED, "stopped by " + o.requestedBy() + progressSuffix(now)));
+        works.put(o.kind(), revokeHolder(now)
+                .withProgress(now.seq(), now.checkpoint(), Work.State.STOPPED, "stopped by " + o.requestedBy() + progressSuffix(now)));
         addHistory(o.atMs(), o.kind().label() + " " + now.id() + " stopped by " + o.requestedBy());
         return Answer.accepted(now.token(), o.kind().label() + " stopped" + progressSuffix(now));
     }
--- a/src/main/java/yardusher/register/RegisterNode.java
+++ b/src/main/java/yardusher/register/RegisterNode.java
@@ -53,7 +53,9 @@
     private static final int SNAPSHOT_CHUNK_BYTES = 32 * 1024;
 
     static {
-        if (RaftMessageCodec.MAX_MESSAGE_BYTES > Decoder.MAX_BULK_BYTES) { throw new IllegalStateException("Raft messages may exceed the limit of a RESP bulk string"); }
+        if (RaftMessageCodec.MAX_MESSAGE_BYTES > Decoder.MAX_BULK_BYTES) {
+            throw new IllegalStateException("Raft messages may exceed the limit of a RESP bulk string");
+        }
     }
 
     /** What a node needs from its host. Called on the executor. */
@@ -99,8 +101,8 @@
      * @param heartbeatMs the real heartbeat period, which the executor treats as one second of library time
      * @param clockMs a monotonic clock in milliseconds
      */
-    public RegisterNode(String installation, String self, List<String> first, RaftLogStore store, double heartbeatMs, RaftNodeExecutor executor,
-            DoubleSupplier clockMs, Random random, Environment world) {
+    public RegisterNode(String installation, String self, List<String> first, RaftLogStore store, double heartbeatMs,
+            RaftNodeExecutor executor, DoubleSupplier clockMs, Random random, Environment world) {
         this.installation = installation;
         this.environment = world;
         this.executor = executor;
@@ -110,7 +112,8 @@
                 .setMaxPendingLogEntryCount(MAX_PENDING_OPERATIONS).setAppendEntriesRequestBatchSize(MAX_ENTRIES_PER_MESSAGE)
                 .setTransferSnapshotsFromFollowersEnabled(false).setRaftNodeReportPublishPeriodSecs(3600).build();
         RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder().setGroupId(installation).setConfig(config).setExecutor(executor)
-                .setTransport(new NodeTransport()).setStateMachine(new RegisterStateMachine()).setStore(new FailStopStore()).setModelFactory(RaftModelCodec.FACTORY)
+                .setTransport(new NodeTransport()).setStateMachine(new RegisterStateMachine()).setStore(new FailStopStore())
+                .setModelFactory(RaftModelCodec.FACTORY)
                 .setRandom(random).setClock(clock(clockMs, heartbeatMs));
         if (store.restored() != null) {
             builder.setRestoredState(store.restored());
@@ -209,7 +212,8 @@
             callback.onAnswer(Answer.accepted(0, "member " + member + (add ? " takes part" : " is out")));
             return;
         }
-        raft.changeMembership(new Member(member), add ? MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER : MembershipChangeMode.REMOVE_MEMBER,
+        raft.changeMembership(new Member(member),
+                add ? MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER : MembershipChangeMode.REMOVE_MEMBER,
                 raft.getCommittedMembers().getLogIndex()).whenComplete((done, why) ->
                 complete(callback, done == null ? null : Answer.accepted(0, "member " + member + (add ? " takes part" : " is out")), why));
     }
--- a/src/main/java/yardusher/register/RegisterView.java
+++ b/src/main/java/yardusher/register/RegisterView.java
@@ -7,14 +7,16 @@
  * A snapshot of a member's local copy of the register at one log index. It may be stale: whoever needs the current
  * state reads through the register.
  */
-public record RegisterView(long appliedIndex, long highestToken, Map<WorkKind, Work> works, Map<String, String> addresses, List<String> history) {
+public record RegisterView(long appliedIndex, long highestToken, Map<WorkKind, Work> works, Map<String, String> addresses,
+        List<String> history) {
     /** Before any operation was applied. */
     public static final RegisterView EMPTY = new RegisterView(0, 0, Map.of(), Map.of(), List.of());
 
     static RegisterView of(Register register) {
         Map<WorkKind, Work> works = new java.util.EnumMap<>(WorkKind.class);
         register.works().forEach(work -> works.put(work.kind(), work));
-        return new RegisterView(register.appliedIndex(), register.highestToken(), Map.copyOf(works), register.addresses(), register.history());
+        return new RegisterView(register.appliedIndex(), register.highestToken(), Map.copyOf(works), register.addresses(),
+                register.history());
     }
 
     /** Decodes a state that was read through the register. */
--- a/src/main/java/yardusher/register/Work.java
+++ b/src/main/java/yardusher/register/Work.java
@@ -30,19 +30,25 @@
 
     public boolean isHeld() { return !holder.isEmpty(); }
 
-    Work withSpec(String newSpec, String who, long atMs) {
-        return new Work(kind, id, newSpec, revision + 1, token, holder, nonce, heartbeat, seq, checkpoint, state, note, who, atMs, grantedAtMs);
+    Work withSpec(String newSpec, String requester, long atMs) {
+        return new Work(kind, id, newSpec, revision + 1, token, holder, nonce, heartbeat, seq, checkpoint, state, note,
+                requester, atMs, grantedAtMs);
     }
 
     Work withHolder(long newToken, String member, long newNonce, long atMs) {
-        return new Work(kind, id, spec, revision, newToken, member, newNonce, 0, seq, checkpoint, state, note, requestedBy, requestedAtMs, atMs);
+        return new Work(kind, id, spec, revision, newToken, member, newNonce, 0, seq, checkpoint, state, note,
+                requestedBy, requestedAtMs, atMs);
     }
 
-    Work withHeartbeat(long newBeat) {
-        return new Work(kind, id, spec, revision, token, holder, nonce, newBeat, seq, checkpoint, state, note, requestedBy, requestedAtMs, grantedAtMs);
+    Work withHeartbeat(long newHeartbeat) {
+        return new Work(kind, id, spec, revision, token, holder, nonce, newHeartbeat, seq, checkpoint, state, note,
+                requestedBy, requestedAtMs, grantedAtMs);
     }
 
-    Work withoutHolder() { return new Work(kind, id, spec, revision, token, "", 0, 0, seq, checkpoint, state, note, requestedBy, requestedAtMs, grantedAtMs); }
+    Work withoutHolder() {
+        return new Work(kind, id, spec, revision, token, "", 0, 0, seq, checkpoint, state, note,
+                requestedBy, requestedAtMs, grantedAtMs);
+    }
 
     Work withProgress(long newSeq, String newCheckpoint, State newState, String newNote) {
         boolean ends = newState != State.RUNNING;
@@ -52,7 +58,8 @@
 
     /** A copy without the checkpoint, for readers. */
     Work withoutCheckpoint() {
-        return new Work(kind, id, spec, revision, token, holder, nonce, heartbeat, seq, "", state, note, requestedBy, requestedAtMs, grantedAtMs);
+        return new Work(kind, id, spec, revision, token, holder, nonce, heartbeat, seq, "", state, note,
+                requestedBy, requestedAtMs, grantedAtMs);
     }
 
     byte[] encode() {
--- a/src/test/java/yardusher/agent/HangupTest.java
+++ b/src/test/java/yardusher/agent/SighupStatusTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class HangupTest {
+class SighupStatusTest {
     @Test
     void lowestMaskBitIsSighup() {
         assertThat(SighupStatus.isIgnored("Name:\tjava\nSigBlk:\t0000000000000001\nSigIgn:\t0000000000000001\nSigCgt:\t2000000181005ccf\n")).isTrue();
--- a/src/test/java/yardusher/fleet/LeasesTest.java
+++ b/src/test/java/yardusher/fleet/LeaseManagerTest.java
@@ -17,7 +17,7 @@
 import yardusher.register.Work;
 
 /** Leases on drifting clocks against a real register; no two members consider themselves the holder at the same time. */
-class LeasesTest {
+class LeaseManagerTest {
     private static final LeaseManager.LeaseTimings TERMS = new LeaseManager.LeaseTimings(1000, 0.01, 50);
 
     private static RegisterView view(Register register) { return new RegisterView(register.appliedIndex(), register.highestToken(), Map.of(WorkKind.ROLL, register.work(WorkKind.ROLL)), Map.of(), List.of()); }
@@ -29,13 +29,13 @@
         LeaseManager one = new LeaseManager("a1", TERMS, new Random(1));
         assertThat(one.nextActions(0, view(register), work -> true)).isEmpty();   // claims are spread
         LeaseManager.Claim claim = (LeaseManager.Claim) one.nextActions(100, view(register), work -> true).get(0);
-        long token = register.apply(2, new Operation.Claim("a1", claim.nonce(), 0, WorkKind.ROLL, claim.seenToken(), claim.seenBeat())).token();
+        long token = register.apply(2, new Operation.Claim("a1", claim.nonce(), 0, WorkKind.ROLL, claim.seenToken(), claim.seenHeartbeat())).token();
         assertThat(one.nextActions(130, view(register), work -> true)).containsExactly(new LeaseManager.Begin(WorkKind.ROLL, token));
         assertThat(one.holds(1089, WorkKind.ROLL, token)).isTrue();
         assertThat(one.holds(1091, WorkKind.ROLL, token)).isFalse();           // 990 ms after the claim was sent
         LeaseManager.Renew renew = (LeaseManager.Renew) one.nextActions(400, view(register), work -> true).get(0);
         one.renewed(420, WorkKind.ROLL, token, true);
-        assertThat(renew.beat()).isEqualTo(1);
+        assertThat(renew.heartbeat()).isEqualTo(1);
         assertThat(one.holds(1389, WorkKind.ROLL, token)).isTrue();
         assertThat(one.nextActions(1400, view(register), work -> true)).hasAtLeastOneElementOfType(LeaseManager.Stop.class);
     }
@@ -82,10 +82,10 @@
     private static void answer(Register register, LeaseManager leases, int i, LeaseManager.Action act, double mine, Random random, long[] held) {
         boolean lost = random.nextInt(10) == 0;
         if (act instanceof LeaseManager.Claim claim) {
-            Answer answer = random.nextInt(10) == 0 ? null : register.apply(0, new Operation.Claim("a" + i, claim.nonce(), 0, WorkKind.ROLL, claim.seenToken(), claim.seenBeat()));
+            Answer answer = random.nextInt(10) == 0 ? null : register.apply(0, new Operation.Claim("a" + i, claim.nonce(), 0, WorkKind.ROLL, claim.seenToken(), claim.seenHeartbeat()));
             leases.claimed(mine, WorkKind.ROLL, claim.nonce(), lost || answer == null || !answer.ok() ? 0 : answer.token());
         } else if (act instanceof LeaseManager.Renew renew) {
-            boolean ok = random.nextInt(10) > 0 && register.apply(0, new Operation.Renew(WorkKind.ROLL, renew.token(), renew.beat())).ok();
+            boolean ok = random.nextInt(10) > 0 && register.apply(0, new Operation.Renew(WorkKind.ROLL, renew.token(), renew.heartbeat())).ok();
             leases.renewed(mine, WorkKind.ROLL, renew.token(), lost ? null : Boolean.valueOf(ok));
         } else if (act instanceof LeaseManager.Begin begin) {
             held[i] = begin.token();
--- a/src/test/java/yardusher/fleet/RollTest.java
+++ b/src/test/java/yardusher/fleet/RollWorkTest.java
@@ -12,7 +12,7 @@
 import yardusher.register.Work;
 
 /** A roll procedure, driven by hand. */
-class RollTest {
+class RollWorkTest {
     private static Work work(String checkpoint, long seq) {
         return new Work(WorkKind.ROLL, 5, "restart away=1 failures=0", 0, 9, "a0", 1, 0, seq, checkpoint, Work.State.RUNNING, "", "eva", 0, 0);
     }
--- a/src/test/java/yardusher/register/StandstillTest.java
+++ b/src/test/java/yardusher/register/StalledPreVoteTest.java
@@ -24,7 +24,7 @@
  * and then hears from the leader again, keeps the pre-vote as pending; when that leader dies, no member starts an
  * election. Here each follower misses the leader for a moment before it dies.
  */
-class StandstillTest {
+class StalledPreVoteTest {
     private static final double SECOND_MS = 100;
     private static final List<String> NAMES = List.of("m0", "m1", "m2");
 
