--- a/src/main/java/yardusher/agent/FleetInstances.java
+++ b/src/main/java/yardusher/agent/FleetInstances.java
@@ -17,23 +17,23 @@
 import yardusher.net.Connection;
 import yardusher.net.Sockets;
 
-/** This agent's instances as the fleet's work sees them. In loop. */
+/** This agent's instances as the fleet's step executor uses them. In loop. */
 final class FleetInstances implements LocalInstances {
     private static final double CALL_MS = 2000;
 
     private final Map<String, Instance> instances;
     private final Sockets sockets;
     private final EventLoop loop;
-    private final double withinMs;
-    private final Function<AgentConfig.Entry, InetSocketAddress> admins;
-    private final List<ReadyWait> waiting = new ArrayList<>();
+    private final double readyTimeoutMs;
+    private final Function<AgentConfig.Entry, InetSocketAddress> adminAddresses;
+    private final List<ReadyWait> readyWaits = new ArrayList<>();
 
-    /** Who waits for an instance that was started more often than so. */
+    /** Waits until an instance has been started more often than {@code starts} and is ready. */
     private static final class ReadyWait {
         final Instance instance;
         final long starts;
         final Consumer<Boolean> then;
-        Deadlines.Entry limit;
+        Deadlines.Entry timeout;
 
         ReadyWait(Instance instance, long starts, Consumer<Boolean> then) {
             this.instance = instance;
@@ -42,21 +42,24 @@
         }
     }
 
-    /** {@code withinMs}: an instance has so long to end and to answer again. */
-    FleetInstances(Map<String, Instance> instances, Sockets sockets, double withinMs, Function<AgentConfig.Entry, InetSocketAddress> admins) {
+    /** {@code readyTimeoutMs}: how long an instance may take to end and to become ready again. */
+    FleetInstances(Map<String, Instance> instances, Sockets sockets, double readyTimeoutMs,
+            Function<AgentConfig.Entry, InetSocketAddress> adminAddresses) {
         this.instances = instances;
         this.sockets = sockets;
         this.loop = sockets.loop();
-        this.withinMs = withinMs;
-        this.admins = admins;
+        this.readyTimeoutMs = readyTimeoutMs;
+        this.adminAddresses = adminAddresses;
     }
 
     @Override
-    public List<WorkProcedure.InstanceStatus> standings() {
+    public List<WorkProcedure.InstanceStatus> instanceStatuses() {
         List<WorkProcedure.InstanceStatus> all = new ArrayList<>();
         instances.forEach((name, one) -> {
-            // Who was stopped by hand is no part of the fleet until somebody starts it.
-            if (one.state() != Instance.State.STOPPED) { all.add(new WorkProcedure.InstanceStatus(name, one.state() == Instance.State.READY)); }
+            // An instance stopped by an operator is not part of the fleet until it is started again.
+            if (one.state() != Instance.State.STOPPED) {
+                all.add(new WorkProcedure.InstanceStatus(name, one.state() == Instance.State.READY));
+            }
         });
         return all;
     }
@@ -82,21 +85,21 @@
 
     private void await(Instance instance, long starts, Consumer<Boolean> then) {
         ReadyWait one = new ReadyWait(instance, starts, then);
-        one.limit = loop.deadlines().schedule(loop.now() + withinMs, () -> {
-            waiting.remove(one);
+        one.timeout = loop.deadlines().schedule(loop.now() + readyTimeoutMs, () -> {
+            readyWaits.remove(one);
             then.accept(false);
         });
-        waiting.add(one);
+        readyWaits.add(one);
         loop.defer(this::changed);
     }
 
     /** An instance's state has changed. */
     void changed() {
-        for (Iterator<ReadyWait> all = waiting.iterator(); all.hasNext();) {
+        for (Iterator<ReadyWait> all = readyWaits.iterator(); all.hasNext();) {
             ReadyWait one = all.next();
             if (one.instance.state() != Instance.State.READY || one.instance.starts() <= one.starts) { continue; }
             all.remove();
-            loop.deadlines().cancel(one.limit);
+            loop.deadlines().cancel(one.timeout);
             loop.defer(() -> one.then.accept(true));
         }
     }
@@ -106,7 +109,7 @@
 
     @Override
     public void call(String instance, String line, Consumer<String> then) {
-        InetSocketAddress at = admins.apply(instances.get(instance).entry);
+        InetSocketAddress at = adminAddresses.apply(instances.get(instance).entry);
         if (at == null) {
             loop.defer(() -> then.accept("400 no second address is configured"));
             return;
--- a/src/main/java/yardusher/fleet/BanWork.java
+++ b/src/main/java/yardusher/fleet/BanWork.java
@@ -10,8 +10,9 @@
 import yardusher.register.Work;
 
 /**
- * Tells every agent which regions are out by hand. The list is told whole under its revision, so that a later one holds
- * whatever came before; the agents tell their instances, those that start later too. Rests once all agents have it.
+ * Distributes the list of banned regions to every agent. The whole list is sent under its revision, so a later list is
+ * valid whatever came before; the agents pass it on to their instances, also to those that start later. Idle once all
+ * agents have it.
  */
 final class BanWork implements WorkProcedure {
     private static final double POLL_MS = 50;
@@ -21,11 +22,11 @@
     private long revision;
     private final Set<String> members;
     private final Set<String> sealed = new HashSet<>();
-    private final Set<String> confirmed = new TreeSet<>();  // who has this revision
-    private final Set<String> asking = new HashSet<>();
-    private final Map<String, Double> askAt = new HashMap<>();
+    private final Set<String> confirmed = new TreeSet<>();  // members that have this revision
+    private final Set<String> pendingMembers = new HashSet<>();
+    private final Map<String, Double> nextRequestAtMs = new HashMap<>();
     private long seq;
-    private boolean keeping;
+    private boolean savePending;
     private boolean idle;
 
     BanWork(Work work, Set<String> members) {
@@ -35,10 +36,10 @@
         seq = work.seq();
     }
 
-    /** What a checkpoint says once all members have a revision. */
+    /** The checkpoint text once all members have a revision. */
     static String doneText(long revision, Set<String> members) { return revision + " " + String.join(",", new TreeSet<>(members)); }
 
-    /** Whether somebody does not have the list yet. */
+    /** Whether some member does not have the list yet. */
     static boolean hasWork(Work work, Set<String> members) { return !work.checkpoint().equals(doneText(work.revision(), members)); }
 
     @Override
@@ -46,13 +47,15 @@
         List<Action> acts = new ArrayList<>();
         if (idle) { return acts; }
         for (String member : members) {
-            if (confirmed.contains(member) || asking.contains(member) || now < askAt.getOrDefault(member, Double.NEGATIVE_INFINITY)) { continue; }
-            asking.add(member);
+            if (confirmed.contains(member) || pendingMembers.contains(member)
+                    || now < nextRequestAtMs.getOrDefault(member, Double.NEGATIVE_INFINITY)) { continue; }
+            pendingMembers.add(member);
             acts.add(sealed.contains(member) ? new RunStep(member, step(), "set " + spec) : new Seal(member));
         }
-        if (confirmed.containsAll(members) && !keeping) {
-            keeping = true;
-            acts.add(new SaveCheckpoint(++seq, doneText(revision, members), Work.State.RUNNING, "revision " + revision + " at all " + members.size() + " agents"));
+        if (confirmed.containsAll(members) && !savePending) {
+            savePending = true;
+            acts.add(new SaveCheckpoint(++seq, doneText(revision, members), Work.State.RUNNING,
+                    "revision " + revision + " at all " + members.size() + " agents"));
         }
         return acts;
     }
@@ -61,31 +64,31 @@
 
     @Override
     public void onSealed(double now, String member, List<InstanceStatus> instances) {
-        asking.remove(member);
+        pendingMembers.remove(member);
         sealed.add(member);
-        askAt.put(member, now);
+        nextRequestAtMs.put(member, now);
     }
 
     @Override
     public void onOutcome(double now, String member, String step, String outcome) {
-        asking.remove(member);
-        askAt.put(member, now + (outcome.startsWith("failed") ? RETRY_MS : POLL_MS));
+        pendingMembers.remove(member);
+        nextRequestAtMs.put(member, now + (outcome.startsWith("failed") ? RETRY_MS : POLL_MS));
         if (step.equals(step()) && outcome.startsWith("done")) { confirmed.add(member); }
     }
 
     @Override
     public void onNoAnswer(double now, String member, String why) {
-        asking.remove(member);
-        askAt.put(member, now + RETRY_MS);
+        pendingMembers.remove(member);
+        nextRequestAtMs.put(member, now + RETRY_MS);
     }
 
     @Override
-    public void onCheckpointSaved(long of) {
-        keeping = false;
-        idle = of == seq && confirmed.containsAll(members);
+    public void onCheckpointSaved(long savedSeq) {
+        savePending = false;
+        idle = savedSeq == seq && confirmed.containsAll(members);
     }
 
-    /** Whether all have what is ordered and the register knows it. */
+    /** Whether all members have the list and the register has recorded it. */
     boolean isIdle() { return idle; }
 
     @Override
--- a/src/main/java/yardusher/fleet/FleetCommandHandler.java
+++ b/src/main/java/yardusher/fleet/FleetCommandHandler.java
@@ -17,7 +17,10 @@
 import yardusher.resp.Encoder;
 import yardusher.resp.Value;
 
-/** Answers the commands of the fleet that come in: other members' messages, operations and orders, and the operators' own. In loop. */
+/**
+ * Handles the incoming FLEET commands: Raft messages, operations and step requests of other members, and operators'
+ * commands. In loop.
+ */
 final class FleetCommandHandler {
     private static final double TRY_AGAIN_MS = 60;
 
@@ -27,15 +30,15 @@
     private final PeerDirectory peers;
     private final StepExecutor stepExecutor;
 
-    FleetCommandHandler(FleetSettings settings, EventLoop loop, RegisterParticipant seat, PeerDirectory fellows, StepExecutor outpost) {
+    FleetCommandHandler(FleetSettings settings, EventLoop loop, RegisterParticipant participant, PeerDirectory peers, StepExecutor stepExecutor) {
         this.settings = settings;
         this.loop = loop;
-        this.participant = seat;
-        this.peers = fellows;
-        this.stepExecutor = outpost;
+        this.participant = participant;
+        this.peers = peers;
+        this.stepExecutor = stepExecutor;
     }
 
-    /** Answers a command of the fleet's, now or later. */
+    /** Answers a FLEET command, now or later. */
     void command(byte[][] words, RespServer.Slot slot) {
         String name = new String(words[0], StandardCharsets.ISO_8859_1).toUpperCase(Locale.ROOT);
         if (words.length < 2 || !new String(words[1], StandardCharsets.UTF_8).equals(settings.installation())) {
@@ -44,7 +47,7 @@
         }
         try {
             switch (name) {
-                case "FLEET.RAFT" -> raft(words, slot);
+                case "FLEET.RAFT" -> raftMessage(words, slot);
                 case "FLEET.OP" -> operation(words, slot);
                 case "FLEET.SEAL", "FLEET.DO" -> {
                     String[] texts = new String[words.length - 1];
@@ -52,7 +55,7 @@
                     for (int i = 2; i < words.length; i++) { texts[i - 1] = new String(words[i], StandardCharsets.UTF_8); }
                     stepExecutor.command(texts, answer -> slot.answer(encoded(answer)));
                 }
-                case "FLEET.ASK" -> order(words, slot);
+                case "FLEET.ASK" -> operatorCommand(words, slot);
                 case "FLEET.READ" -> read(slot);
                 case "FLEET.MEMBERS" -> slot.answer(new Encoder(256).bulk(membersText()).toBytes());
                 case "FLEET.CHANGE" -> change(text(words, 2), text(words, 3).equals("in"), slot);
@@ -77,14 +80,14 @@
         return new String(words[at], StandardCharsets.UTF_8);
     }
 
-    private void raft(byte[][] words, RespServer.Slot slot) throws IOException {
+    private void raftMessage(byte[][] words, RespServer.Slot slot) throws IOException {
         if (words.length != 4) { throw new CommandError.Argument("wrong number of arguments"); }
         if (peers.peer(text(words, 2)) == null) { throw new CommandError.NotFound("no member " + text(words, 2)); }
         participant.node().receive(words[3]);
         slot.answer(new Encoder(16).simpleString("OK").toBytes());
     }
 
-    /** A member asks this one, which it takes for the leader. */
+    /** Handles an operation from a member that takes this one for the leader. */
     private void operation(byte[][] words, RespServer.Slot slot) throws IOException {
         if (words.length != 3 || words[2].length > Operation.MAX_BYTES) { throw new CommandError.Argument("an operation of at most " + Operation.MAX_BYTES + " bytes is needed"); }
         answer(Operation.decode(words[2]), slot);
@@ -96,8 +99,8 @@
                 : new Encoder(128).bulk(answer.encode()).toBytes()));
     }
 
-    /** An operator's order, with its id: passed to the register by whichever agent is asked. */
-    private void order(byte[][] words, RespServer.Slot slot) {
+    /** Handles an operator's command with its id. Any agent can be asked; it passes the operation to the register. */
+    private void operatorCommand(byte[][] words, RespServer.Slot slot) {
         String command = text(words, 2);
         if (!command.matches("[0-9a-zA-Z-]{8,64}")) { throw new CommandError.Argument("a command's id is 8 to 64 letters, digits and '-'"); }
         String by = text(words, 3);
@@ -105,7 +108,8 @@
         String verb = text(words, 4);
         long now = System.currentTimeMillis();
         Operation op = switch (verb) {
-            case "roll" -> new Operation.Submit(command, by, now, WorkKind.ROLL, RollSpec.of(text(words, 5)).toString(), text(words, 6).equals("take-over"));
+            case "roll" -> new Operation.Submit(command, by, now, WorkKind.ROLL, RollSpec.of(text(words, 5)).toString(),
+                    text(words, 6).equals("take-over"));
             case "ban", "unban" -> {
                 String region = text(words, 5);
                 if (!region.matches(yardusher.register.Bans.REGION_PATTERN)) { throw new CommandError.Argument("no name of a region: " + region); }
@@ -126,24 +130,24 @@
             } else if (!answer.ok()) {
                 slot.answer(failure("REFUSED " + answer.text()));
             } else if (op instanceof Operation.Admit admit) {
-                member(admit.member(), true, loop.now() + 4000, slot, answer.text());
+                changeMemberUntil(admit.member(), true, loop.now() + 4000, slot, answer.text());
             } else if (op instanceof Operation.Forget forget) {
-                member(forget.member(), false, loop.now() + 4000, slot, answer.text());
+                changeMemberUntil(forget.member(), false, loop.now() + 4000, slot, answer.text());
             } else {
                 slot.answer(new Encoder(128).bulk(answer.text()).toBytes());
             }
         });
     }
 
-    /** Changes who takes part, at the leader, until that is so. */
-    private void member(String member, boolean in, double until, RespServer.Slot slot, String text) {
+    /** Changes the group's membership at the leader; retries until it is done or {@code until} has passed. */
+    private void changeMemberUntil(String member, boolean in, double until, RespServer.Slot slot, String text) {
         Consumer<Boolean> then = done -> {
             if (done) {
                 slot.answer(new Encoder(128).bulk(text).toBytes());
             } else if (loop.now() > until || participant.isClosed()) {
                 slot.answer(failure("TRYAGAIN the members could not be changed yet; ask again"));
             } else {
-                loop.deadlines().schedule(loop.now() + TRY_AGAIN_MS, () -> member(member, in, until, slot, text));
+                loop.deadlines().schedule(loop.now() + TRY_AGAIN_MS, () -> changeMemberUntil(member, in, until, slot, text));
             }
         };
         participant.change(member, in, then);
@@ -154,12 +158,13 @@
                 slot.answer(done ? new Encoder(16).bulk("done").toBytes() : failure("TRYAGAIN not now")));
     }
 
-    /** The whole state: through the register, or this member's own copy, and which of the two it is. */
+    /** Reads the whole state through the register, or falls back to the local copy and says so. */
     private void read(RespServer.Slot slot) {
         participant.untilAnswered(new Operation.Read(), loop.now() + 1500, answer -> {
             try {
                 RegisterView told = answer == null || answer.state() == null ? participant.view() : RegisterView.of(answer.state());
-                slot.answer(new Encoder(1024).bulk(RegisterReport.text(told, answer == null, settings, participant.node(), participant.addresses())).toBytes());
+                slot.answer(new Encoder(1024).bulk(RegisterReport.text(told, answer == null, settings,
+                        participant.node(), participant.addresses())).toBytes());
             } catch (IOException e) {
                 slot.answer(failure("ERR " + e.getMessage()));
             }
--- a/src/main/java/yardusher/fleet/RegisterParticipant.java
+++ b/src/main/java/yardusher/fleet/RegisterParticipant.java
@@ -19,11 +19,12 @@
 import yardusher.resp.Value;
 
 /**
- * This agent's seat in the register: its node and the disk under it, opened anew after a fault; operations asked of whoever
- * leads; and the newest copy of the register. In the agent's turns, but for the register's own thread, which waits on the disk.
+ * This agent's membership in the register: its Raft node and log store, reopened after a disk fault; operations sent to
+ * the current leader; and the latest copy of the register. In the agent's turns, except for the register's own thread,
+ * which waits on the disk.
  */
 final class RegisterParticipant {
-    private static final double OP_MS = 1000;        // for an operation's way to the leader and back
+    private static final double OP_MS = 1000;        // for an operation's round trip to the leader
     private static final double TRY_AGAIN_MS = 60;
     private static final double REOPEN_MS = 2000;
 
@@ -39,11 +40,12 @@
     private RegisterView view = RegisterView.EMPTY;
     private boolean closed;
 
-    /** {@code changed}: told in a turn when there is a newer copy. The store is open and becomes this one's. */
-    RegisterParticipant(FleetSettings settings, PeerDirectory fellows, EventLoop turns, Random random, Storage folder, RaftLogStore store, Runnable changed) {
+    /** {@code changed}: called in a turn when there is a newer copy. Takes over the open store. */
+    RegisterParticipant(FleetSettings settings, PeerDirectory peers, EventLoop loop, Random random, Storage folder,
+            RaftLogStore store, Runnable changed) {
         this.settings = settings;
-        this.peers = fellows;
-        this.loop = turns;
+        this.peers = peers;
+        this.loop = loop;
         this.random = random;
         this.folder = folder;
         this.store = store;
@@ -56,7 +58,7 @@
 
     boolean isClosed() { return closed; }
 
-    /** Members and where they are, as this agent knows them. */
+    /** Members and their addresses as this agent knows them. */
     Map<String, String> addresses() {
         Map<String, String> all = new LinkedHashMap<>();
         settings.members().forEach((name, address) -> {
@@ -89,14 +91,14 @@
                     }
 
                     @Override
-                    public void onStoreFailed(IOException why) { loop.execute(() -> brokenStore(made[0], why)); }
+                    public void onStoreFailed(IOException why) { loop.execute(() -> reopenAfterFailure(made[0], why)); }
                 });
         node = made[0];
         node.start();
     }
 
-    /** Takes no part until the store can be opened anew: what it holds is then read again from the disk. */
-    private void brokenStore(RegisterNode failed, IOException why) {
+    /** Stops taking part until the store can be reopened; its content is then read again from the disk. */
+    private void reopenAfterFailure(RegisterNode failed, IOException why) {
         if (node != failed || closed) { return; }
         System.err.println("agent: " + settings.member() + " takes no part in the register: " + why.getMessage());
         failed.stop(() -> { });
@@ -142,7 +144,10 @@
 
     // ---- operations of the register
 
-    /** Asks the register, through whoever leads; {@code then} hears null where nobody can say, in a turn. */
+    /**
+     * Submits an operation through the current leader. {@code then} is called in a turn, with null if the outcome is
+     * unknown.
+     */
     void ask(Operation op, Consumer<Answer> then) {
         askLocal(op, (answer, leader) -> {
             if (answer != null || leader == null || leader.equals(settings.member()) || peers.peer(leader) == null) {
@@ -162,18 +167,18 @@
         }
     }
 
-    /** What this member's own node says; the leader is null where nobody can say. */
+    /** Receives the reply of the local node; without a reply the leader is null if it is unknown. */
     interface LocalReplyCallback {
-        void said(Answer answer, String leader);
+        void onReply(Answer answer, String leader);
     }
 
-    /** Asks this member's own node, for at most {@link #OP_MS}. */
-    void askLocal(Operation op, LocalReplyCallback then) {
+    /** Submits an operation to the local node, for at most {@link #OP_MS}. */
+    void askLocal(Operation op, LocalReplyCallback callback) {
         boolean[] over = new boolean[1];
         Deadlines.Entry limit = loop.deadlines().schedule(loop.now() + OP_MS, () -> {
             if (!over[0]) {
                 over[0] = true;
-                then.said(null, null);
+                callback.onReply(null, null);
             }
         });
         node.submit(op, new RegisterNode.OperationCallback() {
@@ -188,14 +193,14 @@
                     loop.deadlines().cancel(limit);
                     if (!over[0]) {
                         over[0] = true;
-                        then.said(answer, leader);
+                        callback.onReply(answer, leader);
                     }
                 });
             }
         });
     }
 
-    /** Asks until there is an answer or that time has come; then null. */
+    /** Retries until there is a reply or {@code until} has passed; then null. */
     void untilAnswered(Operation op, double until, Consumer<Answer> then) {
         ask(op, answer -> {
             if (answer != null || loop.now() > until || closed) {
@@ -206,24 +211,24 @@
         });
     }
 
-    /** Changes who takes part, once, wherever the leader is; whether it was done. */
-    void change(String member, boolean in, Consumer<Boolean> then) {
+    /** Tries once to change the group's membership at the leader; {@code then} gets whether it was done. */
+    void change(String member, boolean add, Consumer<Boolean> then) {
         String leader = node.leader();
         if (leader == null) {
             then.accept(false);
         } else if (leader.equals(settings.member())) {
-            changeLocal(member, in, then);
+            changeLocal(member, add, then);
         } else if (peers.peer(leader) != null) {
-            peers.peer(leader).ask(peers.command("FLEET.CHANGE", member, in ? "in" : "out").toBytes(), OP_MS,
+            peers.peer(leader).ask(peers.command("FLEET.CHANGE", member, add ? "in" : "out").toBytes(), OP_MS,
                     answer -> then.accept(answer instanceof Value.BulkString), () -> then.accept(false));
         } else {
             then.accept(false);
         }
     }
 
-    /** The same at this member's own node. */
-    void changeLocal(String member, boolean in, Consumer<Boolean> then) {
-        node.changeMembership(member, in, new RegisterNode.OperationCallback() {
+    /** Changes the membership at the local node. */
+    void changeLocal(String member, boolean add, Consumer<Boolean> then) {
+        node.changeMembership(member, add, new RegisterNode.OperationCallback() {
             @Override
             public void onAnswer(Answer answer) { loop.execute(() -> then.accept(true)); }
 
@@ -232,13 +237,13 @@
         });
     }
 
-    /** Operations asked before are still answered for as long as this program has turns. */
+    /** Operations submitted before are still answered while the loop runs. */
     void close() { closed = true; }
 
-    /** Takes no more part. */
+    /** Stops the node. */
     void stop() { node.stop(raftExecutor::shutdown); }
 
-    /** After the last turn: what must outlive the process is on disk. */
+    /** Closes the store after the loop's last turn; what must outlive the process is on disk. */
     void end() throws IOException {
         try {
             raftExecutor.await(1000);
--- a/src/main/java/yardusher/fleet/RegisterReport.java
+++ b/src/main/java/yardusher/fleet/RegisterReport.java
@@ -6,11 +6,11 @@
 import yardusher.register.RegisterView;
 import yardusher.register.Work;
 
-/** What an operator is shown of the register, as lines of words and values that are parted by tabs. */
+/** The report on the register for operators: one record a line, with tab-separated {@code key=value} cells. */
 final class RegisterReport {
     private RegisterReport() { }
 
-    /** {@code old}: the member's own copy, since no majority answered. */
+    /** {@code old}: the view is the local copy, because no majority answered. */
     static String text(RegisterView view, boolean old, FleetSettings settings, RegisterNode node, Map<String, String> members) {
         StringBuilder out = new StringBuilder(512);
         line(out, "register", "installation", settings.installation(), "member", settings.member(), "leader",
@@ -20,7 +20,8 @@
         for (Work work : view.works().values()) {
             line(out, "work", "kind", work.kind().label(), "id", work.id(), "state", work.state().name().toLowerCase(java.util.Locale.ROOT),
                     "holder", work.isHeld() ? work.holder() : "-", "token", work.token(), "since",
-                    work.isHeld() ? Instant.ofEpochMilli(work.grantedAtMs()) : "-", "by", work.requestedBy(), "ordered", Instant.ofEpochMilli(work.requestedAtMs()),
+                    work.isHeld() ? Instant.ofEpochMilli(work.grantedAtMs()) : "-", "by", work.requestedBy(),
+                    "ordered", Instant.ofEpochMilli(work.requestedAtMs()),
                     "order", work.spec().isEmpty() ? "-" : work.spec(), "progress", work.note().isEmpty() ? "-" : work.note());
         }
         for (String one : view.history()) { line(out, "history", "event", one); }
--- a/src/main/java/yardusher/register/RaftLogStore.java
+++ b/src/main/java/yardusher/register/RaftLogStore.java
@@ -15,24 +15,26 @@
 import java.util.Map;
 import java.util.TreeMap;
 import yardusher.disk.Fields;
-import yardusher.disk.DurableLog;
+import yardusher.disk.Ledger;
 import yardusher.disk.Storage;
 import yardusher.error.RegisterError;
 
 /**
- * A member's term, vote, log and snapshot, on a {@link Ledger}: checksummed, and synced before an answer that rests on
- * them leaves. Belongs to one member of one installation and says so. Used by one thread, which may wait on the disk.
+ * A member's term, vote, log and snapshots, stored in a checksummed {@link Ledger} and synced before any reply that
+ * depends on them is sent. Records the installation and member that it belongs to. Used by one thread, which may block
+ * on the disk.
  */
 public final class RaftLogStore implements RaftStore, Closeable {
     private static final String PREFIX = "register";
     private static final long MAGIC = 0x5944524547530001L; // YDREGS and format version 1
     private static final long SEGMENT_BYTES = 4 << 20;
-    private static final int OWNER = 1, LOCAL_ENDPOINT = 2, MEMBERS = 3, TERM = 4, ENTRY = 5, TRUNCATE_FROM = 6, TRUNCATE_UNTIL = 7, SNAPSHOT_CHUNK = 8, DELETE_SNAPSHOT = 9;
+    private static final int OWNER = 1, LOCAL_ENDPOINT = 2, MEMBERS = 3, TERM = 4, ENTRY = 5, TRUNCATE_FROM = 6,
+            TRUNCATE_UNTIL = 7, SNAPSHOT_CHUNK = 8, DELETE_SNAPSHOT = 9;
 
     private final String installation;
     private final String member;
     private boolean joins;
-    private DurableLog ledger;
+    private Ledger ledger;
     private RaftEndpointPersistentState local;
     private RaftGroupMembersView members;
     private RaftTermPersistentState term;
@@ -45,26 +47,26 @@
         this.joins = joins;
     }
 
-    /** Whether a folder holds a member's store, whole or not. */
-    public static boolean exists(Storage storage) throws IOException { return DurableLog.exists(storage, PREFIX); }
+    /** Whether the folder holds a member's store, complete or not. */
+    public static boolean exists(Storage storage) throws IOException { return Ledger.isThere(storage, PREFIX); }
 
     /**
-     * Begins a new member in a folder that holds none, once in its life: a member that lost its disk must not come back
-     * under its name, since it would vote anew in terms in which it has voted. {@code joins}: an installation that is
-     * there already takes it in; else it is one of the first.
+     * Creates a new member's store in a folder that holds none, once in the member's life. A member that lost its disk
+     * must not come back under its name, because it could vote again in a term in which it has already voted. {@code
+     * joins}: the member joins an existing installation; else it is one of the first.
      */
     public static RaftLogStore create(Storage storage, String installation, String member, boolean joins) throws IOException {
         if (exists(storage)) { throw new RegisterError.Occupied(null); }
         RaftLogStore store = new RaftLogStore(installation, member, joins);
-        store.ledger = DurableLog.create(storage, PREFIX, MAGIC, store.ledgerContent(), SEGMENT_BYTES);
+        store.ledger = Ledger.begin(storage, PREFIX, MAGIC, store.ledgerContent(), SEGMENT_BYTES);
         return store;
     }
 
     /**
-     * Opens the store of a member.
+     * Opens a member's store.
      *
-     * @throws RegisterError where the folder is another member's or installation's, holds no store, or where what it holds
-     *         is damaged: the member must not take part
+     * @throws RegisterError if the folder belongs to another member or installation, holds no store, or is damaged: the
+     *         member must not take part
      */
     public static RaftLogStore open(Storage storage, String installation, String member) throws IOException {
         if (!exists(storage)) {
@@ -72,17 +74,17 @@
         }
         RaftLogStore store = new RaftLogStore(installation, member, false);
         try {
-            store.ledger = DurableLog.open(storage, PREFIX, MAGIC, store.ledgerContent(), SEGMENT_BYTES);
+            store.ledger = Ledger.open(storage, PREFIX, MAGIC, store.ledgerContent(), SEGMENT_BYTES);
         } catch (IOException e) {
             throw new RegisterError.Damaged(null, String.valueOf(e.getMessage()), e);
         }
         return store;
     }
 
-    /** Whether the member was begun to join an installation that is there already. */
+    /** Whether the member was created to join an existing installation. */
     public boolean joinsExisting() { return joins; }
 
-    /** What the member goes on from; null where it never took part. */
+    /** The state to restore the node from; null if the member never took part. */
     public RestoredRaftState restored() {
         if (local == null || members == null) { return null; }
         Map.Entry<Long, TreeMap<Integer, SnapshotChunk>> whole = snapshots.descendingMap().entrySet().stream()
@@ -103,20 +105,20 @@
         return !parts.isEmpty() && parts.size() == parts.firstEntry().getValue().getSnapshotChunkCount();
     }
 
-    /** Log entries kept now. */
+    /** Number of log entries kept now. */
     public int entryCount() { return log.size(); }
 
-    private DurableLog.LoggedState ledgerContent() {
-        return new DurableLog.LoggedState() {
+    private Ledger.Content ledgerContent() {
+        return new Ledger.Content() {
             @Override
-            public void apply(DurableLog.LogRecord line) throws IOException { RaftLogStore.this.replayRecord(line); }
+            public void take(Ledger.Line line) throws IOException { RaftLogStore.this.replayRecord(line); }
 
             @Override
-            public List<DurableLog.LogRecord> snapshot() { return RaftLogStore.this.currentRecords(); }
+            public List<Ledger.Line> base() { return RaftLogStore.this.currentRecords(); }
         };
     }
 
-    private void replayRecord(DurableLog.LogRecord line) throws IOException {
+    private void replayRecord(Ledger.Line line) throws IOException {
         if (line.kind() == OWNER) {
             Fields f = Fields.read(line.body());
             if (!f.text(1).equals(installation) || !f.text(2).equals(member)) {
@@ -134,7 +136,8 @@
             case MEMBERS -> members = RaftModelCodec.members(line.body());
             case TERM -> {
                 Fields f = Fields.read(line.body());
-                term = RaftModelCodec.FACTORY.createRaftTermPersistentStateBuilder().setTerm(f.intNumber(1)).setVotedFor(RaftModelCodec.member(f.text(2))).build();
+                term = RaftModelCodec.FACTORY.createRaftTermPersistentStateBuilder().setTerm(f.whole(1))
+                        .setVotedFor(RaftModelCodec.member(f.text(2))).build();
             }
             case ENTRY -> {
                 LogEntry entry = RaftModelCodec.entry(line.body());
@@ -147,7 +150,7 @@
                 addSnapshotChunk(part);
             }
             case DELETE_SNAPSHOT -> snapshots.remove(Fields.read(line.body()).number(1));
-            default -> throw new IOException("a record that is not known here");
+            default -> throw new IOException("unknown record kind");
         }
     }
 
@@ -156,26 +159,28 @@
         if (isWhole(snapshots.get(part.getIndex()))) { snapshots.headMap(part.getIndex(), false).clear(); }
     }
 
-    private List<DurableLog.LogRecord> currentRecords() {
-        List<DurableLog.LogRecord> base = new ArrayList<>();
-        base.add(new DurableLog.LogRecord(OWNER, new Fields.Writer().text(1, installation).text(2, member).flag(3, joins).toBytes()));
+    private List<Ledger.Line> currentRecords() {
+        List<Ledger.Line> base = new ArrayList<>();
+        base.add(new Ledger.Line(OWNER, new Fields.Out().text(1, installation).text(2, member).flag(3, joins).toBytes()));
         if (local != null) { base.add(localLine()); }
-        if (members != null) { base.add(new DurableLog.LogRecord(MEMBERS, RaftModelCodec.members(members))); }
+        if (members != null) { base.add(new Ledger.Line(MEMBERS, RaftModelCodec.members(members))); }
         if (term != null) { base.add(termLine()); }
-        snapshots.values().forEach(parts -> parts.values().forEach(part -> base.add(new DurableLog.LogRecord(SNAPSHOT_CHUNK, RaftModelCodec.snapshotChunk(part)))));
-        log.values().forEach(entry -> base.add(new DurableLog.LogRecord(ENTRY, RaftModelCodec.entry(entry))));
+        snapshots.values().forEach(parts -> parts.values().forEach(part ->
+                base.add(new Ledger.Line(SNAPSHOT_CHUNK, RaftModelCodec.snapshotChunk(part)))));
+        log.values().forEach(entry -> base.add(new Ledger.Line(ENTRY, RaftModelCodec.entry(entry))));
         return base;
     }
 
-    private DurableLog.LogRecord localLine() {
-        return new DurableLog.LogRecord(LOCAL_ENDPOINT, new Fields.Writer().text(1, RaftModelCodec.name(local.getLocalEndpoint())).flag(2, local.isVoting()).toBytes());
+    private Ledger.Line localLine() {
+        return new Ledger.Line(LOCAL_ENDPOINT, new Fields.Out().text(1, RaftModelCodec.name(local.getLocalEndpoint()))
+                .flag(2, local.isVoting()).toBytes());
     }
 
-    private DurableLog.LogRecord termLine() {
-        return new DurableLog.LogRecord(TERM, new Fields.Writer().number(1, term.getTerm()).text(2, RaftModelCodec.name(term.getVotedFor())).toBytes());
+    private Ledger.Line termLine() {
+        return new Ledger.Line(TERM, new Fields.Out().number(1, term.getTerm()).text(2, RaftModelCodec.name(term.getVotedFor())).toBytes());
     }
 
-    private void write(List<DurableLog.LogRecord> lines, boolean durably) throws IOException {
+    private void write(List<Ledger.Line> lines, boolean durably) throws IOException {
         ledger.append(lines);
         if (durably) { ledger.force(); }
     }
@@ -189,7 +194,7 @@
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView view) throws IOException {
         members = view;
-        write(List.of(new DurableLog.LogRecord(MEMBERS, RaftModelCodec.members(view))), true);
+        write(List.of(new Ledger.Line(MEMBERS, RaftModelCodec.members(view))), true);
     }
 
     @Override
@@ -200,34 +205,34 @@
 
     @Override
     public void persistLogEntries(List<LogEntry> entries) throws IOException {
-        List<DurableLog.LogRecord> lines = new ArrayList<>(entries.size());
-        for (LogEntry entry : entries) { lines.add(new DurableLog.LogRecord(ENTRY, RaftModelCodec.entry(entry))); }
+        List<Ledger.Line> lines = new ArrayList<>(entries.size());
+        for (LogEntry entry : entries) { lines.add(new Ledger.Line(ENTRY, RaftModelCodec.entry(entry))); }
         write(lines, false);
         entries.forEach(entry -> log.put(entry.getIndex(), entry));
-        if (ledger.isDueToRoll()) { ledger.roll(); }
+        if (ledger.isLong()) { ledger.roll(); }
     }
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk part) throws IOException {
-        write(List.of(new DurableLog.LogRecord(SNAPSHOT_CHUNK, RaftModelCodec.snapshotChunk(part))), false);
+        write(List.of(new Ledger.Line(SNAPSHOT_CHUNK, RaftModelCodec.snapshotChunk(part))), false);
         addSnapshotChunk(part);
     }
 
     @Override
     public void truncateLogEntriesFrom(long index) throws IOException {
-        write(List.of(new DurableLog.LogRecord(TRUNCATE_FROM, new Fields.Writer().number(1, index).toBytes())), false);
+        write(List.of(new Ledger.Line(TRUNCATE_FROM, new Fields.Out().number(1, index).toBytes())), false);
         log.tailMap(index, true).clear();
     }
 
     @Override
     public void truncateLogEntriesUntil(long index) throws IOException {
-        write(List.of(new DurableLog.LogRecord(TRUNCATE_UNTIL, new Fields.Writer().number(1, index).toBytes())), false);
+        write(List.of(new Ledger.Line(TRUNCATE_UNTIL, new Fields.Out().number(1, index).toBytes())), false);
         log.headMap(index, true).clear();
     }
 
     @Override
     public void deleteSnapshotChunks(long index, int count) throws IOException {
-        write(List.of(new DurableLog.LogRecord(DELETE_SNAPSHOT, new Fields.Writer().number(1, index).toBytes())), false);
+        write(List.of(new Ledger.Line(DELETE_SNAPSHOT, new Fields.Out().number(1, index).toBytes())), false);
         snapshots.remove(index);
     }
 
--- a/src/test/java/yardusher/lab/fleet/PlantTest.java
+++ b/src/test/java/yardusher/lab/fleet/PlantTest.java
@@ -7,13 +7,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What is planted still fits the sources that it changes. */
+/** The planted faults still match the sources that they change. */
 class PlantTest {
     @TempDir
     Path folder;
 
     @Test
-    void eachPlantCompilesIntoClassesThatStandFirst() throws Exception {
+    void everyPlantCompilesAndTakesPrecedence() throws Exception {
         for (String name : Plant.names()) {
             Plant plant = Plant.of(name, folder.resolve(name));
             assertThat(plant.command(24).get(plant.command(24).indexOf("-cp") + 1)).startsWith(folder.resolve(name).resolve("classes").toString());
--- a/src/test/java/yardusher/register/RegisterTest.java
+++ b/src/test/java/yardusher/register/RegisterTest.java
@@ -11,7 +11,7 @@
 import yardusher.error.WireError;
 import yardusher.lab.MemoryDisk;
 
-/** The register's own rules, operation by operation. */
+/** Rules of the register, operation by operation. */
 class RegisterTest {
     private final Register register = new Register();
     private long index;
@@ -23,29 +23,29 @@
     private Answer claim(String member, long nonce, long token, long beat) { return apply(new Operation.Claim(member, nonce, 2, WorkKind.ROLL, token, beat)); }
 
     @Test
-    void aWorkIsGivenToOneAtATimeAndTokensOnlyGrow() {
+    void grantsWorkToOneHolderUnderGrowingTokens() {
         assertThat(roll("c1", false).ok()).isTrue();
         long first = register.work(WorkKind.ROLL).token();
         Answer granted = claim("a1", 7, 0, 0);
         assertThat(granted.token()).isGreaterThan(first);
-        assertThat(claim("a1", 7, 0, 0)).isEqualTo(granted);               // its answer was lost
+        assertThat(claim("a1", 7, 0, 0)).isEqualTo(granted);               // retry after a lost reply
         assertThat(claim("a2", 8, 0, 0).ok()).isFalse();
         apply(new Operation.Renew(WorkKind.ROLL, granted.token(), 1));
-        assertThat(claim("a2", 9, granted.token(), 0).ok()).isFalse();     // it has moved since a2 looked
+        assertThat(claim("a2", 9, granted.token(), 0).ok()).isFalse();     // the heartbeat or token has changed since a2 saw it
         Answer next = claim("a2", 9, granted.token(), 1);
         assertThat(next.token()).isGreaterThan(granted.token());
         assertThat(apply(new Operation.Renew(WorkKind.ROLL, granted.token(), 2)).ok()).isFalse();
         assertThat(apply(new Operation.Checkpoint(WorkKind.ROLL, granted.token(), 1, "x", Work.State.RUNNING, "")).token()).isEqualTo(next.token());
         Operation.Checkpoint kept = new Operation.Checkpoint(WorkKind.ROLL, next.token(), 1, "x", Work.State.RUNNING, "half");
         assertThat(apply(kept).ok()).isTrue();
-        assertThat(apply(kept).ok()).isTrue();                             // the same once more
+        assertThat(apply(kept).ok()).isTrue();                             // retry
         assertThat(apply(new Operation.Checkpoint(WorkKind.ROLL, next.token(), 3, "y", Work.State.RUNNING, "")).ok()).isFalse();
         assertThat(apply(new Operation.Checkpoint(WorkKind.ROLL, next.token(), 2, "y", Work.State.DONE, "all")).ok()).isTrue();
         assertThat(register.work(WorkKind.ROLL).isHeld()).isFalse();
     }
 
     @Test
-    void aSecondOrderIsToldWhoHoldsWhatAndHowFarItIs() {
+    void refusesSecondCommandWithHolderAndProgress() {
         roll("c1", false);
         Answer granted = claim("a1", 7, 0, 0);
         apply(new Operation.Checkpoint(WorkKind.ROLL, granted.token(), 1, "x", Work.State.RUNNING, "3 of 12 done"));
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void bansAreOneListWithRevisionsAndBounded() {
+    void bansFormOneBoundedListWithRevisions() {
         for (int i = 0; i < Bans.MAX_REGIONS; i++) { assertThat(apply(new Operation.Submit("b" + i, "eva", 1, WorkKind.BANS, "s-" + i + " out", false)).ok()).isTrue(); }
         assertThat(apply(new Operation.Submit("more", "eva", 1, WorkKind.BANS, "s-x out", false)).ok()).isFalse();
         assertThat(apply(new Operation.Submit("in", "eva", 1, WorkKind.BANS, "s-7 in", false)).ok()).isTrue();
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void aForgottenMemberNeitherHoldsNorClaimsNorComesBack() {
+    void forgottenMemberCannotHoldClaimOrReturn() {
         roll("c1", false);
         long token = claim("a1", 7, 0, 0).token();
         apply(new Operation.Forget("c2", "a1"));
@@ -82,18 +82,18 @@
     }
 
     @Test
-    void theWholeStateComesBackFromItsMessage() throws IOException {
+    void decodesEncodedState() throws IOException {
         roll("c1", false);
         claim("a1", 7, 0, 0);
         apply(new Operation.Admit("c3", "a9", "127.0.0.1:1"));
         Register again = Register.decode(register.encode());
         assertThat(again.encode()).isEqualTo(register.encode());
         assertThat(register.copy().encode()).isEqualTo(register.encode());
-        assertThat(again.apply(index + 1, new Operation.Submit("c1", "eva", 1, WorkKind.ROLL, "x", false)).text()).contains("ordered"); // remembered
+        assertThat(again.apply(index + 1, new Operation.Submit("c1", "eva", 1, WorkKind.ROLL, "x", false)).text()).contains("ordered"); // remembered after decoding
     }
 
     @Test
-    void whatAReaderIsToldFitsOneMessageHoweverMuchIsHeld() throws IOException {
+    void readReplyFitsOneMessageAtFullState() throws IOException {
         for (int i = 0; i < 2 * Register.MAX_REMEMBERED_COMMANDS; i++) {
             apply(new Operation.Submit("command-" + i + "-" + "x".repeat(40), "e".repeat(64), 1, WorkKind.BANS, "s-" + "y".repeat(55) + i % 250 + " out", false));
         }
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void aStoreOfAnotherMemberAndADamagedOneAreRefused() throws Exception {
+    void refusesForeignOrDamagedStore() throws Exception {
         MemoryDisk disk = new MemoryDisk();
         assertThatThrownBy(() -> RaftLogStore.open(disk, "site", "a1")).hasMessageContaining("holds no store of a1");
         RaftLogStore.create(disk, "site", "a1", false).close();
