--- a/lab/src/yardusher/lab/fleet/Costs.java
+++ b/lab/src/yardusher/lab/fleet/Costs.java
@@ -12,12 +12,12 @@
 import yardusher.disk.Directory;
 import yardusher.disk.Storage;
 import yardusher.register.Answer;
-import yardusher.register.Kind;
-import yardusher.register.Loop;
-import yardusher.register.Node;
-import yardusher.register.Op;
-import yardusher.register.Store;
-import yardusher.register.View;
+import yardusher.register.WorkKind;
+import yardusher.register.RaftThreadExecutor;
+import yardusher.register.RegisterNode;
+import yardusher.register.Operation;
+import yardusher.register.RaftLogStore;
+import yardusher.register.RegisterView;
 
 /** What the register of owners costs and how soon the next owner goes on: the figures of docs/measurements/owners.md. */
 public final class Costs {
@@ -153,57 +153,57 @@
     private static void recovery(Path path, int entries) throws Exception {
         Files.createDirectories(path);
         Storage folder = Directory.openForWriting(path, "m0");
-        Store store = Store.begin(folder, "site", "m0", false);
-        Loop loop = new Loop("register", 200);
-        Node node = node(store, loop, view -> { });
+        RaftLogStore store = RaftLogStore.create(folder, "site", "m0", false);
+        RaftThreadExecutor loop = new RaftThreadExecutor("register", 200);
+        RegisterNode node = node(store, loop, view -> { });
         node.start();
         while (!"m0".equals(node.leader())) { Thread.sleep(20); }
         Semaphore room = new Semaphore(200);
         for (int i = 0; i < entries; i++) {
             room.acquire();
-            node.ask(new Op.Renew(Kind.ROLL, 1, i), new Node.Asked() {
+            node.submit(new Operation.Renew(WorkKind.ROLL, 1, i), new RegisterNode.OperationCallback() {
                 @Override
-                public void answered(Answer answer) { room.release(); }
+                public void onAnswer(Answer answer) { room.release(); }
 
                 @Override
-                public void notHere(String leader, boolean unknown) { room.release(); }
+                public void onUnanswered(String leader, boolean unknown) { room.release(); }
             });
         }
         room.acquire(200);
         CountDownLatch over = new CountDownLatch(1);
-        long applied = node.view().applied();
+        long applied = node.view().appliedIndex();
         node.stop(over::countDown);
         over.await();
         loop.shutdown();
         loop.await(2000);
         store.close();
         long from = System.nanoTime();
-        Store again = Store.open(folder, "site", "m0");
+        RaftLogStore again = RaftLogStore.open(folder, "site", "m0");
         long opened = System.nanoTime();
-        Loop next = new Loop("register", 200);
+        RaftThreadExecutor next = new RaftThreadExecutor("register", 200);
         CountDownLatch back = new CountDownLatch(1);
-        Node second = node(again, next, view -> {
-            if (view.applied() >= applied) { back.countDown(); }
+        RegisterNode second = node(again, next, view -> {
+            if (view.appliedIndex() >= applied) { back.countDown(); }
         });
         second.start();
         back.await();
-        System.out.printf("%d entries: %d kept, store open in %.0f ms, applied and leading after %.0f ms%n", entries, again.entries(),
+        System.out.printf("%d entries: %d kept, store open in %.0f ms, applied and leading after %.0f ms%n", entries, again.entryCount(),
                 (opened - from) / 1e6, (System.nanoTime() - from) / 1e6);
     }
 
-    private static Node node(Store store, Loop loop, java.util.function.Consumer<View> changed) {
-        return new Node("site", "m0", List.of("m0"), store, 200, loop, () -> System.nanoTime() / 1e6, new Random(1), new Node.World() {
+    private static RegisterNode node(RaftLogStore store, RaftThreadExecutor loop, java.util.function.Consumer<RegisterView> changed) {
+        return new RegisterNode("site", "m0", List.of("m0"), store, 200, loop, () -> System.nanoTime() / 1e6, new Random(1), new RegisterNode.Environment() {
             @Override
             public void send(String member, byte[] message) { /* nobody else */ }
 
             @Override
-            public boolean reaches(String member) { return false; }
+            public boolean isReachable(String member) { return false; }
 
             @Override
-            public void changed(View view) { changed.accept(view); }
+            public void onViewChanged(RegisterView view) { changed.accept(view); }
 
             @Override
-            public void broken(IOException why) { throw new IllegalStateException(why); }
+            public void onStoreFailed(IOException why) { throw new IllegalStateException(why); }
         });
     }
 }
--- a/lab/src/yardusher/lab/fleet/Model.java
+++ b/lab/src/yardusher/lab/fleet/Model.java
@@ -220,9 +220,9 @@
         if (b[SEALED + j] > 0) { fence.seal("roll", b[SEALED + j]); }
         if (b[at + STATUS] != NONE) { fence.begin("roll", b[at + BY], "s", "", ""); }
         if (b[at + STATUS] == OVER) { fence.end("roll", "s", "done"); }
-        if (b[at + STATUS] == UNKNOWN) { fence.forgetRunning("roll", "s"); }
-        Fence.Verdict verdict = fence.order("roll", without == Without.FENCE ? b[SEALED + j] : token, "s");
-        boolean again = without == Without.STEP_IDS && b[at + STATUS] == OVER && verdict instanceof Fence.Over;
+        if (b[at + STATUS] == UNKNOWN) { fence.clearRunning("roll", "s"); }
+        Fence.Verdict verdict = fence.check("roll", without == Without.FENCE ? b[SEALED + j] : token, "s");
+        boolean again = without == Without.STEP_IDS && b[at + STATUS] == OVER && verdict instanceof Fence.Finished;
         if (!(verdict instanceof Fence.Begin) && !(verdict instanceof Fence.Unknown) && !again) { return; }
         b[at + STATUS] = BEGUN;
         b[at + BY] = (byte) token;
--- a/lab/src/yardusher/lab/register/Scripted.java
+++ b/lab/src/yardusher/lab/register/Scripted.java
@@ -11,12 +11,12 @@
 import java.util.concurrent.TimeUnit;
 import yardusher.lab.MemoryDisk;
 import yardusher.register.Answer;
-import yardusher.register.Kind;
-import yardusher.register.Node;
-import yardusher.register.Op;
+import yardusher.register.WorkKind;
+import yardusher.register.RegisterNode;
+import yardusher.register.Operation;
 import yardusher.register.Register;
-import yardusher.register.Store;
-import yardusher.register.View;
+import yardusher.register.RaftLogStore;
+import yardusher.register.RegisterView;
 import yardusher.register.Work;
 
 /**
@@ -29,7 +29,7 @@
     private static final double OP_MS = 1500;
 
     /** What a client asked and what it was told; {@code answer} null where it never knew. */
-    public record Asked(double from, double until, Op op, Answer answer) { }
+    public record Asked(double from, double until, Operation op, Answer answer) { }
 
     /** How a run went. */
     public record Run(long seed, int asked, int answered, int deaths, String breach) { }
@@ -45,8 +45,8 @@
     private final class One {
         final String name;
         final MemoryDisk disk = new MemoryDisk();
-        Node node;
-        Store store;
+        RegisterNode node;
+        RaftLogStore store;
         int life;
         final Map<Long, String> states = new HashMap<>(); // by place, what it had applied
 
@@ -55,7 +55,7 @@
         void start() {
             int mine = ++life;
             try {
-                store = node == null && !Store.isThere(disk) ? Store.begin(disk, "sim", name, false) : Store.open(disk, "sim", name);
+                store = node == null && !RaftLogStore.exists(disk) ? RaftLogStore.create(disk, "sim", name, false) : RaftLogStore.open(disk, "sim", name);
             } catch (IOException | RuntimeException e) {
                 breach = breach == null ? name + " cannot open its store: " + e.getMessage() : breach;
                 return;
@@ -76,23 +76,23 @@
                     if (mine == life) { task.run(); }
                 }
             };
-            node = new Node("sim", name, names, store, SECOND_MS, executor, () -> now, new Random(random.nextLong()), new Node.World() {
+            node = new RegisterNode("sim", name, names, store, SECOND_MS, executor, () -> now, new Random(random.nextLong()), new RegisterNode.Environment() {
                 @Override
                 public void send(String member, byte[] message) { Scripted.this.send(One.this, member, message); }
 
                 @Override
-                public boolean reaches(String member) { return true; }
+                public boolean isReachable(String member) { return true; }
 
                 @Override
-                public void changed(View view) {
-                    String state = view.tokens() + " " + view.works();
-                    states.put(view.applied(), state);
-                    String other = agreed.putIfAbsent(view.applied(), state);
-                    if (other != null && !other.equals(state) && breach == null) { breach = "members differ at " + view.applied() + ": " + other + " and " + state; }
+                public void onViewChanged(RegisterView view) {
+                    String state = view.highestToken() + " " + view.works();
+                    states.put(view.appliedIndex(), state);
+                    String other = agreed.putIfAbsent(view.appliedIndex(), state);
+                    if (other != null && !other.equals(state) && breach == null) { breach = "members differ at " + view.appliedIndex() + ": " + other + " and " + state; }
                 }
 
                 @Override
-                public void broken(IOException why) { /* dies with its machine */ }
+                public void onStoreFailed(IOException why) { /* dies with its machine */ }
             });
             node.start();
         }
@@ -137,7 +137,7 @@
                 One target = all.get(to);
                 if (isCut(from.name, to) || target.node == null || target.life % 2 == 0) { return; }
                 try {
-                    target.node.hear(message);
+                    target.node.receive(message);
                 } catch (IOException e) {
                     breach = "a message cannot be read: " + e.getMessage();
                 }
@@ -186,7 +186,7 @@
     private void client(int i, double until) {
         later(random.nextDouble() * 300, () -> {
             if (now > until) { return; }
-            Op op = op(i);
+            Operation op = op(i);
             One one = all.get(hint != null ? hint : names.get(random.nextInt(names.size())));
             hint = null;
             double from = now;
@@ -203,15 +203,15 @@
             }
             int place = history.size();
             history.add(new Asked(from, Double.POSITIVE_INFINITY, op, null));
-            one.node.ask(op, new Node.Asked() {
+            one.node.submit(op, new RegisterNode.OperationCallback() {
                 @Override
-                public void answered(Answer answer) {
+                public void onAnswer(Answer answer) {
                     if (!over[0]) { history.set(place, new Asked(from, now, op, answer)); }
                     next.run();
                 }
 
                 @Override
-                public void notHere(String leader, boolean unknown) {
+                public void onUnanswered(String leader, boolean unknown) {
                     // Refused before anything was done: it is known not to have taken effect.
                     if (!unknown && !over[0]) { history.set(place, new Asked(from, now, null, null)); }
                     hint = random.nextInt(4) > 0 ? leader : null;
@@ -226,26 +226,26 @@
     private long token;
     private long seq;
 
-    private Op op(int i) {
+    private Operation op(int i) {
         Work seen = null;
         for (Asked one : history) {
             if (one.answer() != null && one.answer().state() != null) {
                 try {
-                    seen = Register.decode(one.answer().state()).work(Kind.ROLL);
+                    seen = Register.decode(one.answer().state()).work(WorkKind.ROLL);
                 } catch (IOException e) {
                     breach = "a state cannot be read: " + e.getMessage();
                 }
             }
         }
         for (Asked one : history) {
-            if (one.op() instanceof Op.Claim && one.answer() != null && one.answer().ok()) { token = Math.max(token, one.answer().token()); }
+            if (one.op() instanceof Operation.Claim && one.answer() != null && one.answer().ok()) { token = Math.max(token, one.answer().token()); }
         }
         return switch (random.nextInt(6)) {
-            case 0 -> new Op.Submit("c" + i + "-" + history.size(), "c" + i, 0, Kind.ROLL, "restart", random.nextInt(3) == 0);
-            case 1, 2 -> new Op.Claim("m" + i, 1 + random.nextInt(1_000_000), 0, Kind.ROLL, seen == null ? 0 : seen.token(), seen == null ? 0 : seen.beat());
-            case 3 -> new Op.Renew(Kind.ROLL, token, random.nextInt(5));
-            case 4 -> new Op.Checkpoint(Kind.ROLL, token, seen == null ? 1 : seen.seq() + 1, "p" + ++seq, Work.State.RUNNING, "");
-            default -> new Op.Read();
+            case 0 -> new Operation.Submit("c" + i + "-" + history.size(), "c" + i, 0, WorkKind.ROLL, "restart", random.nextInt(3) == 0);
+            case 1, 2 -> new Operation.Claim("m" + i, 1 + random.nextInt(1_000_000), 0, WorkKind.ROLL, seen == null ? 0 : seen.token(), seen == null ? 0 : seen.heartbeat());
+            case 3 -> new Operation.Renew(WorkKind.ROLL, token, random.nextInt(5));
+            case 4 -> new Operation.Checkpoint(WorkKind.ROLL, token, seen == null ? 1 : seen.seq() + 1, "p" + ++seq, Work.State.RUNNING, "");
+            default -> new Operation.Read();
         };
     }
 
--- a/src/main/java/yardusher/agent/Agent.java
+++ b/src/main/java/yardusher/agent/Agent.java
@@ -29,14 +29,14 @@
     private final EventLoop loop;
     private final Sockets sockets;
     private final Map<String, Instance> instances = new LinkedHashMap<>();
-    private final ArrayDeque<Instance> rolling = new ArrayDeque<>();
+    private final ArrayDeque<Instance> restartQueue = new ArrayDeque<>();
     private final RespServer answers;
     private final long stopMs;
-    private final CountDownLatch over = new CountDownLatch(1);
-    private boolean ending;
+    private final CountDownLatch allExited = new CountDownLatch(1);
+    private boolean closing;
     private final FleetAgent fleet;                  // null where the file names none
-    private final boolean leaves;
-    private final Fleet targets;
+    private final boolean leaveInstances;
+    private final FleetInstances targets;
 
     public Agent(AgentConfig config) throws IOException { this(config, entry -> null); }
 
@@ -47,11 +47,11 @@
         sockets = new Sockets(loop);
         stopMs = config.stopMs();
         FleetSettings part = config.fleet();
-        targets = part == null ? null : new Fleet(instances, sockets, part.readyMs() + config.stopMs(), admins);
+        targets = part == null ? null : new FleetInstances(instances, sockets, part.readyMs() + config.stopMs(), admins);
         fleet = part == null ? null : new FleetAgent(part, sockets, targets);
-        leaves = part != null && part.leaves();
+        leaveInstances = part != null && part.leaveInstances();
         for (AgentConfig.Entry entry : config.instances()) {
-            instances.put(entry.name(), new Instance(entry, config, sockets, fleet == null ? null : fleet.memory(), this::changed));
+            instances.put(entry.name(), new Instance(entry, config, sockets, fleet == null ? null : fleet.fenceStore(), this::changed));
         }
         answers = new RespServer(sockets, Sockets.parseAddress(config.control()), part == null ? 16 : 16 + 8 * part.members().size(), this);
     }
@@ -70,14 +70,14 @@
     /** Stops all instances and waits for their ends; where the file says so, they go on and the next agent adopts them. */
     public void close() throws InterruptedException {
         loop.execute(() -> {
-            ending = true;
-            rolling.clear();
+            closing = true;
+            restartQueue.clear();
             answers.close();
             if (fleet != null) { fleet.close(); }
-            if (leaves) { over.countDown(); } else { instances.values().forEach(instance -> instance.stop(false)); }
+            if (leaveInstances) { allExited.countDown(); } else { instances.values().forEach(instance -> instance.stop(false)); }
             changed();
         });
-        over.await(stopMs + 2000, TimeUnit.MILLISECONDS);
+        allExited.await(stopMs + 2000, TimeUnit.MILLISECONDS);
         loop.stop();
         if (fleet != null) {
             try {
@@ -90,17 +90,17 @@
     }
 
     private void changed() {
-        if (ending && instances.values().stream().allMatch(Instance::isOver)) { over.countDown(); }
-        Instance now = rolling.peek();
+        if (closing && instances.values().stream().allMatch(Instance::hasExited)) { allExited.countDown(); }
+        Instance now = restartQueue.peek();
         if (now != null && now.state() == Instance.State.READY) {
-            rolling.poll();
+            restartQueue.poll();
             loop.defer(this::roll);
         }
         if (targets != null) { targets.changed(); }
     }
 
     private void roll() {
-        if (!rolling.isEmpty()) { rolling.peek().stop(true); }
+        if (!restartQueue.isEmpty()) { restartQueue.peek().stop(true); }
     }
 
     @Override
@@ -134,15 +134,15 @@
             case "AGENT.START" -> chosen.forEach(Instance::start);
             case "AGENT.RELOAD" -> chosen.forEach(Instance::reload);
             case "AGENT.STOP" -> {
-                boolean stopsHead = chosen.contains(rolling.peek());
-                rolling.removeAll(chosen);
+                boolean stopsHead = chosen.contains(restartQueue.peek());
+                restartQueue.removeAll(chosen);
                 chosen.forEach(instance -> instance.stop(false));
                 if (stopsHead) { roll(); }
             }
             case "AGENT.RESTART" -> {
-                boolean idle = rolling.isEmpty();
-                chosen.removeAll(rolling);
-                rolling.addAll(chosen);
+                boolean idle = restartQueue.isEmpty();
+                chosen.removeAll(restartQueue);
+                restartQueue.addAll(chosen);
                 if (idle) { roll(); }
             }
             default -> {
--- a/src/main/java/yardusher/agent/Fleet.java
+++ b/src/main/java/yardusher/agent/FleetInstances.java
@@ -11,14 +11,14 @@
 import yardusher.core.Deadlines;
 import yardusher.core.EventLoop;
 import yardusher.error.WireError;
-import yardusher.fleet.Targets;
-import yardusher.fleet.Undertaking;
+import yardusher.fleet.LocalInstances;
+import yardusher.fleet.WorkProcedure;
 import yardusher.net.LineReader;
 import yardusher.net.Connection;
 import yardusher.net.Sockets;
 
 /** This agent's instances as the fleet's work sees them. In loop. */
-final class Fleet implements Targets {
+final class FleetInstances implements LocalInstances {
     private static final double CALL_MS = 2000;
 
     private final Map<String, Instance> instances;
@@ -26,16 +26,16 @@
     private final EventLoop loop;
     private final double withinMs;
     private final Function<AgentConfig.Entry, InetSocketAddress> admins;
-    private final List<Waiting> waiting = new ArrayList<>();
+    private final List<ReadyWait> waiting = new ArrayList<>();
 
     /** Who waits for an instance that was started more often than so. */
-    private static final class Waiting {
+    private static final class ReadyWait {
         final Instance instance;
         final long starts;
         final Consumer<Boolean> then;
         Deadlines.Entry limit;
 
-        Waiting(Instance instance, long starts, Consumer<Boolean> then) {
+        ReadyWait(Instance instance, long starts, Consumer<Boolean> then) {
             this.instance = instance;
             this.starts = starts;
             this.then = then;
@@ -43,7 +43,7 @@
     }
 
     /** {@code withinMs}: an instance has so long to end and to answer again. */
-    Fleet(Map<String, Instance> instances, Sockets sockets, double withinMs, Function<AgentConfig.Entry, InetSocketAddress> admins) {
+    FleetInstances(Map<String, Instance> instances, Sockets sockets, double withinMs, Function<AgentConfig.Entry, InetSocketAddress> admins) {
         this.instances = instances;
         this.sockets = sockets;
         this.loop = sockets.loop();
@@ -52,11 +52,11 @@
     }
 
     @Override
-    public List<Undertaking.Standing> standings() {
-        List<Undertaking.Standing> all = new ArrayList<>();
+    public List<WorkProcedure.InstanceStatus> standings() {
+        List<WorkProcedure.InstanceStatus> all = new ArrayList<>();
         instances.forEach((name, one) -> {
             // Who was stopped by hand is no part of the fleet until somebody starts it.
-            if (one.state() != Instance.State.STOPPED) { all.add(new Undertaking.Standing(name, one.state() == Instance.State.READY)); }
+            if (one.state() != Instance.State.STOPPED) { all.add(new WorkProcedure.InstanceStatus(name, one.state() == Instance.State.READY)); }
         });
         return all;
     }
@@ -81,7 +81,7 @@
     public void awaitReady(String instance, Consumer<Boolean> then) { await(instances.get(instance), -1, then); }
 
     private void await(Instance instance, long starts, Consumer<Boolean> then) {
-        Waiting one = new Waiting(instance, starts, then);
+        ReadyWait one = new ReadyWait(instance, starts, then);
         one.limit = loop.deadlines().schedule(loop.now() + withinMs, () -> {
             waiting.remove(one);
             then.accept(false);
@@ -92,8 +92,8 @@
 
     /** An instance's state has changed. */
     void changed() {
-        for (Iterator<Waiting> all = waiting.iterator(); all.hasNext();) {
-            Waiting one = all.next();
+        for (Iterator<ReadyWait> all = waiting.iterator(); all.hasNext();) {
+            ReadyWait one = all.next();
             if (one.instance.state() != Instance.State.READY || one.instance.starts() <= one.starts) { continue; }
             all.remove();
             loop.deadlines().cancel(one.limit);
--- a/src/main/java/yardusher/agent/Instance.java
+++ b/src/main/java/yardusher/agent/Instance.java
@@ -7,7 +7,7 @@
 import java.util.Locale;
 import yardusher.core.Deadlines;
 import yardusher.core.EventLoop;
-import yardusher.fence.Memory;
+import yardusher.fence.FenceStore;
 import yardusher.net.Connection;
 import yardusher.net.Sockets;
 import yardusher.resp.Encoder;
@@ -18,8 +18,8 @@
 final class Instance {
     private static final double PING_MS = 100;
     private static final double BACKOFF_MS = 200;
-    private static final double BACKOFF_MOST_MS = 10_000;
-    private static final double STEADY_MS = 10_000;  // who lived so long starts again without delay
+    private static final double MAX_BACKOFF_MS = 10_000;
+    private static final double STABLE_AFTER_MS = 10_000;  // who lived so long starts again without delay
 
     enum State { STOPPED, STARTING, READY, STOPPING, BACKOFF }
 
@@ -31,17 +31,17 @@
     private final Runnable changed;
     private State state = State.STOPPED;
     private ProcessHandle process;
-    private final Memory memory;                     // null where this agent keeps none
+    private final FenceStore fenceStore;                     // null where this agent keeps none
     private double startedAt;
     private double backoffMs = BACKOFF_MS;
     private int restarts;
     private long starts;
     private boolean startAgain;
-    private boolean reloads;                         // as soon as it is ready
+    private boolean reloadWhenReady;                         // as soon as it is ready
     private Deadlines.Entry pending;
 
-    Instance(AgentConfig.Entry entry, AgentConfig config, Sockets sockets, Memory memory, Runnable changed) {
-        this.memory = memory;
+    Instance(AgentConfig.Entry entry, AgentConfig config, Sockets sockets, FenceStore memory, Runnable changed) {
+        this.fenceStore = memory;
         this.entry = entry;
         this.config = config;
         this.sockets = sockets;
@@ -65,10 +65,10 @@
         }
         if (process != null) { return; }
         loop.deadlines().cancel(pending);
-        List<String> command = new ArrayList<>(Hangup.restored(config.command())); // an agent under nohup hands it down
+        List<String> command = new ArrayList<>(SighupStatus.withDefaultSighup(config.command())); // an agent under nohup hands it down
         command.addAll(List.of("serve", entry.config(), "--limits", entry.limits(), "--settings", entry.settings()));
         startedAt = loop.now();
-        reloads = false;
+        reloadWhenReady = false;
         Process begun;
         try {
             begun = new ProcessBuilder(command).redirectInput(ProcessBuilder.Redirect.from(new java.io.File("/dev/null")))
@@ -81,11 +81,11 @@
         ProcessHandle handle = begun.toHandle();
         process = handle;
         starts++;
-        if (memory != null) {
-            memory.started(entry.name(), handle.pid(), startMs(handle));
+        if (fenceStore != null) {
+            fenceStore.recordStart(entry.name(), handle.pid(), startMs(handle));
             note("started pid=" + handle.pid());
         }
-        become(State.STARTING);
+        setState(State.STARTING);
         begun.onExit().thenRun(() -> loop.execute(() -> exited(handle, " with " + begun.exitValue())));
         ping(handle);
     }
@@ -98,7 +98,7 @@
      * that merely has the number of the old one is left alone.
      */
     void adoptOrStart() {
-        Memory.Started known = memory == null ? null : memory.started(entry.name());
+        FenceStore.StartedProcess known = fenceStore == null ? null : fenceStore.startedProcess(entry.name());
         ProcessHandle found = known == null || known.startedMs() == 0 ? null
                 : ProcessHandle.of(known.pid()).filter(one -> one.isAlive() && startMs(one) == known.startedMs()).orElse(null);
         if (found == null) {
@@ -108,25 +108,25 @@
         System.err.println("agent: " + entry.name() + " runs already, pid " + found.pid() + ": adopted");
         process = found;
         startedAt = loop.now();
-        become(State.STARTING);
+        setState(State.STARTING);
         found.onExit().thenRun(() -> loop.execute(() -> exited(found, "")));
         ping(found);
     }
 
     /** How often it was started, over all lives of this agent where it remembers them. */
-    long starts() { return memory == null ? starts : memory.starts(entry.name()); }
+    long starts() { return fenceStore == null ? starts : fenceStore.startCount(entry.name()); }
 
     /** Asks it to end with SIGTERM, so that it answers what it has taken; kills it when it does not. */
     void stop(boolean again) {
         startAgain = again;
         loop.deadlines().cancel(pending);
         if (process == null) {
-            become(State.STOPPED);
+            setState(State.STOPPED);
             if (again) { start(); }
             return;
         }
         if (state == State.STOPPING) { return; }
-        become(State.STOPPING);
+        setState(State.STOPPING);
         ProcessHandle ending = process;
         ending.destroy();
         pending = loop.deadlines().schedule(loop.now() + config.stopMs(), ending::destroyForcibly);
@@ -137,7 +137,7 @@
      * would still end it.
      */
     void reload() {
-        reloads = state == State.STARTING;
+        reloadWhenReady = state == State.STARTING;
         if (state != State.READY) { return; }        // who starts later reads the new file anyway
         try {
             new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).inheritIO().start();
@@ -154,7 +154,7 @@
         process = null;
         loop.deadlines().cancel(pending);
         if (state == State.STOPPING) {
-            become(State.STOPPED);
+            setState(State.STOPPED);
             if (startAgain) {
                 startAgain = false;
                 restarts++;
@@ -163,24 +163,24 @@
             return;
         }
         System.err.println("agent: " + entry.name() + " ended by itself" + how);
-        if (loop.now() - startedAt > STEADY_MS) { backoffMs = BACKOFF_MS; }
+        if (loop.now() - startedAt > STABLE_AFTER_MS) { backoffMs = BACKOFF_MS; }
         backOff();
     }
 
     /** Guards against a crash loop that takes the machine: each crash soon after a start doubles the wait. */
     private void backOff() {
-        become(State.BACKOFF);
+        setState(State.BACKOFF);
         pending = loop.deadlines().schedule(loop.now() + backoffMs, () -> {
             restarts++;
             start();
         });
-        backoffMs = Math.min(BACKOFF_MOST_MS, 2 * backoffMs);
+        backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
     }
 
-    private void become(State next) {
+    private void setState(State next) {
         state = next;
-        if (memory != null && next == State.READY) { note("ready pid=" + process.pid()); }
-        if (next == State.READY && reloads) { reload(); }
+        if (fenceStore != null && next == State.READY) { note("ready pid=" + process.pid()); }
+        if (next == State.READY && reloadWhenReady) { reload(); }
         changed.run();
     }
 
@@ -196,7 +196,7 @@
                         if (answer == null) { return true; }
                         from.close();
                         boolean pong = answer instanceof Value.SimpleString simple && simple.text().equals("PONG");
-                        if (pong && of == process && state == State.STARTING) { become(State.READY); } else { again.run(); }
+                        if (pong && of == process && state == State.STARTING) { setState(State.READY); } else { again.run(); }
                     } catch (MalformedRespException e) {
                         from.close();
                         again.run();
@@ -213,5 +213,5 @@
     }
 
     /** For the agent's own end: true once nothing of it runs any more. */
-    boolean isOver() { return process == null; }
+    boolean hasExited() { return process == null; }
 }
--- a/src/main/java/yardusher/agent/Hangup.java
+++ b/src/main/java/yardusher/agent/SighupStatus.java
@@ -11,14 +11,14 @@
  * ignored, {@code nohup} and some schedulers ignore this one, and a JVM that finds it ignored leaves it so without a word (signal(7), JDK
  * {@code os::Posix::is_sig_ignored}). Nothing can be done from inside; whoever starts the process can.
  */
-public final class Hangup {
+public final class SighupStatus {
     private static final Path STATUS = Path.of("/proc/self/status");
 
     /** For who started a process that the signal cannot reach. */
-    public static final String TOLD = "cannot be told to reload: it was started with SIGHUP ignored, as by nohup; start it with "
+    public static final String IGNORED_HINT = "cannot be told to reload: it was started with SIGHUP ignored, as by nohup; start it with "
             + "deploy/start.sh or behind `env --default-signal=HUP`, or restart it for a new configuration";
 
-    private Hangup() { }
+    private SighupStatus() { }
 
     /** Read from the system's own table for this process; false where there is none. */
     public static boolean isIgnored() {
@@ -37,7 +37,7 @@
     }
 
     /** The command, so written that what it starts has the signal's default; as it is where this process has it itself. */
-    static List<String> restored(List<String> command) {
+    static List<String> withDefaultSighup(List<String> command) {
         if (!isIgnored()) { return command; }
         List<String> with = new ArrayList<>(List.of("env", "--default-signal=HUP"));
         with.addAll(command);
--- a/src/main/java/yardusher/cli/OrdersCommand.java
+++ b/src/main/java/yardusher/cli/OrdersCommand.java
@@ -105,7 +105,7 @@
             if (entry.settings().equals("none")) { continue; }
             Settings own = Settings.read(Path.of(entry.settings()));
             if (own.journal() == null) { continue; }
-            Path folder = own.journal().folder().resolve(Config.read(entry.config()).name());
+            Path folder = own.journal().folder().resolve(IngressConfig.read(entry.config()).name());
             if (Files.isDirectory(folder)) { folders.add(folder.toString()); }
         }
         if (folders.isEmpty()) { throw new ConfigError.Missing(file, "journal", "an instance that has a journal"); }
--- a/src/main/java/yardusher/connectionquota/ConnectionQuotaSettings.java
+++ b/src/main/java/yardusher/connectionquota/ConnectionQuotaSettings.java
@@ -61,7 +61,7 @@
         int limit = connections;
         boolean foundById = false;
         for (RegionOverride override : overrides) {
-            if (override.id != null && DiscoveredBackends.id(override.id) == region.id()) {
+            if (override.id != null && DiscoveredBackends.numericId(override.id) == region.id()) {
                 limit = override.connections;
                 foundById = true;
             } else if (!foundById && override.zone != null && region.zone() >= 0 && region.zone() < zones.size()
--- a/src/main/java/yardusher/fence/Memory.java
+++ b/src/main/java/yardusher/fence/FenceStore.java
@@ -22,33 +22,33 @@
  * handing lines over; a thread of its own writes and syncs them, many at once, and a turn hears of it. In turns only,
  * but for opening.
  */
-public final class Memory implements Closeable {
+public final class FenceStore implements Closeable {
     private static final String PREFIX = "fence";
     private static final long MAGIC = 0x594446454E430001L; // YDFENC and format version 1
     private static final long SEGMENT_BYTES = 1 << 20;
-    private static final int WHOSE = 1, SEAL = 2, BEGIN = 3, END = 4, DROP = 5, STARTED = 6;
+    private static final int OWNER = 1, SEAL = 2, BEGIN = 3, END = 4, DROP = 5, STARTED = 6;
 
     /** A process that an agent has started: enough to know it again, and not another one with its number. */
-    public record Started(long count, long pid, long startedMs) { }
+    public record StartedProcess(long startCount, long pid, long startedMs) { }
 
     private final String installation;
     private final String member;
     private final Fence fence = new Fence();
-    private final Map<String, Started> started = new LinkedHashMap<>();
+    private final Map<String, StartedProcess> started = new LinkedHashMap<>();
     private final EventLoop loop;
-    private final ExecutorService disk = Executors.newSingleThreadExecutor(work -> {
+    private final ExecutorService diskExecutor = Executors.newSingleThreadExecutor(work -> {
         Thread thread = new Thread(work, "fence");
         thread.setDaemon(true);
         return thread;
     });
     private DurableLog ledger;
-    private final List<DurableLog.LogRecord> waiting = new ArrayList<>();
-    private final List<Consumer<IOException>> awaiting = new ArrayList<>();
+    private final List<DurableLog.LogRecord> pendingRecords = new ArrayList<>();
+    private final List<Consumer<IOException>> pendingCallbacks = new ArrayList<>();
     private boolean writing;
-    private final Map<String, Long> lasting = new LinkedHashMap<>(); // tokens whose seal is on disk, by work
-    private String complaint;
+    private final Map<String, Long> durableTokens = new LinkedHashMap<>(); // tokens whose seal is on disk, by work
+    private String lastWriteError;
 
-    private Memory(String installation, String member, EventLoop loop) {
+    private FenceStore(String installation, String member, EventLoop loop) {
         this.installation = installation;
         this.member = member;
         this.loop = loop;
@@ -60,14 +60,14 @@
      * @throws RegisterError where the folder is another member's or installation's
      * @throws RegisterError.Damaged where what it holds is damaged: orders might be followed that were refused before
      */
-    public static Memory open(Storage storage, String installation, String member, EventLoop loop) throws IOException {
-        Memory memory = new Memory(installation, member, loop);
+    public static FenceStore open(Storage storage, String installation, String member, EventLoop loop) throws IOException {
+        FenceStore memory = new FenceStore(installation, member, loop);
         DurableLog.LoggedState content = new DurableLog.LoggedState() {
             @Override
-            public void apply(DurableLog.LogRecord line) throws IOException { memory.take(line); }
+            public void apply(DurableLog.LogRecord line) throws IOException { memory.replayRecord(line); }
 
             @Override
-            public List<DurableLog.LogRecord> snapshot() { return memory.base(); }
+            public List<DurableLog.LogRecord> snapshot() { return memory.currentRecords(); }
         };
         try {
             memory.ledger = DurableLog.exists(storage, PREFIX) ? DurableLog.open(storage, PREFIX, MAGIC, content, SEGMENT_BYTES)
@@ -82,39 +82,39 @@
     public Fence fence() { return fence; }
 
     /** The process last started for an instance, or null. */
-    public Started started(String instance) { return started.get(instance); }
+    public StartedProcess startedProcess(String instance) { return started.get(instance); }
 
-    private void take(DurableLog.LogRecord line) throws IOException {
+    private void replayRecord(DurableLog.LogRecord line) throws IOException {
         Fields f = Fields.read(line.body());
         switch (line.kind()) {
-            case WHOSE -> {
+            case OWNER -> {
                 if (!f.text(1).equals(installation) || !f.text(2).equals(member)) {
                     throw new RegisterError.Foreign(null, f.text(2), f.text(1));
                 }
             }
             case SEAL -> {
                 fence.seal(f.text(1), f.number(2));
-                lasting.merge(f.text(1), f.number(2), Math::max);
+                durableTokens.merge(f.text(1), f.number(2), Math::max);
             }
             case BEGIN -> {
                 fence.begin(f.text(1), f.number(2), f.text(3), f.text(4), f.text(5));
-                fence.forgetRunning(f.text(1), f.text(3));
+                fence.clearRunning(f.text(1), f.text(3));
             }
             case END -> fence.end(f.text(1), f.text(3), f.text(6));
             case DROP -> fence.drop(f.text(1), f.text(3));
-            case STARTED -> started.put(f.text(1), new Started(f.number(2), f.number(3), f.number(4)));
+            case STARTED -> started.put(f.text(1), new StartedProcess(f.number(2), f.number(3), f.number(4)));
             default -> throw new IOException("a record that is not known here");
         }
     }
 
     /** What still counts. Runs on the disk's thread while turns wait for nothing: see {@link #write}. */
-    private List<DurableLog.LogRecord> base() {
+    private List<DurableLog.LogRecord> currentRecords() {
         List<DurableLog.LogRecord> base = new ArrayList<>();
-        base.add(new DurableLog.LogRecord(WHOSE, new Fields.Writer().text(1, installation).text(2, member).toBytes()));
+        base.add(new DurableLog.LogRecord(OWNER, new Fields.Writer().text(1, installation).text(2, member).toBytes()));
         for (String work : fence.works()) {
-            base.add(line(SEAL, work, fence.sealed(work), null, null, null, null));
+            base.add(line(SEAL, work, fence.sealedToken(work), null, null, null, null));
             fence.steps(work).forEach((id, step) -> {
-                base.add(line(BEGIN, work, step.token(), id, step.act(), step.before(), null));
+                base.add(line(BEGIN, work, step.token(), id, step.action(), step.stateBefore(), null));
                 if (step.outcome() != null) { base.add(line(END, work, 0, id, null, null, step.outcome())); }
             });
         }
@@ -127,19 +127,19 @@
                 .text(6, outcome).toBytes());
     }
 
-    private static DurableLog.LogRecord startedLine(String name, Started one) {
-        return new DurableLog.LogRecord(STARTED, new Fields.Writer().text(1, name).number(2, one.count()).number(3, one.pid()).number(4, one.startedMs())
+    private static DurableLog.LogRecord startedLine(String name, StartedProcess one) {
+        return new DurableLog.LogRecord(STARTED, new Fields.Writer().text(1, name).number(2, one.startCount()).number(3, one.pid()).number(4, one.startedMs())
                 .toBytes());
     }
 
     /** Seals a token; false where a higher one is. {@code then} hears null once it lasts, or why it does not. */
     public boolean seal(String work, long token, Consumer<IOException> then) {
         if (!fence.seal(work, token)) { return false; }
-        if (lasting.getOrDefault(work, 0L) >= token) {
+        if (durableTokens.getOrDefault(work, 0L) >= token) {
             then.accept(null);
         } else {
             write(line(SEAL, work, token, null, null, null, null), why -> {
-                if (why == null) { lasting.merge(work, token, Math::max); }
+                if (why == null) { durableTokens.merge(work, token, Math::max); }
                 then.accept(why);
             });
         }
@@ -162,42 +162,42 @@
     }
 
     /** A process was started for an instance, the so manieth. */
-    public void started(String instance, long pid, long startedMs) {
-        Started before = started.get(instance);
-        Started now = new Started(before == null ? 1 : before.count() + 1, pid, startedMs);
+    public void recordStart(String instance, long pid, long startedMs) {
+        StartedProcess before = started.get(instance);
+        StartedProcess now = new StartedProcess(before == null ? 1 : before.startCount() + 1, pid, startedMs);
         started.put(instance, now);
         write(startedLine(instance, now), why -> { });
     }
 
     /** How often an instance was started, over all lives of this agent. */
-    public long starts(String instance) { return started.containsKey(instance) ? started.get(instance).count() : 0; }
+    public long startCount(String instance) { return started.containsKey(instance) ? started.get(instance).startCount() : 0; }
 
     private void write(DurableLog.LogRecord line, Consumer<IOException> then) {
-        waiting.add(line);
-        awaiting.add(then);
+        pendingRecords.add(line);
+        pendingCallbacks.add(then);
         if (!writing) { flush(); }
     }
 
     private void flush() {
-        if (waiting.isEmpty()) { return; }
+        if (pendingRecords.isEmpty()) { return; }
         writing = true;
-        List<DurableLog.LogRecord> lines = new ArrayList<>(waiting);
-        List<Consumer<IOException>> heirs = new ArrayList<>(awaiting);
-        waiting.clear();
-        awaiting.clear();
+        List<DurableLog.LogRecord> lines = new ArrayList<>(pendingRecords);
+        List<Consumer<IOException>> heirs = new ArrayList<>(pendingCallbacks);
+        pendingRecords.clear();
+        pendingCallbacks.clear();
         try {
-            disk.execute(() -> {
+            diskExecutor.execute(() -> {
                 IOException why = null;
                 try {
                     ledger.append(lines);
                     ledger.force();
-                    if (ledger.isDueToRoll()) { loop.execute(this::rollLater); }
+                    if (ledger.isDueToRoll()) { loop.execute(this::rollSegment); }
                 } catch (IOException e) {
                     why = e;
                 }
                 IOException told = why;
                 loop.execute(() -> {
-                    complain(told);
+                    reportWriteState(told);
                     writing = false;
                     heirs.forEach(heir -> heir.accept(told));
                     if (!writing) { flush(); }
@@ -207,17 +207,17 @@
     }
 
     /** Says that orders cannot be taken, and that they can again: once each. */
-    private void complain(IOException why) {
+    private void reportWriteState(IOException why) {
         String now = why == null ? null : why.getMessage();
-        if (now != null && !now.equals(complaint)) { System.err.println("agent: " + member + " takes no orders of the fleet's: " + now); }
-        if (now == null && complaint != null) { System.err.println("agent: " + member + " takes orders of the fleet's again"); }
-        complaint = now;
+        if (now != null && !now.equals(lastWriteError)) { System.err.println("agent: " + member + " takes no orders of the fleet's: " + now); }
+        if (now == null && lastWriteError != null) { System.err.println("agent: " + member + " takes orders of the fleet's again"); }
+        lastWriteError = now;
     }
 
     /** The base is taken in a turn, so that nothing changes under it; writing it is the disk's. */
-    private void rollLater() {
-        List<DurableLog.LogRecord> base = base();
-        disk.execute(() -> {
+    private void rollSegment() {
+        List<DurableLog.LogRecord> base = currentRecords();
+        diskExecutor.execute(() -> {
             try {
                 ledger.roll(base);
             } catch (IOException e) { /* the segment goes on growing; tried again at the next write */ }
@@ -226,9 +226,9 @@
 
     @Override
     public void close() throws IOException {
-        disk.shutdown();
+        diskExecutor.shutdown();
         try {
-            disk.awaitTermination(2, TimeUnit.SECONDS);
+            diskExecutor.awaitTermination(2, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/yardusher/fence/InstanceFence.java
+++ b/src/main/java/yardusher/fence/InstanceFence.java
@@ -10,13 +10,13 @@
  * operator's own call at this ingress needs no token, and is what it was before.
  */
 public final class InstanceFence {
-    private static final int MOST_REGIONS = 4096;
+    private static final int MAX_REGIONS = 4096;
 
     private long token;
     private final Map<String, Long> revisions = new HashMap<>();
 
     /** Its agent tells it a token; a {@link RegisterError.Token} where a newer one is known. */
-    public void learn(long told) {
+    public void acceptToken(long told) {
         if (told < token) { throw new RegisterError.Token("token " + token + " is newer", token); }
         token = told;
     }
@@ -29,9 +29,9 @@
     }
 
     /** An order was followed. */
-    public void took(String region, long revision) {
+    public void recordApplied(String region, long revision) {
         // Guards the heap: who bans so many regions has other troubles than an old owner's order for the first of them.
-        if (revisions.size() >= MOST_REGIONS) { revisions.clear(); }
+        if (revisions.size() >= MAX_REGIONS) { revisions.clear(); }
         revisions.put(region, revision);
     }
 }
--- a/src/main/java/yardusher/fleet/FleetAgent.java
+++ b/src/main/java/yardusher/fleet/FleetAgent.java
@@ -5,39 +5,39 @@
 import yardusher.disk.Directory;
 import yardusher.disk.Storage;
 import yardusher.error.RegisterError;
-import yardusher.fence.Memory;
+import yardusher.fence.FenceStore;
 import yardusher.net.RespServer;
 import yardusher.net.Sockets;
-import yardusher.register.Store;
+import yardusher.register.RaftLogStore;
 
 /**
- * One agent's part in its fleet: a member of the register ({@link Seat}), a target of orders ({@link Outpost}), from time to
- * time the holder of a work ({@link Holder}), and who answers for all of it ({@link Desk}). All of it in the agent's loop,
+ * One agent's part in its fleet: a member of the register ({@link RegisterParticipant}), a target of orders ({@link StepExecutor}), from time to
+ * time the holder of a work ({@link Holder}), and who answers for all of it ({@link FleetCommandHandler}). All of it in the agent's loop,
  * but for the register's own thread, which waits on the disk.
  */
 public final class FleetAgent {
     private final Storage folder;
-    private final Memory memory;
-    private final Fellows fellows;
-    private final Seat seat;
-    private final Outpost outpost;
-    private final Holder holder;
-    private final Desk desk;
+    private final FenceStore fenceStore;
+    private final PeerDirectory peers;
+    private final RegisterParticipant participant;
+    private final StepExecutor stepExecutor;
+    private final LeaseHolder holder;
+    private final FleetCommandHandler commandHandler;
 
     /**
      * Opens the agent's folder.
      *
      * @throws RegisterError where the folder is another's, holds no member, cannot be read or is damaged: one plain line
      */
-    public FleetAgent(FleetSettings settings, Sockets sockets, Targets targets) throws IOException {
+    public FleetAgent(FleetSettings settings, Sockets sockets, LocalInstances targets) throws IOException {
         Random random = new Random(System.nanoTime() ^ settings.member().hashCode());
-        Leases leases = new Leases(settings.member(), Leases.Terms.of(settings), random);
-        fellows = new Fellows(settings, sockets, random);
+        LeaseManager leases = new LeaseManager(settings.member(), LeaseManager.LeaseTimings.of(settings), random);
+        peers = new PeerDirectory(settings, sockets, random);
         folder = folder(settings);
-        Store store;
+        RaftLogStore store;
         try {
-            store = Store.open(folder, settings.installation(), settings.member());
-            memory = Memory.open(folder, settings.installation(), settings.member(), sockets.loop());
+            store = RaftLogStore.open(folder, settings.installation(), settings.member());
+            fenceStore = FenceStore.open(folder, settings.installation(), settings.member(), sockets.loop());
         } catch (IOException e) {
             folder.close();
             throw new RegisterError.Damaged(settings.folder(), String.valueOf(e.getMessage()), e);
@@ -45,17 +45,17 @@
             folder.close();
             throw e.in(settings.folder());
         }
-        seat = new Seat(settings, fellows, sockets.loop(), random, folder, store, this::changed);
-        outpost = new Outpost(memory, targets, sockets.loop(), seat::view);
-        holder = new Holder(settings, sockets.loop(), seat, fellows, outpost, leases);
-        desk = new Desk(settings, sockets.loop(), seat, fellows, outpost);
-        settings.members().forEach(fellows::know);
+        participant = new RegisterParticipant(settings, peers, sockets.loop(), random, folder, store, this::changed);
+        stepExecutor = new StepExecutor(fenceStore, targets, sockets.loop(), participant::view);
+        holder = new LeaseHolder(settings, sockets.loop(), participant, peers, stepExecutor, leases);
+        commandHandler = new FleetCommandHandler(settings, sockets.loop(), participant, peers, stepExecutor);
+        settings.members().forEach(peers::putMember);
     }
 
     /** Begins a member in a folder that holds none: once in a member's life. */
     public static void init(FleetSettings settings, boolean joins) throws IOException {
         try (Storage folder = folder(settings)) {
-            Store.begin(folder, settings.installation(), settings.member(), joins).close();
+            RaftLogStore.create(folder, settings.installation(), settings.member(), joins).close();
         } catch (RegisterError e) {
             throw e.in(settings.folder());
         }
@@ -69,36 +69,36 @@
         }
     }
 
-    public Memory memory() { return memory; }
+    public FenceStore fenceStore() { return fenceStore; }
 
     public void start() {
-        seat.begin();
+        participant.begin();
         holder.tick();
     }
 
     /** The register's copy has changed. */
     private void changed() {
-        seat.view().addresses().forEach(fellows::know);
+        participant.view().addresses().forEach(peers::putMember);
         holder.changed();
-        outpost.changed();
+        stepExecutor.changed();
         holder.tickNow();
     }
 
     /** Answers a command of the fleet's, now or later. */
-    public void command(byte[][] words, RespServer.Slot slot) { desk.command(words, slot); }
+    public void command(byte[][] words, RespServer.Slot slot) { commandHandler.command(words, slot); }
 
     /** Ends this member's part. What it holds is taken by others once its lease is over. */
     public void close() {
-        seat.close();
+        participant.close();
         holder.close();
-        fellows.close();
-        seat.stop();
+        peers.close();
+        participant.stop();
     }
 
     /** After the last turn: what must outlive the process is on disk. */
     public void end() throws IOException {
-        memory.close();
-        seat.end();
+        fenceStore.close();
+        participant.end();
         folder.close();
     }
 }
--- a/src/main/java/yardusher/fleet/Desk.java
+++ b/src/main/java/yardusher/fleet/FleetCommandHandler.java
@@ -10,29 +10,29 @@
 import yardusher.error.YardusherError;
 import yardusher.net.RespServer;
 import yardusher.net.Sockets;
-import yardusher.register.Kind;
+import yardusher.register.WorkKind;
 import yardusher.register.Member;
-import yardusher.register.Op;
-import yardusher.register.View;
+import yardusher.register.Operation;
+import yardusher.register.RegisterView;
 import yardusher.resp.Encoder;
 import yardusher.resp.Value;
 
 /** Answers the commands of the fleet that come in: other members' messages, operations and orders, and the operators' own. In loop. */
-final class Desk {
+final class FleetCommandHandler {
     private static final double TRY_AGAIN_MS = 60;
 
     private final FleetSettings settings;
     private final EventLoop loop;
-    private final Seat seat;
-    private final Fellows fellows;
-    private final Outpost outpost;
+    private final RegisterParticipant participant;
+    private final PeerDirectory peers;
+    private final StepExecutor stepExecutor;
 
-    Desk(FleetSettings settings, EventLoop loop, Seat seat, Fellows fellows, Outpost outpost) {
+    FleetCommandHandler(FleetSettings settings, EventLoop loop, RegisterParticipant seat, PeerDirectory fellows, StepExecutor outpost) {
         this.settings = settings;
         this.loop = loop;
-        this.seat = seat;
-        this.fellows = fellows;
-        this.outpost = outpost;
+        this.participant = seat;
+        this.peers = fellows;
+        this.stepExecutor = outpost;
     }
 
     /** Answers a command of the fleet's, now or later. */
@@ -50,7 +50,7 @@
                     String[] texts = new String[words.length - 1];
                     texts[0] = name;
                     for (int i = 2; i < words.length; i++) { texts[i - 1] = new String(words[i], StandardCharsets.UTF_8); }
-                    outpost.command(texts, answer -> slot.answer(encoded(answer)));
+                    stepExecutor.command(texts, answer -> slot.answer(encoded(answer)));
                 }
                 case "FLEET.ASK" -> order(words, slot);
                 case "FLEET.READ" -> read(slot);
@@ -79,19 +79,19 @@
 
     private void raft(byte[][] words, RespServer.Slot slot) throws IOException {
         if (words.length != 4) { throw new CommandError.Argument("wrong number of arguments"); }
-        if (fellows.peer(text(words, 2)) == null) { throw new CommandError.NotFound("no member " + text(words, 2)); }
-        seat.node().hear(words[3]);
+        if (peers.peer(text(words, 2)) == null) { throw new CommandError.NotFound("no member " + text(words, 2)); }
+        participant.node().receive(words[3]);
         slot.answer(new Encoder(16).simpleString("OK").toBytes());
     }
 
     /** A member asks this one, which it takes for the leader. */
     private void operation(byte[][] words, RespServer.Slot slot) throws IOException {
-        if (words.length != 3 || words[2].length > Op.MOST_BYTES) { throw new CommandError.Argument("an operation of at most " + Op.MOST_BYTES + " bytes is needed"); }
-        answer(Op.decode(words[2]), slot);
+        if (words.length != 3 || words[2].length > Operation.MAX_BYTES) { throw new CommandError.Argument("an operation of at most " + Operation.MAX_BYTES + " bytes is needed"); }
+        answer(Operation.decode(words[2]), slot);
     }
 
-    private void answer(Op op, RespServer.Slot slot) {
-        seat.here(op, (answer, leader) -> slot.answer(answer == null
+    private void answer(Operation op, RespServer.Slot slot) {
+        participant.askLocal(op, (answer, leader) -> slot.answer(answer == null
                 ? failure("TRYAGAIN " + (leader == null ? "nobody leads" : leader + " leads"))
                 : new Encoder(128).bulk(answer.encode()).toBytes()));
     }
@@ -104,30 +104,30 @@
         if (!by.matches("[!-~]{1,64}")) { throw new CommandError.Argument("who orders is up to 64 printable characters"); }
         String verb = text(words, 4);
         long now = System.currentTimeMillis();
-        Op op = switch (verb) {
-            case "roll" -> new Op.Submit(command, by, now, Kind.ROLL, Order.of(text(words, 5)).toString(), text(words, 6).equals("take-over"));
+        Operation op = switch (verb) {
+            case "roll" -> new Operation.Submit(command, by, now, WorkKind.ROLL, RollSpec.of(text(words, 5)).toString(), text(words, 6).equals("take-over"));
             case "ban", "unban" -> {
                 String region = text(words, 5);
-                if (!region.matches(yardusher.register.Bans.REGION)) { throw new CommandError.Argument("no name of a region: " + region); }
-                yield new Op.Submit(command, by, now, Kind.BANS, region + (verb.equals("ban") ? " out" : " in"), false);
+                if (!region.matches(yardusher.register.Bans.REGION_PATTERN)) { throw new CommandError.Argument("no name of a region: " + region); }
+                yield new Operation.Submit(command, by, now, WorkKind.BANS, region + (verb.equals("ban") ? " out" : " in"), false);
             }
-            case "stop" -> new Op.Stop(command, by, now, Kind.of(text(words, 5)));
-            case "step-down" -> new Op.StepDown(command, by, Kind.of(text(words, 5)));
+            case "stop" -> new Operation.Stop(command, by, now, WorkKind.of(text(words, 5)));
+            case "step-down" -> new Operation.StepDown(command, by, WorkKind.of(text(words, 5)));
             case "admit" -> {
                 Sockets.parseAddress(text(words, 6));
-                yield new Op.Admit(command, new Member(text(words, 5)).name(), text(words, 6));
+                yield new Operation.Admit(command, new Member(text(words, 5)).name(), text(words, 6));
             }
-            case "forget" -> new Op.Forget(command, new Member(text(words, 5)).name());
+            case "forget" -> new Operation.Forget(command, new Member(text(words, 5)).name());
             default -> throw new CommandError.Unknown("no order " + verb);
         };
-        seat.untilAnswered(op, loop.now() + 4000, answer -> {
+        participant.untilAnswered(op, loop.now() + 4000, answer -> {
             if (answer == null) {
                 slot.answer(failure("TRYAGAIN no majority of the agents answers; it is not known whether the order was taken. Ask again with id " + command));
             } else if (!answer.ok()) {
                 slot.answer(failure("REFUSED " + answer.text()));
-            } else if (op instanceof Op.Admit admit) {
+            } else if (op instanceof Operation.Admit admit) {
                 member(admit.member(), true, loop.now() + 4000, slot, answer.text());
-            } else if (op instanceof Op.Forget forget) {
+            } else if (op instanceof Operation.Forget forget) {
                 member(forget.member(), false, loop.now() + 4000, slot, answer.text());
             } else {
                 slot.answer(new Encoder(128).bulk(answer.text()).toBytes());
@@ -140,26 +140,26 @@
         Consumer<Boolean> then = done -> {
             if (done) {
                 slot.answer(new Encoder(128).bulk(text).toBytes());
-            } else if (loop.now() > until || seat.isClosed()) {
+            } else if (loop.now() > until || participant.isClosed()) {
                 slot.answer(failure("TRYAGAIN the members could not be changed yet; ask again"));
             } else {
                 loop.deadlines().schedule(loop.now() + TRY_AGAIN_MS, () -> member(member, in, until, slot, text));
             }
         };
-        seat.change(member, in, then);
+        participant.change(member, in, then);
     }
 
     private void change(String member, boolean in, RespServer.Slot slot) {
-        seat.changeHere(new Member(member).name(), in, done ->
+        participant.changeLocal(new Member(member).name(), in, done ->
                 slot.answer(done ? new Encoder(16).bulk("done").toBytes() : failure("TRYAGAIN not now")));
     }
 
     /** The whole state: through the register, or this member's own copy, and which of the two it is. */
     private void read(RespServer.Slot slot) {
-        seat.untilAnswered(new Op.Read(), loop.now() + 1500, answer -> {
+        participant.untilAnswered(new Operation.Read(), loop.now() + 1500, answer -> {
             try {
-                View told = answer == null || answer.state() == null ? seat.view() : View.of(answer.state());
-                slot.answer(new Encoder(1024).bulk(Report.text(told, answer == null, settings, seat.node(), seat.addresses())).toBytes());
+                RegisterView told = answer == null || answer.state() == null ? participant.view() : RegisterView.of(answer.state());
+                slot.answer(new Encoder(1024).bulk(RegisterReport.text(told, answer == null, settings, participant.node(), participant.addresses())).toBytes());
             } catch (IOException e) {
                 slot.answer(failure("ERR " + e.getMessage()));
             }
@@ -168,7 +168,7 @@
 
     private String membersText() {
         StringBuilder out = new StringBuilder();
-        seat.addresses().forEach((name, address) -> out.append(name).append(' ').append(address).append('\n'));
+        participant.addresses().forEach((name, address) -> out.append(name).append(' ').append(address).append('\n'));
         return out.toString();
     }
 }
--- a/src/main/java/yardusher/fleet/FleetSettings.java
+++ b/src/main/java/yardusher/fleet/FleetSettings.java
@@ -25,7 +25,7 @@
  * @param members names and addresses of the agents, oneself among them, in the file's order
  */
 public record FleetSettings(String installation, String member, Path folder, int leaseMs, int heartbeatMs, int clockErrorPermille,
-        int pauseMs, int patienceMs, int readyMs, boolean leaves, Map<String, String> members) {
+        int pauseMs, int patienceMs, int readyMs, boolean leaveInstances, Map<String, String> members) {
     private static final Set<String> KEYS = Set.of("installation", "member", "folder", "lease_ms", "heartbeat_ms", "clock_error_permille",
             "pause_ms", "patience_ms", "ready_ms", "leave_instances", "members");
     private static final Set<String> MEMBER_KEYS = Set.of("name", "address");
--- a/src/main/java/yardusher/fleet/Leases.java
+++ b/src/main/java/yardusher/fleet/LeaseManager.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.random.RandomGenerator;
-import yardusher.register.Kind;
-import yardusher.register.View;
+import yardusher.register.WorkKind;
+import yardusher.register.RegisterView;
 import yardusher.register.Work;
 
 /**
@@ -15,40 +15,40 @@
  * claim once they have seen it stand still for a lease by their own clock. What rests on clocks is only how soon another
  * begins and that a holder usually stops before that; that an old one does no harm rests on tokens.
  */
-public final class Leases {
+public final class LeaseManager {
     private static final double CLAIM_SPREAD_MS = 60;
     private static final int RENEWALS = 4;           // asked for in a lease
 
     /** {@code error}: by how much rates of two clocks may differ, as a share of 1. {@code pauseMs}: added to a wait. */
-    public record Terms(double leaseMs, double error, double pauseMs) {
-        public static Terms of(FleetSettings settings) {
-            return new Terms(settings.leaseMs(), settings.clockErrorPermille() / 1000.0, settings.pauseMs());
+    public record LeaseTimings(double leaseMs, double error, double pauseMs) {
+        public static LeaseTimings of(FleetSettings settings) {
+            return new LeaseTimings(settings.leaseMs(), settings.clockErrorPermille() / 1000.0, settings.pauseMs());
         }
 
         /** How long after asking a holder may act. */
-        double heldMs() { return leaseMs * (1 - error); }
+        double usableLeaseMs() { return leaseMs * (1 - error); }
 
         /** How long a beat must be seen to stand still. */
-        double silentMs() { return leaseMs * (1 + error) + pauseMs; }
+        double takeOverWaitMs() { return leaseMs * (1 + error) + pauseMs; }
     }
 
     /** What to do now. */
-    public sealed interface Act { }
+    public sealed interface Action { }
 
     /** Ask the register for a work. */
-    public record Claim(Kind kind, long nonce, long seenToken, long seenBeat) implements Act { }
+    public record Claim(WorkKind kind, long nonce, long seenToken, long seenBeat) implements Action { }
 
     /** Ask the register for a longer lease. */
-    public record Renew(Kind kind, long token, long beat) implements Act { }
+    public record Renew(WorkKind kind, long token, long beat) implements Action { }
 
     /** This member holds the work from now on. */
-    public record Begin(Kind kind, long token) implements Act { }
+    public record Begin(WorkKind kind, long token) implements Action { }
 
     /** This member must stop: its lease may be over for others, or the register has said so. */
-    public record Stop(Kind kind, long token, String why) implements Act { }
+    public record Stop(WorkKind kind, long token, String why) implements Action { }
 
-    private final class One {
-        final Kind kind;
+    private final class LeaseState {
+        final WorkKind kind;
         long seenToken = -1;
         long seenBeat = -1;
         double seenAt;                               // when the token or beat was new
@@ -61,28 +61,28 @@
         long beat;
         boolean renewing;
 
-        One(Kind kind) { this.kind = kind; }
+        LeaseState(WorkKind kind) { this.kind = kind; }
     }
 
     private final String self;
-    private final Terms terms;
+    private final LeaseTimings terms;
     private final RandomGenerator random;
-    private final Map<Kind, One> all = new EnumMap<>(Kind.class);
+    private final Map<WorkKind, LeaseState> states = new EnumMap<>(WorkKind.class);
 
-    public Leases(String self, Terms terms, RandomGenerator random) {
+    public LeaseManager(String self, LeaseTimings terms, RandomGenerator random) {
         this.self = self;
         this.terms = terms;
         this.random = random;
-        for (Kind kind : Kind.values()) { all.put(kind, new One(kind)); }
+        for (WorkKind kind : WorkKind.values()) { states.put(kind, new LeaseState(kind)); }
     }
 
     /**
      * What follows from the member's copy of the register and the time, in ms. {@code wants}: the works that have
      * something to be done.
      */
-    public List<Act> look(double now, View view, java.util.function.Predicate<Work> wants) {
-        List<Act> acts = new ArrayList<>();
-        for (One one : all.values()) {
+    public List<Action> nextActions(double now, RegisterView view, java.util.function.Predicate<Work> wants) {
+        List<Action> acts = new ArrayList<>();
+        for (LeaseState one : states.values()) {
             Work work = view.works().get(one.kind);
             if (one.token != 0) { held(one, work, now, acts); }
             if (one.token == 0) { watched(one, work, now, wants, acts); }
@@ -90,7 +90,7 @@
         return acts;
     }
 
-    private void held(One one, Work work, double now, List<Act> acts) {
+    private void held(LeaseState one, Work work, double now, List<Action> acts) {
         if (work != null && work.token() > one.token) {
             stop(one, "token " + work.token() + " was given since", acts);
         } else if (work != null && work.token() == one.token && !work.isRunning()) {
@@ -104,14 +104,14 @@
         }
     }
 
-    private void stop(One one, String why, List<Act> acts) {
+    private void stop(LeaseState one, String why, List<Action> acts) {
         acts.add(new Stop(one.kind, one.token, why));
         one.token = 0;
         one.nonce = 0;
         one.renewing = false;
     }
 
-    private void watched(One one, Work work, double now, java.util.function.Predicate<Work> wants, List<Act> acts) {
+    private void watched(LeaseState one, Work work, double now, java.util.function.Predicate<Work> wants, List<Action> acts) {
         if (work == null || !work.isRunning()) {
             one.nonce = 0;
             return;
@@ -121,31 +121,31 @@
             if (now >= one.until) { stop(one, "its lease was over when the grant was heard of", acts); }
             return;
         }
-        if (work.token() != one.seenToken || work.beat() != one.seenBeat) {
+        if (work.token() != one.seenToken || work.heartbeat() != one.seenBeat) {
             one.seenToken = work.token();
-            one.seenBeat = work.beat();
+            one.seenBeat = work.heartbeat();
             one.seenAt = now;
-            one.claimAt = now + random.nextDouble() * CLAIM_SPREAD_MS + (work.isHeld() ? terms.silentMs() : 0);
+            one.claimAt = now + random.nextDouble() * CLAIM_SPREAD_MS + (work.isHeld() ? terms.takeOverWaitMs() : 0);
         }
         boolean free = !work.isHeld();
         if (now < one.claimAt || one.nonce != 0 || free && !wants.test(work)) { return; }
         one.nonce = random.nextLong() >>> 1 | 1;
         one.claimedAt = now;
-        acts.add(new Claim(one.kind, one.nonce, work.token(), work.beat()));
+        acts.add(new Claim(one.kind, one.nonce, work.token(), work.heartbeat()));
     }
 
-    private void take(One one, long token, List<Act> acts) {
+    private void take(LeaseState one, long token, List<Action> acts) {
         one.token = token;
         one.beat = 0;
-        one.until = one.claimedAt + terms.heldMs();
+        one.until = one.claimedAt + terms.usableLeaseMs();
         one.renewAt = one.claimedAt + terms.leaseMs() / RENEWALS;
         one.renewing = false;
         acts.add(new Begin(one.kind, token));
     }
 
     /** The register has answered a claim, or nobody has ({@code token} 0): then it may be asked again. */
-    public void claimed(double now, Kind kind, long nonce, long token) {
-        One one = all.get(kind);
+    public void claimed(double now, WorkKind kind, long nonce, long token) {
+        LeaseState one = states.get(kind);
         if (one.nonce != nonce || one.token != 0) { return; }
         if (token == 0) {
             one.nonce = 0;
@@ -155,14 +155,14 @@
     }
 
     /** The register has answered a renewal: whether it holds. Nobody answered: {@code null}. */
-    public void renewed(double now, Kind kind, long token, Boolean holds) {
-        One one = all.get(kind);
+    public void renewed(double now, WorkKind kind, long token, Boolean holds) {
+        LeaseState one = states.get(kind);
         if (one.token != token || !one.renewing) { return; }
         one.renewing = false;
         if (holds == null) {
             one.renewAt = now + terms.leaseMs() / (4 * RENEWALS);
         } else if (holds) {
-            one.until = one.claimedAt + terms.heldMs();
+            one.until = one.claimedAt + terms.usableLeaseMs();
             one.renewAt = one.claimedAt + terms.leaseMs() / RENEWALS;
         } else {
             one.until = now;                         // the next look stops
@@ -170,14 +170,14 @@
     }
 
     /** Whether this member may act for the work now, under this token. */
-    public boolean holds(double now, Kind kind, long token) {
-        One one = all.get(kind);
+    public boolean holds(double now, WorkKind kind, long token) {
+        LeaseState one = states.get(kind);
         return one.token == token && now < one.until;
     }
 
     /** The work was given up. */
-    public void released(Kind kind, long token) {
-        One one = all.get(kind);
+    public void released(WorkKind kind, long token) {
+        LeaseState one = states.get(kind);
         if (one.token != token) { return; }
         one.token = 0;
         one.nonce = 0;
@@ -187,7 +187,7 @@
     /** When {@link #look} is due again at the latest. */
     public double nextAt() {
         double next = Double.POSITIVE_INFINITY;
-        for (One one : all.values()) {
+        for (LeaseState one : states.values()) {
             next = Math.min(next, one.token != 0 ? one.renewing ? one.until : Math.min(one.renewAt, one.until) : one.claimAt);
         }
         return next;
--- a/src/main/java/yardusher/fleet/Targets.java
+++ b/src/main/java/yardusher/fleet/LocalInstances.java
@@ -4,8 +4,8 @@
 import java.util.function.Consumer;
 
 /** The instances of one agent, as the fleet's work needs them. In loop. */
-public interface Targets {
-    List<Undertaking.Standing> standings();
+public interface LocalInstances {
+    List<WorkProcedure.InstanceStatus> standings();
 
     boolean has(String instance);
 
--- a/src/main/java/yardusher/fleet/Fellows.java
+++ b/src/main/java/yardusher/fleet/PeerDirectory.java
@@ -8,28 +8,28 @@
 import yardusher.resp.Encoder;
 
 /** The other agents that this one has heard of, and the way to each. In the agent's loop; bounded by the register's members. */
-final class Fellows {
+final class PeerDirectory {
     private final FleetSettings settings;
     private final Sockets sockets;
     private final Random random;
-    private final Map<String, Peer> peers = new TreeMap<>();
+    private final Map<String, PeerClient> peers = new TreeMap<>();
 
-    Fellows(FleetSettings settings, Sockets sockets, Random random) {
+    PeerDirectory(FleetSettings settings, Sockets sockets, Random random) {
         this.settings = settings;
         this.sockets = sockets;
         this.random = random;
     }
 
     /** A member is there from now on. */
-    void know(String name, String address) {
+    void putMember(String name, String address) {
         if (name.equals(settings.member())) { return; }
         InetSocketAddress at = Sockets.parseAddress(address);
-        Peer known = peers.get(name);
-        if (known == null) { peers.put(name, new Peer(sockets, at, random)); } else { known.move(at); }
+        PeerClient known = peers.get(name);
+        if (known == null) { peers.put(name, new PeerClient(sockets, at, random)); } else { known.move(at); }
     }
 
     /** The way to a member, or null for this one and those never heard of. */
-    Peer peer(String name) { return peers.get(name); }
+    PeerClient peer(String name) { return peers.get(name); }
 
     /** A command of the fleet's with the installation's name; what is missing of its words follows. */
     Encoder command(String name, String... words) {
@@ -43,5 +43,5 @@
         return out;
     }
 
-    void close() { peers.values().forEach(Peer::close); }
+    void close() { peers.values().forEach(PeerClient::close); }
 }
--- a/src/main/java/yardusher/fleet/Seat.java
+++ b/src/main/java/yardusher/fleet/RegisterParticipant.java
@@ -11,48 +11,48 @@
 import yardusher.core.EventLoop;
 import yardusher.disk.Storage;
 import yardusher.register.Answer;
-import yardusher.register.Loop;
-import yardusher.register.Node;
-import yardusher.register.Op;
-import yardusher.register.Store;
-import yardusher.register.View;
+import yardusher.register.RaftThreadExecutor;
+import yardusher.register.RegisterNode;
+import yardusher.register.Operation;
+import yardusher.register.RaftLogStore;
+import yardusher.register.RegisterView;
 import yardusher.resp.Value;
 
 /**
  * This agent's seat in the register: its node and the disk under it, opened anew after a fault; operations asked of whoever
  * leads; and the newest copy of the register. In the agent's turns, but for the register's own thread, which waits on the disk.
  */
-final class Seat {
+final class RegisterParticipant {
     private static final double OP_MS = 1000;        // for an operation's way to the leader and back
     private static final double TRY_AGAIN_MS = 60;
     private static final double REOPEN_MS = 2000;
 
     private final FleetSettings settings;
-    private final Fellows fellows;
-    private final EventLoop turns;
+    private final PeerDirectory peers;
+    private final EventLoop loop;
     private final Random random;
     private final Storage folder;
     private final Runnable changed;
-    private Store store;
-    private Loop loop;
-    private Node node;
-    private View view = View.NOTHING;
+    private RaftLogStore store;
+    private RaftThreadExecutor raftExecutor;
+    private RegisterNode node;
+    private RegisterView view = RegisterView.EMPTY;
     private boolean closed;
 
     /** {@code changed}: told in a turn when there is a newer copy. The store is open and becomes this one's. */
-    Seat(FleetSettings settings, Fellows fellows, EventLoop turns, Random random, Storage folder, Store store, Runnable changed) {
+    RegisterParticipant(FleetSettings settings, PeerDirectory fellows, EventLoop turns, Random random, Storage folder, RaftLogStore store, Runnable changed) {
         this.settings = settings;
-        this.fellows = fellows;
-        this.turns = turns;
+        this.peers = fellows;
+        this.loop = turns;
         this.random = random;
         this.folder = folder;
         this.store = store;
         this.changed = changed;
     }
 
-    View view() { return view; }
+    RegisterView view() { return view; }
 
-    Node node() { return node; }
+    RegisterNode node() { return node; }
 
     boolean isClosed() { return closed; }
 
@@ -60,28 +60,28 @@
     Map<String, String> addresses() {
         Map<String, String> all = new LinkedHashMap<>();
         settings.members().forEach((name, address) -> {
-            if (node == null || store.joins() || node.members().contains(name)) { all.put(name, address); }
+            if (node == null || store.joinsExisting() || node.members().contains(name)) { all.put(name, address); }
         });
         view.addresses().forEach((name, address) -> all.putIfAbsent(name, address));
         return all;
     }
 
     void begin() {
-        loop = new Loop("register", settings.heartbeatMs());
+        raftExecutor = new RaftThreadExecutor("register", settings.heartbeatMs());
         List<String> first = new ArrayList<>(settings.members().keySet());
-        if (store.joins()) { first.remove(settings.member()); }
-        Node[] made = new Node[1];
-        made[0] = new Node(settings.installation(), settings.member(), first, store, settings.heartbeatMs(), loop,
-                () -> System.nanoTime() / 1e6, new Random(random.nextLong()), new Node.World() {
+        if (store.joinsExisting()) { first.remove(settings.member()); }
+        RegisterNode[] made = new RegisterNode[1];
+        made[0] = new RegisterNode(settings.installation(), settings.member(), first, store, settings.heartbeatMs(), raftExecutor,
+                () -> System.nanoTime() / 1e6, new Random(random.nextLong()), new RegisterNode.Environment() {
                     @Override
-                    public void send(String member, byte[] message) { turns.execute(() -> sendRaft(member, message)); }
+                    public void send(String member, byte[] message) { loop.execute(() -> sendRaft(member, message)); }
 
                     @Override
-                    public boolean reaches(String member) { return true; }
+                    public boolean isReachable(String member) { return true; }
 
                     @Override
-                    public void changed(View now) {
-                        turns.execute(() -> {
+                    public void onViewChanged(RegisterView now) {
+                        loop.execute(() -> {
                             if (node != made[0]) { return; }
                             view = now;
                             changed.run();
@@ -89,42 +89,42 @@
                     }
 
                     @Override
-                    public void broken(IOException why) { turns.execute(() -> brokenStore(made[0], why)); }
+                    public void onStoreFailed(IOException why) { loop.execute(() -> brokenStore(made[0], why)); }
                 });
         node = made[0];
         node.start();
     }
 
     /** Takes no part until the store can be opened anew: what it holds is then read again from the disk. */
-    private void brokenStore(Node failed, IOException why) {
+    private void brokenStore(RegisterNode failed, IOException why) {
         if (node != failed || closed) { return; }
         System.err.println("agent: " + settings.member() + " takes no part in the register: " + why.getMessage());
         failed.stop(() -> { });
-        loop.shutdown();
-        turns.deadlines().schedule(turns.now() + REOPEN_MS, this::reopen);
+        raftExecutor.shutdown();
+        loop.deadlines().schedule(loop.now() + REOPEN_MS, this::reopen);
     }
 
     private void reopen() {
         if (closed) { return; }
-        Loop opening = new Loop("register", settings.heartbeatMs());
-        Store failed = store;
+        RaftThreadExecutor opening = new RaftThreadExecutor("register", settings.heartbeatMs());
+        RaftLogStore failed = store;
         opening.execute(() -> {
-            Store opened = null;
+            RaftLogStore opened = null;
             IOException why = null;
             try {
                 failed.close();
-                opened = Store.open(folder, settings.installation(), settings.member());
+                opened = RaftLogStore.open(folder, settings.installation(), settings.member());
             } catch (IOException e) {
                 why = e;
             }
-            Store found = opened;
+            RaftLogStore found = opened;
             IOException told = why;
-            turns.execute(() -> {
+            loop.execute(() -> {
                 opening.shutdown();
                 if (closed) { return; }
                 if (found == null) {
                     System.err.println("agent: " + settings.member() + " takes no part in the register: " + told.getMessage());
-                    turns.deadlines().schedule(turns.now() + REOPEN_MS, this::reopen);
+                    loop.deadlines().schedule(loop.now() + REOPEN_MS, this::reopen);
                     return;
                 }
                 store = found;
@@ -135,21 +135,21 @@
     }
 
     private void sendRaft(String member, byte[] message) {
-        Peer peer = fellows.peer(member);
+        PeerClient peer = peers.peer(member);
         if (peer == null || closed) { return; }
-        peer.ask(fellows.command("FLEET.RAFT").bulk(settings.member()).bulk(message).toBytes(), OP_MS, answer -> { }, () -> { });
+        peer.ask(peers.command("FLEET.RAFT").bulk(settings.member()).bulk(message).toBytes(), OP_MS, answer -> { }, () -> { });
     }
 
     // ---- operations of the register
 
     /** Asks the register, through whoever leads; {@code then} hears null where nobody can say, in a turn. */
-    void ask(Op op, Consumer<Answer> then) {
-        here(op, (answer, leader) -> {
-            if (answer != null || leader == null || leader.equals(settings.member()) || fellows.peer(leader) == null) {
+    void ask(Operation op, Consumer<Answer> then) {
+        askLocal(op, (answer, leader) -> {
+            if (answer != null || leader == null || leader.equals(settings.member()) || peers.peer(leader) == null) {
                 then.accept(answer);
                 return;
             }
-            fellows.peer(leader).ask(fellows.command("FLEET.OP").bulk(op.encode()).toBytes(), OP_MS, value -> then.accept(decoded(value)),
+            peers.peer(leader).ask(peers.command("FLEET.OP").bulk(op.encode()).toBytes(), OP_MS, value -> then.accept(decoded(value)),
                     () -> then.accept(null));
         });
     }
@@ -163,29 +163,29 @@
     }
 
     /** What this member's own node says; the leader is null where nobody can say. */
-    interface Here {
+    interface LocalReplyCallback {
         void said(Answer answer, String leader);
     }
 
     /** Asks this member's own node, for at most {@link #OP_MS}. */
-    void here(Op op, Here then) {
+    void askLocal(Operation op, LocalReplyCallback then) {
         boolean[] over = new boolean[1];
-        Deadlines.Entry limit = turns.deadlines().schedule(turns.now() + OP_MS, () -> {
+        Deadlines.Entry limit = loop.deadlines().schedule(loop.now() + OP_MS, () -> {
             if (!over[0]) {
                 over[0] = true;
                 then.said(null, null);
             }
         });
-        node.ask(op, new Node.Asked() {
+        node.submit(op, new RegisterNode.OperationCallback() {
             @Override
-            public void answered(Answer answer) { tell(answer, null); }
+            public void onAnswer(Answer answer) { tell(answer, null); }
 
             @Override
-            public void notHere(String leader, boolean unknown) { tell(null, unknown ? null : leader); }
+            public void onUnanswered(String leader, boolean unknown) { tell(null, unknown ? null : leader); }
 
             private void tell(Answer answer, String leader) {
-                turns.execute(() -> {
-                    turns.deadlines().cancel(limit);
+                loop.execute(() -> {
+                    loop.deadlines().cancel(limit);
                     if (!over[0]) {
                         over[0] = true;
                         then.said(answer, leader);
@@ -196,12 +196,12 @@
     }
 
     /** Asks until there is an answer or that time has come; then null. */
-    void untilAnswered(Op op, double until, Consumer<Answer> then) {
+    void untilAnswered(Operation op, double until, Consumer<Answer> then) {
         ask(op, answer -> {
-            if (answer != null || turns.now() > until || closed) {
+            if (answer != null || loop.now() > until || closed) {
                 then.accept(answer);
             } else {
-                turns.deadlines().schedule(turns.now() + TRY_AGAIN_MS, () -> untilAnswered(op, until, then));
+                loop.deadlines().schedule(loop.now() + TRY_AGAIN_MS, () -> untilAnswered(op, until, then));
             }
         });
     }
@@ -212,9 +212,9 @@
         if (leader == null) {
             then.accept(false);
         } else if (leader.equals(settings.member())) {
-            changeHere(member, in, then);
-        } else if (fellows.peer(leader) != null) {
-            fellows.peer(leader).ask(fellows.command("FLEET.CHANGE", member, in ? "in" : "out").toBytes(), OP_MS,
+            changeLocal(member, in, then);
+        } else if (peers.peer(leader) != null) {
+            peers.peer(leader).ask(peers.command("FLEET.CHANGE", member, in ? "in" : "out").toBytes(), OP_MS,
                     answer -> then.accept(answer instanceof Value.BulkString), () -> then.accept(false));
         } else {
             then.accept(false);
@@ -222,13 +222,13 @@
     }
 
     /** The same at this member's own node. */
-    void changeHere(String member, boolean in, Consumer<Boolean> then) {
-        node.change(member, in, new Node.Asked() {
+    void changeLocal(String member, boolean in, Consumer<Boolean> then) {
+        node.changeMembership(member, in, new RegisterNode.OperationCallback() {
             @Override
-            public void answered(Answer answer) { turns.execute(() -> then.accept(true)); }
+            public void onAnswer(Answer answer) { loop.execute(() -> then.accept(true)); }
 
             @Override
-            public void notHere(String leader, boolean unknown) { turns.execute(() -> then.accept(false)); }
+            public void onUnanswered(String leader, boolean unknown) { loop.execute(() -> then.accept(false)); }
         });
     }
 
@@ -236,12 +236,12 @@
     void close() { closed = true; }
 
     /** Takes no more part. */
-    void stop() { node.stop(loop::shutdown); }
+    void stop() { node.stop(raftExecutor::shutdown); }
 
     /** After the last turn: what must outlive the process is on disk. */
     void end() throws IOException {
         try {
-            loop.await(1000);
+            raftExecutor.await(1000);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/yardusher/fleet/Plan.java
+++ b/src/main/java/yardusher/fleet/RollPlan.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /** How far a roll is: each instance of the fleet, in the order of the roll, and whether its turn was. */
-final class Plan {
+final class RollPlan {
     /** Whether an instance's turn was. */
-    enum Turn { TODO, OUT, DONE, FAILED }
+    enum TargetState { TODO, OUT, DONE, FAILED }
 
     /** One instance. */
     record Target(String member, String name) {
@@ -16,54 +16,54 @@
         public String toString() { return member + "/" + name; }
     }
 
-    final Map<Target, Turn> loop = new LinkedHashMap<>();
+    final Map<Target, TargetState> targets = new LinkedHashMap<>();
 
     /** One of each agent in turn, so that a batch is spread over machines. */
-    static Plan of(Map<String, List<String>> byMember) {
-        Plan plan = new Plan();
+    static RollPlan of(Map<String, List<String>> byMember) {
+        RollPlan plan = new RollPlan();
         int most = byMember.values().stream().mapToInt(List::size).max().orElse(0);
         for (int i = 0; i < most; i++) {
             for (Map.Entry<String, List<String>> one : byMember.entrySet()) {
-                if (i < one.getValue().size()) { plan.loop.put(new Target(one.getKey(), one.getValue().get(i)), Turn.TODO); }
+                if (i < one.getValue().size()) { plan.targets.put(new Target(one.getKey(), one.getValue().get(i)), TargetState.TODO); }
             }
         }
         return plan;
     }
 
     /** Reads the written form; null for the empty text. */
-    static Plan decode(String text) {
+    static RollPlan decode(String text) {
         if (text.isEmpty()) { return null; }
-        Plan plan = new Plan();
+        RollPlan plan = new RollPlan();
         for (String one : text.split(",")) {
             String[] parts = one.split("[/:]");
-            plan.loop.put(new Target(parts[0], parts[1]), Turn.values()["todf".indexOf(parts[2])]);
+            plan.targets.put(new Target(parts[0], parts[1]), TargetState.values()["todf".indexOf(parts[2])]);
         }
         return plan;
     }
 
     String encode() {
         StringBuilder out = new StringBuilder();
-        loop.forEach((target, turn) -> out.append(out.length() == 0 ? "" : ",").append(target).append(':').append("todf".charAt(turn.ordinal())));
+        targets.forEach((target, turn) -> out.append(out.length() == 0 ? "" : ",").append(target).append(':').append("todf".charAt(turn.ordinal())));
         return out.toString();
     }
 
-    Plan copy() {
-        Plan copy = new Plan();
-        copy.loop.putAll(loop);
+    RollPlan copy() {
+        RollPlan copy = new RollPlan();
+        copy.targets.putAll(targets);
         return copy;
     }
 
-    List<Target> in(Turn turn) {
+    List<Target> in(TargetState turn) {
         List<Target> found = new ArrayList<>();
-        loop.forEach((target, now) -> {
+        targets.forEach((target, now) -> {
             if (now == turn) { found.add(target); }
         });
         return found;
     }
 
-    long count(Turn turn) { return loop.values().stream().filter(now -> now == turn).count(); }
+    long count(TargetState turn) { return targets.values().stream().filter(now -> now == turn).count(); }
 
     String progress() {
-        return count(Turn.DONE) + " of " + loop.size() + " done, " + count(Turn.OUT) + " away, " + count(Turn.FAILED) + " failed";
+        return count(TargetState.DONE) + " of " + targets.size() + " done, " + count(TargetState.OUT) + " away, " + count(TargetState.FAILED) + " failed";
     }
 }
--- a/src/main/java/yardusher/fleet/Order.java
+++ b/src/main/java/yardusher/fleet/RollSpec.java
@@ -9,11 +9,11 @@
  * @param away instances of the whole fleet that may be away at once
  * @param failures instances that may fail before the roll stops
  */
-record Order(String act, int away, int failures) {
+record RollSpec(String act, int away, int failures) {
     static final String USAGE = "restart|reload away=N failures=N";
 
     /** Reads the words; a {@link CommandError} says what is allowed. */
-    static Order of(String text) {
+    static RollSpec of(String text) {
         String act = null;
         int away = 1;
         int failures = 0;
@@ -29,7 +29,7 @@
             }
         }
         if (act == null) { throw new CommandError.Argument("a roll is ordered as " + USAGE); }
-        return new Order(act, away, failures);
+        return new RollSpec(act, away, failures);
     }
 
     @Override
--- a/src/main/java/yardusher/journal/JournalReports.java
+++ b/src/main/java/yardusher/journal/JournalReports.java
@@ -82,7 +82,7 @@
             if (of != SegmentIndex.Field.REGION && !text.matches("[0-9a-f]{1,16}")) {
                 throw new CommandError.Argument(field + " must be 1 to 16 hex digits");
             }
-            values.put(of, of == SegmentIndex.Field.REGION ? DiscoveredBackends.id(text) : Long.parseUnsignedLong(text, 16));
+            values.put(of, of == SegmentIndex.Field.REGION ? DiscoveredBackends.numericId(text) : Long.parseUnsignedLong(text, 16));
             return this;
         }
 
--- a/src/main/java/yardusher/journal/JournalSubsystem.java
+++ b/src/main/java/yardusher/journal/JournalSubsystem.java
@@ -25,10 +25,10 @@
     public String name() { return "journal"; }
 
     @Override
-    public RequestLog orders(RequestLog inner) { return journal; }
+    public RequestLog wrapRequestLog(RequestLog inner) { return journal; }
 
     @Override
-    public String line() { return journal.line(); }
+    public String countersLine() { return journal.line(); }
 
     @Override
     public void end() { journal.close(SHUTDOWN_TIMEOUT_MS); }
--- a/src/main/java/yardusher/keys/KeysSubsystem.java
+++ b/src/main/java/yardusher/keys/KeysSubsystem.java
@@ -5,7 +5,7 @@
 import yardusher.core.RequestAcceptor;
 import yardusher.journal.Journal;
 import yardusher.journal.JournalSettings;
-import yardusher.subsystem.Site;
+import yardusher.subsystem.SubsystemContext;
 import yardusher.subsystem.Subsystem;
 
 /**
@@ -27,7 +27,7 @@
     public String name() { return "keys"; }
 
     @Override
-    public RequestAcceptor intake(Site site, RequestAcceptor inner) throws IOException {
+    public RequestAcceptor wrapAcceptor(SubsystemContext site, RequestAcceptor inner) throws IOException {
         List<String> classes = site.classes();
         acceptor = new KeyedRequestAcceptor(inner, site.loop(), settings, site.settings().classes(), classes);
         if (journal != null) {
@@ -38,8 +38,8 @@
     }
 
     @Override
-    public void join(Site site) { site.front().enableKeyCommands(acceptor::describe, acceptor::line); }
+    public void attach(SubsystemContext site) { site.front().enableKeyCommands(acceptor::describe, acceptor::line); }
 
     @Override
-    public String line() { return acceptor.line(); }
+    public String countersLine() { return acceptor.line(); }
 }
--- a/src/main/java/yardusher/register/Answer.java
+++ b/src/main/java/yardusher/register/Answer.java
@@ -12,9 +12,9 @@
  * @param state the register's whole state, where that was asked for; else null
  */
 public record Answer(boolean ok, long token, String text, byte[] state) {
-    static Answer yes(long token, String text) { return new Answer(true, token, text, null); }
+    static Answer accepted(long token, String text) { return new Answer(true, token, text, null); }
 
-    static Answer no(long token, String text) { return new Answer(false, token, text, null); }
+    static Answer rejected(long token, String text) { return new Answer(false, token, text, null); }
 
     public byte[] encode() {
         return new Fields.Writer().flag(1, ok).number(2, token).text(3, text).bytes(4, state).toBytes();
--- a/src/main/java/yardusher/register/Bans.java
+++ b/src/main/java/yardusher/register/Bans.java
@@ -12,12 +12,12 @@
  */
 public final class Bans {
     /** Regions held at the most; the longest let in again give way, one that is out never does. */
-    public static final int MOST = 256;
+    public static final int MAX_REGIONS = 256;
     /** What a region's name may look like here: it stands in lines of words. */
-    public static final String REGION = "[!-+./0-9;-~-]{1,64}"; // printable, without comma, colon and blank
+    public static final String REGION_PATTERN = "[!-+./0-9;-~-]{1,64}"; // printable, without comma, colon and blank
 
     /** One region's last order. */
-    public record Ban(String region, long revision, boolean out) { }
+    public record Ban(String region, long revision, boolean banned) { }
 
     private final Map<String, Ban> byRegion = new TreeMap<>();
 
@@ -40,10 +40,10 @@
         Bans next = new Bans();
         next.byRegion.putAll(byRegion);
         next.byRegion.put(region, new Ban(region, revision, out));
-        while (next.byRegion.size() > MOST) {
-            Ban oldest = next.byRegion.values().stream().filter(ban -> !ban.out())
+        while (next.byRegion.size() > MAX_REGIONS) {
+            Ban oldest = next.byRegion.values().stream().filter(ban -> !ban.banned())
                     .min((a, b) -> Long.compare(a.revision(), b.revision())).orElse(null);
-            if (oldest == null) { throw new RegisterError.Refused(MOST + " regions are out already"); }
+            if (oldest == null) { throw new RegisterError.Refused(MAX_REGIONS + " regions are out already"); }
             next.byRegion.remove(oldest.region());
         }
         return next;
@@ -58,7 +58,7 @@
         StringBuilder out = new StringBuilder();
         for (Ban ban : byRegion.values()) {
             out.append(out.length() == 0 ? "" : ",").append(ban.revision()).append(':').append(ban.region()).append(':')
-                    .append(ban.out() ? "out" : "in");
+                    .append(ban.banned() ? "out" : "in");
         }
         return out.toString();
     }
--- a/src/main/java/yardusher/register/Store.java
+++ b/src/main/java/yardusher/register/RaftLogStore.java
@@ -23,11 +23,11 @@
  * A member's term, vote, log and snapshot, on a {@link Ledger}: checksummed, and synced before an answer that rests on
  * them leaves. Belongs to one member of one installation and says so. Used by one thread, which may wait on the disk.
  */
-public final class Store implements RaftStore, Closeable {
+public final class RaftLogStore implements RaftStore, Closeable {
     private static final String PREFIX = "register";
     private static final long MAGIC = 0x5944524547530001L; // YDREGS and format version 1
     private static final long SEGMENT_BYTES = 4 << 20;
-    private static final int WHOSE = 1, LOCAL = 2, MEMBERS = 3, TERM = 4, ENTRY = 5, CUT_FROM = 6, CUT_UNTIL = 7, PART = 8, DROP = 9;
+    private static final int OWNER = 1, LOCAL_ENDPOINT = 2, MEMBERS = 3, TERM = 4, ENTRY = 5, TRUNCATE_FROM = 6, TRUNCATE_UNTIL = 7, SNAPSHOT_CHUNK = 8, DELETE_SNAPSHOT = 9;
 
     private final String installation;
     private final String member;
@@ -39,24 +39,24 @@
     private final TreeMap<Long, LogEntry> log = new TreeMap<>();
     private final TreeMap<Long, TreeMap<Integer, SnapshotChunk>> snapshots = new TreeMap<>();
 
-    private Store(String installation, String member, boolean joins) {
+    private RaftLogStore(String installation, String member, boolean joins) {
         this.installation = installation;
         this.member = member;
         this.joins = joins;
     }
 
     /** Whether a folder holds a member's store, whole or not. */
-    public static boolean isThere(Storage storage) throws IOException { return DurableLog.exists(storage, PREFIX); }
+    public static boolean exists(Storage storage) throws IOException { return DurableLog.exists(storage, PREFIX); }
 
     /**
      * Begins a new member in a folder that holds none, once in its life: a member that lost its disk must not come back
      * under its name, since it would vote anew in terms in which it has voted. {@code joins}: an installation that is
      * there already takes it in; else it is one of the first.
      */
-    public static Store begin(Storage storage, String installation, String member, boolean joins) throws IOException {
-        if (isThere(storage)) { throw new RegisterError.Occupied(null); }
-        Store store = new Store(installation, member, joins);
-        store.ledger = DurableLog.create(storage, PREFIX, MAGIC, store.content(), SEGMENT_BYTES);
+    public static RaftLogStore create(Storage storage, String installation, String member, boolean joins) throws IOException {
+        if (exists(storage)) { throw new RegisterError.Occupied(null); }
+        RaftLogStore store = new RaftLogStore(installation, member, joins);
+        store.ledger = DurableLog.create(storage, PREFIX, MAGIC, store.ledgerContent(), SEGMENT_BYTES);
         return store;
     }
 
@@ -66,13 +66,13 @@
      * @throws RegisterError where the folder is another member's or installation's, holds no store, or where what it holds
      *         is damaged: the member must not take part
      */
-    public static Store open(Storage storage, String installation, String member) throws IOException {
-        if (!isThere(storage)) {
+    public static RaftLogStore open(Storage storage, String installation, String member) throws IOException {
+        if (!exists(storage)) {
             throw new RegisterError.Empty(null, member);
         }
-        Store store = new Store(installation, member, false);
+        RaftLogStore store = new RaftLogStore(installation, member, false);
         try {
-            store.ledger = DurableLog.open(storage, PREFIX, MAGIC, store.content(), SEGMENT_BYTES);
+            store.ledger = DurableLog.open(storage, PREFIX, MAGIC, store.ledgerContent(), SEGMENT_BYTES);
         } catch (IOException e) {
             throw new RegisterError.Damaged(null, String.valueOf(e.getMessage()), e);
         }
@@ -80,7 +80,7 @@
     }
 
     /** Whether the member was begun to join an installation that is there already. */
-    public boolean joins() { return joins; }
+    public boolean joinsExisting() { return joins; }
 
     /** What the member goes on from; null where it never took part. */
     public RestoredRaftState restored() {
@@ -91,11 +91,11 @@
         SnapshotEntry snapshot = null;
         if (whole != null) {
             SnapshotChunk first = whole.getValue().get(0);
-            snapshot = Models.FACTORY.createSnapshotEntryBuilder().setIndex(first.getIndex()).setTerm(first.getTerm())
+            snapshot = RaftModelCodec.FACTORY.createSnapshotEntryBuilder().setIndex(first.getIndex()).setTerm(first.getTerm())
                     .setSnapshotChunks(new ArrayList<>(whole.getValue().values())).setGroupMembersView(first.getGroupMembersView()).build();
         }
         RaftTermPersistentState last = term != null ? term
-                : Models.FACTORY.createRaftTermPersistentStateBuilder().setTerm(0).setVotedFor(null).build();
+                : RaftModelCodec.FACTORY.createRaftTermPersistentStateBuilder().setTerm(0).setVotedFor(null).build();
         return new RestoredRaftState(local, members, last, snapshot, new ArrayList<>(log.tailMap(from, false).values()));
     }
 
@@ -104,20 +104,20 @@
     }
 
     /** Log entries kept now. */
-    public int entries() { return log.size(); }
+    public int entryCount() { return log.size(); }
 
-    private DurableLog.LoggedState content() {
+    private DurableLog.LoggedState ledgerContent() {
         return new DurableLog.LoggedState() {
             @Override
-            public void apply(DurableLog.LogRecord line) throws IOException { Store.this.take(line); }
+            public void apply(DurableLog.LogRecord line) throws IOException { RaftLogStore.this.replayRecord(line); }
 
             @Override
-            public List<DurableLog.LogRecord> snapshot() { return Store.this.base(); }
+            public List<DurableLog.LogRecord> snapshot() { return RaftLogStore.this.currentRecords(); }
         };
     }
 
-    private void take(DurableLog.LogRecord line) throws IOException {
-        if (line.kind() == WHOSE) {
+    private void replayRecord(DurableLog.LogRecord line) throws IOException {
+        if (line.kind() == OWNER) {
             Fields f = Fields.read(line.body());
             if (!f.text(1).equals(installation) || !f.text(2).equals(member)) {
                 throw new RegisterError.Foreign(null, f.text(2), f.text(1));
@@ -126,53 +126,53 @@
             return;
         }
         switch (line.kind()) {
-            case LOCAL -> {
+            case LOCAL_ENDPOINT -> {
                 Fields f = Fields.read(line.body());
-                local = Models.FACTORY.createRaftEndpointPersistentStateBuilder().setLocalEndpoint(Models.member(f.text(1)))
+                local = RaftModelCodec.FACTORY.createRaftEndpointPersistentStateBuilder().setLocalEndpoint(RaftModelCodec.member(f.text(1)))
                         .setVoting(f.flag(2)).build();
             }
-            case MEMBERS -> members = Models.members(line.body());
+            case MEMBERS -> members = RaftModelCodec.members(line.body());
             case TERM -> {
                 Fields f = Fields.read(line.body());
-                term = Models.FACTORY.createRaftTermPersistentStateBuilder().setTerm(f.intNumber(1)).setVotedFor(Models.member(f.text(2))).build();
+                term = RaftModelCodec.FACTORY.createRaftTermPersistentStateBuilder().setTerm(f.intNumber(1)).setVotedFor(RaftModelCodec.member(f.text(2))).build();
             }
             case ENTRY -> {
-                LogEntry entry = Models.entry(line.body());
+                LogEntry entry = RaftModelCodec.entry(line.body());
                 log.put(entry.getIndex(), entry);
             }
-            case CUT_FROM -> log.tailMap(Fields.read(line.body()).number(1), true).clear();
-            case CUT_UNTIL -> log.headMap(Fields.read(line.body()).number(1), true).clear();
-            case PART -> {
-                SnapshotChunk part = Models.part(line.body());
-                hold(part);
+            case TRUNCATE_FROM -> log.tailMap(Fields.read(line.body()).number(1), true).clear();
+            case TRUNCATE_UNTIL -> log.headMap(Fields.read(line.body()).number(1), true).clear();
+            case SNAPSHOT_CHUNK -> {
+                SnapshotChunk part = RaftModelCodec.snapshotChunk(line.body());
+                addSnapshotChunk(part);
             }
-            case DROP -> snapshots.remove(Fields.read(line.body()).number(1));
+            case DELETE_SNAPSHOT -> snapshots.remove(Fields.read(line.body()).number(1));
             default -> throw new IOException("a record that is not known here");
         }
     }
 
-    private void hold(SnapshotChunk part) {
+    private void addSnapshotChunk(SnapshotChunk part) {
         snapshots.computeIfAbsent(part.getIndex(), none -> new TreeMap<>()).put(part.getSnapshotChunkIndex(), part);
         if (isWhole(snapshots.get(part.getIndex()))) { snapshots.headMap(part.getIndex(), false).clear(); }
     }
 
-    private List<DurableLog.LogRecord> base() {
+    private List<DurableLog.LogRecord> currentRecords() {
         List<DurableLog.LogRecord> base = new ArrayList<>();
-        base.add(new DurableLog.LogRecord(WHOSE, new Fields.Writer().text(1, installation).text(2, member).flag(3, joins).toBytes()));
+        base.add(new DurableLog.LogRecord(OWNER, new Fields.Writer().text(1, installation).text(2, member).flag(3, joins).toBytes()));
         if (local != null) { base.add(localLine()); }
-        if (members != null) { base.add(new DurableLog.LogRecord(MEMBERS, Models.members(members))); }
+        if (members != null) { base.add(new DurableLog.LogRecord(MEMBERS, RaftModelCodec.members(members))); }
         if (term != null) { base.add(termLine()); }
-        snapshots.values().forEach(parts -> parts.values().forEach(part -> base.add(new DurableLog.LogRecord(PART, Models.part(part)))));
-        log.values().forEach(entry -> base.add(new DurableLog.LogRecord(ENTRY, Models.entry(entry))));
+        snapshots.values().forEach(parts -> parts.values().forEach(part -> base.add(new DurableLog.LogRecord(SNAPSHOT_CHUNK, RaftModelCodec.snapshotChunk(part)))));
+        log.values().forEach(entry -> base.add(new DurableLog.LogRecord(ENTRY, RaftModelCodec.entry(entry))));
         return base;
     }
 
     private DurableLog.LogRecord localLine() {
-        return new DurableLog.LogRecord(LOCAL, new Fields.Writer().text(1, Models.name(local.getLocalEndpoint())).flag(2, local.isVoting()).toBytes());
+        return new DurableLog.LogRecord(LOCAL_ENDPOINT, new Fields.Writer().text(1, RaftModelCodec.name(local.getLocalEndpoint())).flag(2, local.isVoting()).toBytes());
     }
 
     private DurableLog.LogRecord termLine() {
-        return new DurableLog.LogRecord(TERM, new Fields.Writer().number(1, term.getTerm()).text(2, Models.name(term.getVotedFor())).toBytes());
+        return new DurableLog.LogRecord(TERM, new Fields.Writer().number(1, term.getTerm()).text(2, RaftModelCodec.name(term.getVotedFor())).toBytes());
     }
 
     private void write(List<DurableLog.LogRecord> lines, boolean durably) throws IOException {
@@ -189,7 +189,7 @@
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView view) throws IOException {
         members = view;
-        write(List.of(new DurableLog.LogRecord(MEMBERS, Models.members(view))), true);
+        write(List.of(new DurableLog.LogRecord(MEMBERS, RaftModelCodec.members(view))), true);
     }
 
     @Override
@@ -201,7 +201,7 @@
     @Override
     public void persistLogEntries(List<LogEntry> entries) throws IOException {
         List<DurableLog.LogRecord> lines = new ArrayList<>(entries.size());
-        for (LogEntry entry : entries) { lines.add(new DurableLog.LogRecord(ENTRY, Models.entry(entry))); }
+        for (LogEntry entry : entries) { lines.add(new DurableLog.LogRecord(ENTRY, RaftModelCodec.entry(entry))); }
         write(lines, false);
         entries.forEach(entry -> log.put(entry.getIndex(), entry));
         if (ledger.isDueToRoll()) { ledger.roll(); }
@@ -209,25 +209,25 @@
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk part) throws IOException {
-        write(List.of(new DurableLog.LogRecord(PART, Models.part(part))), false);
-        hold(part);
+        write(List.of(new DurableLog.LogRecord(SNAPSHOT_CHUNK, RaftModelCodec.snapshotChunk(part))), false);
+        addSnapshotChunk(part);
     }
 
     @Override
     public void truncateLogEntriesFrom(long index) throws IOException {
-        write(List.of(new DurableLog.LogRecord(CUT_FROM, new Fields.Writer().number(1, index).toBytes())), false);
+        write(List.of(new DurableLog.LogRecord(TRUNCATE_FROM, new Fields.Writer().number(1, index).toBytes())), false);
         log.tailMap(index, true).clear();
     }
 
     @Override
     public void truncateLogEntriesUntil(long index) throws IOException {
-        write(List.of(new DurableLog.LogRecord(CUT_UNTIL, new Fields.Writer().number(1, index).toBytes())), false);
+        write(List.of(new DurableLog.LogRecord(TRUNCATE_UNTIL, new Fields.Writer().number(1, index).toBytes())), false);
         log.headMap(index, true).clear();
     }
 
     @Override
     public void deleteSnapshotChunks(long index, int count) throws IOException {
-        write(List.of(new DurableLog.LogRecord(DROP, new Fields.Writer().number(1, index).toBytes())), false);
+        write(List.of(new DurableLog.LogRecord(DELETE_SNAPSHOT, new Fields.Writer().number(1, index).toBytes())), false);
         snapshots.remove(index);
     }
 
--- a/src/main/java/yardusher/register/Messages.java
+++ b/src/main/java/yardusher/register/RaftMessageCodec.java
@@ -19,22 +19,22 @@
 import yardusher.disk.Fields;
 
 /** The consensus library's messages as protobuf messages of at most {@link #MOST_BYTES}. */
-final class Messages {
+final class RaftMessageCodec {
     /** Of a message: it travels as one bulk string. */
-    static final int MOST_BYTES = 60 * 1024;
+    static final int MAX_MESSAGE_BYTES = 60 * 1024;
     private static final int KIND = 1, SENDER = 2, TERM = 3, QUERY = 4, FLOW = 5, A = 6, B = 7, C = 8, FLAG = 9, PART = 10, ENTRY = 11,
             MEMBERS = 12, NAMES = 13;
 
-    private Messages() { }
+    private RaftMessageCodec() { }
 
     static byte[] encode(RaftMessage message) {
         Fields.Writer out = new Fields.Writer();
         if (message instanceof AppendEntriesRequest m) {
             head(out, 1, m).number(QUERY, m.getQuerySequenceNumber()).number(FLOW, m.getFlowControlSequenceNumber())
                     .number(A, m.getPreviousLogIndex()).number(B, m.getPreviousLogTerm()).number(C, m.getCommitIndex());
-            int room = MOST_BYTES - 256;
+            int room = MAX_MESSAGE_BYTES - 256;
             for (LogEntry entry : m.getLogEntries()) {
-                byte[] bytes = Models.entry(entry);
+                byte[] bytes = RaftModelCodec.entry(entry);
                 room -= bytes.length + 8;
                 if (room < 0) { break; }             // a prefix is a whole request: the next brings the rest
                 out.bytes(ENTRY, bytes);
@@ -54,8 +54,8 @@
         } else if (message instanceof InstallSnapshotRequest m) {
             head(out, 8, m).number(QUERY, m.getQuerySequenceNumber()).number(FLOW, m.getFlowControlSequenceNumber())
                     .number(A, m.getSnapshotIndex()).number(B, m.getSnapshotTerm()).number(C, m.getTotalSnapshotChunkCount())
-                    .flag(FLAG, m.isSenderLeader()).bytes(PART, m.getSnapshotChunk() == null ? null : Models.part(m.getSnapshotChunk()))
-                    .bytes(MEMBERS, Models.members(m.getGroupMembersView())).texts(NAMES, Models.names(m.getSnapshottedMembers()));
+                    .flag(FLAG, m.isSenderLeader()).bytes(PART, m.getSnapshotChunk() == null ? null : RaftModelCodec.snapshotChunk(m.getSnapshotChunk()))
+                    .bytes(MEMBERS, RaftModelCodec.members(m.getGroupMembersView())).texts(NAMES, RaftModelCodec.names(m.getSnapshottedMembers()));
         } else if (message instanceof InstallSnapshotResponse m) {
             head(out, 9, m).number(QUERY, m.getQuerySequenceNumber()).number(FLOW, m.getFlowControlSequenceNumber())
                     .number(A, m.getSnapshotIndex()).number(B, m.getRequestedSnapshotChunkIndex());
@@ -68,13 +68,13 @@
     }
 
     private static Fields.Writer head(Fields.Writer out, int kind, RaftMessage m) {
-        return out.number(KIND, kind).text(SENDER, Models.name(m.getSender())).number(TERM, m.getTerm());
+        return out.number(KIND, kind).text(SENDER, RaftModelCodec.name(m.getSender())).number(TERM, m.getTerm());
     }
 
     /** Reads a message of the installation; an {@link IOException} for bytes that are none. */
     static RaftMessage decode(byte[] bytes, String group) throws IOException {
         Fields f = Fields.read(bytes);
-        RaftEndpoint from = Models.member(f.text(SENDER));
+        RaftEndpoint from = RaftModelCodec.member(f.text(SENDER));
         if (from == null || f.number(TERM) < 0 || f.number(TERM) > Integer.MAX_VALUE) { throw new IOException("no message of a member"); }
         int term = f.intNumber(TERM);
         long query = f.number(QUERY);
@@ -82,29 +82,29 @@
         return switch (f.intNumber(KIND)) {
             case 1 -> {
                 List<LogEntry> entries = new ArrayList<>();
-                for (byte[] one : f.all(ENTRY)) { entries.add(Models.entry(one)); }
-                yield Models.FACTORY.createAppendEntriesRequestBuilder().setGroupId(group).setSender(from).setTerm(term)
+                for (byte[] one : f.all(ENTRY)) { entries.add(RaftModelCodec.entry(one)); }
+                yield RaftModelCodec.FACTORY.createAppendEntriesRequestBuilder().setGroupId(group).setSender(from).setTerm(term)
                         .setPreviousLogTerm(f.intNumber(B)).setPreviousLogIndex(f.number(A)).setCommitIndex(f.number(C)).setLogEntries(entries)
                         .setQuerySequenceNumber(query).setFlowControlSequenceNumber(flow).build();
             }
-            case 2 -> Models.FACTORY.createAppendEntriesSuccessResponseBuilder().setGroupId(group).setSender(from).setTerm(term)
+            case 2 -> RaftModelCodec.FACTORY.createAppendEntriesSuccessResponseBuilder().setGroupId(group).setSender(from).setTerm(term)
                     .setLastLogIndex(f.number(A)).setQuerySequenceNumber(query).setFlowControlSequenceNumber(flow).build();
-            case 3 -> Models.FACTORY.createAppendEntriesFailureResponseBuilder().setGroupId(group).setSender(from).setTerm(term)
+            case 3 -> RaftModelCodec.FACTORY.createAppendEntriesFailureResponseBuilder().setGroupId(group).setSender(from).setTerm(term)
                     .setExpectedNextIndex(f.number(A)).setQuerySequenceNumber(query).setFlowControlSequenceNumber(flow).build();
-            case 4 -> Models.FACTORY.createVoteRequestBuilder().setGroupId(group).setSender(from).setTerm(term).setLastLogTerm(f.intNumber(B))
+            case 4 -> RaftModelCodec.FACTORY.createVoteRequestBuilder().setGroupId(group).setSender(from).setTerm(term).setLastLogTerm(f.intNumber(B))
                     .setLastLogIndex(f.number(A)).setSticky(f.flag(FLAG)).build();
-            case 5 -> Models.FACTORY.createVoteResponseBuilder().setGroupId(group).setSender(from).setTerm(term).setGranted(f.flag(FLAG)).build();
-            case 6 -> Models.FACTORY.createPreVoteRequestBuilder().setGroupId(group).setSender(from).setTerm(term).setLastLogTerm(f.intNumber(B))
+            case 5 -> RaftModelCodec.FACTORY.createVoteResponseBuilder().setGroupId(group).setSender(from).setTerm(term).setGranted(f.flag(FLAG)).build();
+            case 6 -> RaftModelCodec.FACTORY.createPreVoteRequestBuilder().setGroupId(group).setSender(from).setTerm(term).setLastLogTerm(f.intNumber(B))
                     .setLastLogIndex(f.number(A)).build();
-            case 7 -> Models.FACTORY.createPreVoteResponseBuilder().setGroupId(group).setSender(from).setTerm(term).setGranted(f.flag(FLAG)).build();
-            case 8 -> Models.FACTORY.createInstallSnapshotRequestBuilder().setGroupId(group).setSender(from).setTerm(term)
+            case 7 -> RaftModelCodec.FACTORY.createPreVoteResponseBuilder().setGroupId(group).setSender(from).setTerm(term).setGranted(f.flag(FLAG)).build();
+            case 8 -> RaftModelCodec.FACTORY.createInstallSnapshotRequestBuilder().setGroupId(group).setSender(from).setTerm(term)
                     .setSenderLeader(f.flag(FLAG)).setSnapshotTerm(f.intNumber(B)).setSnapshotIndex(f.number(A)).setTotalSnapshotChunkCount(f.intNumber(C))
-                    .setSnapshotChunk(f.has(PART) ? Models.part(f.bytes(PART)) : null).setSnapshottedMembers(Models.members(f.texts(NAMES)))
-                    .setGroupMembersView(Models.members(f.bytes(MEMBERS))).setQuerySequenceNumber(query).setFlowControlSequenceNumber(flow).build();
-            case 9 -> Models.FACTORY.createInstallSnapshotResponseBuilder().setGroupId(group).setSender(from).setTerm(term)
+                    .setSnapshotChunk(f.has(PART) ? RaftModelCodec.snapshotChunk(f.bytes(PART)) : null).setSnapshottedMembers(RaftModelCodec.members(f.texts(NAMES)))
+                    .setGroupMembersView(RaftModelCodec.members(f.bytes(MEMBERS))).setQuerySequenceNumber(query).setFlowControlSequenceNumber(flow).build();
+            case 9 -> RaftModelCodec.FACTORY.createInstallSnapshotResponseBuilder().setGroupId(group).setSender(from).setTerm(term)
                     .setSnapshotIndex(f.number(A)).setRequestedSnapshotChunkIndex(f.intNumber(B)).setQuerySequenceNumber(query)
                     .setFlowControlSequenceNumber(flow).build();
-            case 10 -> Models.FACTORY.createTriggerLeaderElectionRequestBuilder().setGroupId(group).setSender(from).setTerm(term)
+            case 10 -> RaftModelCodec.FACTORY.createTriggerLeaderElectionRequestBuilder().setGroupId(group).setSender(from).setTerm(term)
                     .setLastLogTerm(f.intNumber(B)).setLastLogIndex(f.number(A)).build();
             default -> throw new IOException("a message that is not known here");
         };
--- a/src/main/java/yardusher/register/Models.java
+++ b/src/main/java/yardusher/register/RaftModelCodec.java
@@ -17,10 +17,10 @@
 import yardusher.error.CommandError;
 
 /** What the consensus library keeps and sends beside messages, as protobuf messages: entries, members, snapshot parts. */
-final class Models {
+final class RaftModelCodec {
     static final RaftModelFactory FACTORY = new DefaultRaftModelFactory();
 
-    private Models() { }
+    private RaftModelCodec() { }
 
     static byte[] entry(LogEntry entry) {
         return new Fields.Writer().number(1, entry.getIndex()).number(2, entry.getTerm()).bytes(3, operation(entry.getOperation())).toBytes();
@@ -32,7 +32,7 @@
     }
 
     private static byte[] operation(Object operation) {
-        if (operation instanceof Op op) { return new Fields.Writer().bytes(1, op.encode()).toBytes(); }
+        if (operation instanceof Operation op) { return new Fields.Writer().bytes(1, op.encode()).toBytes(); }
         if (operation instanceof byte[] part) { return new Fields.Writer().bytes(2, part).toBytes(); }
         UpdateRaftGroupMembersOp op = (UpdateRaftGroupMembersOp) operation;
         return new Fields.Writer().bytes(3, new Fields.Writer().texts(1, names(op.getMembers())).texts(2, names(op.getVotingMembers()))
@@ -41,7 +41,7 @@
 
     private static Object operation(byte[] bytes) throws IOException {
         Fields f = Fields.read(bytes);
-        if (f.has(1)) { return Op.decode(f.bytes(1)); }
+        if (f.has(1)) { return Operation.decode(f.bytes(1)); }
         if (f.has(2)) { return f.bytes(2); }
         if (!f.has(3)) { throw new IOException("an entry without an operation"); }
         Fields g = Fields.read(f.bytes(3));
@@ -62,13 +62,13 @@
                 .setVotingMembers(members(f.texts(3))).build();
     }
 
-    static byte[] part(SnapshotChunk part) {
+    static byte[] snapshotChunk(SnapshotChunk part) {
         return new Fields.Writer().number(1, part.getIndex()).number(2, part.getTerm()).bytes(3, operation(part.getOperation()))
                 .number(4, part.getSnapshotChunkIndex()).number(5, part.getSnapshotChunkCount()).bytes(6, members(part.getGroupMembersView()))
                 .toBytes();
     }
 
-    static SnapshotChunk part(byte[] bytes) throws IOException {
+    static SnapshotChunk snapshotChunk(byte[] bytes) throws IOException {
         Fields f = Fields.read(bytes);
         return FACTORY.createSnapshotChunkBuilder().setIndex(f.number(1)).setTerm(f.intNumber(2)).setOperation(operation(f.bytes(3)))
                 .setSnapshotChunkIndex(f.intNumber(4)).setSnapshotChunkCount(f.intNumber(5)).setGroupMembersView(members(f.bytes(6))).build();
@@ -85,7 +85,7 @@
         }
     }
 
-    static List<String> names(Collection<RaftEndpoint> members) { return members.stream().map(Models::name).toList(); }
+    static List<String> names(Collection<RaftEndpoint> members) { return members.stream().map(RaftModelCodec::name).toList(); }
 
     static Collection<RaftEndpoint> members(List<String> names) throws IOException {
         Collection<RaftEndpoint> members = new LinkedHashSet<>();
--- a/src/main/java/yardusher/register/Loop.java
+++ b/src/main/java/yardusher/register/RaftThreadExecutor.java
@@ -8,12 +8,12 @@
  * The register's own thread: it may wait on the disk, which no turn may. The consensus library counts in whole seconds;
  * a second of its time is so many milliseconds of ours.
  */
-public final class Loop implements RaftNodeExecutor {
+public final class RaftThreadExecutor implements RaftNodeExecutor {
     private final ScheduledThreadPoolExecutor thread;
-    private final double secondMs;
+    private final double librarySecondMs;
 
-    public Loop(String name, double secondMs) {
-        this.secondMs = secondMs;
+    public RaftThreadExecutor(String name, double secondMs) {
+        this.librarySecondMs = secondMs;
         thread = new ScheduledThreadPoolExecutor(1, work -> {
             Thread made = new Thread(work, name);
             made.setDaemon(true);
@@ -30,7 +30,7 @@
 
     @Override
     public void schedule(Runnable task, long delay, TimeUnit unit) {
-        thread.schedule(task, (long) (unit.toNanos(delay) / 1e9 * secondMs * 1e6), TimeUnit.NANOSECONDS);
+        thread.schedule(task, (long) (unit.toNanos(delay) / 1e9 * librarySecondMs * 1e6), TimeUnit.NANOSECONDS);
     }
 
     /** Ends once what is queued has run. */
--- a/src/main/java/yardusher/register/Register.java
+++ b/src/main/java/yardusher/register/Register.java
@@ -22,46 +22,46 @@
  */
 public final class Register {
     /** Ids of commands whose answers are remembered; the oldest are forgotten. */
-    static final int MOST_COMMANDS = 1000;
+    static final int MAX_REMEMBERED_COMMANDS = 1000;
     /** Lines of history. */
-    static final int MOST_HISTORY = 100;
-    private static final int MOST_EVENT = 160;       // characters
-    private static final int MOST_NAMES = 64;        // members and forgotten ones
+    static final int MAX_HISTORY_LINES = 100;
+    private static final int MAX_EVENT_CHARS = 160;       // characters
+    private static final int MAX_MEMBERS = 64;        // members and forgotten ones
 
     private long tokens;                             // the highest ever given, of works' ids too
     private long applied;
-    private final Map<Kind, Work> works = new EnumMap<>(Kind.class);
+    private final Map<WorkKind, Work> works = new EnumMap<>(WorkKind.class);
     private final Map<String, Answer> commands = new LinkedHashMap<>();
     private final ArrayDeque<String> history = new ArrayDeque<>();
     private final Map<String, String> addresses = new TreeMap<>();
     private final Set<String> forgotten = new TreeSet<>();
 
     /** Applies one operation; {@code index} is its place in the order of all. */
-    public Answer apply(long index, Op op) {
+    public Answer apply(long index, Operation op) {
         applied = index;
-        if (op instanceof Op.Submit o) { return once(o.command(), () -> submit(o)); }
-        if (op instanceof Op.Stop o) { return once(o.command(), () -> stop(o)); }
-        if (op instanceof Op.StepDown o) { return once(o.command(), () -> stepDown(o)); }
-        if (op instanceof Op.Admit o) { return once(o.command(), () -> admit(o)); }
-        if (op instanceof Op.Forget o) { return once(o.command(), () -> forget(o)); }
-        if (op instanceof Op.Claim o) { return claim(o); }
-        if (op instanceof Op.Renew o) { return renew(o); }
-        if (op instanceof Op.Checkpoint o) { return checkpoint(o); }
-        if (op instanceof Op.Release o) { return release(o); }
-        return op instanceof Op.Read ? new Answer(true, tokens, "", brief()) : Answer.yes(tokens, "");
+        if (op instanceof Operation.Submit o) { return applyOnce(o.command(), () -> submit(o)); }
+        if (op instanceof Operation.Stop o) { return applyOnce(o.command(), () -> stop(o)); }
+        if (op instanceof Operation.StepDown o) { return applyOnce(o.command(), () -> stepDown(o)); }
+        if (op instanceof Operation.Admit o) { return applyOnce(o.command(), () -> admit(o)); }
+        if (op instanceof Operation.Forget o) { return applyOnce(o.command(), () -> forget(o)); }
+        if (op instanceof Operation.Claim o) { return claim(o); }
+        if (op instanceof Operation.Renew o) { return renew(o); }
+        if (op instanceof Operation.Checkpoint o) { return checkpoint(o); }
+        if (op instanceof Operation.Release o) { return release(o); }
+        return op instanceof Operation.Read ? new Answer(true, tokens, "", encodeSummary()) : Answer.accepted(tokens, "");
     }
 
-    private interface Doing {
+    private interface CommandAction {
         Answer run();
     }
 
     /** A command takes effect once; asked again it gets the answer it got. */
-    private Answer once(String command, Doing doing) {
+    private Answer applyOnce(String command, CommandAction doing) {
         Answer before = commands.get(command);
         if (before != null) { return before; }
         Answer answer = doing.run();
         commands.put(command, answer);
-        if (commands.size() > MOST_COMMANDS) {
+        if (commands.size() > MAX_REMEMBERED_COMMANDS) {
             Iterator<String> oldest = commands.keySet().iterator();
             oldest.next();
             oldest.remove();
@@ -69,150 +69,150 @@
         return answer;
     }
 
-    private Answer submit(Op.Submit o) {
+    private Answer submit(Operation.Submit o) {
         Work now = works.get(o.kind());
-        if (o.kind().goesOn()) {
-            if (now == null) { now = fresh(o.kind(), "", o); }
-            String[] words = o.order().split(" ");
+        if (o.kind().isContinuous()) {
+            if (now == null) { now = newWork(o.kind(), "", o); }
+            String[] words = o.spec().split(" ");
             try {
                 String spec = Bans.of(now.spec()).with(words[0], now.revision() + 1, words[1].equals("out")).toString();
-                now = now.ordered(spec, o.by(), o.atMs());
+                now = now.withSpec(spec, o.by(), o.atMs());
             } catch (YardusherError e) {
-                return Answer.no(now.token(), e.getMessage());
+                return Answer.rejected(now.token(), e.getMessage());
             }
             works.put(o.kind(), now);
-            note(o.atMs(), o.kind().word() + " ordered by " + o.by() + ": " + o.order());
-            return Answer.yes(now.token(), o.kind().word() + " revision " + now.revision());
+            addHistory(o.atMs(), o.kind().label() + " ordered by " + o.by() + ": " + o.spec());
+            return Answer.accepted(now.token(), o.kind().label() + " revision " + now.revision());
         }
         if (now != null && now.isRunning() && !o.takeOver()) {
-            return Answer.no(now.token(), o.kind().word() + " ordered by " + now.by() + " is running, "
-                    + (now.isHeld() ? "held by " + now.holder() + " under token " + now.token() : "held by nobody") + since(now)
+            return Answer.rejected(now.token(), o.kind().label() + " ordered by " + now.requestedBy() + " is running, "
+                    + (now.isHeld() ? "held by " + now.holder() + " under token " + now.token() : "held by nobody") + heldSinceSuffix(now)
                     + (now.note().isEmpty() ? "" : ", " + now.note()));
         }
-        if (now != null && now.isRunning()) { note(o.atMs(), o.kind().word() + " of " + now.by() + " taken over by " + o.by()); }
-        Work next = fresh(o.kind(), o.order(), o);
+        if (now != null && now.isRunning()) { addHistory(o.atMs(), o.kind().label() + " of " + now.requestedBy() + " taken over by " + o.by()); }
+        Work next = newWork(o.kind(), o.spec(), o);
         works.put(o.kind(), next);
-        note(o.atMs(), o.kind().word() + " " + next.id() + " ordered by " + o.by() + ": " + o.order());
-        return Answer.yes(next.token(), o.kind().word() + " " + next.id() + " ordered");
+        addHistory(o.atMs(), o.kind().label() + " " + next.id() + " ordered by " + o.by() + ": " + o.spec());
+        return Answer.accepted(next.token(), o.kind().label() + " " + next.id() + " ordered");
     }
 
-    private static String since(Work work) { return work.isHeld() ? " since " + java.time.Instant.ofEpochMilli(work.heldMs()) : ""; }
+    private static String heldSinceSuffix(Work work) { return work.isHeld() ? " since " + java.time.Instant.ofEpochMilli(work.grantedAtMs()) : ""; }
 
     /** A new work. Its token is what the kind's last one had: who held that is refused from here on. */
-    private Work fresh(Kind kind, String spec, Op.Submit o) {
+    private Work newWork(WorkKind kind, String spec, Operation.Submit o) {
         return new Work(kind, ++tokens, spec, 0, ++tokens, "", 0, 0, 0, "", Work.State.RUNNING, "", o.by(), o.atMs(), 0);
     }
 
-    private Answer stop(Op.Stop o) {
+    private Answer stop(Operation.Stop o) {
         Work now = works.get(o.kind());
-        if (now == null || !now.isRunning()) { return Answer.no(0, "no " + o.kind().word() + " is running"); }
-        if (o.kind().goesOn()) { return Answer.no(now.token(), o.kind().word() + " goes on; orders change it"); }
-        works.put(o.kind(), fenced(now).at(now.seq(), now.checkpoint(), Work.State.STOPPED, "stopped by " + o.by() + at(now)));
-        note(o.atMs(), o.kind().word() + " " + now.id() + " stopped by " + o.by());
-        return Answer.yes(now.token(), o.kind().word() + " stopped" + at(now));
+        if (now == null || !now.isRunning()) { return Answer.rejected(0, "no " + o.kind().label() + " is running"); }
+        if (o.kind().isContinuous()) { return Answer.rejected(now.token(), o.kind().label() + " goes on; orders change it"); }
+        works.put(o.kind(), revokeHolder(now).withProgress(now.seq(), now.checkpoint(), Work.State.STOPPED, "stopped by " + o.by() + progressSuffix(now)));
+        addHistory(o.atMs(), o.kind().label() + " " + now.id() + " stopped by " + o.by());
+        return Answer.accepted(now.token(), o.kind().label() + " stopped" + progressSuffix(now));
     }
 
-    private static String at(Work now) { return now.note().isEmpty() ? "" : ", " + now.note(); }
+    private static String progressSuffix(Work now) { return now.note().isEmpty() ? "" : ", " + now.note(); }
 
-    private Answer stepDown(Op.StepDown o) {
+    private Answer stepDown(Operation.StepDown o) {
         Work now = works.get(o.kind());
-        if (now == null || !now.isHeld()) { return Answer.no(0, "nobody holds " + o.kind().word()); }
-        works.put(o.kind(), fenced(now));
-        note(0, o.kind().word() + " taken from " + now.holder() + " by " + o.by());
-        return Answer.yes(now.token(), o.kind().word() + " taken from " + now.holder());
+        if (now == null || !now.isHeld()) { return Answer.rejected(0, "nobody holds " + o.kind().label()); }
+        works.put(o.kind(), revokeHolder(now));
+        addHistory(0, o.kind().label() + " taken from " + now.holder() + " by " + o.by());
+        return Answer.accepted(now.token(), o.kind().label() + " taken from " + now.holder());
     }
 
     /** Held by nobody under a token that nobody has: the one who had it is refused from here on. */
-    private Work fenced(Work now) { return now.granted(++tokens, "", 0, now.heldMs()); }
+    private Work revokeHolder(Work now) { return now.withHolder(++tokens, "", 0, now.grantedAtMs()); }
 
-    private Answer claim(Op.Claim o) {
+    private Answer claim(Operation.Claim o) {
         Work now = works.get(o.kind());
-        if (now == null || !now.isRunning()) { return Answer.no(0, "no " + o.kind().word() + " is running"); }
-        if (forgotten.contains(o.member())) { return Answer.no(now.token(), "member " + o.member() + " is forgotten"); }
-        if (now.isHeld() && now.holder().equals(o.member()) && now.nonce() == o.nonce()) { return Answer.yes(now.token(), "granted"); }
-        if (now.isHeld() && (now.token() != o.seenToken() || now.beat() != o.seenBeat())) {
-            return Answer.no(now.token(), "held by " + now.holder());
+        if (now == null || !now.isRunning()) { return Answer.rejected(0, "no " + o.kind().label() + " is running"); }
+        if (forgotten.contains(o.member())) { return Answer.rejected(now.token(), "member " + o.member() + " is forgotten"); }
+        if (now.isHeld() && now.holder().equals(o.member()) && now.nonce() == o.nonce()) { return Answer.accepted(now.token(), "granted"); }
+        if (now.isHeld() && (now.token() != o.seenToken() || now.heartbeat() != o.seenHeartbeat())) {
+            return Answer.rejected(now.token(), "held by " + now.holder());
         }
-        Work next = now.granted(++tokens, o.member(), o.nonce(), o.atMs());
+        Work next = now.withHolder(++tokens, o.member(), o.nonce(), o.atMs());
         works.put(o.kind(), next);
-        note(o.atMs(), o.kind().word() + " " + now.id() + " given to " + o.member() + " under token " + next.token()
+        addHistory(o.atMs(), o.kind().label() + " " + now.id() + " given to " + o.member() + " under token " + next.token()
                 + (now.isHeld() ? ", " + now.holder() + " was silent" : ""));
-        return Answer.yes(next.token(), "granted");
+        return Answer.accepted(next.token(), "granted");
     }
 
     /** The work where the token is its holder's, else null. */
-    private Work held(Kind kind, long token) {
+    private Work findHeld(WorkKind kind, long token) {
         Work now = works.get(kind);
         return now != null && now.isHeld() && now.token() == token ? now : null;
     }
 
-    private Answer refused(Kind kind) {
+    private Answer refusal(WorkKind kind) {
         Work now = works.get(kind);
-        return Answer.no(now == null ? 0 : now.token(), now == null ? "no such work" : now.isHeld()
+        return Answer.rejected(now == null ? 0 : now.token(), now == null ? "no such work" : now.isHeld()
                 ? "held by " + now.holder() + " under token " + now.token() : "held by nobody, token " + now.token());
     }
 
-    private Answer renew(Op.Renew o) {
-        Work now = held(o.kind(), o.token());
-        if (now == null) { return refused(o.kind()); }
-        if (o.beat() > now.beat()) { works.put(o.kind(), now.renewed(o.beat())); }
-        return Answer.yes(o.token(), "");
+    private Answer renew(Operation.Renew o) {
+        Work now = findHeld(o.kind(), o.token());
+        if (now == null) { return refusal(o.kind()); }
+        if (o.heartbeat() > now.heartbeat()) { works.put(o.kind(), now.withHeartbeat(o.heartbeat())); }
+        return Answer.accepted(o.token(), "");
     }
 
-    private Answer checkpoint(Op.Checkpoint o) {
+    private Answer checkpoint(Operation.Checkpoint o) {
         Work now = works.get(o.kind());
         if (now != null && now.token() == o.token() && now.seq() == o.seq() && now.checkpoint().equals(o.text())) {
-            return Answer.yes(o.token(), "");        // its answer was lost
+            return Answer.accepted(o.token(), "");        // its answer was lost
         }
-        now = held(o.kind(), o.token());
-        if (now == null) { return refused(o.kind()); }
-        if (o.seq() != now.seq() + 1) { return Answer.no(o.token(), "checkpoint " + o.seq() + " after " + now.seq()); }
-        works.put(o.kind(), now.at(o.seq(), o.text(), o.state(), o.note()));
-        if (o.state() != Work.State.RUNNING) { note(0, o.kind().word() + " " + now.id() + " " + o.state() + ": " + o.note()); }
-        return Answer.yes(o.token(), "");
+        now = findHeld(o.kind(), o.token());
+        if (now == null) { return refusal(o.kind()); }
+        if (o.seq() != now.seq() + 1) { return Answer.rejected(o.token(), "checkpoint " + o.seq() + " after " + now.seq()); }
+        works.put(o.kind(), now.withProgress(o.seq(), o.text(), o.state(), o.note()));
+        if (o.state() != Work.State.RUNNING) { addHistory(0, o.kind().label() + " " + now.id() + " " + o.state() + ": " + o.note()); }
+        return Answer.accepted(o.token(), "");
     }
 
-    private Answer release(Op.Release o) {
-        Work now = held(o.kind(), o.token());
-        if (now == null) { return refused(o.kind()); }
-        works.put(o.kind(), now.free());
-        return Answer.yes(o.token(), "");
+    private Answer release(Operation.Release o) {
+        Work now = findHeld(o.kind(), o.token());
+        if (now == null) { return refusal(o.kind()); }
+        works.put(o.kind(), now.withoutHolder());
+        return Answer.accepted(o.token(), "");
     }
 
-    private Answer admit(Op.Admit o) {
-        if (forgotten.contains(o.member())) { return Answer.no(0, "the name " + o.member() + " was forgotten; a member that comes back takes a new one"); }
-        if (addresses.size() >= MOST_NAMES) { return Answer.no(0, MOST_NAMES + " members are known already"); }
+    private Answer admit(Operation.Admit o) {
+        if (forgotten.contains(o.member())) { return Answer.rejected(0, "the name " + o.member() + " was forgotten; a member that comes back takes a new one"); }
+        if (addresses.size() >= MAX_MEMBERS) { return Answer.rejected(0, MAX_MEMBERS + " members are known already"); }
         addresses.put(o.member(), o.address());
-        note(0, "member " + o.member() + " at " + o.address());
-        return Answer.yes(0, "member " + o.member() + " at " + o.address());
+        addHistory(0, "member " + o.member() + " at " + o.address());
+        return Answer.accepted(0, "member " + o.member() + " at " + o.address());
     }
 
-    private Answer forget(Op.Forget o) {
+    private Answer forget(Operation.Forget o) {
         addresses.remove(o.member());
         forgotten.add(o.member());
-        if (forgotten.size() > MOST_NAMES) { forgotten.remove(forgotten.iterator().next()); }
-        for (Kind kind : Kind.values()) {
+        if (forgotten.size() > MAX_MEMBERS) { forgotten.remove(forgotten.iterator().next()); }
+        for (WorkKind kind : WorkKind.values()) {
             Work work = works.get(kind);
-            if (work != null && work.holder().equals(o.member())) { works.put(kind, fenced(work)); }
+            if (work != null && work.holder().equals(o.member())) { works.put(kind, revokeHolder(work)); }
         }
-        note(0, "member " + o.member() + " forgotten");
-        return Answer.yes(0, "member " + o.member() + " forgotten");
+        addHistory(0, "member " + o.member() + " forgotten");
+        return Answer.accepted(0, "member " + o.member() + " forgotten");
     }
 
-    private void note(long atMs, String text) {
+    private void addHistory(long atMs, String text) {
         String event = applied + " " + (atMs == 0 ? "" : java.time.Instant.ofEpochMilli(atMs) + " ") + text;
-        history.add(event.length() > MOST_EVENT ? event.substring(0, MOST_EVENT) : event);
-        if (history.size() > MOST_HISTORY) { history.poll(); }
+        history.add(event.length() > MAX_EVENT_CHARS ? event.substring(0, MAX_EVENT_CHARS) : event);
+        if (history.size() > MAX_HISTORY_LINES) { history.poll(); }
     }
 
     /** The place of the operation applied last. */
-    public long applied() { return applied; }
+    public long appliedIndex() { return applied; }
 
     /** The highest token ever given. */
-    public long tokens() { return tokens; }
+    public long highestToken() { return tokens; }
 
     /** The work of a kind, or null where none was ever ordered. */
-    public Work work(Kind kind) { return works.get(kind); }
+    public Work work(WorkKind kind) { return works.get(kind); }
 
     public Collection<Work> works() { return List.copyOf(works.values()); }
 
@@ -235,9 +235,9 @@
     }
 
     /** What is told to a reader, in one message between agents: without checkpoints, and without the answers to commands. */
-    private byte[] brief() {
+    private byte[] encodeSummary() {
         Fields.Writer out = new Fields.Writer().number(1, tokens).number(2, applied);
-        works.values().forEach(work -> out.bytes(3, work.brief().encode()));
+        works.values().forEach(work -> out.bytes(3, work.withoutCheckpoint().encode()));
         out.texts(5, history);
         addresses.forEach((member, address) -> out.bytes(6, new Fields.Writer().text(1, member).text(2, address).toBytes()));
         return out.texts(7, forgotten).toBytes();
@@ -280,7 +280,7 @@
     }
 
     /** The state in parts of at most so many bytes, for a snapshot. */
-    List<byte[]> parts(int most) {
+    List<byte[]> snapshotChunks(int most) {
         byte[] whole = encode();
         List<byte[]> parts = new ArrayList<>();
         for (int from = 0; from == 0 || from < whole.length; from += most) {
--- a/src/main/java/yardusher/register/Node.java
+++ b/src/main/java/yardusher/register/RegisterNode.java
@@ -43,72 +43,72 @@
  * One member's part of the register: the consensus library, its store, and the member's own copy. It knows no network
  * and no thread: messages go to {@link World}, and work runs where the executor says, a task at a time.
  */
-public final class Node {
+public final class RegisterNode {
     /** Heartbeats without a word of the leader, after which another may be chosen. */
-    static final int SILENT_HEARTBEATS = 5;
+    static final int HEARTBEAT_TIMEOUT_PERIODS = 5;
     private static final int ELECTION_MS = 1500;     // of the library's time: one and a half heartbeats
-    private static final int SNAPSHOT_EVERY = 1000;  // operations
-    private static final int PENDING = 256;          // operations not yet agreed on; more are refused
-    private static final int BATCH = 32;             // entries of a message, as far as bytes allow
-    private static final int PART = 32 * 1024;       // bytes of a snapshot's part
+    private static final int SNAPSHOT_INTERVAL_OPERATIONS = 1000;  // operations
+    private static final int MAX_PENDING_OPERATIONS = 256;          // operations not yet agreed on; more are refused
+    private static final int MAX_ENTRIES_PER_MESSAGE = 32;             // entries of a message, as far as bytes allow
+    private static final int SNAPSHOT_CHUNK_BYTES = 32 * 1024;       // bytes of a snapshot's part
 
     static {
-        if (Messages.MOST_BYTES > Decoder.MAX_BULK_BYTES) { throw new IllegalStateException("messages longer than a bulk string"); }
+        if (RaftMessageCodec.MAX_MESSAGE_BYTES > Decoder.MAX_BULK_BYTES) { throw new IllegalStateException("messages longer than a bulk string"); }
     }
 
     /** What a member needs of its surroundings. Called where the executor runs. */
-    public interface World {
+    public interface Environment {
         /** Sends a message to another member, or loses it. */
         void send(String member, byte[] message);
 
         /** Whether there is any sense in sending to a member now. */
-        boolean reaches(String member);
+        boolean isReachable(String member);
 
         /** The member's own copy has changed. */
-        void changed(View view);
+        void onViewChanged(RegisterView view);
 
         /** The store failed: this member takes part no more. */
-        void broken(IOException why);
+        void onStoreFailed(IOException why);
     }
 
     /** How an operation went that was asked at this member. */
-    public interface Asked {
+    public interface OperationCallback {
         /** The register has spoken. */
-        void answered(Answer answer);
+        void onAnswer(Answer answer);
 
         /**
          * This member cannot say: it does not lead. {@code leader}: who does, or null. {@code unknown}: the operation may
          * have taken effect and may not, and is to be asked again.
          */
-        void notHere(String leader, boolean unknown);
+        void onUnanswered(String leader, boolean unknown);
     }
 
     private final String installation;
     private final RaftNodeImpl raft;
     private final RaftNodeExecutor executor;
-    private final World world;
-    private final Store store;
+    private final Environment environment;
+    private final RaftLogStore store;
     private Register register = new Register();
-    private volatile View view = View.NOTHING;
-    private volatile boolean broken;
+    private volatile RegisterView view = RegisterView.EMPTY;
+    private volatile boolean storeFailed;
 
     /**
      * {@code first}: the names of the members that an installation began with, in the same words at each of them.
      * {@code heartbeatMs}: of our time, which the executor counts as the library's second; the clock counts in our
      * milliseconds and never goes back.
      */
-    public Node(String installation, String self, List<String> first, Store store, double heartbeatMs, RaftNodeExecutor executor,
-            DoubleSupplier clockMs, Random random, World world) {
+    public RegisterNode(String installation, String self, List<String> first, RaftLogStore store, double heartbeatMs, RaftNodeExecutor executor,
+            DoubleSupplier clockMs, Random random, Environment world) {
         this.installation = installation;
-        this.world = world;
+        this.environment = world;
         this.executor = executor;
         this.store = store;
-        RaftConfig config = RaftConfig.newBuilder().setLeaderHeartbeatPeriodSecs(1).setLeaderHeartbeatTimeoutSecs(SILENT_HEARTBEATS)
-                .setLeaderElectionTimeoutMillis(ELECTION_MS).setCommitCountToTakeSnapshot(SNAPSHOT_EVERY)
-                .setMaxPendingLogEntryCount(PENDING).setAppendEntriesRequestBatchSize(BATCH)
+        RaftConfig config = RaftConfig.newBuilder().setLeaderHeartbeatPeriodSecs(1).setLeaderHeartbeatTimeoutSecs(HEARTBEAT_TIMEOUT_PERIODS)
+                .setLeaderElectionTimeoutMillis(ELECTION_MS).setCommitCountToTakeSnapshot(SNAPSHOT_INTERVAL_OPERATIONS)
+                .setMaxPendingLogEntryCount(MAX_PENDING_OPERATIONS).setAppendEntriesRequestBatchSize(MAX_ENTRIES_PER_MESSAGE)
                 .setTransferSnapshotsFromFollowersEnabled(false).setRaftNodeReportPublishPeriodSecs(3600).build();
         RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder().setGroupId(installation).setConfig(config).setExecutor(executor)
-                .setTransport(new Ways()).setStateMachine(new Copy()).setStore(new Guarded()).setModelFactory(Models.FACTORY)
+                .setTransport(new NodeTransport()).setStateMachine(new RegisterStateMachine()).setStore(new FailStopStore()).setModelFactory(RaftModelCodec.FACTORY)
                 .setRandom(random).setClock(clock(clockMs, heartbeatMs));
         if (store.restored() != null) {
             builder.setRestoredState(store.restored());
@@ -138,7 +138,7 @@
 
     public void start() {
         raft.start();
-        executor.schedule(this::doubtAgain, 1, TimeUnit.SECONDS);
+        executor.schedule(this::retryStalledPreVote, 1, TimeUnit.SECONDS);
     }
 
     /**
@@ -146,14 +146,14 @@
      * then heard the leader after all keeps that it has asked. When that leader dies it waits for itself for ever, and where
      * all are so nobody leads any more. Here it asks anew, as it would have: an election has all its rules from there.
      */
-    private void doubtAgain() {
-        if (isOver()) { return; }
+    private void retryStalledPreVote() {
+        if (isTerminated()) { return; }
         RaftState state = raft.state();
         if (state.role() == RaftRole.FOLLOWER && state.leader() != null && state.preCandidateState() != null && raft.isLeaderHeartbeatTimeoutElapsed()) {
             raft.leader(null);
             raft.runPreVote();
         }
-        executor.schedule(this::doubtAgain, 1, TimeUnit.SECONDS);
+        executor.schedule(this::retryStalledPreVote, 1, TimeUnit.SECONDS);
     }
 
     /** Takes part no more; {@code then} runs once that is so. */
@@ -162,10 +162,10 @@
     }
 
     /** Whether it was ended, by itself or from outside. */
-    public boolean isOver() { return broken || raft.getStatus() == RaftNodeStatus.TERMINATED; }
+    public boolean isTerminated() { return storeFailed || raft.getStatus() == RaftNodeStatus.TERMINATED; }
 
     /** The member's own copy, which may be old. */
-    public View view() { return view; }
+    public RegisterView view() { return view; }
 
     /** Who leads as far as this member knows; null for nobody. */
     public String leader() {
@@ -176,74 +176,74 @@
     public int term() { return raft.getTerm().getTerm(); }
 
     /** Names of the members that the group has agreed on. */
-    public List<String> members() { return Models.names(raft.getCommittedMembers().getMembers()); }
+    public List<String> members() { return RaftModelCodec.names(raft.getCommittedMembers().getMembers()); }
 
     /** A message of another member; an {@link IOException} for bytes that are none. */
-    public void hear(byte[] message) throws IOException {
-        RaftMessage decoded = Messages.decode(message, installation);
-        if (!broken) { raft.handle(decoded); }
+    public void receive(byte[] message) throws IOException {
+        RaftMessage decoded = RaftMessageCodec.decode(message, installation);
+        if (!storeFailed) { raft.handle(decoded); }
     }
 
     /** Asks for an operation; {@code asked} hears of it where the executor runs. */
-    public void ask(Op op, Asked asked) {
-        if (broken) {
-            asked.notHere(null, false);
+    public void submit(Operation op, OperationCallback asked) {
+        if (storeFailed) {
+            asked.onUnanswered(null, false);
             return;
         }
-        CompletableFuture<Ordered<Answer>> asking = op instanceof Op.Read
+        CompletableFuture<Ordered<Answer>> asking = op instanceof Operation.Read
                 ? raft.query(op, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty()) : raft.replicate(op);
-        asking.whenComplete((done, why) -> tell(asked, done == null ? null : done.getResult(), why));
+        asking.whenComplete((done, why) -> complete(asked, done == null ? null : done.getResult(), why));
     }
 
     /** Takes a member in, or out of the group for good. */
-    public void change(String member, boolean in, Asked asked) {
-        if (broken) {
-            asked.notHere(null, false);
+    public void changeMembership(String member, boolean in, OperationCallback asked) {
+        if (storeFailed) {
+            asked.onUnanswered(null, false);
             return;
         }
         boolean isIn = members().contains(member);
         if (isIn == in) {
-            asked.answered(Answer.yes(0, "member " + member + (in ? " takes part" : " is out")));
+            asked.onAnswer(Answer.accepted(0, "member " + member + (in ? " takes part" : " is out")));
             return;
         }
         raft.changeMembership(new Member(member), in ? MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER : MembershipChangeMode.REMOVE_MEMBER,
                 raft.getCommittedMembers().getLogIndex()).whenComplete((done, why) ->
-                tell(asked, done == null ? null : Answer.yes(0, "member " + member + (in ? " takes part" : " is out")), why));
+                complete(asked, done == null ? null : Answer.accepted(0, "member " + member + (in ? " takes part" : " is out")), why));
     }
 
-    private void tell(Asked asked, Answer answer, Throwable why) {
+    private void complete(OperationCallback asked, Answer answer, Throwable why) {
         if (answer != null) {
-            asked.answered(answer);
+            asked.onAnswer(answer);
             return;
         }
         Throwable cause = why instanceof CompletionException && why.getCause() != null ? why.getCause() : why;
         if (cause instanceof NotLeaderException not) {
-            asked.notHere(Models.name(not.getLeader()).isEmpty() ? null : Models.name(not.getLeader()), false);
+            asked.onUnanswered(RaftModelCodec.name(not.getLeader()).isEmpty() ? null : RaftModelCodec.name(not.getLeader()), false);
         } else {
-            asked.notHere(null, true);
+            asked.onUnanswered(null, true);
         }
     }
 
-    private final class Ways implements Transport {
+    private final class NodeTransport implements Transport {
         @Override
         public void send(RaftEndpoint to, RaftMessage message) {
-            if (!broken) { world.send((String) to.getId(), Messages.encode(message)); }
+            if (!storeFailed) { environment.send((String) to.getId(), RaftMessageCodec.encode(message)); }
         }
 
         @Override
-        public boolean isReachable(RaftEndpoint member) { return !broken && world.reaches((String) member.getId()); }
+        public boolean isReachable(RaftEndpoint member) { return !storeFailed && environment.isReachable((String) member.getId()); }
     }
 
-    private final class Copy implements StateMachine {
+    private final class RegisterStateMachine implements StateMachine {
         @Override
         public Object runOperation(long index, Object operation) {
-            Answer answer = register.apply(index, (Op) operation);
-            if (!(operation instanceof Op.Read)) { publish(); }
+            Answer answer = register.apply(index, (Operation) operation);
+            if (!(operation instanceof Operation.Read)) { publish(); }
             return answer;
         }
 
         @Override
-        public void takeSnapshot(long index, Consumer<Object> parts) { register.parts(PART).forEach(parts); }
+        public void takeSnapshot(long index, Consumer<Object> parts) { register.snapshotChunks(SNAPSHOT_CHUNK_BYTES).forEach(parts); }
 
         @Override
         public void installSnapshot(long index, List<Object> parts) {
@@ -258,24 +258,24 @@
         }
 
         @Override
-        public Object getNewTermOperation() { return new Op.NewTerm(); }
+        public Object getNewTermOperation() { return new Operation.NewTerm(); }
 
         private void publish() {
-            view = View.of(register);
-            world.changed(view);
+            view = RegisterView.of(register);
+            environment.onViewChanged(view);
         }
     }
 
     /** The store; after its first failure nothing that rests on it leaves this member. */
-    private final class Guarded implements RaftStore {
-        private void run(Writing writing) throws IOException {
+    private final class FailStopStore implements RaftStore {
+        private void run(StoreWrite writing) throws IOException {
             try {
-                if (broken) { throw new IOException("the store has failed"); }
+                if (storeFailed) { throw new IOException("the store has failed"); }
                 writing.run();
             } catch (IOException e) {
-                if (!broken) {
-                    broken = true;
-                    world.broken(e);
+                if (!storeFailed) {
+                    storeFailed = true;
+                    environment.onStoreFailed(e);
                 }
                 throw e;
             }
@@ -313,7 +313,7 @@
         public void flush() throws IOException { run(store::flush); }
     }
 
-    private interface Writing {
+    private interface StoreWrite {
         void run() throws IOException;
     }
 }
--- a/src/main/java/yardusher/register/Work.java
+++ b/src/main/java/yardusher/register/Work.java
@@ -21,8 +21,8 @@
  * @param orderedMs Unix time of the order as its taker knew it; only told
  * @param heldMs Unix time of the last grant as the holder knew it; only told
  */
-public record Work(Kind kind, long id, String spec, long revision, long token, String holder, long nonce, long beat, long seq,
-        String checkpoint, State state, String note, String by, long orderedMs, long heldMs) {
+public record Work(WorkKind kind, long id, String spec, long revision, long token, String holder, long nonce, long heartbeat, long seq,
+        String checkpoint, State state, String note, String requestedBy, long requestedAtMs, long grantedAtMs) {
     /** Whether a work is to be done. */
     public enum State { RUNNING, DONE, STOPPED, FAILED }
 
@@ -30,43 +30,43 @@
 
     public boolean isHeld() { return !holder.isEmpty(); }
 
-    Work ordered(String newSpec, String who, long atMs) {
-        return new Work(kind, id, newSpec, revision + 1, token, holder, nonce, beat, seq, checkpoint, state, note, who, atMs, heldMs);
+    Work withSpec(String newSpec, String who, long atMs) {
+        return new Work(kind, id, newSpec, revision + 1, token, holder, nonce, heartbeat, seq, checkpoint, state, note, who, atMs, grantedAtMs);
     }
 
-    Work granted(long newToken, String member, long newNonce, long atMs) {
-        return new Work(kind, id, spec, revision, newToken, member, newNonce, 0, seq, checkpoint, state, note, by, orderedMs, atMs);
+    Work withHolder(long newToken, String member, long newNonce, long atMs) {
+        return new Work(kind, id, spec, revision, newToken, member, newNonce, 0, seq, checkpoint, state, note, requestedBy, requestedAtMs, atMs);
     }
 
-    Work renewed(long newBeat) {
-        return new Work(kind, id, spec, revision, token, holder, nonce, newBeat, seq, checkpoint, state, note, by, orderedMs, heldMs);
+    Work withHeartbeat(long newBeat) {
+        return new Work(kind, id, spec, revision, token, holder, nonce, newBeat, seq, checkpoint, state, note, requestedBy, requestedAtMs, grantedAtMs);
     }
 
-    Work free() { return new Work(kind, id, spec, revision, token, "", 0, 0, seq, checkpoint, state, note, by, orderedMs, heldMs); }
+    Work withoutHolder() { return new Work(kind, id, spec, revision, token, "", 0, 0, seq, checkpoint, state, note, requestedBy, requestedAtMs, grantedAtMs); }
 
-    Work at(long newSeq, String newCheckpoint, State newState, String newNote) {
+    Work withProgress(long newSeq, String newCheckpoint, State newState, String newNote) {
         boolean ends = newState != State.RUNNING;
-        return new Work(kind, id, spec, revision, token, ends ? "" : holder, ends ? 0 : nonce, beat, newSeq, newCheckpoint, newState,
-                newNote, by, orderedMs, heldMs);
+        return new Work(kind, id, spec, revision, token, ends ? "" : holder, ends ? 0 : nonce, heartbeat, newSeq, newCheckpoint, newState,
+                newNote, requestedBy, requestedAtMs, grantedAtMs);
     }
 
     /** Without its checkpoint, for readers. */
-    Work brief() {
-        return new Work(kind, id, spec, revision, token, holder, nonce, beat, seq, "", state, note, by, orderedMs, heldMs);
+    Work withoutCheckpoint() {
+        return new Work(kind, id, spec, revision, token, holder, nonce, heartbeat, seq, "", state, note, requestedBy, requestedAtMs, grantedAtMs);
     }
 
     byte[] encode() {
         return new Fields.Writer().number(1, kind.ordinal()).number(2, id).text(3, spec).number(4, revision).number(5, token)
-                .text(6, holder).number(7, nonce).number(8, beat).number(9, seq).text(10, checkpoint).number(11, state.ordinal())
-                .text(12, note).text(13, by).number(14, orderedMs).number(15, heldMs).toBytes();
+                .text(6, holder).number(7, nonce).number(8, heartbeat).number(9, seq).text(10, checkpoint).number(11, state.ordinal())
+                .text(12, note).text(13, requestedBy).number(14, requestedAtMs).number(15, grantedAtMs).toBytes();
     }
 
     static Work decode(byte[] bytes) throws IOException {
         Fields f = Fields.read(bytes);
-        if (f.number(1) < 0 || f.number(1) >= Kind.values().length || f.number(11) < 0 || f.number(11) >= State.values().length) {
+        if (f.number(1) < 0 || f.number(1) >= WorkKind.values().length || f.number(11) < 0 || f.number(11) >= State.values().length) {
             throw new IOException("a work of an unknown kind");
         }
-        return new Work(Kind.values()[f.intNumber(1)], f.number(2), f.text(3), f.number(4), f.number(5), f.text(6), f.number(7),
+        return new Work(WorkKind.values()[f.intNumber(1)], f.number(2), f.text(3), f.number(4), f.number(5), f.text(6), f.number(7),
                 f.number(8), f.number(9), f.text(10), State.values()[f.intNumber(11)], f.text(12), f.text(13), f.number(14), f.number(15));
     }
 }
--- a/src/test/java/yardusher/journal/JournalStoryTest.java
+++ b/src/test/java/yardusher/journal/JournalStoryTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import yardusher.Api;
-import yardusher.cli.Config;
+import yardusher.cli.IngressConfig;
 import yardusher.core.Attempt;
 import yardusher.core.BackendCommand;
 import yardusher.core.Counters;
@@ -49,7 +49,7 @@
     Path folder;
 
     private void start(boolean refuses, JournalSettings.Durability durability) throws Exception {
-        Config config = Config.read("src/test/resources/ingress.json");
+        IngressConfig config = IngressConfig.read("src/test/resources/ingress.json");
         Events events = new Events() {
             @Override
             public void info(String text, Object... pairs) { loggedLines.add(Events.line("", text, pairs)); }
@@ -293,7 +293,7 @@
     @Test
     void aFolderIsReadMergedListedAndVerifiedAsPeopleAskAndHeldByOneWriter() throws Exception {
         start(true, JournalSettings.Durability.PROCESS);
-        Config config = Config.read("src/test/resources/ingress.json");
+        IngressConfig config = IngressConfig.read("src/test/resources/ingress.json");
         JournalSettings settings = new JournalSettings(folder, JournalSettings.Durability.PROCESS, 50, 5, 200, 1 << 20, 1 << 24, 4096, 72, 60, true, 500, false);
         for (String name : new String[] {"n0", "n1"}) {
             Journal own = Journal.open(settings, name, config.settings(), config.classes(), config.plans(), loop, Events.plain(name));
--- a/src/test/java/yardusher/journal/KillRun.java
+++ b/src/test/java/yardusher/journal/KillRun.java
@@ -185,7 +185,7 @@
         // One more life closes the requests that the last one left open.
         JournalSettings settings = yardusher.settings.Settings.read(own).journal();
         yardusher.core.EventLoop loop = new yardusher.core.EventLoop(System::currentTimeMillis, e -> { });
-        Journal.open(settings, "n0", yardusher.cli.Config.read(config.toString()).settings(), List.of(), List.of(), loop,
+        Journal.open(settings, "n0", yardusher.cli.IngressConfig.read(config.toString()).settings(), List.of(), List.of(), loop,
                 yardusher.log.Events.plain("check")).close(5000);
         Map<JournaledRequest.State, Integer> states = new HashMap<>();
         List<String> leftOpen = new ArrayList<>();
--- a/src/test/java/yardusher/register/StandstillTest.java
+++ b/src/test/java/yardusher/register/StandstillTest.java
@@ -27,7 +27,7 @@
     private record Due(double at, long order, Runnable work) { }
 
     private final PriorityQueue<Due> due = new PriorityQueue<>((a, b) -> a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.order, b.order));
-    private final Map<String, Node> nodes = new TreeMap<>();
+    private final Map<String, RegisterNode> nodes = new TreeMap<>();
     private final Set<String> cut = new HashSet<>();
     private double now;
     private long order;
@@ -48,13 +48,13 @@
             @Override
             public void schedule(Runnable task, long delay, TimeUnit unit) { later(unit.toMicros(delay) / 1e6 * SECOND_MS, task); }
         };
-        Node node = new Node("sim", name, NAMES, Store.begin(new MemoryDisk(), "sim", name, false), SECOND_MS, executor, () -> now, new Random(seed), new Node.World() {
+        RegisterNode node = new RegisterNode("sim", name, NAMES, RaftLogStore.create(new MemoryDisk(), "sim", name, false), SECOND_MS, executor, () -> now, new Random(seed), new RegisterNode.Environment() {
             @Override
             public void send(String member, byte[] message) {
                 if (cut.contains(name + member)) { return; }
                 later(1, () -> {
                     try {
-                        nodes.get(member).hear(message);
+                        nodes.get(member).receive(message);
                     } catch (IOException e) {
                         throw new java.io.UncheckedIOException(e);
                     }
@@ -62,13 +62,13 @@
             }
 
             @Override
-            public boolean reaches(String member) { return true; }
+            public boolean isReachable(String member) { return true; }
 
             @Override
-            public void changed(View view) { /* nobody looks */ }
+            public void onViewChanged(RegisterView view) { /* nobody looks */ }
 
             @Override
-            public void broken(IOException why) { throw new java.io.UncheckedIOException(why); }
+            public void onStoreFailed(IOException why) { throw new java.io.UncheckedIOException(why); }
         });
         nodes.put(name, node);
         node.start();
@@ -92,7 +92,7 @@
         for (String other : NAMES) {
             if (other.equals(leader)) { continue; }
             cut.add(leader + other);                 // it asks whether it may be voted for, and is told that the leader is there
-            run((Node.SILENT_HEARTBEATS + 2) * SECOND_MS);
+            run((RegisterNode.HEARTBEAT_TIMEOUT_PERIODS + 2) * SECOND_MS);
             cut.clear();
             run(10 * SECOND_MS);
         }
