--- a/lab/src/yardusher/lab/Group.java
+++ b/lab/src/yardusher/lab/Group.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntFunction;
-import yardusher.cli.Asking;
+import yardusher.cli.RespClient;
 import yardusher.error.WireError;
 import yardusher.resp.MalformedRespException;
 import yardusher.resp.Value;
@@ -246,7 +246,7 @@
     /** Asks its second address; an error is given as its text behind a '-'. Null where it does not answer. */
     public String ask(int i, int withinMs, String... words) {
         try {
-            Value answer = Asking.ask(Programs.text(admins[i]), withinMs, words);
+            Value answer = RespClient.call(Programs.text(admins[i]), withinMs, words);
             return answer instanceof Value.BulkString bulk ? bulk.text() : answer instanceof Value.ErrorReply no ? "-" + no.text() : String.valueOf(answer);
         } catch (WireError e) {
             return null;
--- a/lab/src/yardusher/lab/MemoryDisk.java
+++ b/lab/src/yardusher/lab/MemoryDisk.java
@@ -126,7 +126,7 @@
     }
 
     @Override
-    public void forceNames() { /* names last at once */ }
+    public void forceDirectory() { /* names last at once */ }
 
     @Override
     public void close() { /* nothing is held */ }
--- a/lab/src/yardusher/lab/capacity/ListCosts.java
+++ b/lab/src/yardusher/lab/capacity/ListCosts.java
@@ -73,7 +73,7 @@
             table = new DiscoveredBackends(List.of("a", "b", "c", "d", "e", "f", "g", "h"), new BackendPool(sockets, new Counters(), List.of(), 200, 10_000, 1000, 300));
         }
 
-        void take(String news) throws IOException { policy.on(1, table.line(news)); }
+        void take(String news) throws IOException { policy.on(1, table.applyLine(news)); }
 
         double cost(String news) throws IOException {
             long from = Lines.cpu();
--- a/lab/src/yardusher/lab/fleet/Costs.java
+++ b/lab/src/yardusher/lab/fleet/Costs.java
@@ -9,7 +9,7 @@
 import java.util.Random;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.Semaphore;
-import yardusher.disk.Folder;
+import yardusher.disk.Directory;
 import yardusher.disk.Storage;
 import yardusher.register.Answer;
 import yardusher.register.WorkKind;
@@ -161,7 +161,7 @@
      */
     private static void recovery(Path path, int entries) throws Exception {
         Files.createDirectories(path);
-        Storage folder = Folder.writing(path, "m0");
+        Storage folder = Directory.openForWriting(path, "m0");
         RaftLogStore store = RaftLogStore.create(folder, "site", "m0", false);
         RaftThreadExecutor loop = new RaftThreadExecutor("register", 200);
         RegisterNode node = node(store, loop, view -> { });
--- a/lab/src/yardusher/lab/fleet/Installation.java
+++ b/lab/src/yardusher/lab/fleet/Installation.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import yardusher.cli.Asking;
+import yardusher.cli.RespClient;
 import yardusher.error.WireError;
 import yardusher.lab.Chronicle;
 import yardusher.lab.Discovery;
@@ -225,7 +225,7 @@
      */
     public String ask(int agent, int withinMs, String... words) {
         try {
-            Value answer = Asking.ask(text(controls[agent]), withinMs, words);
+            Value answer = RespClient.call(text(controls[agent]), withinMs, words);
             return answer instanceof Value.BulkString bulk ? bulk.text() : answer instanceof Value.ErrorReply no ? "-" + no.text()
                     : answer instanceof Value.ArrayValue many ? many.items().stream().map(one -> ((Value.BulkString) one).text())
                             .reduce("", (a, b) -> a + b + "\n") : answer.toString();
--- a/lab/src/yardusher/lab/scale/HollowHost.java
+++ b/lab/src/yardusher/lab/scale/HollowHost.java
@@ -20,7 +20,7 @@
 import org.HdrHistogram.Histogram;
 import yardusher.Api;
 import yardusher.GossipRows;
-import yardusher.cli.Config;
+import yardusher.cli.IngressConfig;
 import yardusher.core.Counters;
 import yardusher.core.EventLoop;
 import yardusher.discovery.DiscoveredBackends;
@@ -60,7 +60,7 @@
     private final Map<Long, Double> changedAt = new HashMap<>();     // versions of the list; ends with the run
     private final Map<Long, List<Double>> reached = new HashMap<>(); // when ingresses here took them in
     private final DiscoveredBackends decoder;
-    private final Config config;
+    private final IngressConfig config;
     private final Map<String, Object[]> decoded = new LinkedHashMap<>(8, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
@@ -86,13 +86,13 @@
         arrivals = demand.new Arrivals(seed);
         world = new HollowBackends.World(sizes);
         tries = new Tries(folder.resolve("tries-" + from + ".bin"));
-        config = Config.read(folder.resolve("hollow.json").toString());
+        config = IngressConfig.read(folder.resolve("hollow.json").toString());
         Sockets sockets = new Sockets(loop);
         // The program's own decoder reads each object of the list once for all ingresses here; its pool dials nothing.
         BackendPool pool = new BackendPool(sockets, new Counters(), config.settings().reportedMetrics(), config.dialMs(), config.idleMs(), 1000, 16);
         decoder = new DiscoveredBackends(config.zones(), pool);
         Api.ServerList[] known = new Api.ServerList[1];
-        loop.execute(() -> known[0] = decoder.take(config.known(), Api.ListKind.CACHED));
+        loop.execute(() -> known[0] = decoder.apply(config.known(), Api.ListKind.CACHED));
         for (int i = 0; i < sizes.ingresses(); i++) { numbers.put(block.ingress(i, Block.PEERS), i); }
         System.gc();
         baseHeap = used();
@@ -236,7 +236,7 @@
         Object[] news = decoded.get(object);
         if (news == null) {
             try {
-                news = new Object[] {decoder.line(object), decoder.revision()};
+                news = new Object[] {decoder.applyLine(object), decoder.revision()};
             } catch (IOException e) {
                 fault(e);
                 return;
--- a/lab/src/yardusher/lab/scale/RealIngresses.java
+++ b/lab/src/yardusher/lab/scale/RealIngresses.java
@@ -11,7 +11,7 @@
 import java.util.jar.JarOutputStream;
 import java.util.jar.Manifest;
 import java.util.stream.IntStream;
-import yardusher.cli.Asking;
+import yardusher.cli.RespClient;
 import yardusher.error.YardusherError;
 import yardusher.resp.Value;
 
@@ -87,7 +87,7 @@
 
     private boolean isReady(int ingress) {
         try {
-            return Asking.ask(Block.text(block.ingress(ingress, Block.LISTEN)), 1000, "PING") instanceof Value.SimpleString;
+            return RespClient.call(Block.text(block.ingress(ingress, Block.LISTEN)), 1000, "PING") instanceof Value.SimpleString;
         } catch (YardusherError e) {
             return false;
         }
@@ -97,7 +97,7 @@
     Map<String, Long> counters(int ingress) throws IOException {
         Map<String, Long> counters = new HashMap<>();
         try {
-            String line = Asking.ask(Block.text(block.ingress(ingress, Block.LISTEN)), ASK_MS, "INFO") instanceof Value.BulkString info ? info.text() : "";
+            String line = RespClient.call(Block.text(block.ingress(ingress, Block.LISTEN)), ASK_MS, "INFO") instanceof Value.BulkString info ? info.text() : "";
             for (String cell : line.strip().split(" ")) {
                 int is = cell.indexOf('=');
                 if (is > 0 && cell.substring(is + 1).matches("-?[0-9]{1,18}")) { counters.put(cell.substring(0, is), Long.parseLong(cell.substring(is + 1))); }
--- a/lab/src/yardusher/lab/scale/Sizes.java
+++ b/lab/src/yardusher/lab/scale/Sizes.java
@@ -29,17 +29,17 @@
     static Sizes read(Path file) { return Toml.read(file, Sizes::of); }
 
     private static Sizes of(Toml file) {
-        file.only(Set.of("sizes", "traffic", "backend", "run", "sweep"));
-        Toml sizes = needed(file, "sizes").only(Set.of("ingresses", "real", "backends", "services", "tenants", "routes", "zones", "regions", "rate", "changes_per_min"));
+        file.allowOnly(Set.of("sizes", "traffic", "backend", "run", "sweep"));
+        Toml sizes = needed(file, "sizes").allowOnly(Set.of("ingresses", "real", "backends", "services", "tenants", "routes", "zones", "regions", "rate", "changes_per_min"));
         Toml traffic = orEmpty(file, "traffic", Set.of("skew_percent", "headroom_percent", "over_percent", "spread_least_percent", "spread_most_percent", "most_units", "wait_ms", "bind_services", "even"));
         Toml backend = orEmpty(file, "backend", Set.of("service_us", "handshake_us", "cold_factor", "cold_ms"));
         Toml run = orEmpty(file, "run", Set.of("day", "warm_s", "seconds", "per_process", "memory_mb", "peer_in_per_s", "sockets", "view", "probe_ms", "whole_lists", "rack_ingresses", "rack_backends", "rates_bytes_per_s"));
-        int ingresses = sizes.whole("ingresses", 0, 2, 2000);
-        int backends = sizes.whole("backends", 0, 2, 10_000);
+        int ingresses = sizes.integer("ingresses", 0, 2, 2000);
+        int backends = sizes.integer("backends", 0, 2, 10_000);
         int least = whole(traffic, "spread_least_percent", 30, 1, 100);
-        Sizes read = new Sizes(given("ingresses", ingresses), sizes.whole("real", 0, 0, 8), given("backends", backends), sizes.whole("services", 1, 1, backends),
-                given("tenants", sizes.whole("tenants", 0, 1, 1_000_000)), sizes.whole("routes", 0, 0, 1_000_000), sizes.whole("zones", 1, 1, 64), sizes.whole("regions", 1, 1, 8),
-                given("rate", sizes.whole("rate", 0, 1, 1_000_000)), sizes.whole("changes_per_min", 0, 0, 6000),
+        Sizes read = new Sizes(given("ingresses", ingresses), sizes.integer("real", 0, 0, 8), given("backends", backends), sizes.integer("services", 1, 1, backends),
+                given("tenants", sizes.integer("tenants", 0, 1, 1_000_000)), sizes.integer("routes", 0, 0, 1_000_000), sizes.integer("zones", 1, 1, 64), sizes.integer("regions", 1, 1, 8),
+                given("rate", sizes.integer("rate", 0, 1, 1_000_000)), sizes.integer("changes_per_min", 0, 0, 6000),
                 whole(traffic, "skew_percent", 80, 0, 300), whole(traffic, "headroom_percent", 130, 1, 10_000), whole(traffic, "over_percent", 10, 0, 100),
                 least, whole(traffic, "spread_most_percent", 100, least, 100), whole(traffic, "most_units", 2, 1, 11), whole(traffic, "wait_ms", 1000, 10, 60_000),
                 traffic != null && traffic.flag("bind_services", false), traffic != null && traffic.flag("even", false),
@@ -63,10 +63,10 @@
 
     private static Toml orEmpty(Toml file, String name, Set<String> keys) {
         Toml table = file.table(name);
-        return table == null ? null : table.only(keys);
+        return table == null ? null : table.allowOnly(keys);
     }
 
-    private static int whole(Toml table, String key, int absent, int least, int most) { return table == null ? absent : table.whole(key, absent, least, most); }
+    private static int whole(Toml table, String key, int absent, int least, int most) { return table == null ? absent : table.integer(key, absent, least, most); }
 
     private static int given(String key, int value) {
         if (value == 0) { throw new ConfigError.Missing(null, "sizes." + key, "a whole number in sizes." + key); }
@@ -76,7 +76,7 @@
     private static Map<String, List<Integer>> axes(Toml table) {
         Map<String, List<Integer>> axes = new LinkedHashMap<>();
         if (table == null) { return axes; }
-        table.only(Set.copyOf(AXES));
+        table.allowOnly(Set.copyOf(AXES));
         for (String axis : AXES) {
             String text = table.text(axis, null);
             if (text == null) { continue; }
--- a/lab/src/yardusher/lab/view/ViewGroup.java
+++ b/lab/src/yardusher/lab/view/ViewGroup.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.Future;
 import java.util.function.IntFunction;
 import java.util.stream.IntStream;
-import yardusher.cli.Asking;
+import yardusher.cli.RespClient;
 import yardusher.lab.DatagramRelay;
 import yardusher.lab.Group;
 import yardusher.resp.Value;
@@ -162,7 +162,7 @@
         Map<String, Long> counters = new HashMap<>();
         String line;
         try {
-            line = Asking.ask(format(group.listen(i)), CALL_TIMEOUT_MS, "INFO") instanceof Value.BulkString info ? info.text() : "";
+            line = RespClient.call(format(group.listen(i)), CALL_TIMEOUT_MS, "INFO") instanceof Value.BulkString info ? info.text() : "";
         } catch (yardusher.error.YardusherError e) {
             return counters;
         }
--- a/src/main/java/yardusher/admin/AdminCall.java
+++ b/src/main/java/yardusher/admin/AdminCall.java
@@ -28,11 +28,11 @@
     }
 
     /** Bytes of a line without its end; ids of regions are far shorter. */
-    public static final int MOST_LINE = 256;
+    public static final int MAX_LINE_BYTES = 256;
 
     /** Reads a line without its end; a {@link CommandError} says in a few words what is wrong with it. */
-    public static AdminCall of(String line) {
-        if (line.length() > MOST_LINE) { throw new CommandError.Argument("line longer than " + MOST_LINE + " bytes"); }
+    public static AdminCall parse(String line) {
+        if (line.length() > MAX_LINE_BYTES) { throw new CommandError.Argument("line longer than " + MAX_LINE_BYTES + " bytes"); }
         // Guards log lines and terminals against bytes that are no text.
         if (!line.chars().allMatch(c -> c >= ' ' && c <= '~')) { throw new CommandError.Argument("not a line of text"); }
         String[] words = line.split(" ", -1);
@@ -49,15 +49,15 @@
      * The same where the fleet's work may speak: also {@code cordon ID TOKEN REVISION}, {@code uncordon ID TOKEN REVISION}
      * and {@code fence bans TOKEN}, whose verb is null.
      */
-    public static AdminCall ofFleet(String line) {
-        String[] words = line.length() > MOST_LINE ? new String[0] : line.split(" ", -1);
-        if (words.length == 3 && words[0].equals("fence") && words[1].equals("bans")) { return new AdminCall(null, null, number(words[2]), 0); }
-        if (words.length != 4) { return of(line); }
-        AdminCall call = of(words[0] + " " + words[1]);
-        return new AdminCall(call.verb, call.id, number(words[2]), number(words[3]));
+    public static AdminCall parseFenced(String line) {
+        String[] words = line.length() > MAX_LINE_BYTES ? new String[0] : line.split(" ", -1);
+        if (words.length == 3 && words[0].equals("fence") && words[1].equals("bans")) { return new AdminCall(null, null, parseNumber(words[2]), 0); }
+        if (words.length != 4) { return parse(line); }
+        AdminCall call = parse(words[0] + " " + words[1]);
+        return new AdminCall(call.verb, call.id, parseNumber(words[2]), parseNumber(words[3]));
     }
 
-    private static long number(String word) {
+    private static long parseNumber(String word) {
         if (!word.matches("[1-9][0-9]{0,17}")) { throw new CommandError.Argument("tokens and revisions are whole numbers"); }
         return Long.parseLong(word);
     }
--- a/src/main/java/yardusher/admin/Operator.java
+++ b/src/main/java/yardusher/admin/AdminHandler.java
@@ -8,12 +8,12 @@
  * What an ingress does at the calls of its second address. In turns only. A call that cannot be followed is an
  * {@link yardusher.error.YardusherError} whose message is a few plain words.
  */
-public interface Operator {
+public interface AdminHandler {
     /** Whether this process takes clients now. */
-    boolean takesClients();
+    boolean acceptsClients();
 
     /** The figures, a line each, every line ended. */
-    String figures();
+    String counterLines();
 
     /** What a subsystem says to a call of its own, lines that are each ended; null where none has such a call. */
     String report(String call);
@@ -31,5 +31,5 @@
     void drain(boolean away);
 
     /** The next version of this program speaks, with this line; what it says afterwards is the result's to hear. */
-    Connection.Owner succeed(String line, LineReader lines, Connection link);
+    Connection.Owner acceptSuccessor(String line, LineReader lines, Connection link);
 }
--- a/src/main/java/yardusher/admin/Figures.java
+++ b/src/main/java/yardusher/admin/StatsdReport.java
@@ -4,8 +4,8 @@
 import yardusher.core.Counters;
 
 /** The figures as the second address tells them: StatsD lines, counts since this process started, and gauges. */
-public final class Figures {
-    private Figures() { }
+public final class StatsdReport {
+    private StatsdReport() { }
 
     /**
      * A line for each figure, every line ended. {@code outstanding}: transactions taken and not ended; {@code listed}:
--- a/src/main/java/yardusher/agent/AgentConfig.java
+++ b/src/main/java/yardusher/agent/AgentConfig.java
@@ -24,10 +24,10 @@
     public static AgentConfig read(Path file) { return Toml.read(file, AgentConfig::of); }
 
     private static AgentConfig of(Toml toml) {
-        toml.only(KEYS);
+        toml.allowOnly(KEYS);
         List<Entry> entries = new ArrayList<>();
         for (Toml one : toml.tables("instance")) {
-            one.only(INSTANCE_KEYS);
+            one.allowOnly(INSTANCE_KEYS);
             Entry entry = new Entry(one.text("name"), one.text("address"), one.text("config"), one.text("limits", "none"),
                     one.text("settings", "none"));
             Sockets.parseAddress(entry.address());
@@ -44,7 +44,7 @@
         Sockets.parseAddress(control);
         List<String> command = toml.texts("command");
         return new AgentConfig(control, command.isEmpty() ? ownCommand() : command,
-                toml.whole("stop_ms", 10_000, 1, 600_000), entries, fleet);
+                toml.integer("stop_ms", 10_000, 1, 600_000), entries, fleet);
     }
 
     /** The command line of this program, with JVM options for a small ingress. */
--- a/src/main/java/yardusher/cli/AdminCommand.java
+++ b/src/main/java/yardusher/cli/AdminCommand.java
@@ -14,8 +14,8 @@
 
 /** The sub-command admin: one call at the second address of a running instance, or of all that an agent's file names. */
 final class AdminCommand {
-    private static final int PATIENCE_MS = 2000;
-    private static final int MOST_ANSWER = 1 << 20;  // bytes
+    private static final int TIMEOUT_MS = 2000;
+    private static final int MAX_ANSWER_BYTES = 1 << 20;  // bytes
 
     private AdminCommand() { }
 
@@ -35,7 +35,7 @@
         AdminCall call = call(words);
         int status = 0;
         for (AgentConfig.Entry entry : agent.instances()) {
-            InetSocketAddress at = Config.read(entry.config()).admin();
+            InetSocketAddress at = IngressConfig.read(entry.config()).admin();
             String answer;
             try {
                 answer = at == null ? "400 " + entry.config() + " names no admin_addr\n" : ask(at, call);
@@ -50,7 +50,7 @@
 
     private static AdminCall call(List<String> words) {
         try {
-            return AdminCall.of(String.join(" ", words));
+            return AdminCall.parse(String.join(" ", words));
         } catch (CommandError e) {
             throw e.in("admin");
         }
@@ -59,10 +59,10 @@
     private static String ask(InetSocketAddress at, AdminCall call) {
         String where = Sockets.formatAddress(at);
         try (Socket socket = new Socket()) {
-            socket.connect(at, PATIENCE_MS);
-            socket.setSoTimeout(PATIENCE_MS);
+            socket.connect(at, TIMEOUT_MS);
+            socket.setSoTimeout(TIMEOUT_MS);
             socket.getOutputStream().write((call.line() + "\n").getBytes(StandardCharsets.US_ASCII));
-            byte[] answer = socket.getInputStream().readNBytes(MOST_ANSWER);
+            byte[] answer = socket.getInputStream().readNBytes(MAX_ANSWER_BYTES);
             if (answer.length == 0) { throw new WireError.Closed(where); }
             return new String(answer, StandardCharsets.US_ASCII);
         } catch (SocketTimeoutException e) {
--- a/src/main/java/yardusher/cli/AgentCommand.java
+++ b/src/main/java/yardusher/cli/AgentCommand.java
@@ -15,7 +15,7 @@
 
 /** The sub-command agent: without a running agent, start becomes one; all else asks the running one. */
 final class AgentCommand {
-    private static final int PATIENCE_MS = 5000;
+    private static final int TIMEOUT_MS = 5000;
 
     private AgentCommand() { }
 
@@ -34,7 +34,7 @@
         if (words.get(0).equals("start") && names.isEmpty()) { return supervise(config); }
         List<String> command = new ArrayList<>(List.of("AGENT." + words.get(0).toUpperCase(Locale.ROOT)));
         command.addAll(names);
-        Value answer = Asking.ask(config.control(), PATIENCE_MS, command.toArray(new String[0]));
+        Value answer = RespClient.call(config.control(), TIMEOUT_MS, command.toArray(new String[0]));
         if (answer instanceof Value.ErrorReply failure) { throw new WireError.Refused(config.control(), failure.text()); }
         if (answer instanceof Value.ArrayValue many && many.items() != null) { return status(config, many.items()); }
         System.out.println("ok");
@@ -51,7 +51,7 @@
             if (!ready) { status = 1; }
             System.out.println(text);
             try {
-                if (ready && Asking.ask(words[2].substring("address=".length()), PATIENCE_MS, "INFO") instanceof Value.BulkString info) {
+                if (ready && RespClient.call(words[2].substring("address=".length()), TIMEOUT_MS, "INFO") instanceof Value.BulkString info) {
                     System.out.println("  " + info.text());
                 }
             } catch (WireError e) {
@@ -64,7 +64,7 @@
     /** The second address of an instance, as its configuration says; null where that names none or cannot be read now. */
     private static java.net.InetSocketAddress admin(AgentConfig.Entry entry) {
         try {
-            return Config.read(entry.config()).admin();
+            return IngressConfig.read(entry.config()).admin();
         } catch (ConfigError e) {
             return null;
         }
--- a/src/main/java/yardusher/cli/FleetCommand.java
+++ b/src/main/java/yardusher/cli/FleetCommand.java
@@ -28,9 +28,9 @@
  * taken, and the same command with the same {@code --id} may be given again.
  */
 final class FleetCommand {
-    private static final int PATIENCE_MS = 15_000;
-    private static final int UNKNOWN = 3;
-    private static final long LOOK_MS = 500;
+    private static final int TIMEOUT_MS = 15_000;
+    private static final int EXIT_UNKNOWN = 3;
+    private static final long POLL_INTERVAL_MS = 500;
     private static final Set<String> READS = Set.of("members", "owners", "status", "history");
     private static final String USAGE = "usage: yardusher fleet init FILE [--join] | members|owners|status|history FILE [--json]"
             + " | roll FILE [restart|reload] [away=N] [failures=N] [--take-over] [--wait] | ban|unban FILE REGION [--wait]"
@@ -87,14 +87,14 @@
         }
         Value answer;
         try {
-            answer = Asking.ask(config.control(), PATIENCE_MS, command.toArray(new String[0]));
+            answer = RespClient.call(config.control(), TIMEOUT_MS, command.toArray(new String[0]));
         } catch (WireError e) {
             System.err.println("yardusher: " + e.getMessage() + "; ask again with --id " + id);
-            return UNKNOWN;
+            return EXIT_UNKNOWN;
         }
         if (answer instanceof Value.ErrorReply failure) {
             System.err.println("yardusher: " + failure.text());
-            return failure.text().startsWith("TRYAGAIN") ? UNKNOWN : failure.text().startsWith("ERR") ? 2 : 1;
+            return failure.text().startsWith("TRYAGAIN") ? EXIT_UNKNOWN : failure.text().startsWith("ERR") ? 2 : 1;
         }
         System.out.println(answer instanceof Value.BulkString told ? told.text() : "ok");
         return line.hasOption("wait") ? await(config, verb.equals("roll") ? "roll" : "bans") : 0;
@@ -113,17 +113,17 @@
                 return work.isEmpty() || settled || "done".equals(work.get("state")) ? 0 : 1;
             }
             try {
-                Thread.sleep(LOOK_MS);
+                Thread.sleep(POLL_INTERVAL_MS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
-                return UNKNOWN;
+                return EXIT_UNKNOWN;
             }
         }
     }
 
     /** The agent's report: a map a line, the line's kind under the empty name. */
     private static List<Map<String, String>> table(AgentConfig config) {
-        Value answer = Asking.ask(config.control(), PATIENCE_MS, "FLEET.READ", config.fleet().installation());
+        Value answer = RespClient.call(config.control(), TIMEOUT_MS, "FLEET.READ", config.fleet().installation());
         if (!(answer instanceof Value.BulkString told)) { throw new WireError.Refused(config.control(), answer instanceof Value.ErrorReply no ? no.text() : "no report"); }
         List<Map<String, String>> table = new ArrayList<>();
         for (String line : told.text().split("\n")) {
@@ -156,7 +156,7 @@
                 System.out.println(out);
             }
         }
-        return old ? UNKNOWN : 0;
+        return old ? EXIT_UNKNOWN : 0;
     }
 
     private static String json(List<Map<String, String>> table) throws IOException {
--- a/src/main/java/yardusher/cli/Config.java
+++ b/src/main/java/yardusher/cli/IngressConfig.java
@@ -18,17 +18,17 @@
 import yardusher.wire.SettingsValidator;
 
 /** What an ingress is told at its start: the JSON file that RELAY_CONFIG names. {@code admin} may be null. */
-public record Config(String name, InetSocketAddress listen, InetSocketAddress admin, InetSocketAddress discovery, long seed, int sockets,
+public record IngressConfig(String name, InetSocketAddress listen, InetSocketAddress admin, InetSocketAddress discovery, long seed, int sockets,
         InetSocketAddress peerListen, List<InetSocketAddress> peers, Codec.JsonObject known, Api.Settings settings,
         List<String> classes, List<String> plans, List<String> zones, double idleMs, double dialMs, List<String> unused) {
-    private static final long MOST_BYTES = 4 << 20;  // 10,000 backends and as many peers fit
-    private static final int LEAST_SOCKETS = 32;     // of which the JVM, the listeners and the watch need half
+    private static final long MAX_FILE_BYTES = 4 << 20;  // 10,000 backends and as many peers fit
+    private static final int MIN_SOCKETS = 32;     // of which the JVM, the listeners and the watch need half
     private static final Set<String> KEYS = Set.of("name", "listen", "admin_addr", "discovery", "seed", "limits", "peer_listen", "peers",
             "peers_all", "counter", "known", "settings");
     private static final Set<String> MACHINE_KEYS = Set.of("cores", "memory_mb", "sockets");
 
     /** Reads the file; a {@link ConfigError} names it and says in one line what is wrong. */
-    public static Config read(String file) {
+    public static IngressConfig read(String file) {
         try (JsonParser parser = new JsonFactory().createParser(text(Path.of(file)))) {
             if (parser.nextToken() == null || !(Codec.readValue(parser) instanceof Codec.JsonObject json)) {
                 throw new ConfigError.Syntax(file, "not a JSON object");
@@ -49,11 +49,11 @@
 
     /** Guards a small heap, also a running ingress's: a file that is no configuration at all must not end it. */
     private static String text(Path file) throws IOException {
-        if (Files.size(file) > MOST_BYTES) { throw new ConfigError.Syntax(null, "larger than " + MOST_BYTES / (1 << 20) + " MB: not a configuration"); }
+        if (Files.size(file) > MAX_FILE_BYTES) { throw new ConfigError.Syntax(null, "larger than " + MAX_FILE_BYTES / (1 << 20) + " MB: not a configuration"); }
         return Files.readString(file);
     }
 
-    static Config of(Codec.JsonObject json) {
+    static IngressConfig of(Codec.JsonObject json) {
         Codec.JsonObject settings = json.object("settings");
         Codec.JsonObject limits = settings.object("limits");
         List<InetSocketAddress> peers = new ArrayList<>();
@@ -65,17 +65,17 @@
             throw new ConfigError.Value(null, "name", "a text that is not empty, without control characters");
         }
         Codec.JsonObject machine = json.objectOrEmpty("limits");
-        return new Config(name, address(json, "listen"), json.has("admin_addr") ? address(json, "admin_addr") : null,
+        return new IngressConfig(name, address(json, "listen"), json.has("admin_addr") ? address(json, "admin_addr") : null,
                 address(json, "discovery"), seed(json.text("seed")),
-                (int) SettingsValidator.requireRange("limits.sockets", machine.number("sockets", 1024), LEAST_SOCKETS, 1 << 24),
+                (int) SettingsValidator.requireRange("limits.sockets", machine.number("sockets", 1024), MIN_SOCKETS, 1 << 24),
                 json.has("peer_listen") ? address(json, "peer_listen") : null, peers,
                 known(json.objectOrEmpty("known")), decoded, SettingsValidator.readNames(settings, "classes"), SettingsValidator.readNames(settings, "contracts"),
                 zones, SettingsValidator.requireRange("settings.limits.conn_idle_ms", limits.number("conn_idle_ms", 30_000), 1, 86_400_000),
-                SettingsValidator.requireRange("settings.limits.dial_timeout_ms", limits.number("dial_timeout_ms", 250), 1, 600_000), unused(json, settings));
+                SettingsValidator.requireRange("settings.limits.dial_timeout_ms", limits.number("dial_timeout_ms", 250), 1, 600_000), listUnused(json, settings));
     }
 
     /** What of the whole file is not used, in a few words each. */
-    private static List<String> unused(Codec.JsonObject json, Codec.JsonObject settings) {
+    private static List<String> listUnused(Codec.JsonObject json, Codec.JsonObject settings) {
         List<String> notes = SettingsValidator.listUnused(settings);
         int peers = json.has("peers") ? json.list("peers").size() : 0;
         if (settings.object("limits").flag("peers") && peers != settings.number("peers_total")) {
@@ -103,12 +103,12 @@
     private static Codec.JsonObject known(Codec.JsonObject known) {
         known.number("revision", 0);
         known.flag("complete");
-        for (Codec.JsonObject member : known.objectsOrEmpty("members")) { DiscoveredBackends.checked(member); }
+        for (Codec.JsonObject member : known.objectsOrEmpty("members")) { DiscoveredBackends.validate(member); }
         return known;
     }
 
     /** Whether all that holds from the start to the end is the same in another reading of the file. */
-    boolean sameBut(Config next) {
+    boolean sameExceptReloadable(IngressConfig next) {
         return name.equals(next.name) && listen.equals(next.listen) && java.util.Objects.equals(admin, next.admin) && sockets == next.sockets
                 && java.util.Objects.equals(peerListen, next.peerListen) && peers.equals(next.peers)
                 && settings.equals(next.settings) && classes.equals(next.classes) && plans.equals(next.plans)
@@ -116,7 +116,7 @@
     }
 
     /** How many backends the configuration knows. */
-    int members() { return known.objectsOrEmpty("members").size(); }
+    int memberCount() { return known.objectsOrEmpty("members").size(); }
 
     private static long seed(String hex) {
         try {
--- a/src/main/java/yardusher/cli/Serve.java
+++ b/src/main/java/yardusher/cli/IngressProcess.java
@@ -16,9 +16,9 @@
 import java.util.function.DoubleSupplier;
 import sun.misc.Signal;
 import yardusher.Api;
-import yardusher.admin.AdminFront;
-import yardusher.admin.Figures;
-import yardusher.admin.Operator;
+import yardusher.admin.AdminServer;
+import yardusher.admin.StatsdReport;
+import yardusher.admin.AdminHandler;
 import yardusher.agent.SighupStatus;
 import yardusher.clients.PlatformFrontend;
 import yardusher.core.Counters;
@@ -33,7 +33,7 @@
 import yardusher.limits.LimitsConfig;
 import yardusher.limits.LimitsFrontend;
 import yardusher.discovery.DiscoveredBackends;
-import yardusher.discovery.Watch;
+import yardusher.discovery.DiscoveryWatch;
 import yardusher.log.Events;
 import yardusher.log.Logs;
 import yardusher.net.BodyBudget;
@@ -44,60 +44,60 @@
 import yardusher.resp.Decoder;
 import yardusher.servers.BackendPool;
 import yardusher.settings.Settings;
-import yardusher.subsystem.Site;
+import yardusher.subsystem.SubsystemContext;
 
 /** One real ingress: all parts put together, from the start to an orderly end. */
-public final class Serve {
-    private static final double ACCEPT_ON_MS = 500;  // after SIGTERM connections keep coming 0.2 to 0.4 s
-    private static final double READ_ON_MS = 100;    // then what is on its way on those that are open is still taken
-    private static final double LEAST_END_MS = 3000; // a kill comes at the longest deadline, or this, and 0.7 s
-    private static final double LAST_MS = 50;        // after the last deadline, for its answer
-    private static final long HELD_UP_MS = 10_000;   // so much longer by the machine's own clock, where turns do not come
-    private static final long START_MS = 6000;       // a new version is due to take clients by then
+public final class IngressProcess {
+    private static final double DRAIN_ACCEPT_MS = 500;  // after SIGTERM connections keep coming 0.2 to 0.4 s
+    private static final double DRAIN_READ_MS = 100;    // then what is on its way on those that are open is still taken
+    private static final double MIN_DRAIN_MS = 3000; // a kill comes at the longest deadline, or this, and 0.7 s
+    private static final double FINAL_ANSWER_MS = 50;        // after the last deadline, for its answer
+    private static final long STARVED_LOOP_EXTRA_MS = 10_000;   // so much longer by the machine's own clock, where turns do not come
+    private static final long START_TIMEOUT_MS = 6000;       // a new version is due to take clients by then
     // Two dials of the watch (0.9 s), 0.35 s where this process itself was held up, and 0.2 s to read a list: the first of 200
     // backends takes 30 to 70 ms of a core, and there may be 0.3 of one.
     private static final double FIRST_LIST_MS = 1500;
     private static final int OWN_DESCRIPTORS = 64;   // of the JVM, the listeners, the watch and the second address
     // Measured: 12 of a JVM that serves with a second address and peers; 3 watches, 16 callers there, the next version, a file
     // that is read, a guest at each door. Where there are few in all, clients and backends get no more than is left by these.
-    private static final int OWN_LEAST = 40;
-    private static final int LEAST_BUDGET = 8;
+    private static final int MIN_OWN_DESCRIPTORS = 40;
+    private static final int MIN_DESCRIPTOR_BUDGET = 8;
 
-    private static final int BODIES_PART = 8;        // of the heap, for large bodies, but one always fits
+    private static final int BODY_HEAP_DIVISOR = 8;        // of the heap, for large bodies, but one always fits
 
     private final EventLoop loop;
-    private final BodyBudget bodies = new BodyBudget(Math.max(Decoder.MAX_LARGE_BYTES, Runtime.getRuntime().maxMemory() / BODIES_PART));
+    private final BodyBudget bodies = new BodyBudget(Math.max(Decoder.MAX_LARGE_BYTES, Runtime.getRuntime().maxMemory() / BODY_HEAP_DIVISOR));
     private final Sockets sockets;
     private final Counters counters = new Counters();
     private final BackendPool pool;
     private final Ingress ingress;
     private final PlatformFrontend front;
     private final LimitsFrontend limitsFront;
-    private final Watch watch;
+    private final DiscoveryWatch watch;
     private final DiscoveredBackends table;
-    private final AdminFront admin;                  // null where no second address is named
-    private final Subsystems parts;
+    private final AdminServer admin;                  // null where no second address is named
+    private final Subsystems subsystems;
     private final InstanceFence fence;               // null where the fleet's work has no say here
     private final PeerSocket peers;                  // null where this site has none
     private final Handover handover;
     private final Events events;
     private final InetSocketAddress adminAt;
-    private final int budget;                        // descriptors for clients and regions
+    private final int descriptorBudget;                        // descriptors for clients and regions
     private final Set<String> banned = new LinkedHashSet<>(); // ids of regions out by hand
     private final CountDownLatch ready = new CountDownLatch(1);
-    private volatile Exception unready;            // why no clients can be taken
+    private volatile Exception startFailure;            // why no clients can be taken
     private final CountDownLatch drained = new CountDownLatch(1);
-    private final double longestMs;
-    private Config config;                           // as it was last read
+    private final double longestDeadlineMs;
+    private IngressConfig config;                           // as it was last read
     private boolean serving;                         // clients are taken
     private boolean ending;                          // and none will be any more
     private double firstListMs;                      // waited at the most for discovery's first word
 
     /** Takes the limits front's file, or null where it is off. */
-    public Serve(Config config, LimitsConfig limits) throws IOException { this(config, limits, Settings.OFF, clock()); }
+    public IngressProcess(IngressConfig config, LimitsConfig limits) throws IOException { this(config, limits, Settings.OFF, clock()); }
 
     /** The clock gives milliseconds of Unix time and never goes back. */
-    public Serve(Config config, LimitsConfig limits, Settings own, DoubleSupplier clock) throws IOException {
+    public IngressProcess(IngressConfig config, LimitsConfig limits, Settings own, DoubleSupplier clock) throws IOException {
         this(config, config.admin(), null, limits, own, clock, clock.getAsDouble());
     }
 
@@ -105,41 +105,41 @@
      * With a second address other than the configuration's, null for none, and a folder in which the next version finds
      * this process and this one finds the one before, null for none. {@code bornMs}: when this process began.
      */
-    public Serve(Config config, InetSocketAddress adminAt, Path notes, LimitsConfig limits, Settings own,
+    public IngressProcess(IngressConfig config, InetSocketAddress adminAt, Path notes, LimitsConfig limits, Settings own,
             DoubleSupplier clock, double bornMs) throws IOException {
         this.config = config;
-        loop = new EventLoop(clock, this::fault);
+        loop = new EventLoop(clock, this::handleFault);
         sockets = new Sockets(loop);
-        int budget = budget(config.sockets());
+        int budget = descriptorBudget(config.sockets());
         Api.Settings settings = config.settings();
-        longestMs = settings.classes().stream().mapToDouble(Api.RequestClass::deadlineMs).max().orElse(1000);
-        pool = new BackendPool(sockets, counters, settings.reportedMetrics(), config.dialMs(), config.idleMs(), longestMs, budget * 2 / 5);
-        this.budget = budget;
+        longestDeadlineMs = settings.classes().stream().mapToDouble(Api.RequestClass::deadlineMs).max().orElse(1000);
+        pool = new BackendPool(sockets, counters, settings.reportedMetrics(), config.dialMs(), config.idleMs(), longestDeadlineMs, budget * 2 / 5);
+        this.descriptorBudget = budget;
         peers = config.peerListen() == null || !settings.limits().mayMessagePeers() ? null
                 : new PeerSocket(config.peerListen(), config.peers(), loop);
         this.adminAt = adminAt;
-        handover = new Handover(sockets, new Part(), settings.self(), config.name(), notes, Events.plain(config.name()));
+        handover = new Handover(sockets, new HandoverActions(), settings.self(), config.name(), notes, Events.plain(config.name()));
         events = Logs.of(own.log(), config.name());
         fence = own.fenced() ? new InstanceFence() : null;
-        parts = Subsystems.of(own, config, loop);
+        subsystems = Subsystems.of(own, config, loop);
         Object[] made = new Object[6];
         Exception[] problem = new Exception[1];
         loop.execute(() -> {
             try {
-                Ingress core = new Ingress(settings, config.seed(), bornMs, loop, pool, handover, counters, parts.orders());
-                pool.serve(core);
+                Ingress core = new Ingress(settings, config.seed(), bornMs, loop, pool, handover, counters, subsystems.wrapRequestLog());
+                pool.setIngress(core);
                 DiscoveredBackends table = new DiscoveredBackends(config.zones(), pool);
-                core.deliver(table.take(config.known(), Api.ListKind.CACHED));
+                core.deliver(table.apply(config.known(), Api.ListKind.CACHED));
                 made[0] = core;
                 made[5] = table;
-                made[1] = new Watch(sockets, config.discovery(), table, core, config.seed());
-                RequestAcceptor intake = parts.intake(site(core, table, null), core);
+                made[1] = new DiscoveryWatch(sockets, config.discovery(), table, core, config.seed());
+                RequestAcceptor intake = subsystems.wrapAcceptor(site(core, table, null), core);
                 PlatformFrontend clients = new PlatformFrontend(sockets, config.listen(), core, intake, config.classes(), config.plans(), 1, bodies);
                 made[2] = clients;
                 made[3] = limits == null ? null
                         : new LimitsFrontend(sockets, core, limits, config.classes(), config.plans());
-                made[4] = adminAt == null ? null : new AdminFront(sockets, adminAt, new Calls());
-                parts.join(site(core, table, clients));
+                made[4] = adminAt == null ? null : new AdminServer(sockets, adminAt, new AdminCalls());
+                subsystems.attach(site(core, table, clients));
             } catch (IOException | RuntimeException e) {
                 problem[0] = e;
             }
@@ -147,39 +147,39 @@
         if (problem[0] instanceof IOException e) { throw e; }
         if (problem[0] instanceof RuntimeException e) { throw e; }
         ingress = (Ingress) made[0];
-        watch = (Watch) made[1];
+        watch = (DiscoveryWatch) made[1];
         front = (PlatformFrontend) made[2];
         limitsFront = (LimitsFrontend) made[3];
-        share(false);
-        counters.extraCounters = () -> " " + bodies.countersLine() + parts.line();
+        setConnectionLimits(false);
+        counters.extraCounters = () -> " " + bodies.countersLine() + subsystems.countersLine();
         table = (DiscoveredBackends) made[5];
-        admin = (AdminFront) made[4];
+        admin = (AdminServer) made[4];
     }
 
-    private Site site(Ingress core, DiscoveredBackends table, PlatformFrontend clients) {
-        return new Site(config.name(), config.seed(), loop, sockets, config.settings(), config.classes(), config.plans(), config.zones(), core,
-                pool, table, clients, events, parts.mesh(), parts.view());
+    private SubsystemContext site(Ingress core, DiscoveredBackends table, PlatformFrontend clients) {
+        return new SubsystemContext(config.name(), config.seed(), loop, sockets, config.settings(), config.classes(), config.plans(), config.zones(), core,
+                pool, table, clients, events, subsystems.mesh(), subsystems.view());
     }
 
     /** What the calls at the second address do. */
-    private final class Calls implements Operator {
+    private final class AdminCalls implements AdminHandler {
         @Override
-        public boolean takesClients() { return serving && !front.server().isDraining(); }
+        public boolean acceptsClients() { return serving && !front.server().isDraining(); }
 
         @Override
-        public String figures() {
-            return Figures.lines(counters, config.classes(), ingress.openCount(), table.size(), ingress.avoidedBackends());
+        public String counterLines() {
+            return StatsdReport.lines(counters, config.classes(), ingress.openCount(), table.size(), ingress.avoidedBackends());
         }
 
         @Override
         public void ban(String region, boolean out, Runnable then) {
-            if (!table.everListed(region)) { throw new CommandError.NotFound("no backend " + region + " was ever listed"); }
-            banHere(region, out);
-            handover.tellBan(region, out, then);
+            if (!table.wasEverListed(region)) { throw new CommandError.NotFound("no backend " + region + " was ever listed"); }
+            banLocally(region, out);
+            handover.forwardBan(region, out, then);
         }
 
         @Override
-        public String report(String call) { return parts.report(call); }
+        public String report(String call) { return subsystems.report(call); }
 
         @Override
         public boolean isFenced() { return fence != null; }
@@ -189,48 +189,48 @@
 
         @Override
         public void drain(boolean away) {
-            drainHere(away);
-            handover.tellDrain(away);
+            drainLocally(away);
+            handover.forwardDrain(away);
         }
 
         @Override
-        public Connection.Owner succeed(String line, LineReader lines, Connection link) { return handover.succeed(line, lines, link); }
+        public Connection.Owner acceptSuccessor(String line, LineReader lines, Connection link) { return handover.acceptSuccessor(line, lines, link); }
     }
 
     /** This process's part where another version of it takes over. */
-    private final class Part implements Handover.Program {
+    private final class HandoverActions implements Handover.ProcessActions {
         @Override
-        public void ban(String region, boolean out) { banHere(region, out); }
+        public void ban(String region, boolean out) { banLocally(region, out); }
 
         @Override
         public Collection<String> banned() { return banned; }
 
         @Override
-        public void drain(boolean away) { drainHere(away); }
+        public void drain(boolean away) { drainLocally(away); }
 
         @Override
-        public boolean isAway() { return front.server().isDraining(); }
+        public boolean isDraining() { return front.server().isDraining(); }
 
         @Override
-        public void hear(int from, String body) { ingress.deliver(new Api.PeerMessage(from, body)); }
+        public void deliver(int from, String body) { ingress.deliver(new Api.PeerMessage(from, body)); }
 
         @Override
-        public void shares(boolean other, boolean owns) {
+        public void siblingChanged(boolean other, boolean owns) {
             ingress.deliver(new Api.SiblingProcess(other, owns));
-            share(other);
+            setConnectionLimits(other);
         }
 
         @Override
-        public void takePort() throws IOException {
+        public void openPeerPort() throws IOException {
             if (peers == null) { return; }
             peers.open((from, body) -> {
                 counters.peerMessagesReceived++;
-                handover.datagram(from, body);
+                handover.onDatagram(from, body);
             });
         }
 
         @Override
-        public void givePort() {
+        public void closePeerPort() {
             if (peers != null) { peers.close(); }
         }
 
@@ -240,9 +240,9 @@
         }
 
         @Override
-        public void takeClients(Runnable then) {
+        public void acceptClients(Runnable then) {
             // Guards the first requests: what the agent has counts as told from the first moment, also against the known list.
-            watch.whenTold(firstListMs, () -> {
+            watch.runAfterFirstUpdate(firstListMs, () -> {
                 if (ending) { return; }
                 try {
                     openFronts();
@@ -265,32 +265,32 @@
         serving = true;
     }
 
-    private void banHere(String region, boolean out) {
-        long id = DiscoveredBackends.id(region);
+    private void banLocally(String region, boolean out) {
+        long id = DiscoveredBackends.numericId(region);
         if (out) { banned.add(region); } else { banned.remove(region); }
         ingress.deliver(new Api.Ban(id, out));          // the module first: it places anew what the pool gives up
-        pool.ban(id, out);
+        pool.setBanned(id, out);
     }
 
-    private void drainHere(boolean away) {
+    private void drainLocally(boolean away) {
         front.server().setDraining(away);
         if (limitsFront != null) { limitsFront.server().setDraining(away); }
     }
 
     /** How many of so many descriptors are for clients and backends. */
-    static int budget(int sockets) { return Math.max(Math.max(LEAST_BUDGET, Math.min(64, sockets - OWN_LEAST)), sockets - OWN_DESCRIPTORS); }
+    static int descriptorBudget(int sockets) { return Math.max(Math.max(MIN_DESCRIPTOR_BUDGET, Math.min(64, sockets - MIN_OWN_DESCRIPTORS)), sockets - OWN_DESCRIPTORS); }
 
     /** Takes the descriptors, or the half of them that the other process of this ingress leaves. */
-    private void share(boolean other) {
-        int mine = other ? budget / 2 : budget;
+    private void setConnectionLimits(boolean other) {
+        int mine = other ? descriptorBudget / 2 : descriptorBudget;
         front.server().setMaxConnections(mine * 3 / 5 - (limitsFront == null ? 0 : LimitsFrontend.MAX_TERMINALS));
-        pool.limit(mine * 2 / 5);
+        pool.setMaxConnections(mine * 2 / 5);
     }
 
     public Ingress ingress() { return ingress; }
 
     /** Null where no second address is named. */
-    public AdminFront admin() { return admin; }
+    public AdminServer admin() { return admin; }
 
     public EventLoop loop() { return loop; }
 
@@ -306,10 +306,10 @@
         return () -> startMs + (System.nanoTime() - startNanos) / 1e6;
     }
 
-    private void fault(Throwable e) {
+    private void handleFault(Throwable e) {
         if ((e instanceof UncheckedIOException || e instanceof YardusherError) && ready.getCount() > 0) {
             // An address that cannot be had, or a part that cannot start, ends the start.
-            unready = e instanceof UncheckedIOException cause ? cause.getCause() : (YardusherError) e;
+            startFailure = e instanceof UncheckedIOException cause ? cause.getCause() : (YardusherError) e;
             ready.countDown();
             return;
         }
@@ -328,20 +328,20 @@
             watch.start();
             if (admin != null) { admin.open(); }
             try {
-                parts.start();
+                subsystems.start();
                 handover.start(adminAt);
             } catch (IOException e) {
-                fault(new UncheckedIOException(e));
+                handleFault(new UncheckedIOException(e));
             } catch (UncheckedIOException | YardusherError e) {
-                fault(e);
+                handleFault(e);
             }
         });
         try {
             // Guards a start that is short of processor time: what it waits for in time it goes without.
-            if (!ready.await(START_MS, TimeUnit.MILLISECONDS)) { loop.execute(watch::awaitNoLonger); }
-            if (ready.getCount() > 0 || unready != null) {
-                if (unready instanceof YardusherError why) { throw why; }
-                throw unready instanceof IOException why ? why : new IOException("no clients could be taken");
+            if (!ready.await(START_TIMEOUT_MS, TimeUnit.MILLISECONDS)) { loop.execute(watch::stopAwaitingUpdate); }
+            if (ready.getCount() > 0 || startFailure != null) {
+                if (startFailure instanceof YardusherError why) { throw why; }
+                throw startFailure instanceof IOException why ? why : new IOException("no clients could be taken");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -356,11 +356,11 @@
 
     /** The same, with the file of our own settings, null for none. What each subsystem cannot take over it says itself. */
     public synchronized String reload(String file, Path settingsFile) { // one by one: an older reading must not come last
-        Config next;
+        IngressConfig next;
         Settings own;
         try {
-            next = Config.read(file);
-            own = parts.all().isEmpty() ? Settings.OFF : Settings.read(settingsFile);
+            next = IngressConfig.read(file);
+            own = subsystems.all().isEmpty() ? Settings.OFF : Settings.read(settingsFile);
         } catch (YardusherError e) {
             return "keeps its configuration: " + e.getMessage();
         } catch (StackOverflowError | OutOfMemoryError e) {
@@ -368,12 +368,12 @@
         }
         String[] done = new String[1];
         loop.execute(() -> {
-            watch.move(next.discovery());
-            boolean more = !config.sameBut(next);
+            watch.moveTo(next.discovery());
+            boolean more = !config.sameExceptReloadable(next);
             config = next;
             counters.reloads++;
             done[0] = "reloaded: discovery at " + next.discovery() + (more ? "; the rest of the file waits for a restart" : "")
-                    + parts.reload(own);
+                    + subsystems.reload(own);
         });
         return done[0];
     }
@@ -383,45 +383,45 @@
      * the last request that can have been taken has had its whole time.
      */
     public void drain() throws InterruptedException {
-        double mostMs = ACCEPT_ON_MS + READ_ON_MS + Math.max(longestMs, LEAST_END_MS) + LAST_MS;
+        double mostMs = DRAIN_ACCEPT_MS + DRAIN_READ_MS + Math.max(longestDeadlineMs, MIN_DRAIN_MS) + FINAL_ANSWER_MS;
         loop.execute(() -> {
-            loop.deadlines().schedule(loop.now() + ACCEPT_ON_MS, () -> {
-                if (handover.hasHeir()) { serving = false; } else { closeFronts(); }
-                loop.deadlines().schedule(loop.now() + READ_ON_MS, () -> {
-                    if (!handover.hasHeir()) { closeFronts(); } // whoever came at the last moment and has said nothing
-                    waitForOpen();
+            loop.deadlines().schedule(loop.now() + DRAIN_ACCEPT_MS, () -> {
+                if (handover.hasSuccessor()) { serving = false; } else { closeFronts(); }
+                loop.deadlines().schedule(loop.now() + DRAIN_READ_MS, () -> {
+                    if (!handover.hasSuccessor()) { closeFronts(); } // whoever came at the last moment and has said nothing
+                    awaitOpenRequests();
                 });
             });
             loop.deadlines().schedule(loop.now() + mostMs, drained::countDown);
-            if (handover.hasHeir()) {
+            if (handover.hasSuccessor()) {
                 front.server().startHandover();
                 if (limitsFront != null) { limitsFront.server().startHandover(); }
             }
-            parts.drain();
+            subsystems.drain();
         });
-        drained.await((long) mostMs + HELD_UP_MS, TimeUnit.MILLISECONDS);
+        drained.await((long) mostMs + STARVED_LOOP_EXTRA_MS, TimeUnit.MILLISECONDS);
     }
 
     private void closeFronts() {
         serving = false;
         ending = true;
         // Guards who waits at the door of a full process: they are let in before it closes, with half of what the backends leave.
-        int spare = Math.max(0, budget * 2 / 5 - pool.held()) / 2;
-        pool.limit(budget * 2 / 5 - spare);
-        front.server().setMaxConnections(budget * 3 / 5 + spare - (limitsFront == null ? 0 : LimitsFrontend.MAX_TERMINALS));
+        int spare = Math.max(0, descriptorBudget * 2 / 5 - pool.connectionCount()) / 2;
+        pool.setMaxConnections(descriptorBudget * 2 / 5 - spare);
+        front.server().setMaxConnections(descriptorBudget * 3 / 5 + spare - (limitsFront == null ? 0 : LimitsFrontend.MAX_TERMINALS));
         front.server().close();
         if (limitsFront != null) { limitsFront.server().close(); }
     }
 
-    private void waitForOpen() {
+    private void awaitOpenRequests() {
         // Guards answers that the system has not taken, or that a close over unread bytes would destroy: a connection is over
         // once its client has ended it too, or has had its time for that. Guards who comes between that and the halt: while a door
         // is open, the next client is let in, sent on, and cut off with its answer on the way.
-        if (ingress.openCount() == 0 && !parts.isBusy() && front.server().isFinished()
+        if (ingress.openCount() == 0 && !subsystems.isBusy() && front.server().isFinished()
                 && (limitsFront == null || limitsFront.server().isFinished())) {
             drained.countDown();
         } else {
-            loop.deadlines().schedule(loop.now() + 20, this::waitForOpen);
+            loop.deadlines().schedule(loop.now() + 20, this::awaitOpenRequests);
         }
     }
 
@@ -434,13 +434,13 @@
     public void close() {
         loop.execute(() -> {
             watch.stop();
-            handover.end();
+            handover.close();
             if (peers != null) { peers.close(); }
             if (admin != null) { admin.close(); }
             closeFronts();
-            parts.close();
+            subsystems.close();
         });
-        parts.end();
+        subsystems.end();
         loop.stop();
         sockets.shutdown();
     }
@@ -454,19 +454,19 @@
     }
 
     /** Where the two versions of one ingress find each other: the platform's private folder. */
-    private static Path notes() {
+    private static Path handoverFolder() {
         String folder = System.getenv("TMPDIR");
         return folder == null || folder.isEmpty() ? null : Path.of(folder);
     }
 
     /** Whether the limits file opens the front at all. A plain look, so that the platform's start loads no parser. */
-    private static boolean listens(Path limitsFile) throws IOException {
+    private static boolean enablesLimitsFront(Path limitsFile) throws IOException {
         return limitsFile != null && Files.exists(limitsFile)
                 && Files.readString(limitsFile).lines().anyMatch(line -> line.strip().startsWith("listen"));
     }
 
     /** Each asking is followed by a reading that began after it; the line says what became of it. */
-    private static void reloadIfAsked(Serve serve, AtomicBoolean asked, String file, Path settingsFile) {
+    private static void reloadIfRequested(IngressProcess serve, AtomicBoolean asked, String file, Path settingsFile) {
         if (serve != null && asked.getAndSet(false)) { System.err.println(serve.config.name() + " " + serve.reload(file, settingsFile)); }
     }
 
@@ -475,15 +475,15 @@
         DoubleSupplier clock = clock();
         double bornMs = clock.getAsDouble();
         // First of all: the default of this signal would end the process. One that comes before there is anything to reload waits.
-        AtomicReference<Serve> reloads = new AtomicReference<>();
+        AtomicReference<IngressProcess> reloads = new AtomicReference<>();
         AtomicBoolean asked = new AtomicBoolean();
         Signal.handle(new Signal("HUP"), hup -> {
             asked.set(true);
-            reloadIfAsked(reloads.get(), asked, file, settingsFile);
+            reloadIfRequested(reloads.get(), asked, file, settingsFile);
         });
-        Config config = Config.read(file);
+        IngressConfig config = IngressConfig.read(file);
         String adminAt = System.getenv("RELAY_ADMIN_ADDR"); // goes before the file's: it is this very process's
-        Serve serve = new Serve(config, adminAt == null || adminAt.isEmpty() ? config.admin() : address(adminAt), notes(), listens(limitsFile) ? LimitsConfig.read(limitsFile) : null, Settings.read(settingsFile),
+        IngressProcess serve = new IngressProcess(config, adminAt == null || adminAt.isEmpty() ? config.admin() : address(adminAt), handoverFolder(), enablesLimitsFront(limitsFile) ? LimitsConfig.read(limitsFile) : null, Settings.read(settingsFile),
                 clock, bornMs);
         Thread end = new Thread(() -> {
             try {
@@ -491,10 +491,10 @@
             } catch (InterruptedException e) { /* the process ends all the same */ }
             try {
                 serve.loop.execute(() -> {
-                    serve.handover.end();
-                    serve.parts.close();
+                    serve.handover.close();
+                    serve.subsystems.close();
                 });
-                serve.parts.end();
+                serve.subsystems.end();
                 System.err.println(config.name() + " ends: " + serve.countersLine());
                 System.err.flush();
             } finally {
@@ -503,7 +503,7 @@
         }, "drain");
         Runtime.getRuntime().addShutdownHook(end);
         reloads.set(serve);
-        reloadIfAsked(serve, asked, file, settingsFile);
+        reloadIfRequested(serve, asked, file, settingsFile);
         if (SighupStatus.isIgnored()) { System.err.println(config.name() + " " + SighupStatus.IGNORED_HINT); }
         try {
             serve.start();
--- a/src/main/java/yardusher/cli/Main.java
+++ b/src/main/java/yardusher/cli/Main.java
@@ -16,7 +16,7 @@
 import yardusher.error.YardusherError;
 import yardusher.limits.LimitsConfig;
 import yardusher.limits.LimitsFrontend;
-import yardusher.nginx.Importer;
+import yardusher.nginx.NginxImporter;
 import yardusher.resp.Value;
 import yardusher.settings.Settings;
 import yardusher.wire.SimulatorHost;
@@ -34,11 +34,11 @@
         try {
             status = run(args);
         } catch (YardusherError e) {
-            status = tell(e, args.length > 0 && args[0].equals("check"));
+            status = report(e, args.length > 0 && args[0].equals("check"));
         } catch (ParseException e) {
-            status = tell(new CommandError.Usage(line(e)), false);
+            status = report(new CommandError.Usage(line(e)), false);
         } catch (IllegalArgumentException e) {       // of a library, such as a path that cannot be one
-            status = tell(new CommandError.Argument(line(e)), false);
+            status = report(new CommandError.Argument(line(e)), false);
         } catch (IOException e) {                    // of the machine, where no part knows better what it means
             System.err.println("yardusher: " + line(e));
             status = YardusherError.FAILED;
@@ -47,7 +47,7 @@
     }
 
     /** The one place where an error becomes a line and an exit code; whoever checks is told what to do as well. */
-    private static int tell(YardusherError e, boolean advice) {
+    private static int report(YardusherError e, boolean advice) {
         System.err.println("yardusher: " + e.getMessage());
         if (advice) { System.err.println("what to do: " + e.advice()); }
         return e.exitCode();
@@ -76,26 +76,26 @@
         List<String> rest = line.getArgList();
         switch (command) {
             case "serve" -> {
-                atMost(rest, 0, 1);
+                requireCount(rest, 0, 1);
                 String file = rest.isEmpty() ? System.getenv("RELAY_CONFIG") : rest.get(0);
                 if (file == null) { throw new ConfigError.Missing("serve", "RELAY_CONFIG", "a configuration: name a file or set RELAY_CONFIG"); }
                 String limits = line.getOptionValue("limits", "deploy/limits.toml");
                 if (line.hasOption("limits") && !limits.equals("none") && !Files.exists(Path.of(limits))) {
                     throw new ConfigError.Unreadable(limits);
                 }
-                return Serve.run(file, limits.equals("none") ? null : Path.of(limits), settings(line));
+                return IngressProcess.run(file, limits.equals("none") ? null : Path.of(limits), settings(line));
             }
             case "simhost" -> {
-                atMost(rest, 0, 0);
+                requireCount(rest, 0, 0);
                 return SimulatorHost.run(System.in, System.out, System.err);
             }
             case "version" -> {
-                atMost(rest, 0, 0);
+                requireCount(rest, 0, 0);
                 System.out.println("yardusher " + VERSION);
                 return 0;
             }
             case "check" -> {
-                atMost(rest, 1, 1);
+                requireCount(rest, 1, 1);
                 return check(rest.get(0), line.getOptionValue("limits"), settings(line));
             }
             case "keys" -> { return keys(rest); }
@@ -104,11 +104,11 @@
             case "agent" -> { return AgentCommand.run(rest); }
             case "admin" -> { return AdminCommand.run(rest); }
             case "import" -> {
-                atMost(rest, 1, 1);
+                requireCount(rest, 1, 1);
                 return importNginx(rest.get(0), line);
             }
             case "limits" -> {
-                atMost(rest, 5, 6);
+                requireCount(rest, 5, 6);
                 return limits(rest);
             }
             default -> throw new CommandError.Usage(USAGE);
@@ -125,13 +125,13 @@
         return null;
     }
 
-    private static void atMost(List<String> words, int least, int most) {
+    private static void requireCount(List<String> words, int least, int most) {
         if (words.size() < least || words.size() > most) { throw new CommandError.Usage(USAGE); }
     }
 
     /** Reads a configuration as serve would, and the limits file against it. */
     private static int check(String file, String limitsFile, Path settingsFile) {
-        Config config = Config.read(file);
+        IngressConfig config = IngressConfig.read(file);
         Path limits = Path.of(limitsFile == null ? "deploy/limits.toml" : limitsFile);
         boolean there = Files.exists(limits);
         if (limitsFile != null && !there) { throw new ConfigError.Unreadable(limitsFile); }
@@ -142,7 +142,7 @@
         }
         Settings own = Settings.read(settingsFile);
         if (own.units() != null) { own.units().check(config.plans()); }
-        System.out.println(file + ": good: " + config.name() + " at " + config.listen() + ", " + config.members()
+        System.out.println(file + ": good: " + config.name() + " at " + config.listen() + ", " + config.memberCount()
                 + " regions known" + (there ? "; " + limits + ": good" : "")
                 + (settingsFile == null ? "" : "; " + settingsFile + ": good, journal " + (own.journal() == null ? "off" : "in "
                         + own.journal().folder().resolve(config.name()))));
@@ -158,9 +158,9 @@
         } catch (IOException e) {
             throw new ConfigError.Unreadable(file, e);
         }
-        Importer.Result result;
+        NginxImporter.Result result;
         try {
-            result = Importer.run(text, line.getOptionValue("upstream"));
+            result = NginxImporter.run(text, line.getOptionValue("upstream"));
         } catch (ConfigError e) {
             throw e.in(file);
         }
@@ -180,7 +180,7 @@
         if (!stats && !(words.size() == 3 && words.get(0).equals("show"))) {
             throw new CommandError.Usage("usage: yardusher keys stats HOST:PORT | show HOST:PORT KEY");
         }
-        Value answer = stats ? Asking.ask(words.get(1), 10_000, "KEYS.STATS") : Asking.ask(words.get(1), 10_000, "KEYS.SHOW", words.get(2));
+        Value answer = stats ? RespClient.call(words.get(1), 10_000, "KEYS.STATS") : RespClient.call(words.get(1), 10_000, "KEYS.SHOW", words.get(2));
         if (!(answer instanceof Value.BulkString told)) {
             throw new WireError.Refused(words.get(1), answer instanceof Value.ErrorReply failure ? failure.text() + "; are keys on there?" : "not an answer about keys");
         }
@@ -192,7 +192,7 @@
     private static int limits(List<String> words) {
         String[] command = words.toArray(new String[0]);
         command[0] = "CL.THROTTLE";
-        Value answer = Asking.ask(words.get(0), 10_000, command);
+        Value answer = RespClient.call(words.get(0), 10_000, command);
         if (answer instanceof Value.ArrayValue many && many.items() != null && many.items().size() == 5) {
             String[] names = {"limited", "limit", "remaining", "retry_after_s", "reset_after_s"};
             for (int i = 0; i < names.length; i++) {
--- a/src/main/java/yardusher/cli/OrdersCommand.java
+++ b/src/main/java/yardusher/cli/OrdersCommand.java
@@ -16,7 +16,7 @@
 import yardusher.error.CommandError;
 import yardusher.error.ConfigError;
 import yardusher.error.JournalError;
-import yardusher.journal.Orders;
+import yardusher.journal.JournalReports;
 import yardusher.settings.Settings;
 
 /** The sub-command orders: asks the journals of running and dead instances. */
@@ -52,10 +52,10 @@
         }
         List<String> paths = new ArrayList<>(words.subList(1, words.size()));
         if (line.hasOption("agent")) { paths.addAll(ofAgent(Path.of(line.getOptionValue("agent")))); }
-        List<Path> folders = Orders.folders(paths);
+        List<Path> folders = JournalReports.folders(paths);
         PrintStream err = line.hasOption("progress") || System.console() != null ? System.err : null;
-        if (what.equals("verify")) { return Orders.verify(folders, System.out, err) ? 0 : 1; }
-        Orders.Asked asked = new Orders.Asked(Instant.now());
+        if (what.equals("verify")) { return JournalReports.verify(folders, System.out, err) ? 0 : 1; }
+        JournalReports.Filter asked = new JournalReports.Filter(Instant.now());
         for (String field : new String[] {"key", "customer", "id", "region"}) {
             if (line.hasOption(field)) { asked.by(field, line.getOptionValue(field)); }
         }
@@ -64,20 +64,20 @@
         if (line.hasOption("to")) { asked.to(line.getOptionValue("to")); }
         if (what.equals("open")) { asked.open(); }
         if (what.equals("show")) {
-            if (Orders.show(folders, asked, System.out) > 0) { return 0; }
+            if (JournalReports.show(folders, asked, System.out) > 0) { return 0; }
             throw new CommandError.NotFound("no such order");
         }
-        Orders.Form form = line.hasOption("json") ? Orders.Form.JSON
-                : line.hasOption("csv") || what.equals("export") ? Orders.Form.CSV : Orders.Form.TABLE;
+        JournalReports.OutputFormat form = line.hasOption("json") ? JournalReports.OutputFormat.JSON
+                : line.hasOption("csv") || what.equals("export") ? JournalReports.OutputFormat.CSV : JournalReports.OutputFormat.TABLE;
         long most = most(line.getOptionValue("most"));
         if (!line.hasOption("output")) {
-            Orders.list(folders, asked, form, most, System.out, err);
+            JournalReports.list(folders, asked, form, most, System.out, err);
             return 0;
         }
         Path file = Path.of(line.getOptionValue("output"));
         long count;
         try (PrintStream out = new PrintStream(output(file), false, StandardCharsets.UTF_8)) {
-            count = Orders.list(folders, asked, form, most, out, err);
+            count = JournalReports.list(folders, asked, form, most, out, err);
             if (out.checkError()) { throw new CommandError.Output(file, null); }
         }
         System.err.println(count + " orders written to " + file);
@@ -105,7 +105,7 @@
             if (entry.settings().equals("none")) { continue; }
             Settings own = Settings.read(Path.of(entry.settings()));
             if (own.journal() == null) { continue; }
-            Path folder = own.journal().folder().resolve(Config.read(entry.config()).name());
+            Path folder = own.journal().folder().resolve(IngressConfig.read(entry.config()).name());
             if (Files.isDirectory(folder)) { folders.add(folder.toString()); }
         }
         if (folders.isEmpty()) { throw new ConfigError.Missing(file, "journal", "an instance that has a journal"); }
--- a/src/main/java/yardusher/cli/Asking.java
+++ b/src/main/java/yardusher/cli/RespClient.java
@@ -13,10 +13,10 @@
 import yardusher.resp.Value;
 
 /** Asks one RESP command and waits for its answer: for sub-commands, which have nothing else to do. No answer is a {@link WireError}. */
-public final class Asking {
-    private Asking() { }
+public final class RespClient {
+    private RespClient() { }
 
-    public static Value ask(String address, int withinMs, String... words) {
+    public static Value call(String address, int withinMs, String... words) {
         try (Socket socket = new Socket()) {
             socket.connect(Sockets.parseAddress(address), withinMs);
             socket.setSoTimeout(withinMs);
--- a/src/main/java/yardusher/cli/Subsystems.java
+++ b/src/main/java/yardusher/cli/Subsystems.java
@@ -15,7 +15,7 @@
 import yardusher.connectionquota.ConnectionQuotaSubsystem;
 import yardusher.rates.RatesSubsystem;
 import yardusher.settings.Settings;
-import yardusher.subsystem.Site;
+import yardusher.subsystem.SubsystemContext;
 import yardusher.subsystem.Subsystem;
 import yardusher.units.UnitsSubsystem;
 import yardusher.view.View;
@@ -27,7 +27,7 @@
  */
 record Subsystems(List<Subsystem> all, Mesh mesh, View view) {
     /** Makes those whose tables are there; a {@link yardusher.error.YardusherError} where one cannot be made as it is set. */
-    static Subsystems of(Settings own, Config config, EventLoop loop) throws IOException {
+    static Subsystems of(Settings own, IngressConfig config, EventLoop loop) throws IOException {
         List<Subsystem> all = new ArrayList<>();
         ViewSubsystem view = null;
         if (own.view() != null) {                    // made first, so closed last: others say their last words over its mesh
@@ -41,25 +41,25 @@
                     config.plans(), loop, Logs.of(own.log(), config.name())));
         }
         if (own.keys() != null) { all.add(new KeysSubsystem(own.keys(), own.journal())); }
-        if (own.parts() != null) { all.add(new ConnectionQuotaSubsystem(own.parts())); }
+        if (own.connectionQuota() != null) { all.add(new ConnectionQuotaSubsystem(own.connectionQuota())); }
         if (own.units() != null) { all.add(new UnitsSubsystem(own.units())); } // outermost: what belongs together, then each key
         return new Subsystems(all, view == null ? null : view.mesh(), view == null ? null : view.view());
     }
 
-    RequestLog orders() {
+    RequestLog wrapRequestLog() {
         RequestLog log = RequestLog.NONE;
-        for (Subsystem one : all) { log = one.orders(log); }
+        for (Subsystem one : all) { log = one.wrapRequestLog(log); }
         return log;
     }
 
-    RequestAcceptor intake(Site site, RequestAcceptor core) throws IOException {
+    RequestAcceptor wrapAcceptor(SubsystemContext site, RequestAcceptor core) throws IOException {
         RequestAcceptor intake = core;
-        for (Subsystem one : all) { intake = one.intake(site, intake); }
+        for (Subsystem one : all) { intake = one.wrapAcceptor(site, intake); }
         return intake;
     }
 
-    void join(Site site) throws IOException {
-        for (Subsystem one : all) { one.join(site); }
+    void attach(SubsystemContext site) throws IOException {
+        for (Subsystem one : all) { one.attach(site); }
     }
 
     void start() throws IOException {
@@ -73,7 +73,7 @@
     }
 
     /** Names and values of all parts, each part's behind a space. */
-    String line() { return all.stream().map(Subsystem::line).filter(said -> !said.isEmpty()).map(said -> " " + said).collect(Collectors.joining()); }
+    String countersLine() { return all.stream().map(Subsystem::countersLine).filter(said -> !said.isEmpty()).map(said -> " " + said).collect(Collectors.joining()); }
 
     /** The answer of the part whose call it is; null for nobody's. */
     String report(String call) { return all.stream().map(one -> one.report(call)).filter(Objects::nonNull).findFirst().orElse(null); }
--- a/src/main/java/yardusher/connectionquota/ConnectionQuotaSettings.java
+++ b/src/main/java/yardusher/connectionquota/ConnectionQuotaSettings.java
@@ -34,25 +34,25 @@
     public static ConnectionQuotaSettings of(Toml file) {
         Toml table = file.table("parts");
         if (table == null) { return null; }
-        table.only(KEYS);
+        table.allowOnly(KEYS);
         List<RegionOverride> overrides = new ArrayList<>();
         for (Toml entry : table.tables("region")) {
-            entry.only(Set.of("id", "zone", "connections"));
+            entry.allowOnly(Set.of("id", "zone", "connections"));
             String id = entry.text("id", null);
             String zone = entry.text("zone", null);
             if ((id == null) == (zone == null)) {
                 throw new ConfigError.Missing(null, "parts.region", "either an id or a zone in parts.region");
             }
-            int connections = entry.whole("connections", -1, 1, MAX_CONNECTIONS);
+            int connections = entry.integer("connections", -1, 1, MAX_CONNECTIONS);
             if (connections < 0) {
                 throw new ConfigError.Missing(null, "parts.region.connections", "a whole number in parts.region.connections");
             }
             overrides.add(new RegionOverride(id, zone, connections));
         }
-        return new ConnectionQuotaSettings(table.whole("connections", 64, 1, MAX_CONNECTIONS), List.copyOf(overrides),
-                table.whole("least", 1, 0, 100), table.whole("weight", 1, 1, 100),
-                table.whole("moves_per_s", 200, 1, 10_000), table.whole("ended_ms", 1000, 0, 600_000),
-                table.whole("cold_percent", 100, 1, 100), table.whole("ingresses", 0, 0, 1000), table.text("folder", null),
+        return new ConnectionQuotaSettings(table.integer("connections", 64, 1, MAX_CONNECTIONS), List.copyOf(overrides),
+                table.integer("least", 1, 0, 100), table.integer("weight", 1, 1, 100),
+                table.integer("moves_per_s", 200, 1, 10_000), table.integer("ended_ms", 1000, 0, 600_000),
+                table.integer("cold_percent", 100, 1, 100), table.integer("ingresses", 0, 0, 1000), table.text("folder", null),
                 table.choice("absent", "ask", "ask", "begin").equals("begin"));
     }
 
@@ -61,7 +61,7 @@
         int limit = connections;
         boolean foundById = false;
         for (RegionOverride override : overrides) {
-            if (override.id != null && DiscoveredBackends.id(override.id) == region.id()) {
+            if (override.id != null && DiscoveredBackends.numericId(override.id) == region.id()) {
                 limit = override.connections;
                 foundById = true;
             } else if (!foundById && override.zone != null && region.zone() >= 0 && region.zone() < zones.size()
--- a/src/main/java/yardusher/connectionquota/ConnectionQuotaSubsystem.java
+++ b/src/main/java/yardusher/connectionquota/ConnectionQuotaSubsystem.java
@@ -13,9 +13,9 @@
 import yardusher.error.ConfigError;
 import yardusher.error.PartError;
 import yardusher.mesh.Mesh;
-import yardusher.servers.Allowance;
+import yardusher.servers.ConnectionAllowance;
 import yardusher.settings.Settings;
-import yardusher.subsystem.Site;
+import yardusher.subsystem.SubsystemContext;
 import yardusher.subsystem.Subsystem;
 import yardusher.view.View;
 
@@ -28,14 +28,14 @@
  * fixed part of a region's limit that an ingress owns; an <em>incarnation</em> is one run of an ingress's process; the
  * <em>claim</em> is the file lock that proves that no earlier incarnation is left.
  */
-public final class ConnectionQuotaSubsystem implements Subsystem, Allowance, Negotiator.Environment {
+public final class ConnectionQuotaSubsystem implements Subsystem, ConnectionAllowance, Negotiator.Environment {
     private static final double CLAIM_RETRY_MS = 200; // between two attempts to lock the claim file
     private static final double SUCCESSOR_POLL_MS = 50; // between two exchanges of a process and its successor
     private static final double TICK_DELAY_MS = 1;   // changes of one moment are handled by one tick
 
     private ConnectionQuotaSettings settings;
     private final Path folder;
-    private Site site;
+    private SubsystemContext site;
     private EventLoop loop;
     private Counters counters;
     private ClaimFile claim;
@@ -68,7 +68,7 @@
     public String name() { return "parts"; }
 
     @Override
-    public void join(Site joined) throws IOException {
+    public void attach(SubsystemContext joined) throws IOException {
         site = joined;
         loop = joined.loop();
         counters = joined.ingress().counters();
@@ -82,8 +82,8 @@
         } catch (IOException | RuntimeException e) {
             throw new ConfigError.Value(null, "parts.folder", "a folder that can be written, which " + folder + " is not");
         }
-        joined.pool().allow(this);
-        joined.table().follow(() -> loop.defer(this::updateRegions)); // after the decision module has the new list
+        joined.pool().setAllowance(this);
+        joined.table().setChangeListener(() -> loop.defer(this::updateRegions)); // after the decision module has the new list
         joined.mesh().setHandler(Mesh.Kind.PARTS, this::receive);
         if (joined.view() != null) { joined.view().subscribe(change -> updateMembers(change.snapshot())); }
         updateRegions();
@@ -246,7 +246,7 @@
 
     @Override
     public String reload(Settings next) {
-        ConnectionQuotaSettings updated = next == null ? null : next.parts();
+        ConnectionQuotaSettings updated = next == null ? null : next.connectionQuota();
         if (updated == null || updated.equals(settings)) { return null; }
         boolean limitsChanged = updated.connections() != settings.connections() || !updated.overrides().equals(settings.overrides())
                 || updated.coldPercent() != settings.coldPercent();
@@ -266,13 +266,13 @@
     // Called by the connection pool.
 
     @Override
-    public boolean take(long region) {
+    public boolean tryAcquire(long region) {
         if (isClosed) { return false; }
         return negotiator != null ? negotiator.tryAcquire(region) : successorQuota != null && successorQuota.tryAcquire(region);
     }
 
     @Override
-    public void leaving(long region) {
+    public void closing(long region) {
         if (negotiator != null) {
             negotiator.connectionClosing(region);
         } else if (successorQuota != null) {
@@ -281,7 +281,7 @@
     }
 
     @Override
-    public void ended(long region, boolean wasClosing) {
+    public void closed(long region, boolean wasClosing) {
         if (negotiator == null) {
             if (successorQuota != null) { successorQuota.connectionClosed(region, wasClosing); }
             return;
@@ -297,7 +297,7 @@
     // Called by the negotiator.
 
     @Override
-    public int busy(long region) { return site.pool().busy(region); }
+    public int busy(long region) { return site.pool().busyConnections(region); }
 
     @Override
     public long refusedRequests() { return counters.refusalsByReason[Api.Reason.NO_SERVER.ordinal()]; }
@@ -311,7 +311,7 @@
     }
 
     @Override
-    public int closeIdle(long region, int count) { return site.pool().shed(region, count); }
+    public int closeIdle(long region, int count) { return site.pool().closeIdle(region, count); }
 
     @Override
     public void send(InetSocketAddress to, byte[] body) { site.mesh().send(to, Mesh.Kind.PARTS, body); }
@@ -325,7 +325,7 @@
     // Counters and reports for operators.
 
     @Override
-    public String line() {
+    public String countersLine() {
         if (negotiator == null) { return "parts_claimed=0"; }
         Negotiator current = negotiator;
         int allowance = 0;
--- a/src/main/java/yardusher/discovery/Backoff.java
+++ b/src/main/java/yardusher/discovery/Backoff.java
@@ -8,27 +8,27 @@
  */
 final class Backoff {
     private final double firstMs;
-    private final double mostMs;
+    private final double maxMs;
     private final SplittableRandom random;
-    private double waitMs;
+    private double delayMs;
 
-    Backoff(double firstMs, double mostMs, long seed) {
+    Backoff(double firstMs, double maxMs, long seed) {
         this.firstMs = firstMs;
-        this.mostMs = mostMs;
+        this.maxMs = maxMs;
         random = new SplittableRandom(seed);
-        waitMs = firstMs;
+        delayMs = firstMs;
     }
 
     /** The next wait, in milliseconds. */
-    double next() {
-        double wait = spread(waitMs);
-        waitMs = Math.min(mostMs, 2 * waitMs);
+    double nextDelayMs() {
+        double wait = withJitter(delayMs);
+        delayMs = Math.min(maxMs, 2 * delayMs);
         return wait;
     }
 
     /** A time of about so long, another for each who asks. */
-    double spread(double ms) { return ms * (0.5 + random.nextDouble()); }
+    double withJitter(double ms) { return ms * (0.5 + random.nextDouble()); }
 
     /** Discovery speaks: the next loss begins anew. */
-    void reset() { waitMs = firstMs; }
+    void reset() { delayMs = firstMs; }
 }
--- a/src/main/java/yardusher/discovery/Watch.java
+++ b/src/main/java/yardusher/discovery/DiscoveryWatch.java
@@ -20,12 +20,12 @@
 
 /**
  * The watch on discovery: one HTTP answer that stays open. When it ends or falls silent, or discovery is to be found
- * at another address, it is asked for anew; the old one is heard until the new one has spoken. {@link WatchClock} decides
+ * at another address, it is asked for anew; the old one is heard until the new one has spoken. {@link WatchScheduler} decides
  * when; this is its sockets.
  */
-public final class Watch {
-    private static final double AGAIN_MS = 100;
-    private static final double AGAIN_MOST_MS = 1000;
+public final class DiscoveryWatch {
+    private static final double FIRST_RETRY_MS = 100;
+    private static final double MAX_RETRY_MS = 1000;
 
     private final Sockets sockets;
     private final EventLoop loop;
@@ -33,22 +33,22 @@
     private final Ingress ingress;
     private final Counters counters;
     private InetSocketAddress address;
-    private final WatchClock clock;
+    private final WatchScheduler scheduler;
     private final Map<Integer, Stream> streams = new HashMap<>(); // three at the most
-    private Deadlines.Entry pending;                 // the clock's next look
-    private double pendingAt = Double.POSITIVE_INFINITY;
-    private Runnable awaits;                         // the first news, or null
-    private boolean spoken;                          // discovery has told something
+    private Deadlines.Entry schedulerTimer;                 // the clock's next look
+    private double schedulerTimerAtMs = Double.POSITIVE_INFINITY;
+    private Runnable firstUpdateAction;                         // the first news, or null
+    private boolean updateReceived;                          // discovery has told something
     private boolean stopped;
 
-    public Watch(Sockets sockets, InetSocketAddress address, DiscoveredBackends table, Ingress ingress, long seed) {
+    public DiscoveryWatch(Sockets sockets, InetSocketAddress address, DiscoveredBackends table, Ingress ingress, long seed) {
         this.sockets = sockets;
         this.loop = sockets.loop();
         this.address = address;
         this.table = table;
         this.ingress = ingress;
         this.counters = ingress.counters();
-        clock = new WatchClock(new WatchClock.Hands() {
+        scheduler = new WatchScheduler(new WatchScheduler.Actions() {
             @Override
             public void dial(int watch) { streams.put(watch, new Stream(watch)); }
 
@@ -57,80 +57,80 @@
                 Stream stream = streams.remove(watch);
                 if (stream != null) { stream.close(); }
             }
-        }, new Backoff(AGAIN_MS, AGAIN_MOST_MS, seed));
+        }, new Backoff(FIRST_RETRY_MS, MAX_RETRY_MS, seed));
     }
 
     public void start() {
-        clock.start(loop.now());
-        look();
+        scheduler.start(loop.now());
+        scheduleNext();
     }
 
     /** Discovery is found there from now on. */
-    public void move(InetSocketAddress to) {
+    public void moveTo(InetSocketAddress to) {
         if (to.equals(address)) { return; }
         address = to;
-        clock.move(loop.now());
-        look();
+        scheduler.addressMoved(loop.now());
+        scheduleNext();
     }
 
     /**
      * Runs that once: when discovery has first told of its backends, and the module knows, or after so many milliseconds at the
      * latest. Not at all once the watch has stopped. One waits at a time.
      */
-    public void whenTold(double withinMs, Runnable then) {
-        if (spoken || withinMs <= 0) {
+    public void runAfterFirstUpdate(double withinMs, Runnable then) {
+        if (updateReceived || withinMs <= 0) {
             then.run();
             return;
         }
-        awaits = then;
-        loop.deadlines().schedule(loop.now() + withinMs, this::awaitNoLonger);
+        firstUpdateAction = then;
+        loop.deadlines().schedule(loop.now() + withinMs, this::stopAwaitingUpdate);
     }
 
     /** Runs what waits for the first news, without them. */
-    public void awaitNoLonger() {
-        Runnable then = awaits;
-        awaits = null;
+    public void stopAwaitingUpdate() {
+        Runnable then = firstUpdateAction;
+        firstUpdateAction = null;
         if (then != null && !stopped) { then.run(); }
     }
 
     public void stop() {
         stopped = true;
-        clock.stop();
-        look();
+        scheduler.stop();
+        scheduleNext();
     }
 
     /** Sees to it that the clock is looked at in time: sooner does no harm, so a later time waits for the look that stands. */
-    private void look() {
-        double next = clock.next();
-        if (next >= pendingAt) { return; }
-        loop.deadlines().cancel(pending);
-        pendingAt = next;
-        pending = loop.deadlines().schedule(next, () -> {
-            pendingAt = Double.POSITIVE_INFINITY;
-            clock.look(loop.now());
-            look();
+    private void scheduleNext() {
+        double next = scheduler.nextDueMs();
+        if (next >= schedulerTimerAtMs) { return; }
+        loop.deadlines().cancel(schedulerTimer);
+        schedulerTimerAtMs = next;
+        schedulerTimer = loop.deadlines().schedule(next, () -> {
+            schedulerTimerAtMs = Double.POSITIVE_INFINITY;
+            scheduler.runDue(loop.now());
+            scheduleNext();
         });
     }
 
     /** One watch, from its dial on. */
     private final class Stream {
         private final int number;
-        private final ChunkedLines lines = new ChunkedLines();
-        private final ObjectLines objects = new ObjectLines();
-        private final ByteBuffer in = ByteBuffer.allocate(8192);
-        private Runnable dial = () -> { };           // gives up the connection under way
+        private final HttpLineReader lines = new HttpLineReader();
+        private final JsonObjectAssembler objects = new JsonObjectAssembler();
+        private final ByteBuffer buffer = ByteBuffer.allocate(8192);
+        private Runnable cancelDial = () -> { };           // gives up the connection under way
         private AsynchronousSocketChannel channel;
-        private long knew;                           // the version known when it was asked
-        private long asked;                          // the version asked from, 0 for all there is
-        private final Set<Long> newer = new HashSet<>(); // who was told of since it was dialled, at most what is told in LIFE_MS
+        private long revisionAtRequest;                           // the version known when it was asked
+        private long requestedRevision;                          // the version asked from, 0 for all there is
+        private final Set<Long> updatedElsewhere = new HashSet<>(); // who was told of since it was dialled, at most what is told in LIFE_MS
         private boolean closed;
 
         Stream(int number) {
             this.number = number;
             try {
-                dial = sockets.connect(address, WatchClock.LIFE_MS, made -> {
+                cancelDial = sockets.connect(address, WatchScheduler.CANDIDATE_LIFETIME_MS, made -> {
                     channel = made;
-                    ask();
+                    sendRequest();
                 }, this::fail);
             } catch (RuntimeException e) {
                 // Guards the clock's next look: an address that the system cannot even try is one that refuses.
@@ -138,11 +138,11 @@
             }
         }
 
-        private void ask() {
+        private void sendRequest() {
             counters.listWatches++;
-            knew = table.revision();
-            asked = clock.asksWhole() ? 0 : knew;
-            String request = "GET /v1/servers?follow=1&since=" + asked + " HTTP/1.1\r\nHost: "
+            revisionAtRequest = table.revision();
+            requestedRevision = scheduler.requestsFullList() ? 0 : revisionAtRequest;
+            String request = "GET /v1/servers?follow=1&since=" + requestedRevision + " HTTP/1.1\r\nHost: "
                     + address.getHostString() + ":" + address.getPort() + "\r\nAccept: application/json\r\n\r\n";
             write(ByteBuffer.wrap(request.getBytes(StandardCharsets.US_ASCII)));
         }
@@ -163,113 +163,113 @@
         }
 
         private void read() {
-            in.clear();
-            channel.read(in, null, new CompletionHandler<Integer, Void>() {
+            buffer.clear();
+            channel.read(buffer, null, new CompletionHandler<Integer, Void>() {
                 @Override
-                public void completed(Integer count, Void none) { loop.execute(() -> got(count)); }
+                public void completed(Integer count, Void none) { loop.execute(() -> onBytes(count)); }
 
                 @Override
                 public void failed(Throwable why, Void none) { loop.execute(Stream.this::end); }
             });
         }
 
-        private void got(int count) {
+        private void onBytes(int count) {
             if (closed) { return; }
             if (count < 0) {
                 end();
                 return;
             }
             try {
-                lines.feed(in.array(), count);
+                lines.feed(buffer.array(), count);
             } catch (IOException e) {
-                bad(e);
+                logMalformed(e);
                 fail();
                 return;
             }
-            for (String line; !closed && (line = lines.next()) != null;) { line(line); }
+            for (String line; !closed && (line = lines.nextLine()) != null;) { onLine(line); }
             if (closed) { return; }
-            if (lines.ended()) { end(); } else { read(); }
+            if (lines.isComplete()) { end(); } else { read(); }
         }
 
         /** The answer is over, or broken off: an object that is whole without its line's end counts, half a one does not. */
         private void end() {
             if (closed) { return; }
-            String rest = lines.rest();
-            if (rest != null && !rest.isBlank()) { line(rest); }
+            String rest = lines.takeUnterminatedLine();
+            if (rest != null && !rest.isBlank()) { onLine(rest); }
             fail();
         }
 
-        private void line(String line) {
+        private void onLine(String line) {
             try {
                 String object = objects.add(line);
                 if (object == null) { return; }
-                if (object.isBlank()) { clock.empty(number, loop.now()); } else { news(object); }
-                look();
+                if (object.isBlank()) { scheduler.keepAliveReceived(number, loop.now()); } else { applyObject(object); }
+                scheduleNext();
             } catch (IOException e) {
-                bad(e);
-                spoilt();
+                logMalformed(e);
+                closeMalformed();
             } catch (RuntimeException e) {
                 fail();                              // guards against a watch that stays open and is read no more
                 throw e;
             }
         }
 
-        private void bad(IOException why) {
+        private void logMalformed(IOException why) {
             counters.malformedListLines++;
             System.err.println("service table: " + String.valueOf(why.getMessage()).lines().findFirst().orElse(""));
         }
 
-        private void news(String object) throws IOException {
-            Codec.JsonObject fields = DiscoveredBackends.read(object);
-            boolean first = clock.isHeir(number);
+        private void applyObject(String object) throws IOException {
+            Codec.JsonObject fields = DiscoveredBackends.parse(object);
+            boolean first = scheduler.isCandidate(number);
             long version = table.revision(fields);
             // Guards against an answer that was written before what the old watch has told meanwhile, and would undo it. The
             // versions of another address say nothing.
-            boolean late = first && !clock.isMoved() && version >= knew && version < table.revision();
-            Api.ServerList news = late ? table.takeBut(fields, newer) : table.take(fields);
+            boolean late = first && !scheduler.isAddressChanged() && version >= revisionAtRequest && version < table.revision();
+            Api.ServerList news = late ? table.applyExcept(fields, updatedElsewhere) : table.apply(fields);
             for (Stream other : streams.values()) {
-                if (other == this || !clock.isHeir(other.number)) { continue; }
-                for (Api.Server server : news.servers()) { other.newer.add(server.id()); }
+                if (other == this || !scheduler.isCandidate(other.number)) { continue; }
+                for (Api.Server server : news.servers()) { other.updatedElsewhere.add(server.id()); }
             }
             counters.listChanges++;
             counters.completeLists += news.kind() == Api.ListKind.FULL ? 1 : 0;
             ingress.deliver(news);
-            spoken = true;
-            if (table.unread() > 0) {
-                counters.malformedListLines += table.unread();
-                System.err.println("service table: " + table.unread() + " entries cannot be read");
+            updateReceived = true;
+            if (table.unreadableEntries() > 0) {
+                counters.malformedListLines += table.unreadableEntries();
+                System.err.println("service table: " + table.unreadableEntries() + " entries cannot be read");
             }
-            if (table.unread() > 0 && !(first && asked == 0)) {
-                spoilt();                            // what could not be read is asked for again, up to all there is
-            } else if (first && news.kind() != Api.ListKind.FULL && version < asked) {
-                clock.empty(number, loop.now());     // changes after a version of another count: some are missing
+            if (table.unreadableEntries() > 0 && !(first && requestedRevision == 0)) {
+                closeMalformed();                            // what could not be read is asked for again, up to all there is
+            } else if (first && news.kind() != Api.ListKind.FULL && version < requestedRevision) {
+                scheduler.keepAliveReceived(number, loop.now());     // changes after a version of another count: some are missing
             } else {
-                clock.object(number, loop.now());
-                newer.clear();
+                scheduler.objectReceived(number, loop.now());
+                updatedElsewhere.clear();
             }
-            awaitNoLonger();
+            stopAwaitingUpdate();
         }
 
-        private void spoilt() {
+        private void closeMalformed() {
             if (closed) { return; }
             close();
             streams.remove(number);
-            clock.spoilt(number, loop.now());
-            look();
+            scheduler.malformedReceived(number, loop.now());
+            scheduleNext();
         }
 
         private void fail() {
             if (closed) { return; }
             close();
             streams.remove(number);
-            clock.ended(number, loop.now());
-            look();
+            scheduler.watchEnded(number, loop.now());
+            scheduleNext();
         }
 
         void close() {
             closed = true;
             if (channel == null) {
-                dial.run();
+                cancelDial.run();
                 return;
             }
             try {
--- a/src/main/java/yardusher/discovery/ChunkedLines.java
+++ b/src/main/java/yardusher/discovery/HttpLineReader.java
@@ -24,46 +24,46 @@
  * are those of our own reads. Bounded: 64 lines of 8 KiB of a head, 8 interim heads (1xx) before the answer's, 4 MiB of a line of
  * the list. What is not such an answer, or not of code 200, is an {@link IOException}; after one, nothing more is fed.
  */
-final class ChunkedLines {
-    private static final int MOST_HEAD_LINE = 8 * 1024;
-    private static final int MOST_FED = 8 * 1024;    // bytes at a time; more is fed in parts
-    private static final int MOST_LINE = 4 << 20;
-    private static final int MOST_INTERIM = 8;
-    private static final long UNSTATED = Long.MAX_VALUE;
-    private static final Http1Config LIMITS = Http1Config.custom().setMaxLineLength(MOST_HEAD_LINE).setMaxHeaderCount(64).build();
-
-    private final Bytes bytes = new Bytes();
+final class HttpLineReader {
+    private static final int MAX_HEAD_LINE_BYTES = 8 * 1024;
+    private static final int MAX_FEED_BYTES = 8 * 1024;    // bytes at a time; more is fed in parts
+    private static final int MAX_LINE_BYTES = 4 << 20;
+    private static final int MAX_INTERIM_HEADS = 8;
+    private static final long UNKNOWN_LENGTH = Long.MAX_VALUE;
+    private static final Http1Config LIMITS = Http1Config.custom().setMaxLineLength(MAX_HEAD_LINE_BYTES).setMaxHeaderCount(64).build();
+
+    private final InputBuffer bytes = new InputBuffer();
     private final DefaultHttpResponseParser<HttpResponse> head = new DefaultHttpResponseParser<>(DefaultHttpResponseFactory.INSTANCE, LIMITS);
-    private int interim;                             // heads before the answer's own
-    private boolean begun;                           // the head is whole
+    private int interimHeads;                             // heads before the answer's own
+    private boolean headComplete;                           // the head is whole
     private ChunkDecoder chunks;                     // null where the body is not chunked
-    private long left;                               // bytes of a body that is not chunked, UNSTATED up to its connection's end
+    private long bodyBytesLeft;                               // bytes of a body that is not chunked, UNSTATED up to its connection's end
     private final ByteBuffer part = ByteBuffer.allocate(4096);
     private final ByteArrayOutputStream line = new ByteArrayOutputStream(4096);
     private final ArrayDeque<String> lines = new ArrayDeque<>();
 
     void feed(byte[] fed, int count) throws IOException {
-        for (int from = 0; from < count; from += MOST_FED) {
-            bytes.add(fed, from, Math.min(MOST_FED, count - from));
+        for (int from = 0; from < count; from += MAX_FEED_BYTES) {
+            bytes.add(fed, from, Math.min(MAX_FEED_BYTES, count - from));
             try {
-                if (!begun) { head(); }
-                if (begun) { body(); }
+                if (!headComplete) { parseHead(); }
+                if (headComplete) { parseBody(); }
             } catch (HttpException | RuntimeException e) { // the latter of a chunk's size below nothing
                 throw new IOException("no answer of HTTP/1.1: " + e.getMessage(), e);
             }
         }
     }
 
-    private void head() throws IOException, HttpException {
+    private void parseHead() throws IOException, HttpException {
         HttpResponse answer = head.parse(bytes, false);
         while (answer != null && answer.getCode() >= 100 && answer.getCode() < 200 && answer.getCode() != 101) {
-            if (++interim > MOST_INTERIM) { throw new IOException("answered " + answer.getCode() + " over and over"); }
+            if (++interimHeads > MAX_INTERIM_HEADS) { throw new IOException("answered " + answer.getCode() + " over and over"); }
             head.reset();
             answer = head.parse(bytes, false);
         }
         if (answer == null) { return; }
         if (answer.getCode() != 200) { throw new IOException("answered " + answer.getCode() + " " + answer.getReasonPhrase()); }
-        begun = true;
+        headComplete = true;
         String coding = answer.containsHeader("Transfer-Encoding") ? header(answer, "Transfer-Encoding") : "identity";
         if (coding.equalsIgnoreCase("chunked")) {
             chunks = new ChunkDecoder(bytes, bytes, LIMITS, new BasicHttpTransportMetrics());
@@ -72,9 +72,9 @@
         } else if (answer.containsHeader("Content-Length")) {
             String length = header(answer, "Content-Length");
             if (!length.matches("[0-9]{1,18}")) { throw new IOException("answer has the length " + length); }
-            left = Long.parseLong(length);
+            bodyBytesLeft = Long.parseLong(length);
         } else {
-            left = UNSTATED;
+            bodyBytesLeft = UNKNOWN_LENGTH;
         }
     }
 
@@ -91,34 +91,34 @@
         return value;
     }
 
-    private void body() throws IOException {
-        while (!ended()) {
+    private void parseBody() throws IOException {
+        while (!isComplete()) {
             part.clear();
-            if (chunks == null) { part.limit((int) Math.min(part.limit(), left)); }
+            if (chunks == null) { part.limit((int) Math.min(part.limit(), bodyBytesLeft)); }
             if ((chunks == null ? bytes.read(part) : chunks.read(part)) <= 0) { return; }
             part.flip();
-            if (chunks == null && left != UNSTATED) { left -= part.remaining(); }
-            while (part.hasRemaining()) { data(part.get()); }
+            if (chunks == null && bodyBytesLeft != UNKNOWN_LENGTH) { bodyBytesLeft -= part.remaining(); }
+            while (part.hasRemaining()) { appendByte(part.get()); }
         }
     }
 
-    private void data(byte b) throws IOException {
+    private void appendByte(byte b) throws IOException {
         if (b == '\n') {
             lines.add(line.toString(StandardCharsets.UTF_8));
             line.reset();
             return;
         }
         line.write(b);
-        if (line.size() > MOST_LINE) { throw new IOException("line too long"); }
+        if (line.size() > MAX_LINE_BYTES) { throw new IOException("line too long"); }
     }
 
-    String next() { return lines.poll(); }
+    String nextLine() { return lines.poll(); }
 
     /** Whether the answer is whole. One of no stated length never is by itself. */
-    boolean ended() { return begun && (chunks != null ? chunks.isCompleted() : left == 0); }
+    boolean isComplete() { return headComplete && (chunks != null ? chunks.isCompleted() : bodyBytesLeft == 0); }
 
     /** Takes what stands without a line's end, once no more will come; null for nothing. */
-    String rest() {
+    String takeUnterminatedLine() {
         if (line.size() == 0) { return null; }
         String rest = line.toString(StandardCharsets.UTF_8);
         line.reset();
@@ -126,8 +126,8 @@
     }
 
     /** What was fed and not yet read: never more than a line of a head or of a chunk's size, and one feed. It is filled by us alone. */
-    private static final class Bytes implements SessionInputBuffer, ReadableByteChannel {
-        private final ByteBuffer buffer = ByteBuffer.allocate(MOST_HEAD_LINE + MOST_FED).flip();
+    private static final class InputBuffer implements SessionInputBuffer, ReadableByteChannel {
+        private final ByteBuffer buffer = ByteBuffer.allocate(MAX_HEAD_LINE_BYTES + MAX_FEED_BYTES).flip();
 
         void add(byte[] fed, int from, int count) { buffer.compact().put(fed, from, count).flip(); }
 
@@ -140,7 +140,7 @@
                 buffer.position(i + 1);
                 return true;
             }
-            if (buffer.remaining() >= MOST_HEAD_LINE) { throw new IOException("answer's head too long"); }
+            if (buffer.remaining() >= MAX_HEAD_LINE_BYTES) { throw new IOException("answer's head too long"); }
             return false;
         }
 
--- a/src/main/java/yardusher/discovery/ObjectLines.java
+++ b/src/main/java/yardusher/discovery/JsonObjectAssembler.java
@@ -6,9 +6,9 @@
  * Puts the lines of a watch together to whole JSON objects: a list may come on one line or indented over several. An empty
  * line between objects says that nothing has changed. Holds one object at the most, of 4 MiB and 64 levels at the most.
  */
-final class ObjectLines {
-    private static final int MOST_OBJECT = 4 << 20;
-    private static final int MOST_DEPTH = 64;        // a list has three
+final class JsonObjectAssembler {
+    private static final int MAX_OBJECT_CHARS = 4 << 20;
+    private static final int MAX_DEPTH = 64;        // a list has three
 
     private final StringBuilder part = new StringBuilder();
     private int depth;
@@ -24,13 +24,13 @@
             } else if (c == '"') {
                 inText = true;
             } else if (c == '{' || c == '[') {
-                if (++depth > MOST_DEPTH) { throw new IOException("object too deep"); } // guards the stack of who reads it
+                if (++depth > MAX_DEPTH) { throw new IOException("object too deep"); } // guards the stack of who reads it
             } else if (c == '}' || c == ']') {
                 depth--;
             }
         }
         if (inText) { throw new IOException("object is cut off within a text"); } // no text of JSON goes over a line's end
-        if (part.length() + line.length() > MOST_OBJECT) { throw new IOException("object too long"); }
+        if (part.length() + line.length() > MAX_OBJECT_CHARS) { throw new IOException("object too long"); }
         if (depth <= 0 && part.isEmpty()) {
             depth = 0;
             return line;
--- a/src/main/java/yardusher/disk/Folder.java
+++ b/src/main/java/yardusher/disk/Directory.java
@@ -15,57 +15,57 @@
 import java.util.stream.Stream;
 
 /** A folder on a disk. Opened for writing it holds a lock, so that no second process writes there. */
-public final class Folder implements Storage {
-    public static final String LOCK = "lock";
+public final class Directory implements Storage {
+    public static final String LOCK_FILE = "lock";
 
     /** Somebody else writes in the folder. */
-    public static final class Held extends IOException {
+    public static final class LockedException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        private Held(String message, Throwable cause) { super(message, cause); }
+        private LockedException(String message, Throwable cause) { super(message, cause); }
     }
 
     private final Path path;
     private final FileChannel lock;
 
-    private Folder(Path path, FileChannel lock) {
+    private Directory(Path path, FileChannel lock) {
         this.path = path;
         this.lock = lock;
     }
 
     /** Opens a folder to look at it; nothing in it is changed. */
-    public static Folder reading(Path path) throws IOException {
+    public static Directory openForReading(Path path) throws IOException {
         if (!Files.isDirectory(path)) { throw new IOException("not a folder"); }
-        return new Folder(path, null);
+        return new Directory(path, null);
     }
 
     /** Opens a folder to write in it, makes it where it is not there, and locks it. The message is a few plain words without the path; {@link Held} where another writes. */
-    public static Folder writing(Path path, String who) throws IOException {
+    public static Directory openForWriting(Path path, String who) throws IOException {
         FileChannel channel;
         try {
             Files.createDirectories(path);
-            channel = FileChannel.open(path.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+            channel = FileChannel.open(path.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         } catch (IOException e) {
             throw new IOException("cannot be written", e);
         }
         try {
             FileLock held = channel.tryLock();
-            if (held == null) { throw new Held("another process writes here", null); }
+            if (held == null) { throw new LockedException("another process writes here", null); }
             channel.truncate(0);
             channel.write(ByteBuffer.wrap((who + " pid " + ProcessHandle.current().pid() + "\n").getBytes(StandardCharsets.UTF_8)));
         } catch (OverlappingFileLockException e) {
             channel.close();
-            throw new Held("written by another instance of this process", e);
+            throw new LockedException("written by another instance of this process", e);
         } catch (IOException e) {
             channel.close();
             throw e;
         }
-        return new Folder(path, channel);
+        return new Directory(path, channel);
     }
 
     /** Whether some process holds the folder open for writing now. */
-    public static boolean isWritten(Path path) {
-        try (FileChannel channel = FileChannel.open(path.resolve(LOCK), StandardOpenOption.WRITE)) {
+    public static boolean isLocked(Path path) {
+        try (FileChannel channel = FileChannel.open(path.resolve(LOCK_FILE), StandardOpenOption.WRITE)) {
             FileLock held = channel.tryLock();
             if (held == null) { return true; }
             held.release();
@@ -140,7 +140,7 @@
     }
 
     @Override
-    public void forceNames() throws IOException {
+    public void forceDirectory() throws IOException {
         try (FileChannel channel = FileChannel.open(path, StandardOpenOption.READ)) {
             channel.force(true);
         }
--- a/src/main/java/yardusher/disk/Ledger.java
+++ b/src/main/java/yardusher/disk/DurableLog.java
@@ -15,39 +15,39 @@
  * cut, since what it held was never told to anyone; any other damage is an {@link IOException} in one plain line, and
  * the owner must not go on as if nothing had been written. Used by one thread, which may wait on the disk.
  */
-public final class Ledger implements Closeable {
+public final class DurableLog implements Closeable {
     /** One record: what it is, in a number above 0 of its owner's, and a message. */
-    public record Line(int kind, byte[] body) { }
+    public record LogRecord(int kind, byte[] body) { }
 
     /** What the owner of a ledger keeps of its records. */
-    public interface Content {
+    public interface LoggedState {
         /** One record, in order; those of a base first. An {@link IOException} for one that its owner cannot have written. */
-        void take(Line line) throws IOException;
+        void apply(LogRecord line) throws IOException;
 
         /** What still counts, as the records that give it again. */
-        List<Line> base();
+        List<LogRecord> snapshot();
     }
 
-    private static final int BASE_END = 0;
-    private static final int MOST_LINE = 65_000;     // bytes
-    private static final Framing.Codec<Line> CODEC = new Framing.Codec<>() {
+    private static final int SNAPSHOT_END = 0;
+    private static final int MAX_RECORD_BYTES = 65_000;     // bytes
+    private static final Framing.Codec<LogRecord> CODEC = new Framing.Codec<>() {
         @Override
-        public void encode(Line line, CodedOutputStream out) throws IOException {
+        public void encode(LogRecord line, CodedOutputStream out) throws IOException {
             out.writeUInt32(1, line.kind());
             out.writeByteArray(2, line.body());
         }
 
         @Override
-        public Line decode(CodedInputStream in) throws IOException {
+        public LogRecord decode(CodedInputStream in) throws IOException {
             Fields f = Fields.read(in);
-            return new Line(f.whole(1), f.bytes(2));
+            return new LogRecord(f.intNumber(1), f.bytes(2));
         }
     };
 
     private final Storage storage;
     private final String prefix;
-    private final Framing<Line> framing;
-    private final Content content;
+    private final Framing<LogRecord> framing;
+    private final LoggedState content;
     private final long segmentBytes;
     private final ByteBuffer out;
     private final CRC32C sum = new CRC32C();
@@ -55,23 +55,23 @@
     private long number;
     private long size;
 
-    private Ledger(Storage storage, String prefix, long magic, Content content, long segmentBytes) {
+    private DurableLog(Storage storage, String prefix, long magic, LoggedState content, long segmentBytes) {
         this.storage = storage;
         this.prefix = prefix;
-        this.framing = new Framing<>(magic, MOST_LINE, CODEC);
+        this.framing = new Framing<>(magic, MAX_RECORD_BYTES, CODEC);
         this.content = content;
         this.segmentBytes = segmentBytes;
-        out = ByteBuffer.allocate(Math.max(64 * 1024, 2 * framing.mostFrame()));
+        out = ByteBuffer.allocate(Math.max(64 * 1024, 2 * framing.maxFrameBytes()));
     }
 
     /** Whether a folder holds a ledger of this name, whole or not. */
-    public static boolean isThere(Storage storage, String prefix) throws IOException {
+    public static boolean exists(Storage storage, String prefix) throws IOException {
         return !numbers(storage, prefix).isEmpty();
     }
 
     /** Begins a ledger in a folder that holds none, with the content's base. */
-    public static Ledger begin(Storage storage, String prefix, long magic, Content content, long segmentBytes) throws IOException {
-        Ledger ledger = new Ledger(storage, prefix, magic, content, segmentBytes);
+    public static DurableLog create(Storage storage, String prefix, long magic, LoggedState content, long segmentBytes) throws IOException {
+        DurableLog ledger = new DurableLog(storage, prefix, magic, content, segmentBytes);
         ledger.roll();
         return ledger;
     }
@@ -81,12 +81,12 @@
      *
      * @throws IOException where there is none, where it is damaged, or where the next segment cannot be written
      */
-    public static Ledger open(Storage storage, String prefix, long magic, Content content, long segmentBytes) throws IOException {
-        Ledger ledger = new Ledger(storage, prefix, magic, content, segmentBytes);
+    public static DurableLog open(Storage storage, String prefix, long magic, LoggedState content, long segmentBytes) throws IOException {
+        DurableLog ledger = new DurableLog(storage, prefix, magic, content, segmentBytes);
         List<Long> numbers = numbers(storage, prefix);
         int last = numbers.size() - 1;
         // A segment whose base was never ended is one of a roll that was cut off: nothing was written behind it.
-        while (last >= 0 && ledger.isHalfBegun(numbers.get(last))) { last--; }
+        while (last >= 0 && ledger.isSnapshotIncomplete(numbers.get(last))) { last--; }
         if (last < 0) { throw new IOException("no " + prefix + " segment is whole"); }
         ledger.replay(numbers.get(last));
         ledger.number = numbers.get(numbers.size() - 1);
@@ -109,13 +109,13 @@
     }
 
     /** Whether a segment ends before its base does, as a crash leaves it; damage before a valid frame is none of that. */
-    private boolean isHalfBegun(long segment) throws IOException {
+    private boolean isSnapshotIncomplete(long segment) throws IOException {
         boolean[] spoilt = new boolean[1];
         try (Storage.Source source = storage.open(name(prefix, segment))) {
-            Framing<Line>.Reader reader = framing.new Reader(source, segment, (from, to, torn) -> spoilt[0] |= !torn);
+            Framing<LogRecord>.Reader reader = framing.new Reader(source, segment, (from, to, torn) -> spoilt[0] |= !torn);
             int count = 0;
-            for (Line record; (record = reader.next()) != null; count++) {
-                if (record.kind() == BASE_END || spoilt[0]) { return false; }
+            for (LogRecord record; (record = reader.next()) != null; count++) {
+                if (record.kind() == SNAPSHOT_END || spoilt[0]) { return false; }
             }
         }
         return true;
@@ -126,15 +126,15 @@
         String[] damage = new String[1];
         long[] torn = {-1};
         try (Storage.Source source = storage.open(name)) {
-            Framing<Line>.Reader reader = framing.new Reader(source, segment, (from, to, tail) -> {
+            Framing<LogRecord>.Reader reader = framing.new Reader(source, segment, (from, to, tail) -> {
                 if (tail) { torn[0] = from; } else { damage[0] = name + ": damaged, " + (to - from) + " bytes from " + from; }
             });
             boolean based = false;
             int count = 0;
-            for (Line record; (record = reader.next()) != null; count++) {
+            for (LogRecord record; (record = reader.next()) != null; count++) {
                 if (damage[0] != null) { throw new IOException(damage[0]); }
-                if (record.kind() != BASE_END) {
-                    content.take(record);
+                if (record.kind() != SNAPSHOT_END) {
+                    content.apply(record);
                 } else if (based || Fields.read(record.body()).number(1) != count) {
                     throw new IOException(name + ": its base is not whole");
                 } else {
@@ -146,7 +146,7 @@
     }
 
     /** Writes records; where that fails nothing of them stands. Durable once {@link #force} has returned. */
-    public void append(List<Line> records) throws IOException {
+    public void append(List<LogRecord> records) throws IOException {
         if (active == null) { throw new IOException(prefix + ": no longer written"); }
         long good = size;
         try {
@@ -174,13 +174,13 @@
     }
 
     /** Whether the segment is large enough to be left; the owner calls {@link #roll} when its content is at rest. */
-    public boolean isLong() { return size >= segmentBytes; }
+    public boolean isDueToRoll() { return size >= segmentBytes; }
 
     /** Begins the next segment with the content's base, durably, and lets the older ones go. On failure all stays as it was. */
-    public void roll() throws IOException { roll(content.base()); }
+    public void roll() throws IOException { roll(content.snapshot()); }
 
     /** The same with a base that was taken when the content was at rest. */
-    public void roll(List<Line> content) throws IOException {
+    public void roll(List<LogRecord> content) throws IOException {
         long next = number + 1;
         String name = name(prefix, next);
         Storage.Appender file = null;
@@ -192,11 +192,11 @@
             framing.putMagic(magic);
             magic.flip();
             while (magic.hasRemaining()) { file.write(magic); }
-            List<Line> base = new ArrayList<>(content);
-            base.add(new Line(BASE_END, new Fields.Out().number(1, base.size()).toBytes()));
+            List<LogRecord> base = new ArrayList<>(content);
+            base.add(new LogRecord(SNAPSHOT_END, new Fields.Writer().number(1, base.size()).toBytes()));
             length = Framing.MAGIC_BYTES + put(file, next, base);
             file.force();
-            storage.forceNames();
+            storage.forceDirectory();
         } catch (IOException e) {
             if (file != null) { file.close(); }
             storage.delete(name);
@@ -213,11 +213,11 @@
         }
     }
 
-    private long put(Storage.Appender file, long segment, List<Line> records) throws IOException {
+    private long put(Storage.Appender file, long segment, List<LogRecord> records) throws IOException {
         long length = 0;
         out.clear();
-        for (Line record : records) {
-            if (out.remaining() < framing.mostFrame()) { length += flush(file); }
+        for (LogRecord record : records) {
+            if (out.remaining() < framing.maxFrameBytes()) { length += flush(file); }
             framing.put(segment, record, out, sum);
         }
         return length + flush(file);
--- a/src/main/java/yardusher/disk/Fields.java
+++ b/src/main/java/yardusher/disk/Fields.java
@@ -45,7 +45,7 @@
 
     public long number(int field) { return last(field) instanceof Long number ? number : 0; }
 
-    public int whole(int field) { return (int) number(field); }
+    public int intNumber(int field) { return (int) number(field); }
 
     public boolean flag(int field) { return number(field) != 0; }
 
@@ -69,29 +69,29 @@
     }
 
     /** Writes a message, in the order of the calls. Zero, false and empty values are left out. */
-    public static final class Out {
+    public static final class Writer {
         private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(128);
         private final CodedOutputStream out = CodedOutputStream.newInstance(bytes);
 
-        public Out number(int field, long value) {
+        public Writer number(int field, long value) {
             if (value == 0) { return this; }
             return write(() -> out.writeUInt64(field, value));
         }
 
-        public Out flag(int field, boolean value) { return number(field, value ? 1 : 0); }
+        public Writer flag(int field, boolean value) { return number(field, value ? 1 : 0); }
 
-        public Out text(int field, String value) {
+        public Writer text(int field, String value) {
             if (value == null || value.isEmpty()) { return this; }
             return write(() -> out.writeString(field, value));
         }
 
-        public Out texts(int field, Iterable<String> values) {
+        public Writer texts(int field, Iterable<String> values) {
             for (String value : values) { write(() -> out.writeString(field, value)); }
             return this;
         }
 
         /** Null is left out; an empty array is written, so that a message without fields stands in a list. */
-        public Out bytes(int field, byte[] value) {
+        public Writer bytes(int field, byte[] value) {
             if (value == null) { return this; }
             return write(() -> out.writeByteArray(field, value));
         }
@@ -101,7 +101,7 @@
             return bytes.toByteArray();
         }
 
-        private Out write(Writing writing) {
+        private Writer write(Writing writing) {
             try {
                 writing.run();
             } catch (IOException e) {
--- a/src/main/java/yardusher/disk/Framing.java
+++ b/src/main/java/yardusher/disk/Framing.java
@@ -13,7 +13,7 @@
  */
 public final class Framing<T> {
     public static final int MAGIC_BYTES = 8;
-    public static final int HEAD_BYTES = 8;
+    public static final int HEADER_BYTES = 8;
     private static final byte MARKER = (byte) 0xD5;
     private static final byte VERSION = 1;
 
@@ -27,18 +27,18 @@
     }
 
     private final long magic;
-    private final int mostPayload;
+    private final int maxPayloadBytes;
     private final Codec<T> codec;
 
     /** {@code mostPayload}: bytes, at most 65,535; whatever claims to be longer is damage. */
     public Framing(long magic, int mostPayload, Codec<T> codec) {
         this.magic = magic;
-        this.mostPayload = mostPayload;
+        this.maxPayloadBytes = mostPayload;
         this.codec = codec;
     }
 
     /** Bytes that a frame can take. */
-    public int mostFrame() { return HEAD_BYTES + mostPayload; }
+    public int maxFrameBytes() { return HEADER_BYTES + maxPayloadBytes; }
 
     public void putMagic(ByteBuffer out) { out.putLong(magic); }
 
@@ -49,60 +49,60 @@
      */
     public void put(long segment, T entry, ByteBuffer out, CRC32C sum) throws IOException {
         int at = out.position();
-        CodedOutputStream message = CodedOutputStream.newInstance(out.array(), out.arrayOffset() + at + HEAD_BYTES,
-                Math.min(mostPayload, out.remaining() - HEAD_BYTES));
+        CodedOutputStream message = CodedOutputStream.newInstance(out.array(), out.arrayOffset() + at + HEADER_BYTES,
+                Math.min(maxPayloadBytes, out.remaining() - HEADER_BYTES));
         codec.encode(entry, message);
         int length = message.getTotalBytesWritten();
         out.put(at, MARKER).put(at + 1, VERSION).putShort(at + 2, (short) length);
-        out.putInt(at + 4, sum(segment, out.array(), out.arrayOffset() + at, length, sum));
-        out.position(at + HEAD_BYTES + length);
+        out.putInt(at + 4, checksum(segment, out.array(), out.arrayOffset() + at, length, sum));
+        out.position(at + HEADER_BYTES + length);
     }
 
-    private static int sum(long segment, byte[] bytes, int at, int length, CRC32C sum) {
+    private static int checksum(long segment, byte[] bytes, int at, int length, CRC32C sum) {
         sum.reset();
         for (int shift = 56; shift >= 0; shift -= 8) { sum.update((int) (segment >>> shift)); }
         sum.update(bytes, at + 1, 3);
-        sum.update(bytes, at + HEAD_BYTES, length);
+        sum.update(bytes, at + HEADER_BYTES, length);
         return (int) sum.getValue();
     }
 
     /** What a reader passed over. */
-    public interface Damage {
+    public interface DamageListener {
         /** Bytes from one offset to before another that hold no valid frame; {@code torn}: nothing valid follows. */
-        void found(long from, long to, boolean torn);
+        void onDamage(long from, long to, boolean torn);
     }
 
     /** Reads the frames of one segment in order, and goes on behind whatever is damaged. */
     public class Reader {
         private final Storage.Source source;
         private final long segment;
-        private final Damage damage;
+        private final DamageListener damage;
         private final CRC32C sum = new CRC32C();
         private final ByteBuffer window = ByteBuffer.allocate(256 * 1024);
-        private long windowAt;                       // the file's offset of the window's first byte
-        private long frameAt;
-        private long from;                           // first byte of damage not yet reported, or -1
+        private long windowOffset;                       // the file's offset of the window's first byte
+        private long frameOffset;
+        private long damageStart;                           // first byte of damage not yet reported, or -1
         private final long limit;
         private boolean ended;                       // the file was read to its end
 
         /** Reads from the beginning. */
-        public Reader(Storage.Source source, long segment, Damage damage) throws IOException {
+        public Reader(Storage.Source source, long segment, DamageListener damage) throws IOException {
             this(source, segment, damage, 0, Long.MAX_VALUE);
         }
 
         /** Reads the frames that begin from one offset to before another; the first must be a frame's, or 0. */
-        public Reader(Storage.Source source, long segment, Damage damage, long start, long end) throws IOException {
+        public Reader(Storage.Source source, long segment, DamageListener damage, long start, long end) throws IOException {
             this.source = source;
             this.segment = segment;
             this.damage = damage;
             this.limit = end;
-            windowAt = start;
-            from = -1;
+            windowOffset = start;
+            damageStart = -1;
             window.limit(0);
             if (start == 0) {
                 fill();
                 if (window.remaining() < MAGIC_BYTES || window.getLong(window.position()) != magic) {
-                    from = 0;                        // a damaged magic costs itself alone: frames are found behind it
+                    damageStart = 0;                        // a damaged magic costs itself alone: frames are found behind it
                 } else {
                     window.position(MAGIC_BYTES);
                 }
@@ -110,54 +110,54 @@
         }
 
         /** The offset of the frame given last. */
-        public long frameAt() { return frameAt; }
+        public long frameOffset() { return frameOffset; }
 
         /** The offset behind the frame given last. */
-        public long position() { return windowAt + window.position(); }
+        public long position() { return windowOffset + window.position(); }
 
         /** The next entry, or null at the end. */
         public T next() throws IOException {
             for (;;) {
-                if (!ended && window.remaining() < mostFrame()) { fill(); }
-                if (!window.hasRemaining() || windowAt + window.position() >= limit) {
-                    report(windowAt + window.position(), true);
+                if (!ended && window.remaining() < maxFrameBytes()) { fill(); }
+                if (!window.hasRemaining() || windowOffset + window.position() >= limit) {
+                    report(windowOffset + window.position(), true);
                     return null;
                 }
                 int at = window.position();
-                int length = window.remaining() < HEAD_BYTES ? -1 : window.getShort(at + 2) & 0xFFFF;
+                int length = window.remaining() < HEADER_BYTES ? -1 : window.getShort(at + 2) & 0xFFFF;
                 boolean whole = length >= 0 && window.get(at) == MARKER && window.get(at + 1) == VERSION
-                        && length <= mostPayload && window.remaining() >= HEAD_BYTES + length
-                        && window.getInt(at + 4) == sum(segment, window.array(), at, length, sum);
+                        && length <= maxPayloadBytes && window.remaining() >= HEADER_BYTES + length
+                        && window.getInt(at + 4) == checksum(segment, window.array(), at, length, sum);
                 T entry = null;
                 if (whole) {
                     try {
-                        entry = codec.decode(CodedInputStream.newInstance(window.array(), at + HEAD_BYTES, length));
+                        entry = codec.decode(CodedInputStream.newInstance(window.array(), at + HEADER_BYTES, length));
                     } catch (IOException e) {
                         whole = false;               // its sum is right and its message is not: no frame of ours
                     }
                 }
                 if (!whole) {
-                    if (from < 0) { from = windowAt + at; }
+                    if (damageStart < 0) { damageStart = windowOffset + at; }
                     window.position(at + 1);
                     continue;
                 }
-                frameAt = windowAt + at;
-                report(frameAt, false);
-                window.position(at + HEAD_BYTES + length);
+                frameOffset = windowOffset + at;
+                report(frameOffset, false);
+                window.position(at + HEADER_BYTES + length);
                 if (entry != null) { return entry; } // else one of a later version's kinds
             }
         }
 
         private void report(long to, boolean torn) {
-            if (from >= 0 && to > from) { damage.found(from, to, torn); }
-            from = -1;
+            if (damageStart >= 0 && to > damageStart) { damage.onDamage(damageStart, to, torn); }
+            damageStart = -1;
         }
 
         private void fill() throws IOException {
-            windowAt += window.position();
+            windowOffset += window.position();
             window.compact();
             while (window.hasRemaining() && !ended) {
-                ended = source.read(window, windowAt + window.position()) < 0;
+                ended = source.read(window, windowOffset + window.position()) < 0;
             }
             window.flip();
         }
--- a/src/main/java/yardusher/disk/Storage.java
+++ b/src/main/java/yardusher/disk/Storage.java
@@ -53,7 +53,7 @@
     void rename(String from, String to) throws IOException;
 
     /** Makes names survive a loss of power. */
-    void forceNames() throws IOException;
+    void forceDirectory() throws IOException;
 
     @Override
     void close() throws IOException;
--- a/src/main/java/yardusher/fence/FenceStore.java
+++ b/src/main/java/yardusher/fence/FenceStore.java
@@ -13,7 +13,7 @@
 import java.util.function.Consumer;
 import yardusher.core.EventLoop;
 import yardusher.disk.Fields;
-import yardusher.disk.Ledger;
+import yardusher.disk.DurableLog;
 import yardusher.disk.Storage;
 import yardusher.error.RegisterError;
 
@@ -44,8 +44,8 @@
         thread.setDaemon(true);
         return thread;
     });
-    private Ledger ledger;
-    private final List<Ledger.Line> pendingRecords = new ArrayList<>();
+    private DurableLog ledger;
+    private final List<DurableLog.LogRecord> pendingRecords = new ArrayList<>();
     private final List<Consumer<IOException>> pendingCallbacks = new ArrayList<>();
     private boolean writing;
     private final Map<String, Long> durableTokens = new LinkedHashMap<>(); // sealed tokens on disk, by work
@@ -65,16 +65,16 @@
      */
     public static FenceStore open(Storage storage, String installation, String member, EventLoop loop) throws IOException {
         FenceStore memory = new FenceStore(installation, member, loop);
-        Ledger.Content content = new Ledger.Content() {
+        DurableLog.LoggedState content = new DurableLog.LoggedState() {
             @Override
-            public void take(Ledger.Line line) throws IOException { memory.replayRecord(line); }
+            public void apply(DurableLog.LogRecord line) throws IOException { memory.replayRecord(line); }
 
             @Override
-            public List<Ledger.Line> base() { return memory.currentRecords(); }
+            public List<DurableLog.LogRecord> snapshot() { return memory.currentRecords(); }
         };
         try {
-            memory.ledger = Ledger.isThere(storage, PREFIX) ? Ledger.open(storage, PREFIX, MAGIC, content, SEGMENT_BYTES)
-                    : Ledger.begin(storage, PREFIX, MAGIC, content, SEGMENT_BYTES);
+            memory.ledger = DurableLog.exists(storage, PREFIX) ? DurableLog.open(storage, PREFIX, MAGIC, content, SEGMENT_BYTES)
+                    : DurableLog.create(storage, PREFIX, MAGIC, content, SEGMENT_BYTES);
         } catch (IOException e) {
             throw new RegisterError.Damaged(null, String.valueOf(e.getMessage()), e);
         }
@@ -87,7 +87,7 @@
     /** The process last started for an instance, or null. */
     public StartedProcess startedProcess(String instance) { return started.get(instance); }
 
-    private void replayRecord(Ledger.Line line) throws IOException {
+    private void replayRecord(DurableLog.LogRecord line) throws IOException {
         Fields f = Fields.read(line.body());
         switch (line.kind()) {
             case OWNER -> {
@@ -111,9 +111,9 @@
     }
 
     /** The records that make up the current state. Called from the disk thread while no turn writes: see {@link #write}. */
-    private List<Ledger.Line> currentRecords() {
-        List<Ledger.Line> base = new ArrayList<>();
-        base.add(new Ledger.Line(OWNER, new Fields.Out().text(1, installation).text(2, member).toBytes()));
+    private List<DurableLog.LogRecord> currentRecords() {
+        List<DurableLog.LogRecord> base = new ArrayList<>();
+        base.add(new DurableLog.LogRecord(OWNER, new Fields.Writer().text(1, installation).text(2, member).toBytes()));
         for (String work : fence.works()) {
             base.add(line(SEAL, work, fence.sealedToken(work), null, null, null, null));
             fence.steps(work).forEach((id, step) -> {
@@ -125,13 +125,13 @@
         return base;
     }
 
-    private static Ledger.Line line(int kind, String work, long token, String step, String act, String before, String outcome) {
-        return new Ledger.Line(kind, new Fields.Out().text(1, work).number(2, token).text(3, step).text(4, act).text(5, before)
+    private static DurableLog.LogRecord line(int kind, String work, long token, String step, String act, String before, String outcome) {
+        return new DurableLog.LogRecord(kind, new Fields.Writer().text(1, work).number(2, token).text(3, step).text(4, act).text(5, before)
                 .text(6, outcome).toBytes());
     }
 
-    private static Ledger.Line startedLine(String name, StartedProcess one) {
-        return new Ledger.Line(STARTED, new Fields.Out().text(1, name).number(2, one.startCount())
+    private static DurableLog.LogRecord startedLine(String name, StartedProcess one) {
+        return new DurableLog.LogRecord(STARTED, new Fields.Writer().text(1, name).number(2, one.startCount())
                 .number(3, one.pid()).number(4, one.startedMs()).toBytes());
     }
 
@@ -178,7 +178,7 @@
     /** Number of starts of an instance, over all lives of this agent. */
     public long startCount(String instance) { return started.containsKey(instance) ? started.get(instance).startCount() : 0; }
 
-    private void write(Ledger.Line line, Consumer<IOException> then) {
+    private void write(DurableLog.LogRecord line, Consumer<IOException> then) {
         pendingRecords.add(line);
         pendingCallbacks.add(then);
         if (!writing) { flush(); }
@@ -187,7 +187,7 @@
     private void flush() {
         if (pendingRecords.isEmpty()) { return; }
         writing = true;
-        List<Ledger.Line> lines = new ArrayList<>(pendingRecords);
+        List<DurableLog.LogRecord> lines = new ArrayList<>(pendingRecords);
         List<Consumer<IOException>> heirs = new ArrayList<>(pendingCallbacks);
         pendingRecords.clear();
         pendingCallbacks.clear();
@@ -197,7 +197,7 @@
                 try {
                     ledger.append(lines);
                     ledger.force();
-                    if (ledger.isLong()) { loop.execute(this::rollSegment); }
+                    if (ledger.isDueToRoll()) { loop.execute(this::rollSegment); }
                 } catch (IOException e) {
                     why = e;
                 }
@@ -222,7 +222,7 @@
 
     /** Collects the records in a turn, so that nothing changes meanwhile; the disk thread writes them. */
     private void rollSegment() {
-        List<Ledger.Line> base = currentRecords();
+        List<DurableLog.LogRecord> base = currentRecords();
         diskExecutor.execute(() -> {
             try {
                 ledger.roll(base);
--- a/src/main/java/yardusher/file/Toml.java
+++ b/src/main/java/yardusher/file/Toml.java
@@ -38,7 +38,7 @@
     }
 
     /** Complains of any other key: a misspelt one must not pass for a default. */
-    public Toml only(Set<String> keys) {
+    public Toml allowOnly(Set<String> keys) {
         for (UnmodifiableConfig.Entry entry : table.entrySet()) {
             String key = entry.getKey();
             if (!keys.contains(key)) { throw new ConfigError.UnknownKey(null, prefix + key, String.join(", ", new TreeSet<>(keys))); }
@@ -51,30 +51,30 @@
         throw new ConfigError.Missing(null, prefix + key, "a text in " + prefix + key);
     }
 
-    public String text(String key, String absent) { return table.get(key) == null ? absent : text(key); }
+    public String text(String key, String defaultValue) { return table.get(key) == null ? defaultValue : text(key); }
 
-    public int whole(String key, int absent, int least, int most) {
+    public int integer(String key, int defaultValue, int min, int max) {
         Object value = table.get(key);
-        if (value == null) { return absent; }
-        if (value instanceof Number number && number.doubleValue() == number.intValue() && number.intValue() >= least
-                && number.intValue() <= most) {
+        if (value == null) { return defaultValue; }
+        if (value instanceof Number number && number.doubleValue() == number.intValue() && number.intValue() >= min
+                && number.intValue() <= max) {
             return number.intValue();
         }
-        throw value(key, "a whole number from " + least + " to " + most);
+        throw invalidValue(key, "a whole number from " + min + " to " + max);
     }
 
-    public boolean flag(String key, boolean absent) {
+    public boolean flag(String key, boolean defaultValue) {
         Object value = table.get(key);
-        if (value == null || value instanceof Boolean) { return value == null ? absent : (Boolean) value; }
-        throw value(key, "true or false");
+        if (value == null || value instanceof Boolean) { return value == null ? defaultValue : (Boolean) value; }
+        throw invalidValue(key, "true or false");
     }
 
     /** One of a few words. */
-    public String choice(String key, String absent, String... allowed) {
+    public String choice(String key, String defaultValue, String... allowed) {
         Object value = table.get(key);
-        if (value == null) { return absent; }
+        if (value == null) { return defaultValue; }
         if (List.of(allowed).contains(value)) { return (String) value; }
-        throw value(key, "one of " + String.join(", ", allowed));
+        throw invalidValue(key, "one of " + String.join(", ", allowed));
     }
 
     public List<String> texts(String key) {
@@ -90,7 +90,7 @@
         Object value = table.get(key);
         if (value == null) { return List.of(); }
         if (value instanceof List<?> items && items.stream().allMatch(of::isInstance)) { return items.stream().map(of::cast).toList(); }
-        throw value(key, "a list of " + what);
+        throw invalidValue(key, "a list of " + what);
     }
 
     /** One table, or null where it is left out. */
@@ -98,8 +98,8 @@
         Object one = table.get(key);
         if (one == null) { return null; }
         if (one instanceof UnmodifiableConfig found) { return new Toml(found, prefix + key + "."); }
-        throw value(key, "a table");
+        throw invalidValue(key, "a table");
     }
 
-    private ConfigError value(String key, String allowed) { return new ConfigError.Value(null, prefix + key, allowed); }
+    private ConfigError invalidValue(String key, String allowed) { return new ConfigError.Value(null, prefix + key, allowed); }
 }
--- a/src/main/java/yardusher/fleet/FleetAgent.java
+++ b/src/main/java/yardusher/fleet/FleetAgent.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 import java.util.Random;
-import yardusher.disk.Folder;
+import yardusher.disk.Directory;
 import yardusher.disk.Storage;
 import yardusher.error.RegisterError;
 import yardusher.fence.FenceStore;
@@ -64,7 +64,7 @@
 
     private static Storage folder(FleetSettings settings) {
         try {
-            return Folder.writing(settings.folder(), settings.member());
+            return Directory.openForWriting(settings.folder(), settings.member());
         } catch (IOException e) {
             throw new RegisterError.Folder(settings.folder(), String.valueOf(e.getMessage()), e);
         }
--- a/src/main/java/yardusher/fleet/FleetSettings.java
+++ b/src/main/java/yardusher/fleet/FleetSettings.java
@@ -34,12 +34,12 @@
     public static FleetSettings of(Toml file) {
         Toml table = file.table("fleet");
         if (table == null) { return null; }
-        table.only(KEYS);
+        table.allowOnly(KEYS);
         String installation = name(table, "installation");
         String member = name(table, "member");
         Map<String, String> members = new LinkedHashMap<>();
         for (Toml one : table.tables("members")) {
-            one.only(MEMBER_KEYS);
+            one.allowOnly(MEMBER_KEYS);
             String name = name(one, "name");
             String address = one.text("address");
             Sockets.parseAddress(address);
@@ -49,10 +49,10 @@
         }
         if (!members.containsKey(member)) { throw new ConfigError.Conflict(null, "fleet.members", "fleet.members must include fleet.member, " + member); }
         if (members.size() > 7) { throw new ConfigError.Value(null, "fleet.members", "at most 7"); }
-        int heartbeat = table.whole("heartbeat_ms", 200, 20, 10_000);
-        return new FleetSettings(installation, member, Path.of(table.text("folder")), table.whole("lease_ms", 1500, 200, 600_000), heartbeat,
-                table.whole("clock_error_permille", 10, 0, 200), table.whole("pause_ms", 100, 0, 60_000),
-                table.whole("patience_ms", 60_000, 1000, 86_400_000), table.whole("ready_ms", 15_000, 100, 600_000), table.flag("leave_instances", true), members);
+        int heartbeat = table.integer("heartbeat_ms", 200, 20, 10_000);
+        return new FleetSettings(installation, member, Path.of(table.text("folder")), table.integer("lease_ms", 1500, 200, 600_000), heartbeat,
+                table.integer("clock_error_permille", 10, 0, 200), table.integer("pause_ms", 100, 0, 60_000),
+                table.integer("patience_ms", 60_000, 1000, 86_400_000), table.integer("ready_ms", 15_000, 100, 600_000), table.flag("leave_instances", true), members);
     }
 
     private static String name(Toml table, String key) {
--- a/src/main/java/yardusher/handover/Note.java
+++ b/src/main/java/yardusher/handover/HandoverFile.java
@@ -18,16 +18,16 @@
  * The small file by which a running ingress is found by its next version: where it is asked, and the token that proves
  * that who asks may read its files. Owner-only, and written aside and renamed, so that it is never seen half written.
  */
-public record Note(InetSocketAddress address, String token) {
+public record HandoverFile(InetSocketAddress address, String token) {
     /** The version of the note and of what is said on the link. */
     public static final int VERSION = 1;
-    private static final int MOST_BYTES = 512;
+    private static final int MAX_FILE_BYTES = 512;
 
     /** A note for this address with a token of its own. */
-    public static Note at(InetSocketAddress address) {
+    public static HandoverFile create(InetSocketAddress address) {
         byte[] random = new byte[16];
         new SecureRandom().nextBytes(random);
-        return new Note(address, HexFormat.of().formatHex(random));
+        return new HandoverFile(address, HexFormat.of().formatHex(random));
     }
 
     private static Path file(Path folder, String name) {
@@ -49,10 +49,10 @@
     }
 
     /** The note of the instance of this name; null where there is none. A {@link WireError} says what is wrong with one. */
-    public static Note read(Path folder, String name) throws IOException {
+    public static HandoverFile read(Path folder, String name) throws IOException {
         Path file = file(folder, name);
         if (!Files.exists(file)) { return null; }
-        if (Files.size(file) > MOST_BYTES) { throw new WireError.Malformed(file, "is no note of an ingress"); }
+        if (Files.size(file) > MAX_FILE_BYTES) { throw new WireError.Malformed(file, "is no note of an ingress"); }
         List<String> lines = new String(Files.readAllBytes(file), StandardCharsets.ISO_8859_1).lines().toList();
         if (lines.isEmpty() || !lines.get(0).startsWith("yardusher ")) { throw new WireError.Malformed(file, "is no note of an ingress"); }
         if (!lines.get(0).equals("yardusher " + VERSION)) { throw new WireError.Version(file, "is of another version"); }
@@ -60,7 +60,7 @@
             throw new WireError.Malformed(file, "is torn");
         }
         try {
-            return new Note(Sockets.parseAddress(lines.get(1)), lines.get(2));
+            return new HandoverFile(Sockets.parseAddress(lines.get(1)), lines.get(2));
         } catch (ConfigError e) {
             throw new WireError.Malformed(file, "is torn", e);
         }
--- a/src/main/java/yardusher/journal/EntryCodec.java
+++ b/src/main/java/yardusher/journal/EntryCodec.java
@@ -22,7 +22,7 @@
     private EntryCodec() { }
 
     static void encode(Entry entry, CodedOutputStream out) throws IOException {
-        if (entry instanceof Entry.Taken e) {
+        if (entry instanceof Entry.Accepted e) {
             head(out, TAKEN, e.atUs(), e.order());
             facts(out, e.facts());
         } else if (entry instanceof Entry.Intended e) {
@@ -30,7 +30,7 @@
             facts(out, e.facts());
             out.writeUInt32(10, e.attempt());
             out.writeUInt64(11, e.region());
-            out.writeUInt64(22, e.atUs() - e.takenUs());
+            out.writeUInt64(22, e.atUs() - e.acceptedUs());
         } else if (entry instanceof Entry.Written e) {
             head(out, WRITTEN, e.atUs(), e.order());
             out.writeUInt32(10, e.attempt());
@@ -38,7 +38,7 @@
             head(out, ENDED, e.atUs(), e.order());
             out.writeUInt32(10, e.attempt());
             out.writeUInt32(12, 1 + e.outcome().ordinal());
-            out.writeBool(13, e.mayHaveGone());
+            out.writeBool(13, e.mayHaveBeenSent());
         } else if (entry instanceof Entry.Answered e) {
             head(out, ANSWERED, e.atUs(), e.order());
             out.writeUInt32(14, 1 + e.answer().ordinal());
@@ -69,14 +69,14 @@
         if (order != 0) { out.writeUInt64(3, order); }
     }
 
-    private static void facts(CodedOutputStream out, Entry.Facts facts) throws IOException {
+    private static void facts(CodedOutputStream out, Entry.RequestFacts facts) throws IOException {
         out.writeFixed64(4, facts.id());
         if (facts.keyed()) { out.writeFixed64(5, facts.key()); }
         out.writeUInt64(6, facts.customer());
         if (facts.classIndex() != 0) { out.writeUInt32(7, facts.classIndex()); }
         if (facts.plan() != 0) { out.writeUInt32(8, facts.plan()); }
         out.writeDouble(9, facts.units());
-        if (facts.print() != 0) { out.writeFixed64(23, facts.print()); }
+        if (facts.fingerprint() != 0) { out.writeFixed64(23, facts.fingerprint()); }
     }
 
     private static void carried(Entry.Carried e, CodedOutputStream out) throws IOException {
@@ -84,7 +84,7 @@
         out.writeFixed64(15, e.life());
         if (e.facts() != null) { facts(out, e.facts()); }
         if (e.answer() != null) { out.writeUInt32(14, 1 + e.answer().ordinal()); }
-        for (Order.Try one : e.tries()) {
+        for (JournaledRequest.JournaledAttempt one : e.attempts()) {
             int outcome = one.outcome == null ? 0 : 1 + one.outcome.ordinal();
             out.writeTag(21, WireFormat.WIRETYPE_LENGTH_DELIMITED);
             out.writeUInt32NoTag(CodedOutputStream.computeUInt32Size(1, one.attempt)
@@ -92,14 +92,14 @@
                     + CodedOutputStream.computeUInt64Size(3, one.intendedUs)
                     + CodedOutputStream.computeUInt64Size(4, one.writtenUs)
                     + CodedOutputStream.computeUInt64Size(5, one.endedUs)
-                    + CodedOutputStream.computeUInt32Size(6, outcome) + CodedOutputStream.computeBoolSize(7, one.mayHaveGone));
+                    + CodedOutputStream.computeUInt32Size(6, outcome) + CodedOutputStream.computeBoolSize(7, one.mayHaveBeenSent));
             out.writeUInt32(1, one.attempt);
             out.writeUInt64(2, one.region);
             out.writeUInt64(3, one.intendedUs);
             out.writeUInt64(4, one.writtenUs);
             out.writeUInt64(5, one.endedUs);
             out.writeUInt32(6, outcome);
-            out.writeBool(7, one.mayHaveGone);
+            out.writeBool(7, one.mayHaveBeenSent);
         }
     }
 
@@ -127,7 +127,7 @@
         List<String> plans = List.of();
         long count = 0;
         long lost = 0;
-        List<Order.Try> tries = List.of();
+        List<JournaledRequest.JournaledAttempt> tries = List.of();
         long parkedUs = 0;
         long print = 0;
         for (int tag; (tag = in.readTag()) != 0;) {
@@ -164,12 +164,12 @@
                 default -> in.skipField(tag);
             }
         }
-        Entry.Facts facts = factual ? new Entry.Facts(id, keyed, key, customer, classIndex, plan, units, print) : null;
+        Entry.RequestFacts facts = factual ? new Entry.RequestFacts(id, keyed, key, customer, classIndex, plan, units, print) : null;
         return switch (kind) {
             case OPENED -> new Entry.Opened(atUs, life, name, classes, plans);
             case CARRIED -> new Entry.Carried(atUs, life, order, facts, answer == 0 ? null : answer(answer), tries);
             case SNAPSHOT_END -> new Entry.SnapshotEnd(atUs, count);
-            case TAKEN -> new Entry.Taken(atUs, order, needed(facts));
+            case TAKEN -> new Entry.Accepted(atUs, order, needed(facts));
             case INTENDED -> new Entry.Intended(atUs, order, attempt, region, needed(facts), atUs - parkedUs);
             case WRITTEN -> new Entry.Written(atUs, order, attempt);
             case ENDED -> new Entry.Ended(atUs, order, attempt, outcome(outcome), mayHaveGone);
@@ -180,9 +180,9 @@
         };
     }
 
-    private static Order.Try tried(CodedInputStream in) throws IOException {
+    private static JournaledRequest.JournaledAttempt tried(CodedInputStream in) throws IOException {
         int before = in.pushLimit(in.readRawVarint32());
-        Order.Try one = new Order.Try(0);
+        JournaledRequest.JournaledAttempt one = new JournaledRequest.JournaledAttempt(0);
         for (int tag; (tag = in.readTag()) != 0;) {
             switch (WireFormat.getTagFieldNumber(tag)) {
                 case 1 -> one.attempt = in.readUInt32();
@@ -194,7 +194,7 @@
                     int outcome = in.readUInt32();
                     one.outcome = outcome == 0 ? null : outcome(outcome);
                 }
-                case 7 -> one.mayHaveGone = in.readBool();
+                case 7 -> one.mayHaveBeenSent = in.readBool();
                 default -> in.skipField(tag);
             }
         }
@@ -208,7 +208,7 @@
         return more;
     }
 
-    private static Entry.Facts needed(Entry.Facts facts) throws IOException {
+    private static Entry.RequestFacts needed(Entry.RequestFacts facts) throws IOException {
         if (facts == null) { throw new IOException("an entry without the order's facts"); }
         return facts;
     }
--- a/src/main/java/yardusher/journal/Indexer.java
+++ b/src/main/java/yardusher/journal/Indexer.java
@@ -9,14 +9,14 @@
 
 /** Builds the indexes of sealed segments, on a thread of its own that is there only while there is work. */
 final class Indexer {
-    private static final int MOST_WAITING = 10_000;  // one that finds no room is built at the next start, or by a reader
+    private static final int MAX_QUEUED = 10_000;  // one that finds no room is built at the next start, or by a reader
 
     private final Storage storage;
     private final ExecutorService thread;
 
     Indexer(Storage storage, String name) {
         this.storage = storage;
-        ThreadPoolExecutor one = new ThreadPoolExecutor(1, 1, 1, TimeUnit.SECONDS, new LinkedBlockingQueue<>(MOST_WAITING), work -> {
+        ThreadPoolExecutor one = new ThreadPoolExecutor(1, 1, 1, TimeUnit.SECONDS, new LinkedBlockingQueue<>(MAX_QUEUED), work -> {
             Thread thread = new Thread(work, "journal index " + name);
             thread.setDaemon(true);
             thread.setPriority(Thread.MIN_PRIORITY);
@@ -39,7 +39,7 @@
     void build(long segment) {
         thread.execute(() -> {
             try {
-                if (!storage.list().contains(Frames.indexName(segment))) { SegmentIndex.build(storage, segment); }
+                if (!storage.list().contains(SegmentFiles.indexName(segment))) { SegmentIndex.build(storage, segment); }
             } catch (IOException e) { /* retired meanwhile, or no room: readers do without */ }
         });
     }
--- a/src/main/java/yardusher/journal/Journal.java
+++ b/src/main/java/yardusher/journal/Journal.java
@@ -11,7 +11,7 @@
 import yardusher.core.RequestLog;
 import yardusher.core.Request;
 import yardusher.core.EventLoop;
-import yardusher.disk.Folder;
+import yardusher.disk.Directory;
 import yardusher.disk.Storage;
 import yardusher.error.JournalError;
 import yardusher.log.Events;
@@ -24,10 +24,10 @@
  */
 public final class Journal implements RequestLog {
     /** Entries that gather at the most; further ones are lost, and counted. */
-    static final int MOST_GATHERED = 20_000;
-    private static final double RETRY_MS = 100;      // after a write that failed; doubles
-    private static final double RETRY_MOST_MS = 2000;
-    private static final double LOOK_MS = 1000;      // while there is no room, it is looked for
+    static final int MAX_PENDING_ENTRIES = 20_000;
+    private static final double INITIAL_RETRY_MS = 100;      // after a write that failed; doubles
+    private static final double MAX_RETRY_MS = 2000;
+    private static final double RECHECK_MS = 1000;      // while there is no room, it is looked for
 
     /** Whether intents can be recorded now. */
     enum Health { GOOD, FULL, STALLED, FAILING }
@@ -55,24 +55,24 @@
     private final Api.Settings site;
     private final JournalSettings settings;
     private final Segments segments;
-    private final Scribe scribe;
+    private final JournalWriter writer;
     private final Events events;
     private final Counts counts = new Counts();
-    private final List<String> found;
-    private Batch gathering = new Batch();
+    private final List<String> recoveryNotes;
+    private Batch pending = new Batch();
     private Batch spare = new Batch();
-    private Batch flying;
-    private boolean handsOver;                       // at this turn's end
+    private Batch inFlight;
+    private boolean submitScheduled;                       // at this turn's end
     // Two deadlines that run on and are seldom set: one of each batch's own would wake the deadlines' thread each time.
-    private Deadlines.Entry flushAt;
-    private Deadlines.Entry stallAt;
-    private double flyingSince;
-    private Deadlines.Entry lookAt;
-    private double retryMs = RETRY_MS;
+    private Deadlines.Entry flushDeadline;
+    private Deadlines.Entry stallDeadline;
+    private double inFlightSinceMs;
+    private Deadlines.Entry recheckDeadline;
+    private double retryMs = INITIAL_RETRY_MS;
     private Health health = Health.GOOD;
     private long gapOrders;
     private long gapLost;
-    private boolean prints;
+    private boolean recordsFingerprints;
 
     /**
      * Opens the folder, finds what the last life left open and begins a new life. Reads and writes the disk, so it is
@@ -82,10 +82,10 @@
      */
     public static Journal open(JournalSettings settings, String instance, Api.Settings site, List<String> classes,
             List<String> plans, EventLoop loop, Events events) throws IOException {
-        Folder folder;
+        Directory folder;
         try {
-            folder = Folder.writing(settings.folder().resolve(instance), instance);
-        } catch (Folder.Held e) {
+            folder = Directory.openForWriting(settings.folder().resolve(instance), instance);
+        } catch (Directory.LockedException e) {
             throw new JournalError.Held("journal.folder " + settings.folder().resolve(instance), e.getMessage(), e);
         } catch (IOException e) {
             throw new JournalError.Folder("journal.folder " + settings.folder().resolve(instance), String.valueOf(e.getMessage()), e);
@@ -96,11 +96,11 @@
     static Journal open(Storage storage, JournalSettings settings, String instance, Api.Settings site,
             List<String> classes, List<String> plans, EventLoop loop, Events events) throws IOException {
         try {
-            Recovery.Found found = Recovery.run(storage, loop.now());
+            Recovery.Result found = Recovery.run(storage, loop.now());
             Indexer indexer = new Indexer(storage, instance);
             Segments segments = new Segments(storage, settings, found,
                     new Entry.Opened(0, new IdGenerator().next(), instance, classes, plans), loop::now, indexer);
-            for (Retention.Sealed one : found.sealed()) { indexer.build(one.number()); }
+            for (Retention.SealedSegment one : found.sealed()) { indexer.build(one.number()); }
             return new Journal(loop, site, settings, segments, found, events, instance);
         } catch (IOException e) {
             storage.close();
@@ -108,18 +108,18 @@
         }
     }
 
-    private Journal(EventLoop loop, Api.Settings site, JournalSettings settings, Segments segments, Recovery.Found found,
+    private Journal(EventLoop loop, Api.Settings site, JournalSettings settings, Segments segments, Recovery.Result found,
             Events events, String instance) {
         this.loop = loop;
         this.site = site;
         this.settings = settings;
         this.segments = segments;
         this.events = events;
-        this.found = found.notes();
-        scribe = new Scribe(segments, settings, instance);
+        this.recoveryNotes = found.notes();
+        writer = new JournalWriter(segments, settings, instance);
         for (String note : found.notes()) { events.warn("journal recovery", "note", note); }
-        long unknown = found.open().orders().stream()
-                .filter(order -> order.tries.stream().anyMatch(one -> one.outcome == null)).count();
+        long unknown = found.open().requests().stream()
+                .filter(order -> order.attempts.stream().anyMatch(one -> one.outcome == null)).count();
         events.info("journal opened", "segments", found.sealed().size(), "read", found.segmentsRead(), "bytes_read",
                 found.bytesRead(), "open", found.open().size(), "unknown", unknown, "durability",
                 settings.durability().name().toLowerCase(java.util.Locale.ROOT));
@@ -128,58 +128,58 @@
     @Override
     public Admission admit(Request t) {
         if (site.classes().get(t.incoming.classIndex()).effect() == Api.Effect.IDEMPOTENT) { return Admission.UNRECORDED; }
-        if (!records()) {
-            if (settings.refuses()) {
+        if (!canRecord()) {
+            if (settings.refusesWhenFull()) {
                 counts.refused++;
                 return Admission.REFUSED;
             }
-            unrecorded();
+            countUnrecorded();
             return Admission.UNRECORDED;
         }
         return Admission.RECORDED;                   // told with its first intent, which comes in this turn or never
     }
 
     /** Whether an intent can be recorded as durable as settings say, as far as is known now. */
-    private boolean records() {
-        return health == Health.GOOD && gathering.entries.size() < MOST_GATHERED / 2
-                && scribe.unsyncedMs() < settings.windowMs() + settings.stallMs();
+    private boolean canRecord() {
+        return health == Health.GOOD && pending.entries.size() < MAX_PENDING_ENTRIES / 2
+                && writer.unsyncedMs() < settings.windowMs() + settings.stallMs();
     }
 
     @Override
     public void recordIntent(Attempt attempt, Consumer<Boolean> then) {
         Request t = attempt.request;
-        if (!records()) {
+        if (!canRecord()) {
             unrecordedIntent(then);
             return;
         }
-        attempt.intentLogged = gather(new Entry.Intended(nowUs(), t.number, attempt.number, attempt.backend, facts(t), takenUs(t)));
+        attempt.intentLogged = enqueue(new Entry.Intended(nowUs(), t.number, attempt.number, attempt.backend, facts(t), takenUs(t)));
         t.logged |= attempt.intentLogged;
-        gathering.waiters.add(new Waiter(attempt, then));
-        if (flying == null && !handsOver) {
-            handsOver = true;
-            loop.defer(this::handOver);        // all that this turn gathers shares the write
+        pending.waiters.add(new Waiter(attempt, then));
+        if (inFlight == null && !submitScheduled) {
+            submitScheduled = true;
+            loop.defer(this::submitPending);        // all that this turn gathers shares the write
         }
     }
 
     private void unrecordedIntent(Consumer<Boolean> then) {
-        if (settings.refuses()) { counts.refused++; } else { unrecorded(); }
-        then.accept(!settings.refuses());
+        if (settings.refusesWhenFull()) { counts.refused++; } else { countUnrecorded(); }
+        then.accept(!settings.refusesWhenFull());
     }
 
-    private void unrecorded() {
+    private void countUnrecorded() {
         counts.unrecorded++;
         gapOrders++;
     }
 
     @Override
     public void attemptWritten(Attempt attempt) {
-        if (attempt.intentLogged) { gather(new Entry.Written(nowUs(), attempt.request.number, attempt.number)); }
+        if (attempt.intentLogged) { enqueue(new Entry.Written(nowUs(), attempt.request.number, attempt.number)); }
     }
 
     @Override
     public void attemptEnded(Attempt attempt, Api.Outcome outcome) {
         if (!attempt.intentLogged) { return; }              // sent on unrecorded: the gap tells of it
-        gather(new Entry.Ended(nowUs(), attempt.request.number, attempt.number, outcome, attempt.mayHaveBeenSent()));
+        enqueue(new Entry.Ended(nowUs(), attempt.request.number, attempt.number, outcome, attempt.mayHaveBeenSent()));
     }
 
     @Override
@@ -187,10 +187,10 @@
         if (!t.logged) {
             // Guards the folder's room against a flood beyond a quota: what was never tried is counted, not told.
             counts.untried++;
-            if (!settings.untriedToo()) { return; }
-            gather(new Entry.Taken(takenUs(t), t.number, facts(t)));
+            if (!settings.recordsUnattempted()) { return; }
+            enqueue(new Entry.Accepted(takenUs(t), t.number, facts(t)));
         }
-        gather(new Entry.Answered(nowUs(), t.number, answer));
+        enqueue(new Entry.Answered(nowUs(), t.number, answer));
     }
 
     @Override
@@ -200,41 +200,41 @@
 
     private long nowUs() { return (long) (loop.now() * 1e3); }
 
-    private Entry.Facts facts(Request t) {
+    private Entry.RequestFacts facts(Request t) {
         String key = t.incoming.command().key();
-        return new Entry.Facts(t.incoming.command().id(), key != null, key == null ? 0 : Long.parseUnsignedLong(key, 16),
-                t.incoming.customer(), t.incoming.classIndex(), t.incoming.plan(), t.incoming.units(), prints && key != null ? t.incoming.command().fingerprint() : 0);
+        return new Entry.RequestFacts(t.incoming.command().id(), key != null, key == null ? 0 : Long.parseUnsignedLong(key, 16),
+                t.incoming.customer(), t.incoming.classIndex(), t.incoming.plan(), t.incoming.units(), recordsFingerprints && key != null ? t.incoming.command().fingerprint() : 0);
     }
 
-    private boolean gather(Entry entry) {
+    private boolean enqueue(Entry entry) {
         // Guards the heap while the disk hangs: outcomes past this bound are lost, and the loss is recorded.
-        if (gathering.entries.size() >= MOST_GATHERED) {
+        if (pending.entries.size() >= MAX_PENDING_ENTRIES) {
             counts.lost++;
             gapLost++;
             return false;
         }
-        gathering.entries.add(entry);
+        pending.entries.add(entry);
         counts.entries++;
-        if (flying == null) { flushSoon(); }
+        if (inFlight == null) { scheduleFlush(); }
         return true;
     }
 
-    private void handOver() {
-        handsOver = false;
-        if (flying != null || gathering.entries.isEmpty()) { return; }
-        flying = gathering;
-        gathering = spare;
+    private void submitPending() {
+        submitScheduled = false;
+        if (inFlight != null || pending.entries.isEmpty()) { return; }
+        inFlight = pending;
+        pending = spare;
         spare = null;
-        flyingSince = loop.now();
-        if (stallAt == null) { stallAt = loop.deadlines().schedule(flyingSince + settings.stallMs(), this::watch); }
-        submit(flying);
+        inFlightSinceMs = loop.now();
+        if (stallDeadline == null) { stallDeadline = loop.deadlines().schedule(inFlightSinceMs + settings.stallMs(), this::checkForStall); }
+        submit(inFlight);
     }
 
     private void submit(Batch batch) {
         counts.batches++;
-        scribe.submit(() -> {
+        writer.submit(() -> {
             Segments.Result result = segments.append(batch.entries);
-            if (result.written()) { scribe.wrote(); }
+            if (result.written()) { writer.onAppend(); }
             loop.execute(() -> completed(batch, result));
         });
     }
@@ -242,63 +242,63 @@
     private void completed(Batch batch, Segments.Result result) {
         if (!result.written()) {
             counts.failures++;
-            become(Health.FAILING, result.why().getMessage());
-            withdraw(batch);
-            withdraw(gathering);
+            setHealth(Health.FAILING, result.error().getMessage());
+            releaseWaiters(batch);
+            releaseWaiters(pending);
             loop.deadlines().schedule(loop.now() + retryMs, () -> submit(batch));
-            retryMs = Math.min(RETRY_MOST_MS, 2 * retryMs);
+            retryMs = Math.min(MAX_RETRY_MS, 2 * retryMs);
             return;                                  // it goes on flying: nothing may overtake it
         }
-        retryMs = RETRY_MS;
-        become(result.full() ? Health.FULL : Health.GOOD, result.full() ? "no room" : "");
+        retryMs = INITIAL_RETRY_MS;
+        setHealth(result.full() ? Health.FULL : Health.GOOD, result.full() ? "no room" : "");
         List<Waiter> waiters = new ArrayList<>(batch.waiters);
         batch.entries.clear();
         batch.waiters.clear();
         spare = batch;
-        flying = null;
+        inFlight = null;
         for (Waiter waiter : waiters) { waiter.then.accept(true); }
         if (gapOrders + gapLost > 0) {
-            gather(new Entry.Gap(nowUs(), gapOrders, gapLost));
+            enqueue(new Entry.Gap(nowUs(), gapOrders, gapLost));
             gapOrders = 0;
             gapLost = 0;
         }
-        if (!gathering.waiters.isEmpty()) {
-            handOver();
-        } else if (!gathering.entries.isEmpty()) {
-            flushSoon();
+        if (!pending.waiters.isEmpty()) {
+            submitPending();
+        } else if (!pending.entries.isEmpty()) {
+            scheduleFlush();
         }
     }
 
-    private void flushSoon() {
-        if (flushAt != null) { return; }
-        flushAt = loop.deadlines().schedule(loop.now() + settings.flushMs(), () -> {
-            flushAt = null;
-            handOver();
+    private void scheduleFlush() {
+        if (flushDeadline != null) { return; }
+        flushDeadline = loop.deadlines().schedule(loop.now() + settings.flushMs(), () -> {
+            flushDeadline = null;
+            submitPending();
         });
     }
 
     /** Looks whether a batch has been with the writing thread for too long. */
-    private void watch() {
-        stallAt = null;
-        if (flying == null || health == Health.STALLED) { return; }
-        double due = flyingSince + settings.stallMs();
+    private void checkForStall() {
+        stallDeadline = null;
+        if (inFlight == null || health == Health.STALLED) { return; }
+        double due = inFlightSinceMs + settings.stallMs();
         if (due <= loop.now() && health != Health.FAILING) {
-            stalled();
+            onStall();
         } else {
-            stallAt = loop.deadlines().schedule(Math.max(due, loop.now() + settings.flushMs()), this::watch);
+            stallDeadline = loop.deadlines().schedule(Math.max(due, loop.now() + settings.flushMs()), this::checkForStall);
         }
     }
 
     /** The disk hangs: what waits for it has waited long enough. */
-    private void stalled() {
+    private void onStall() {
         counts.stalls++;
-        become(Health.STALLED, "a write has taken " + (long) settings.stallMs() + " ms");
-        if (flying != null) { withdraw(flying); }
-        withdraw(gathering);
+        setHealth(Health.STALLED, "a write has taken " + (long) settings.stallMs() + " ms");
+        if (inFlight != null) { releaseWaiters(inFlight); }
+        releaseWaiters(pending);
     }
 
     /** Intents that are not recorded in time: given up at once, or sent on and the gap counted, as settings say. */
-    private void withdraw(Batch batch) {
+    private void releaseWaiters(Batch batch) {
         List<Waiter> waiters = new ArrayList<>(batch.waiters);
         batch.waiters.clear();
         for (Waiter waiter : waiters) {
@@ -306,57 +306,57 @@
         }
     }
 
-    private void become(Health next, String why) {
+    private void setHealth(Health next, String why) {
         if (next == health) { return; }
         health = next;
         Object[] pairs = {"health", next.name().toLowerCase(java.util.Locale.ROOT), "why", why, "then",
-            settings.refuses() ? "refuse" : "unjournaled", "refused", counts.refused, "unrecorded", counts.unrecorded, "lost",
+            settings.refusesWhenFull() ? "refuse" : "unjournaled", "refused", counts.refused, "unrecorded", counts.unrecorded, "lost",
             counts.lost};
         if (next == Health.GOOD) { events.info("journal good again", pairs); } else { events.warn("journal cannot record orders", pairs); }
-        if (next == Health.FULL && lookAt == null) { look(); }
+        if (next == Health.FULL && recheckDeadline == null) { scheduleRecheck(); }
     }
 
-    private void look() {
-        lookAt = loop.deadlines().schedule(loop.now() + LOOK_MS, () -> {
-            lookAt = null;
+    private void scheduleRecheck() {
+        recheckDeadline = loop.deadlines().schedule(loop.now() + RECHECK_MS, () -> {
+            recheckDeadline = null;
             if (health != Health.FULL) { return; }
-            scribe.submit(() -> {
+            writer.submit(() -> {
                 boolean full = segments.recheck();
                 loop.execute(() -> {
                     if (health != Health.FULL) { return; }
-                    if (full) { look(); } else { become(Health.GOOD, ""); }
+                    if (full) { scheduleRecheck(); } else { setHealth(Health.GOOD, ""); }
                 });
             });
         });
     }
 
     /** From now on intents carry the fingerprints that keys need after a restart. Before the first turn with orders. */
-    public void recordPrints() { prints = true; }
+    public void recordFingerprints() { recordsFingerprints = true; }
 
     /** A keyed order of an earlier life. Times in milliseconds; {@code ran}: it was answered as served. */
-    public interface Earlier {
-        void order(long key, long print, String className, double sentAtMs, double endedAtMs, boolean ran);
+    public interface EarlierRequestVisitor {
+        void visit(long key, long print, String className, double sentAtMs, double endedAtMs, boolean ran);
     }
 
     /**
      * Tells of the keyed orders of earlier lives that came in since a time and may have run, in the order in which they
      * came. Reads the disk: before the first turn.
      */
-    public static void earlier(JournalSettings settings, String instance, double sinceMs, Earlier earlier) throws IOException {
+    public static void forEachEarlierRequest(JournalSettings settings, String instance, double sinceMs, EarlierRequestVisitor earlier) throws IOException {
         Query query = new Query(java.util.Map.of(), java.util.Set.of(), false, false, (long) (sinceMs * 1e3), Long.MAX_VALUE);
-        try (Scan scan = new Scan(Folder.reading(settings.folder().resolve(instance)), query, bytes -> { })) {
-            for (Order order; (order = scan.next()) != null;) {
-                boolean may = order.state() == Order.State.INTENDED || order.state() == Order.State.SENT || order.state() == Order.State.ANSWERED;
+        try (Scan scan = new Scan(Directory.openForReading(settings.folder().resolve(instance)), query, bytes -> { })) {
+            for (JournaledRequest order; (order = scan.next()) != null;) {
+                boolean may = order.state() == JournaledRequest.State.INTENDED || order.state() == JournaledRequest.State.SENT || order.state() == JournaledRequest.State.ANSWERED;
                 if (!may || order.facts == null || !order.facts.keyed()) { continue; }
                 long sent = Long.MAX_VALUE;
                 long last = Math.max(order.answeredUs, order.closedUs);
                 boolean ran = false;
-                for (Order.Try one : order.tries) {
+                for (JournaledRequest.JournaledAttempt one : order.attempts) {
                     if (one.intendedUs > 0) { sent = Math.min(sent, one.intendedUs); }
                     last = Math.max(last, Math.max(one.intendedUs, one.endedUs));
                     ran |= one.outcome == Api.Outcome.SERVED;
                 }
-                earlier.order(order.facts.key(), order.facts.print(), order.className, (sent == Long.MAX_VALUE ? last : sent) / 1e3, last / 1e3, ran);
+                earlier.visit(order.facts.key(), order.facts.fingerprint(), order.className, (sent == Long.MAX_VALUE ? last : sent) / 1e3, last / 1e3, ran);
             }
         }
     }
@@ -367,7 +367,7 @@
     public Counts counts() { return counts; }
 
     /** What recovery had to say of the files. */
-    public List<String> recoveryNotes() { return found; }
+    public List<String> recoveryNotes() { return recoveryNotes; }
 
     /** One line of names and values, for INFO. */
     public String line() {
@@ -378,11 +378,11 @@
 
     /** Writes and syncs all that was told, and ends; false where the disk did not take it in time. Not in a turn. */
     public boolean close(long withinMs) {
-        loop.execute(this::handOver);
-        boolean ended = scribe.end(withinMs);
+        loop.execute(this::submitPending);
+        boolean ended = writer.shutdown(withinMs);
         // Entries of the last turns: the writing thread has ended, so they are written here.
         loop.execute(() -> {
-            if (ended && flying == null && !gathering.entries.isEmpty()) { segments.append(gathering.entries); }
+            if (ended && inFlight == null && !pending.entries.isEmpty()) { segments.append(pending.entries); }
         });
         if (!ended) { return false; }
         try {
--- a/src/main/java/yardusher/journal/Orders.java
+++ b/src/main/java/yardusher/journal/JournalReports.java
@@ -23,22 +23,22 @@
 import java.util.stream.Stream;
 import org.apache.commons.csv.CSVFormat;
 import org.apache.commons.csv.CSVPrinter;
-import yardusher.disk.Folder;
+import yardusher.disk.Directory;
 import yardusher.disk.Storage;
 import yardusher.error.CommandError;
 import yardusher.error.JournalError;
 import yardusher.discovery.DiscoveredBackends;
 
 /** What the sub-command {@code orders} does with one or more folders of journals. */
-public final class Orders {
+public final class JournalReports {
     /** The ways to write orders. */
-    public enum Form { TABLE, JSON, CSV }
+    public enum OutputFormat { TABLE, JSON, CSV }
 
     private static final String[] COLUMNS = {"taken", "instance", "state", "outcome", "region", "attempts", "answer", "key",
         "customer", "id", "class", "plan", "units", "closed", "life", "number"};
-    private static final long TOLD_EVERY_NS = 500_000_000L;
+    private static final long PROGRESS_INTERVAL_NS = 500_000_000L;
 
-    private Orders() { }
+    private JournalReports() { }
 
     /** The journals that a path means: itself, or each of its folders that holds one. */
     public static List<Path> folders(List<String> paths) throws IOException {
@@ -49,7 +49,7 @@
             int before = folders.size();
             if (isJournal(path)) { folders.add(path); }
             try (Stream<Path> inside = Files.list(path)) {
-                inside.sorted().filter(Files::isDirectory).filter(Orders::isJournal).forEach(folders::add);
+                inside.sorted().filter(Files::isDirectory).filter(JournalReports::isJournal).forEach(folders::add);
             }
             if (folders.size() == before) { throw new JournalError.None(text); }
         }
@@ -58,16 +58,16 @@
 
     private static boolean isJournal(Path folder) {
         try (Stream<Path> files = Files.list(folder)) {
-            return files.anyMatch(file -> Frames.number(file.getFileName().toString()) >= 0);
+            return files.anyMatch(file -> SegmentFiles.number(file.getFileName().toString()) >= 0);
         } catch (IOException e) {
             return false;
         }
     }
 
     /** What is asked for, from texts as people give them; a {@link CommandError} says which is wrong. */
-    public static final class Asked {
+    public static final class Filter {
         private final Map<SegmentIndex.Field, Long> values = new EnumMap<>(SegmentIndex.Field.class);
-        private Set<Order.State> states = Set.of();
+        private Set<JournaledRequest.State> states = Set.of();
         private boolean unknown;
         private boolean open;
         private long fromUs;
@@ -75,43 +75,43 @@
         private final Instant now;
 
         /** {@code now} is what lengths of time count back from. */
-        public Asked(Instant now) { this.now = now; }
+        public Filter(Instant now) { this.now = now; }
 
-        public Asked by(String field, String text) {
+        public Filter by(String field, String text) {
             SegmentIndex.Field of = SegmentIndex.Field.valueOf(field.toUpperCase(Locale.ROOT));
             if (of != SegmentIndex.Field.REGION && !text.matches("[0-9a-f]{1,16}")) {
                 throw new CommandError.Argument(field + " must be 1 to 16 hex digits");
             }
-            values.put(of, of == SegmentIndex.Field.REGION ? DiscoveredBackends.id(text) : Long.parseUnsignedLong(text, 16));
+            values.put(of, of == SegmentIndex.Field.REGION ? DiscoveredBackends.numericId(text) : Long.parseUnsignedLong(text, 16));
             return this;
         }
 
-        public Asked states(String text) {
-            EnumSet<Order.State> wanted = EnumSet.noneOf(Order.State.class);
+        public Filter states(String text) {
+            EnumSet<JournaledRequest.State> wanted = EnumSet.noneOf(JournaledRequest.State.class);
             for (String word : text.split(",")) {
                 if (word.equals("unknown")) {
                     unknown = true;
                     continue;
                 }
-                wanted.add(Stream.of(Order.State.values()).filter(state -> state.flag().equals(word)).findFirst()
+                wanted.add(Stream.of(JournaledRequest.State.values()).filter(state -> state.flag().equals(word)).findFirst()
                         .orElseThrow(() -> new CommandError.Argument("state must be some of "
-                                + String.join(", ", Stream.of(Order.State.values()).map(Order.State::flag).toList()) + ", unknown")));
+                                + String.join(", ", Stream.of(JournaledRequest.State.values()).map(JournaledRequest.State::flag).toList()) + ", unknown")));
             }
             states = wanted;
             return this;
         }
 
-        public Asked open() {
+        public Filter open() {
             open = true;
             return this;
         }
 
-        public Asked from(String text) {
+        public Filter from(String text) {
             fromUs = time(text, "from");
             return this;
         }
 
-        public Asked to(String text) {
+        public Filter to(String text) {
             toUs = time(text, "to");
             return this;
         }
@@ -132,27 +132,27 @@
     }
 
     /** Orders of several folders, merged by the time when they came in. */
-    private static final class Merged implements Closeable {
-        private record Head(Order order, Scan scan) { }
+    private static final class MergedScan implements Closeable {
+        private record Head(JournaledRequest order, Scan scan) { }
 
         private final PriorityQueue<Head> heads = new PriorityQueue<>(Comparator.comparingLong((Head head) -> head.order.firstUs()));
         private final List<Scan> scans = new ArrayList<>();
 
-        Merged(List<Path> folders, Query query, Progress progress) throws IOException {
+        MergedScan(List<Path> folders, Query query, Progress progress) throws IOException {
             for (Path folder : folders) {
-                Storage storage = Folder.reading(folder);
-                Scan scan = new Scan(storage, query, progress::more);
+                Storage storage = Directory.openForReading(folder);
+                Scan scan = new Scan(storage, query, progress::add);
                 scans.add(scan);
                 advance(scan);
             }
         }
 
         private void advance(Scan scan) throws IOException {
-            Order order = scan.next();
+            JournaledRequest order = scan.next();
             if (order != null) { heads.add(new Head(order, scan)); }
         }
 
-        Order next() throws IOException {
+        JournaledRequest next() throws IOException {
             Head head = heads.poll();
             if (head == null) { return null; }
             advance(head.scan);
@@ -172,22 +172,22 @@
         private final PrintStream err;
         private final long total;
         private long done;
-        private long toldAt = System.nanoTime();
+        private long reportedAtNs = System.nanoTime();
 
         Progress(List<Path> folders, PrintStream err) throws IOException {
             this.err = err;
             long all = 0;
             for (Path folder : folders) {
-                Storage storage = Folder.reading(folder);
-                for (long number : Recovery.segments(storage)) { all += storage.size(Frames.name(number)); }
+                Storage storage = Directory.openForReading(folder);
+                for (long number : Recovery.segments(storage)) { all += storage.size(SegmentFiles.name(number)); }
             }
             total = Math.max(1, all);
         }
 
-        void more(long bytes) {
+        void add(long bytes) {
             done += bytes;
-            if (err == null || System.nanoTime() - toldAt < TOLD_EVERY_NS) { return; }
-            toldAt = System.nanoTime();
+            if (err == null || System.nanoTime() - reportedAtNs < PROGRESS_INTERVAL_NS) { return; }
+            reportedAtNs = System.nanoTime();
             err.println("read " + done * 100 / total + "% of " + (total >> 20) + " MB");
         }
     }
@@ -197,13 +197,13 @@
      *
      * @param err where progress and notes go; null for nowhere
      */
-    public static long list(List<Path> folders, Asked asked, Form form, long most, PrintStream out, PrintStream err)
+    public static long list(List<Path> folders, Filter asked, OutputFormat form, long most, PrintStream out, PrintStream err)
             throws IOException {
         long count = 0;
-        try (Merged merged = new Merged(folders, asked.query(), new Progress(folders, err))) {
-            CSVPrinter csv = form == Form.CSV ? CSVFormat.DEFAULT.builder().setHeader(COLUMNS).build().print(out) : null;
-            if (form == Form.TABLE) { out.println(row("TAKEN", "INSTANCE", "STATE", "OUTCOME", "REGION", "TRIES", "ANSWER", "KEY", "CUSTOMER", "ID", "CLASS")); }
-            for (Order order; count < most && (order = merged.next()) != null; count++) {
+        try (MergedScan merged = new MergedScan(folders, asked.query(), new Progress(folders, err))) {
+            CSVPrinter csv = form == OutputFormat.CSV ? CSVFormat.DEFAULT.builder().setHeader(COLUMNS).build().print(out) : null;
+            if (form == OutputFormat.TABLE) { out.println(row("TAKEN", "INSTANCE", "STATE", "OUTCOME", "REGION", "TRIES", "ANSWER", "KEY", "CUSTOMER", "ID", "CLASS")); }
+            for (JournaledRequest order; count < most && (order = merged.next()) != null; count++) {
                 switch (form) {
                     case TABLE -> out.println(row(order));
                     case JSON -> out.println(json(order));
@@ -219,24 +219,24 @@
     }
 
     /** Tells all that is known of the orders asked for. Returns how many. */
-    public static long show(List<Path> folders, Asked asked, PrintStream out) throws IOException {
+    public static long show(List<Path> folders, Filter asked, PrintStream out) throws IOException {
         long count = 0;
-        try (Merged merged = new Merged(folders, asked.query(), new Progress(folders, null))) {
-            for (Order order; (order = merged.next()) != null; count++) {
+        try (MergedScan merged = new MergedScan(folders, asked.query(), new Progress(folders, null))) {
+            for (JournaledRequest order; (order = merged.next()) != null; count++) {
                 out.println("order " + order.number + " of " + order.instance + ", life " + hex(order.life));
-                out.println("  " + says(order));
+                out.println("  " + describe(order));
                 if (order.facts != null) {
                     out.println("  key " + key(order) + ", customer " + hex(order.facts.customer()) + ", id " + hex(order.facts.id())
                             + ", class " + order.className + ", plan " + order.plan + ", units " + order.facts.units());
                 }
-                if (order.takenUs > 0) { out.println("  " + time(order.takenUs) + " taken in"); }
-                for (Order.Try one : order.tries) {
+                if (order.acceptedUs > 0) { out.println("  " + time(order.acceptedUs) + " taken in"); }
+                for (JournaledRequest.JournaledAttempt one : order.attempts) {
                     String name = "attempt " + one.attempt + " to region " + region(one);
                     if (one.intendedUs > 0) { out.println("  " + time(one.intendedUs) + " " + name + " intended"); }
                     if (one.writtenUs > 0) { out.println("  " + time(one.writtenUs) + " " + name + " written whole"); }
                     if (one.endedUs > 0) {
                         out.println("  " + time(one.endedUs) + " " + name + " ended: " + word(one.outcome) + ", "
-                                + (one.mayHaveGone ? one.outcome == yardusher.Api.Outcome.REJECTED ? "the region says it never ran" : "it may have run"
+                                + (one.mayHaveBeenSent ? one.outcome == yardusher.Api.Outcome.REJECTED ? "the region says it never ran" : "it may have run"
                                         : "nothing went out"));
                     }
                 }
@@ -252,8 +252,8 @@
         boolean sound = true;
         Progress progress = new Progress(folders, err);
         for (Path folder : folders) {
-            boolean written = Folder.isWritten(folder);
-            Verify.Report report = Verify.run(Folder.reading(folder), written, progress::more);
+            boolean written = Directory.isLocked(folder);
+            Verify.Report report = Verify.run(Directory.openForReading(folder), written, progress::add);
             out.println(folder + ": " + (report.damage().isEmpty() ? "sound" : "damaged") + (written ? ", being written" : "") + ": "
                     + report.segments() + " segments, " + report.bytes() + " bytes, " + report.entries() + " entries, " + report.orders()
                     + " orders, " + report.unknown() + " of unknown end, " + report.gapOrders() + " unrecorded, " + report.gapLost()
@@ -265,21 +265,21 @@
         return sound;
     }
 
-    private static String says(Order order) {
+    private static String describe(JournaledRequest order) {
         return order.state().text + (order.isUnknown() ? "; how it ended is not known" : order.isOver() ? "" : "; still open");
     }
 
-    private static String[] columns(Order o) {
-        Order.Try strongest = o.strongest();
+    private static String[] columns(JournaledRequest o) {
+        JournaledRequest.JournaledAttempt strongest = o.strongest();
         return new String[] {o.firstUs() == 0 ? "" : time(o.firstUs()), o.instance, o.state().flag(),
             strongest == null || strongest.outcome == null ? "" : word(strongest.outcome), strongest == null ? "" : region(strongest),
-            Integer.toString(o.tries.size()), o.answer == null ? o.closedUs > 0 ? "unknown" : "" : word(o.answer), key(o),
+            Integer.toString(o.attempts.size()), o.answer == null ? o.closedUs > 0 ? "unknown" : "" : word(o.answer), key(o),
             o.facts == null ? "" : hex(o.facts.customer()), o.facts == null ? "" : hex(o.facts.id()), o.className, o.plan,
             o.facts == null ? "" : Double.toString(o.facts.units()), o.closedUs == 0 ? "" : time(o.closedUs), hex(o.life),
             Long.toString(o.number)};
     }
 
-    private static String row(Order order) {
+    private static String row(JournaledRequest order) {
         String[] c = columns(order);
         for (int i = 0; i < c.length; i++) { c[i] = c[i].isEmpty() ? "-" : c[i]; }
         return row(c[0], c[1], c[2], c[3], c[4], c[5], c[6], c[7], c[8], c[9], c[10]);
@@ -290,7 +290,7 @@
     }
 
     /** One object of names and values; times as texts, ids and keys in hex digits as the protocol writes them. */
-    static String json(Order order) throws IOException {
+    static String json(JournaledRequest order) throws IOException {
         StringWriter text = new StringWriter(512);
         try (JsonGenerator out = JSON.createGenerator(text)) {
             String[] c = columns(order);
@@ -308,7 +308,7 @@
             out.writeBooleanField("open", !order.isOver());
             out.writeBooleanField("unknown", order.isUnknown());
             out.writeArrayFieldStart("tries");
-            for (Order.Try one : order.tries) {
+            for (JournaledRequest.JournaledAttempt one : order.attempts) {
                 out.writeStartObject();
                 out.writeNumberField("attempt", one.attempt);
                 out.writeStringField("region", region(one));
@@ -318,7 +318,7 @@
                 }
                 if (one.outcome != null) {
                     out.writeStringField("outcome", word(one.outcome));
-                    out.writeBooleanField("may_have_gone", one.mayHaveGone);
+                    out.writeBooleanField("may_have_gone", one.mayHaveBeenSent);
                 }
                 out.writeEndObject();
             }
@@ -330,15 +330,15 @@
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    private static List<Map.Entry<String, Long>> times(Order.Try one) {
+    private static List<Map.Entry<String, Long>> times(JournaledRequest.JournaledAttempt one) {
         return List.of(Map.entry("intended", one.intendedUs), Map.entry("written", one.writtenUs), Map.entry("ended", one.endedUs));
     }
 
-    private static String key(Order order) {
+    private static String key(JournaledRequest order) {
         return order.facts == null || !order.facts.keyed() ? "" : hex(order.facts.key());
     }
 
-    private static String region(Order.Try one) { return one.region == 0 && one.intendedUs == 0 ? "" : String.format("%08x", one.region); }
+    private static String region(JournaledRequest.JournaledAttempt one) { return one.region == 0 && one.intendedUs == 0 ? "" : String.format("%08x", one.region); }
 
     private static String hex(long number) { return String.format("%016x", number); }
 
