--- a/src/main/java/yardusher/journal/JournalSubsystem.java
+++ b/src/main/java/yardusher/journal/JournalSubsystem.java
@@ -10,7 +10,7 @@
 
 /** The journal of sent orders as a part of an ingress. */
 public final class JournalSubsystem implements Subsystem {
-    private static final long END_MS = 2000;         // at the end, for a slow disk to take the last outcomes
+    private static final long SHUTDOWN_TIMEOUT_MS = 2000;         // at the end, for a slow disk to take the last outcomes
 
     private final Journal journal;
 
@@ -18,18 +18,18 @@
     public JournalSubsystem(JournalSettings settings, boolean prints, String instance, Api.Settings site, List<String> classes,
             List<String> plans, EventLoop loop, Events events) throws IOException {
         journal = Journal.open(settings, instance, site, classes, plans, loop, events);
-        if (prints) { journal.recordPrints(); }
+        if (prints) { journal.recordFingerprints(); }
     }
 
     @Override
     public String name() { return "journal"; }
 
     @Override
-    public RequestLog orders(RequestLog inner) { return journal; }
+    public RequestLog wrapRequestLog(RequestLog inner) { return journal; }
 
     @Override
-    public String line() { return journal.line(); }
+    public String countersLine() { return journal.line(); }
 
     @Override
-    public void end() { journal.close(END_MS); }
+    public void end() { journal.close(SHUTDOWN_TIMEOUT_MS); }
 }
--- a/src/main/java/yardusher/journal/Scribe.java
+++ b/src/main/java/yardusher/journal/JournalWriter.java
@@ -7,17 +7,17 @@
  * The threads that wait on the disk, so that no turn does: one that writes, and one that syncs beside it where
  * durability is {@code group}. Work is handed over without a lock.
  */
-final class Scribe {
+final class JournalWriter {
     private final Segments segments;
     private final JournalSettings settings;
     private final ConcurrentLinkedQueue<Runnable> work = new ConcurrentLinkedQueue<>(); // a batch and a look at the most
     private final Thread writer;
     private final Thread syncer;
     private volatile boolean ending;
-    private volatile long syncingSince;              // of the oldest write that the sync under way covers
-    private volatile long unsyncedSince;             // nanoTime of the oldest write not synced, 0 for none
+    private volatile long syncingSinceNs;              // of the oldest write that the sync under way covers
+    private volatile long unsyncedSinceNs;             // nanoTime of the oldest write not synced, 0 for none
 
-    Scribe(Segments segments, JournalSettings settings, String name) {
+    JournalWriter(Segments segments, JournalSettings settings, String name) {
         this.segments = segments;
         this.settings = settings;
         writer = thread(this::write, "journal " + name);
@@ -38,15 +38,15 @@
     }
 
     /** After an append: what it wrote waits for a sync. */
-    void wrote() {
-        if (syncer == null || unsyncedSince != 0) { return; }
-        unsyncedSince = System.nanoTime() | 1;
+    void onAppend() {
+        if (syncer == null || unsyncedSinceNs != 0) { return; }
+        unsyncedSinceNs = System.nanoTime() | 1;
         LockSupport.unpark(syncer);
     }
 
     /** For how many milliseconds the oldest write has waited for a sync; 0 for none. */
     double unsyncedMs() {
-        long since = syncingSince != 0 ? syncingSince : unsyncedSince;
+        long since = syncingSinceNs != 0 ? syncingSinceNs : unsyncedSinceNs;
         return since == 0 ? 0 : (System.nanoTime() - since) / 1e6;
     }
 
@@ -65,7 +65,7 @@
 
     private void sync() {
         while (!ending) {
-            long since = unsyncedSince;
+            long since = unsyncedSinceNs;
             if (since == 0) {
                 LockSupport.park(this);
                 continue;
@@ -75,15 +75,15 @@
                 LockSupport.parkNanos(this, left);
                 continue;
             }
-            syncingSince = since;
-            unsyncedSince = 0;                       // before the sync: what is written during it waits for the next
-            segments.forceAside();
-            syncingSince = 0;
+            syncingSinceNs = since;
+            unsyncedSinceNs = 0;                       // before the sync: what is written during it waits for the next
+            segments.forceConcurrently();
+            syncingSinceNs = 0;
         }
     }
 
     /** Ends both threads once all that was submitted is done; false if that took longer. */
-    boolean end(long withinMs) {
+    boolean shutdown(long withinMs) {
         ending = true;
         LockSupport.unpark(writer);
         if (syncer != null) { LockSupport.unpark(syncer); }
--- a/src/main/java/yardusher/journal/Order.java
+++ b/src/main/java/yardusher/journal/JournaledRequest.java
@@ -5,8 +5,8 @@
 import yardusher.Api;
 import yardusher.core.RequestLog;
 
-/** What the journal knows of one order. Written by {@link OrderBook}; a reader must not change it. */
-final class Order {
+/** What the journal knows of one order. Written by {@link RequestTable}; a reader must not change it. */
+final class JournaledRequest {
     /** What can be said of an order or of one attempt, from the weakest to the strongest word. */
     enum State {
         NEVER_SENT("never sent"), REFUSED("refused by the region"), INTENDED("intended, may have been sent"),
@@ -21,30 +21,30 @@
     }
 
     /** One attempt. Times of 0: it has not happened, or its record was lost. */
-    static final class Try {
+    static final class JournaledAttempt {
         int attempt;
         long region;
         long intendedUs;
         long writtenUs;
         long endedUs;
         Api.Outcome outcome;
-        boolean mayHaveGone;
+        boolean mayHaveBeenSent;
 
-        Try(int attempt) { this.attempt = attempt; }
+        JournaledAttempt(int attempt) { this.attempt = attempt; }
 
         State state() {
             if (outcome == Api.Outcome.SERVED || outcome == Api.Outcome.SERVER_ERROR) { return State.ANSWERED; }
             if (outcome == Api.Outcome.REJECTED) { return State.REFUSED; }
-            if (outcome != null && !mayHaveGone) { return State.NEVER_SENT; }
+            if (outcome != null && !mayHaveBeenSent) { return State.NEVER_SENT; }
             return writtenUs > 0 ? State.SENT : State.INTENDED;
         }
     }
 
     final long life;
     final long number;
-    long takenUs;
-    Entry.Facts facts;                               // null where every record that tells it was lost
-    final List<Try> tries = new ArrayList<>(1);
+    long acceptedUs;
+    Entry.RequestFacts facts;                               // null where every record that tells it was lost
+    final List<JournaledAttempt> attempts = new ArrayList<>(1);
     RequestLog.Answer answer;
     long answeredUs;
     long closedUs;                                   // when a later life found it open
@@ -53,7 +53,7 @@
     String className = "";
     String plan = "";
 
-    Order(long life, long number) {
+    JournaledRequest(long life, long number) {
         this.life = life;
         this.number = number;
     }
@@ -61,7 +61,7 @@
     /** The strongest that can be said of any attempt. */
     State state() {
         State most = State.NEVER_SENT;
-        for (Try one : tries) {
+        for (JournaledAttempt one : attempts) {
             State state = one.state();
             if (state.compareTo(most) > 0) { most = state; }
         }
@@ -69,9 +69,9 @@
     }
 
     /** The attempt that {@link #state} speaks of; null where there is none. */
-    Try strongest() {
-        Try most = null;
-        for (Try one : tries) {
+    JournaledAttempt strongest() {
+        JournaledAttempt most = null;
+        for (JournaledAttempt one : attempts) {
             if (most == null || one.state().compareTo(most.state()) >= 0) { most = one; }
         }
         return most;
@@ -81,7 +81,7 @@
     boolean isOver() {
         if (closedUs > 0) { return true; }
         if (answer == null) { return false; }
-        for (Try one : tries) {
+        for (JournaledAttempt one : attempts) {
             if (one.outcome == null) { return false; }
         }
         return true;
@@ -89,23 +89,23 @@
 
     /** Whether its end is lost: a later life closed it, and an attempt may have run with no word of how it ended. */
     boolean isUnknown() {
-        return closedUs > 0 && tries.stream().anyMatch(one -> one.outcome == null);
+        return closedUs > 0 && attempts.stream().anyMatch(one -> one.outcome == null);
     }
 
-    Try attempt(int number) {
-        for (Try one : tries) {
+    JournaledAttempt attempt(int number) {
+        for (JournaledAttempt one : attempts) {
             if (one.attempt == number) { return one; }
         }
-        Try one = new Try(number);
-        tries.add(one);
+        JournaledAttempt one = new JournaledAttempt(number);
+        attempts.add(one);
         return one;
     }
 
     /** The earliest time that any record gives. */
     long firstUs() {
-        if (takenUs > 0) { return takenUs; }
+        if (acceptedUs > 0) { return acceptedUs; }
         long first = answeredUs > 0 ? answeredUs : closedUs;
-        for (Try one : tries) {
+        for (JournaledAttempt one : attempts) {
             for (long at : new long[] {one.intendedUs, one.writtenUs, one.endedUs}) {
                 if (at > 0 && (first == 0 || at < first)) { first = at; }
             }
--- a/src/main/java/yardusher/journal/Query.java
+++ b/src/main/java/yardusher/journal/Query.java
@@ -8,7 +8,7 @@
  * Which orders are asked for. Values that are left out ask for all; times are microseconds of Unix time and speak of when
  * the order came in, from the first to before the second.
  */
-record Query(Map<SegmentIndex.Field, Long> values, Set<Order.State> states, boolean unknownOnly, boolean openOnly,
+record Query(Map<SegmentIndex.Field, Long> values, Set<JournaledRequest.State> states, boolean unknownOnly, boolean openOnly,
         long fromUs, long toUs) {
     static final Query ALL = new Query(Map.of(), Set.of(), false, false, 0, Long.MAX_VALUE);
 
@@ -16,7 +16,7 @@
         values = values.isEmpty() ? Map.of() : new EnumMap<>(values);
     }
 
-    boolean wants(Order order) {
+    boolean matches(JournaledRequest order) {
         long at = order.firstUs();
         return at >= fromUs && at < toUs && (states.isEmpty() || states.contains(order.state()))
                 && (!unknownOnly || order.isUnknown()) && (!openOnly || !order.isOver() || order.isUnknown())
@@ -24,13 +24,13 @@
     }
 
     /** Whether an order may turn out to be asked for: its region may still be one of a later attempt. */
-    boolean mayWant(Order order) {
+    boolean mayMatch(JournaledRequest order) {
         return values.entrySet().stream().allMatch(wanted -> has(order, wanted.getKey(), wanted.getValue())
                 || wanted.getKey() == SegmentIndex.Field.REGION && order.facts != null && !order.isOver());
     }
 
-    private static boolean has(Order order, SegmentIndex.Field field, long value) {
-        if (field == SegmentIndex.Field.REGION) { return order.tries.stream().anyMatch(one -> one.region == value); }
+    private static boolean has(JournaledRequest order, SegmentIndex.Field field, long value) {
+        if (field == SegmentIndex.Field.REGION) { return order.attempts.stream().anyMatch(one -> one.region == value); }
         if (order.facts == null) { return false; }
         return switch (field) {
             case KEY -> order.facts.keyed() && order.facts.key() == value;
@@ -40,18 +40,18 @@
     }
 
     /** Whether a block of an index may hold anything of an order that is asked for. */
-    boolean reads(SegmentIndex index, int block) {
-        if (!index.within(block, from(), to())) { return false; }
+    boolean mayMatchBlock(SegmentIndex index, int block) {
+        if (!index.overlaps(block, scanFromUs(), scanToUs())) { return false; }
         for (Map.Entry<SegmentIndex.Field, Long> wanted : values.entrySet()) {
-            if (!index.mayHold(block, wanted.getKey(), wanted.getValue())) { return false; }
+            if (!index.mayContain(block, wanted.getKey(), wanted.getValue())) { return false; }
         }
         return true;
     }
 
     /** An order's records lie no further apart than the longest deadline that a command may have, and a bit. */
-    static final long LONGEST_US = 660_000_000L;
+    static final long MAX_REQUEST_SPAN_US = 660_000_000L;
 
-    long from() { return Math.max(0, fromUs - LONGEST_US); }
+    long scanFromUs() { return Math.max(0, fromUs - MAX_REQUEST_SPAN_US); }
 
-    long to() { return toUs > Long.MAX_VALUE - LONGEST_US ? Long.MAX_VALUE : toUs + LONGEST_US; }
+    long scanToUs() { return toUs > Long.MAX_VALUE - MAX_REQUEST_SPAN_US ? Long.MAX_VALUE : toUs + MAX_REQUEST_SPAN_US; }
 }
--- a/src/main/java/yardusher/journal/Scan.java
+++ b/src/main/java/yardusher/journal/Scan.java
@@ -16,13 +16,13 @@
  */
 final class Scan implements Closeable {
     /** Orders held until their ends are read; past it the oldest is given as far as it is known. */
-    private static final int MOST_HELD = 100_000;
+    private static final int MAX_HELD = 100_000;
 
     private final Storage storage;
     private final Query query;
     private final LongConsumer progress;
     private final Deque<Long> segments;
-    private final OrderBook book = new OrderBook();
+    private final RequestTable book = new RequestTable();
     private Storage.Source source;
     private Framing<Entry>.Reader reader;
     private SegmentIndex index;
@@ -47,14 +47,14 @@
     long blocksRead() { return blocksRead; }
 
     /** The next order that is asked for, or null at the end. */
-    Order next() throws IOException {
+    JournaledRequest next() throws IOException {
         for (;;) {
-            Iterator<Order> first = book.orders().iterator();
+            Iterator<JournaledRequest> first = book.requests().iterator();
             if (first.hasNext()) {
-                Order order = first.next();
-                if (order.isOver() || ended || book.size() > MOST_HELD) {
+                JournaledRequest order = first.next();
+                if (order.isOver() || ended || book.size() > MAX_HELD) {
                     first.remove();
-                    if (query.wants(order)) { return order; }
+                    if (query.matches(order)) { return order; }
                     continue;
                 }
             } else if (ended) {
@@ -69,9 +69,9 @@
         for (int i = 0; i < 64; i++) {
             Entry entry = entry();
             if (entry == null) { return false; }
-            Order order = book.apply(entry);
+            JournaledRequest order = book.apply(entry);
             // By a value an order is found where it is told first; what speaks of others is not kept.
-            if (order != null && !query.values().isEmpty() && !query.mayWant(order)) { book.remove(order); }
+            if (order != null && !query.values().isEmpty() && !query.mayMatch(order)) { book.remove(order); }
         }
         return true;
     }
@@ -94,7 +94,7 @@
 
     private void open(long number) throws IOException {
         try {
-            source = storage.open(Frames.name(number));
+            source = storage.open(SegmentFiles.name(number));
         } catch (NoSuchFileException e) {
             return;                                  // retired since it was listed
         }
@@ -103,25 +103,25 @@
         boolean narrow = !query.values().isEmpty() || query.fromUs() > 0 || query.toUs() < Long.MAX_VALUE;
         index = narrow ? SegmentIndex.read(storage, number) : null;
         // The first frame tells whose life this is; with an index, it is all that is read without being looked up.
-        reader = index == null ? Frames.reader(source, number, this::passOver)
-                : Frames.reader(source, number, this::passOver, 0, Frames.MAGIC_BYTES + 1);
+        reader = index == null ? SegmentFiles.reader(source, number, this::passOver)
+                : SegmentFiles.reader(source, number, this::passOver, 0, SegmentFiles.MAGIC_BYTES + 1);
     }
 
     private boolean nextBlock() throws IOException {
         while (source != null && index != null && block < index.blocks()) {
             int at = block++;
-            if (!query.reads(index, at) && (query.values().isEmpty() || !awaited(at))) { continue; }
+            if (!query.mayMatchBlock(index, at) && (query.values().isEmpty() || !mayContinueIn(at))) { continue; }
             blocksRead++;
-            reader = Frames.reader(source, segment, this::passOver, index.start(at), index.end(at));
+            reader = SegmentFiles.reader(source, segment, this::passOver, index.startOffset(at), index.endOffset(at));
             return true;
         }
         return false;
     }
 
     /** Whether an order that is asked for goes on in the blocks that follow. */
-    private boolean awaited(int at) {
-        for (Order order : book.orders()) {
-            if (!order.isOver() && index.begins(at) - order.firstUs() < Query.LONGEST_US) { return true; }
+    private boolean mayContinueIn(int at) {
+        for (JournaledRequest order : book.requests()) {
+            if (!order.isOver() && index.earliestUs(at) - order.firstUs() < Query.MAX_REQUEST_SPAN_US) { return true; }
         }
         return false;
     }
--- a/src/main/java/yardusher/journal/Frames.java
+++ b/src/main/java/yardusher/journal/SegmentFiles.java
@@ -9,13 +9,13 @@
 import yardusher.disk.Storage;
 
 /** The segment files of a journal: their names, and the framing of its entries. */
-final class Frames {
+final class SegmentFiles {
     static final int MAGIC_BYTES = Framing.MAGIC_BYTES;
-    static final int HEAD_BYTES = Framing.HEAD_BYTES;
+    static final int HEADER_BYTES = Framing.HEADER_BYTES;
     /** A payload is no longer; whatever claims to be is damage. */
-    static final int MOST_PAYLOAD = 4096;
+    static final int MAX_PAYLOAD_BYTES = 4096;
     private static final long MAGIC = 0x59444A524E4C0001L; // YDJRNL and format version 1
-    private static final Framing<Entry> FRAMING = new Framing<>(MAGIC, MOST_PAYLOAD, new Framing.Codec<>() {
+    private static final Framing<Entry> FRAMING = new Framing<>(MAGIC, MAX_PAYLOAD_BYTES, new Framing.Codec<>() {
         @Override
         public void encode(Entry entry, CodedOutputStream out) throws IOException { EntryCodec.encode(entry, out); }
 
@@ -23,7 +23,7 @@
         public Entry decode(CodedInputStream in) throws IOException { return EntryCodec.decode(in); }
     });
 
-    private Frames() { }
+    private SegmentFiles() { }
 
     static String name(long segment) { return String.format("orders-%016d.seg", segment); }
 
@@ -42,12 +42,12 @@
     }
 
     /** Reads the frames of one segment in order, and goes on behind whatever is damaged. */
-    static Framing<Entry>.Reader reader(Storage.Source source, long segment, Framing.Damage damage) throws IOException {
+    static Framing<Entry>.Reader reader(Storage.Source source, long segment, Framing.DamageListener damage) throws IOException {
         return FRAMING.new Reader(source, segment, damage);
     }
 
     /** Reads the frames that begin from one offset to before another; the first must be a frame's, or 0. */
-    static Framing<Entry>.Reader reader(Storage.Source source, long segment, Framing.Damage damage, long start, long end)
+    static Framing<Entry>.Reader reader(Storage.Source source, long segment, Framing.DamageListener damage, long start, long end)
             throws IOException {
         return FRAMING.new Reader(source, segment, damage, start, end);
     }
--- a/src/main/java/yardusher/journal/SegmentIndex.java
+++ b/src/main/java/yardusher/journal/SegmentIndex.java
@@ -21,8 +21,8 @@
 
     private static final long MAGIC = 0x59444A4944580002L; // YDJIDX and format version 2
     private static final int BLOCK_BYTES = 64 * 1024;
-    private static final int MOST_BLOCKS = 1 << 16;
-    private static final String HALF = ".part";
+    private static final int MAX_BLOCKS = 1 << 16;
+    private static final String PARTIAL_SUFFIX = ".part";
 
     private final long[] offsets;                    // of blocks, and the end
     private final long[] earliestUs;
@@ -38,16 +38,16 @@
 
     int blocks() { return earliestUs.length; }
 
-    long begins(int block) { return earliestUs[block]; }
+    long earliestUs(int block) { return earliestUs[block]; }
 
-    long start(int block) { return offsets[block]; }
+    long startOffset(int block) { return offsets[block]; }
 
-    long end(int block) { return offsets[block + 1]; }
+    long endOffset(int block) { return offsets[block + 1]; }
 
-    boolean within(int block, long fromUs, long toUs) { return earliestUs[block] < toUs && latestUs[block] >= fromUs; }
+    boolean overlaps(int block, long fromUs, long toUs) { return earliestUs[block] < toUs && latestUs[block] >= fromUs; }
 
     /** Whether a block may hold a record of an order with this value. */
-    boolean mayHold(int block, Field field, long value) {
+    boolean mayContain(int block, Field field, long value) {
         return Arrays.binarySearch(postings[block], hash(field, value)) >= 0;
     }
 
@@ -60,12 +60,12 @@
     /** Reads a segment once and writes its index beside it, whole or not at all. */
     static void build(Storage storage, long segment) throws IOException {
         Builder builder = new Builder();
-        OrderBook book = new OrderBook();
-        try (Storage.Source source = storage.open(Frames.name(segment))) {
-            Framing<Entry>.Reader reader = Frames.reader(source, segment, (from, to, torn) -> { });
+        RequestTable book = new RequestTable();
+        try (Storage.Source source = storage.open(SegmentFiles.name(segment))) {
+            Framing<Entry>.Reader reader = SegmentFiles.reader(source, segment, (from, to, torn) -> { });
             for (Entry entry; (entry = reader.next()) != null;) {
-                Order order = book.apply(entry);
-                builder.add(entry, reader.frameAt(), order);
+                JournaledRequest order = book.apply(entry);
+                builder.add(entry, reader.frameOffset(), order);
                 if (order != null && order.isOver()) { book.remove(order); }
             }
             builder.write(storage, segment, reader.position());
@@ -83,9 +83,9 @@
         private int count;
 
         /** An entry whose frame begins at an offset, and the order it speaks of; null for none. */
-        void add(Entry entry, long offset, Order order) {
+        void add(Entry entry, long offset, JournaledRequest order) {
             long[] block = blocks.isEmpty() ? null : blocks.get(blocks.size() - 1);
-            if (block == null || offset - block[0] >= BLOCK_BYTES && blocks.size() < MOST_BLOCKS) {
+            if (block == null || offset - block[0] >= BLOCK_BYTES && blocks.size() < MAX_BLOCKS) {
                 if (block != null) { postings.add(sorted()); }
                 block = new long[] {offset, Long.MAX_VALUE, 0};
                 blocks.add(block);
@@ -98,8 +98,8 @@
             if (entry instanceof Entry.Carried e) {
                 order.firstBlock = at;
                 if (e.facts() != null) { post(e.facts(), at); }
-                for (Order.Try one : e.tries()) { post(hash(Field.REGION, one.region), at); }
-            } else if (entry instanceof Entry.Taken e) {
+                for (JournaledRequest.JournaledAttempt one : e.attempts()) { post(hash(Field.REGION, one.region), at); }
+            } else if (entry instanceof Entry.Accepted e) {
                 order.firstBlock = at;
                 post(e.facts(), at);
             } else if (entry instanceof Entry.Intended e) {
@@ -111,7 +111,7 @@
             }
         }
 
-        private void post(Entry.Facts facts, int block) {
+        private void post(Entry.RequestFacts facts, int block) {
             if (facts.keyed()) { post(hash(Field.KEY, facts.key()), block); }
             post(hash(Field.CUSTOMER, facts.customer()), block);
             post(hash(Field.ID, facts.id()), block);
@@ -141,7 +141,7 @@
         }
 
         /** The file was cut back to a size: what was told of the rest no longer stands there. */
-        void cut(long size) {
+        void truncate(long size) {
             while (!blocks.isEmpty() && blocks.get(blocks.size() - 1)[0] >= size) {
                 blocks.remove(blocks.size() - 1);
                 if (postings.size() > blocks.size()) { postings.remove(postings.size() - 1); }
@@ -165,18 +165,18 @@
                 out.asIntBuffer().put(block);
                 out.position(out.position() + 4 * block.length);
             }
-            out.putInt(sum(segment, out.array(), out.position()));
+            out.putInt(checksum(segment, out.array(), out.position()));
             out.flip();
-            String name = Frames.indexName(segment);
-            storage.delete(name + HALF);
-            try (Storage.Appender file = storage.create(name + HALF)) {
+            String name = SegmentFiles.indexName(segment);
+            storage.delete(name + PARTIAL_SUFFIX);
+            try (Storage.Appender file = storage.create(name + PARTIAL_SUFFIX)) {
                 while (out.hasRemaining()) { file.write(out); }
             }
-            storage.rename(name + HALF, name);
+            storage.rename(name + PARTIAL_SUFFIX, name);
         }
     }
 
-    private static int sum(long segment, byte[] bytes, int length) {
+    private static int checksum(long segment, byte[] bytes, int length) {
         CRC32C sum = new CRC32C();
         for (int shift = 56; shift >= 0; shift -= 8) { sum.update((int) (segment >>> shift)); }
         sum.update(bytes, 0, length);
@@ -185,13 +185,13 @@
 
     /** Reads an index; null where there is none, or none that can be trusted. */
     static SegmentIndex read(Storage storage, long segment) {
-        try (Storage.Source source = storage.open(Frames.indexName(segment))) {
+        try (Storage.Source source = storage.open(SegmentFiles.indexName(segment))) {
             long size = source.size();
             if (size < 28 || size > 1 << 30) { return null; }
             ByteBuffer in = ByteBuffer.allocate((int) size);
             while (in.hasRemaining() && source.read(in, in.position()) > 0) { /* the rest follows */ }
             in.flip();
-            if (in.remaining() != size || in.getInt((int) size - 4) != sum(segment, in.array(), (int) size - 4)
+            if (in.remaining() != size || in.getInt((int) size - 4) != checksum(segment, in.array(), (int) size - 4)
                     || in.getLong() != MAGIC) {
                 return null;
             }
--- a/src/main/java/yardusher/journal/Segments.java
+++ b/src/main/java/yardusher/journal/Segments.java
@@ -14,10 +14,10 @@
  * snapshot of the open orders. Used by one thread, which may wait on the disk.
  */
 final class Segments implements Closeable {
-    static final String RESERVE = "reserve";
+    static final String RESERVE_FILE = "reserve";
 
     /** How a batch ended: whether it stands in the journal as durable as settings say, and whether orders find room. */
-    record Result(boolean written, boolean full, IOException why) { }
+    record Result(boolean written, boolean full, IOException error) { }
 
     private final Storage storage;
     private final JournalSettings settings;
@@ -25,13 +25,13 @@
     private final Retention retention;
     private final Entry.Opened who;
     private final Indexer indexer;
-    private final OrderBook book = new OrderBook();
+    private final RequestTable book = new RequestTable();
     private SegmentIndex.Builder index = new SegmentIndex.Builder(); // of the active segment
-    private final List<Retention.Sealed> sealed;
+    private final List<Retention.SealedSegment> sealed;
     private final ByteBuffer out = ByteBuffer.allocate(64 * 1024);
     private final CRC32C sum = new CRC32C();
     private volatile Storage.Appender active;        // the syncing thread forces it
-    private volatile boolean spoilt;                 // a sync of it failed: what it holds is not to be trusted
+    private volatile boolean syncFailed;                 // a sync of it failed: what it holds is not to be trusted
     private long last;                               // the highest number a segment was ever begun with
     private long number;                             // of the active segment
     private long size;
@@ -45,7 +45,7 @@
      *
      * @throws IOException where the first segment cannot be written: nothing would be recorded
      */
-    Segments(Storage storage, JournalSettings settings, Recovery.Found found, Entry.Opened who, DoubleSupplier clockMs,
+    Segments(Storage storage, JournalSettings settings, Recovery.Result found, Entry.Opened who, DoubleSupplier clockMs,
             Indexer indexer) throws IOException {
         this.storage = storage;
         this.settings = settings;
@@ -56,16 +56,16 @@
         sealed = new ArrayList<>(found.sealed());
         last = found.last();
         book.apply(who);                             // what is open is this life's
-        storage.delete(RESERVE);                     // of a life that was killed: made anew below
+        storage.delete(RESERVE_FILE);                     // of a life that was killed: made anew below
         List<Entry> first = new ArrayList<>();
-        for (Order order : found.open().orders()) {
-            first.add(new Entry.Carried(order.takenUs, order.life, order.number, order.facts, order.answer, order.tries));
+        for (JournaledRequest order : found.open().requests()) {
+            first.add(new Entry.Carried(order.acceptedUs, order.life, order.number, order.facts, order.answer, order.attempts));
         }
         int carried = first.size();
-        for (Order order : found.open().orders()) { first.add(new Entry.Closed(nowUs(), order.life, order.number)); }
+        for (JournaledRequest order : found.open().requests()) { first.add(new Entry.Closed(nowUs(), order.life, order.number)); }
         first.add(new Entry.SnapshotEnd(nowUs(), carried));
         roll(first);
-        holdReserve();
+        allocateReserve();
         retire();
     }
 
@@ -91,13 +91,13 @@
 
     /** Looks again whether there is room for new orders. */
     boolean recheck() {
-        if (!reserveHeld) { holdReserve(); }
+        if (!reserveHeld) { allocateReserve(); }
         retire();
         return isFull();
     }
 
     private void write(List<Entry> batch) throws IOException {
-        if (active == null || spoilt || size >= settings.segmentBytes()) { roll(book.snapshot(nowUs())); }
+        if (active == null || syncFailed || size >= settings.segmentBytes()) { roll(book.snapshot(nowUs())); }
         long good = size;
         Storage.Appender file = active;
         try {
@@ -108,16 +108,16 @@
         }
         if (settings.durability() == JournalSettings.Durability.MACHINE) { force(file); }
         for (int i = 0; i < batch.size(); i++) {
-            Order order = book.apply(batch.get(i));
+            JournaledRequest order = book.apply(batch.get(i));
             index.add(batch.get(i), offsets[i], order);
             if (order != null && order.isOver()) { book.remove(order); }
         }
-        if (size + total() > settings.mostBytes() - settings.reserveBytes()) { retire(); }
+        if (size + total() > settings.maxBytes() - settings.reserveBytes()) { retire(); }
     }
 
     private long total() {
         long total = 0;
-        for (Retention.Sealed one : sealed) { total += one.bytes(); }
+        for (Retention.SealedSegment one : sealed) { total += one.bytes(); }
         return total;
     }
 
@@ -128,11 +128,11 @@
         int count = 0;
         out.clear();
         for (Entry entry : batch) {
-            if (out.remaining() < Frames.HEAD_BYTES + Frames.MOST_PAYLOAD) { before += flush(file); }
+            if (out.remaining() < SegmentFiles.HEADER_BYTES + SegmentFiles.MAX_PAYLOAD_BYTES) { before += flush(file); }
             int at = out.position();
             offsets[count++] = offset + before + at;
             try {
-                Frames.put(segment, entry, out, sum);
+                SegmentFiles.put(segment, entry, out, sum);
             } catch (IOException e) {
                 out.position(at);                    // longer than a frame: it would hold up all others for ever
                 unwritable = unwritable + 1;
@@ -153,7 +153,7 @@
         try {
             file.truncate(good);
             size = good;
-            index.cut(good);
+            index.truncate(good);
         } catch (IOException e) {
             abandon(file);
         }
@@ -165,7 +165,7 @@
             file.close();
         } catch (IOException e) { /* it is left either way */ }
         if (file == active) {
-            sealed.add(new Retention.Sealed(number, size, clockMs.getAsDouble()));
+            sealed.add(new Retention.SealedSegment(number, size, clockMs.getAsDouble()));
             active = null;
         }
     }
@@ -181,13 +181,13 @@
     }
 
     /** The same from another thread while this one goes on; a failure spoils the segment for what comes. */
-    void forceAside() {
+    void forceConcurrently() {
         Storage.Appender file = active;
         if (file == null) { return; }
         try {
             file.force();
         } catch (IOException e) {
-            if (file == active) { spoilt = true; }   // else sealed meanwhile, and forced with it
+            if (file == active) { syncFailed = true; }   // else sealed meanwhile, and forced with it
         }
     }
 
@@ -196,14 +196,14 @@
         boolean lasting = settings.durability() != JournalSettings.Durability.PROCESS;
         long next = ++last;                          // never used twice, also if this fails
         Storage.Appender old = active;
-        if (old != null && lasting && !spoilt) { force(old); }
+        if (old != null && lasting && !syncFailed) { force(old); }
         Storage.Appender file = null;
-        long length = Frames.MAGIC_BYTES;
+        long length = SegmentFiles.MAGIC_BYTES;
         SegmentIndex.Builder begun = new SegmentIndex.Builder();
         try {
-            file = storage.create(Frames.name(next));
-            ByteBuffer magic = ByteBuffer.allocate(Frames.MAGIC_BYTES);
-            Frames.putMagic(magic);
+            file = storage.create(SegmentFiles.name(next));
+            ByteBuffer magic = ByteBuffer.allocate(SegmentFiles.MAGIC_BYTES);
+            SegmentFiles.putMagic(magic);
             magic.flip();
             while (magic.hasRemaining()) { file.write(magic); }
             List<Entry> head = new ArrayList<>(snapshot.size() + 1);
@@ -211,15 +211,15 @@
             head.addAll(snapshot);
             length += put(file, next, head, length);
             // The book stays as it is: it holds what the head tells, and of orders of earlier lives nothing.
-            OrderBook told = new OrderBook();
+            RequestTable told = new RequestTable();
             for (int i = 0; i < head.size(); i++) {
-                Order order = told.apply(head.get(i));
+                JournaledRequest order = told.apply(head.get(i));
                 begun.add(head.get(i), offsets[i], order);
-                if (head.get(i) instanceof Entry.Carried e) { book.begins(e.life(), e.order(), order.firstBlock); }
+                if (head.get(i) instanceof Entry.Carried e) { book.setFirstBlock(e.life(), e.order(), order.firstBlock); }
             }
             if (lasting) {
                 file.force();
-                storage.forceNames();
+                storage.forceDirectory();
             }
         } catch (IOException e) {
             discard(file, next);
@@ -232,12 +232,12 @@
         number = next;
         index = begun;
         size = length;
-        spoilt = false;
+        syncFailed = false;
         if (old != null) {
             try {
                 old.close();
             } catch (IOException e) { /* written and forced as far as it goes */ }
-            sealed.add(new Retention.Sealed(sealedNumber, sealedSize, clockMs.getAsDouble()));
+            sealed.add(new Retention.SealedSegment(sealedNumber, sealedSize, clockMs.getAsDouble()));
             indexer.write(sealedNumber, sealedIndex, sealedSize);
             retire();
         }
@@ -246,17 +246,17 @@
     private void discard(Storage.Appender file, long segment) {
         try {
             if (file != null) { file.close(); }
-            storage.delete(Frames.name(segment));
+            storage.delete(SegmentFiles.name(segment));
         } catch (IOException e) { /* half a segment: recovery knows it by its snapshot */ }
     }
 
     private void retire() {
-        Retention.Verdict verdict = retention.decide(sealed, size, clockMs.getAsDouble());
+        Retention.Decision verdict = retention.decide(sealed, size, clockMs.getAsDouble());
         full = verdict.full();
-        for (Retention.Sealed one : verdict.retire()) {
+        for (Retention.SealedSegment one : verdict.retire()) {
             try {
-                storage.delete(Frames.indexName(one.number()));
-                storage.delete(Frames.name(one.number()));
+                storage.delete(SegmentFiles.indexName(one.number()));
+                storage.delete(SegmentFiles.name(one.number()));
                 sealed.remove(one);
             } catch (IOException e) {
                 full = true;                         // what cannot go still takes its room
@@ -264,10 +264,10 @@
         }
     }
 
-    private void holdReserve() {
+    private void allocateReserve() {
         Storage.Appender file = null;
         try {
-            file = storage.create(RESERVE);
+            file = storage.create(RESERVE_FILE);
             ByteBuffer zeros = ByteBuffer.allocate(settings.reserveBytes());
             while (zeros.hasRemaining()) { file.write(zeros); }
             file.force();
@@ -276,7 +276,7 @@
         } catch (IOException e) {
             try {
                 if (file != null) { file.close(); }
-                storage.delete(RESERVE);
+                storage.delete(RESERVE_FILE);
             } catch (IOException again) { /* tried anew at the next look */ }
         }
     }
@@ -284,7 +284,7 @@
     private void releaseReserve() {
         reserveHeld = false;
         try {
-            storage.delete(RESERVE);
+            storage.delete(RESERVE_FILE);
         } catch (IOException e) { /* then there is nothing to win */ }
     }
 
@@ -301,7 +301,7 @@
                 file.close();
             }
         } finally {
-            storage.delete(RESERVE);
+            storage.delete(RESERVE_FILE);
             storage.close();
         }
     }
--- a/src/main/java/yardusher/journal/Verify.java
+++ b/src/main/java/yardusher/journal/Verify.java
@@ -20,7 +20,7 @@
         List<String> damage = new ArrayList<>();
         List<String> notes = new ArrayList<>();
         List<Long> numbers = Recovery.segments(storage);
-        OrderBook book = new OrderBook();
+        RequestTable book = new RequestTable();
         long entries = 0;
         long bytes = 0;
         long orders = 0;
@@ -29,12 +29,12 @@
         long gapLost = 0;
         for (int i = 0; i < numbers.size(); i++) {
             long number = numbers.get(i);
-            String name = Frames.name(number);
+            String name = SegmentFiles.name(number);
             boolean newest = i == numbers.size() - 1;
             try (Storage.Source source = storage.open(name)) {
                 long carried = 0;
                 boolean snapshot = false;
-                Framing<Entry>.Reader reader = Frames.reader(source, number, (from, to, torn) -> {
+                Framing<Entry>.Reader reader = SegmentFiles.reader(source, number, (from, to, torn) -> {
                     if (torn && newest && written) { return; }
                     damage.add(name + ": " + (torn ? "torn tail, " : "damaged, ") + (to - from) + " bytes from " + from);
                 });
@@ -49,7 +49,7 @@
                         gapOrders += gap.orders();
                         gapLost += gap.lost();
                     }
-                    Order order = book.apply(entry);
+                    JournaledRequest order = book.apply(entry);
                     if (order != null && order.isOver()) {
                         orders++;
                         unknown += order.isUnknown() ? 1 : 0;
--- a/src/main/java/yardusher/keys/KeyTable.java
+++ b/src/main/java/yardusher/keys/KeyTable.java
@@ -16,13 +16,13 @@
  */
 final class KeyTable<W> {
     /** What a class allows once an attempt may have run. {@code lifetimeMs}: how long its answers are held. */
-    record Rule(Api.Effect effect, Api.Group group, double windowMs, double lifetimeMs) {
+    record ClassPolicy(Api.Effect effect, Api.Group group, double windowMs, double lifetimeMs) {
         /** Whether regions drop a repeat wherever it goes: else only one that the first transaction sends is safe. */
-        boolean repeats() { return effect == Api.Effect.IDEMPOTENT || effect == Api.Effect.DEDUPLICATED && group == Api.Group.ALL; }
+        boolean allowsRepeats() { return effect == Api.Effect.IDEMPOTENT || effect == Api.Effect.DEDUPLICATED && group == Api.Group.ALL; }
     }
 
     /** Bounds: keys that run at once, and who waits for one of them. */
-    record Bounds(int mostRunning, int mostWaiting) { }
+    record Limits(int maxRunning, int maxWaiting) { }
 
     enum Verdict {
         /** It is to be sent on now. */
@@ -44,7 +44,7 @@
     record Decision(Verdict verdict, byte[] value) { }
 
     /** How a run's transaction ended. */
-    enum Ending {
+    enum RunOutcome {
         SERVED,
         /** No attempt of it ran. */
         NEVER_RAN,
@@ -53,21 +53,21 @@
     }
 
     /** What follows from the end of a run: who gets the same answer, and who leads next, null for nobody. */
-    record Next<W>(List<W> answered, W leads, long key) { }
+    record Next<W>(List<W> answered, W nextLeader, long key) { }
 
     private static final class Run<W> {
-        final long print;
-        final Rule rule;
+        final long fingerprint;
+        final ClassPolicy rule;
         W leader;                                    // null once it has left
         final ArrayDeque<W> waiting = new ArrayDeque<>(2);
-        double ranAt = Double.POSITIVE_INFINITY;     // earliest that an earlier transaction of the key may have run
-        double begunAt;
+        double earliestRunMs = Double.POSITIVE_INFINITY;     // earliest that an earlier transaction of the key may have run
+        double startedAtMs;
 
-        Run(long print, Rule rule, W leader, double begunAt) {
-            this.print = print;
+        Run(long print, ClassPolicy rule, W leader, double begunAt) {
+            this.fingerprint = print;
             this.rule = rule;
             this.leader = leader;
-            this.begunAt = begunAt;
+            this.startedAtMs = begunAt;
         }
     }
 
@@ -85,37 +85,37 @@
 
     private final Map<Long, Run<W>> running = new HashMap<>();
     private final FinishedKeys finished;
-    private final Bounds bounds;
+    private final Limits bounds;
     final Counts counts = new Counts();
 
-    KeyTable(FinishedKeys finished, Bounds bounds) {
+    KeyTable(FinishedKeys finished, Limits bounds) {
         this.finished = finished;
         this.bounds = bounds;
     }
 
     /** A request with a key comes in; {@code print} is the same for the same request. */
-    Decision arrive(double nowMs, long key, long print, Rule rule, W who) {
+    Decision admit(double nowMs, long key, long print, ClassPolicy rule, W who) {
         Run<W> run = running.get(key);
         if (run != null) {
-            if (run.print != print) { return decided(Verdict.CONFLICT, null); }
-            if (run.waiting.size() >= bounds.mostWaiting()) { return decided(Verdict.FULL, null); }
+            if (run.fingerprint != print) { return decided(Verdict.CONFLICT, null); }
+            if (run.waiting.size() >= bounds.maxWaiting()) { return decided(Verdict.FULL, null); }
             run.waiting.add(who);
             return decided(Verdict.JOIN, null);
         }
-        FinishedKeys.Found found = finished.find(nowMs, key);
+        FinishedKeys.FinishedRun found = finished.find(nowMs, key);
         double ranAt = Double.POSITIVE_INFINITY;
         if (found != null) {
-            if (found.print() != print) { return decided(Verdict.CONFLICT, null); }
+            if (found.fingerprint() != print) { return decided(Verdict.CONFLICT, null); }
             if (found.kind() == FinishedKeys.Kind.SERVED) { return decided(Verdict.ANSWER, found.value()); }
             if (nowMs >= found.repeatUntilMs()) {
                 return decided(found.kind() == FinishedKeys.Kind.RAN ? Verdict.RAN : Verdict.UNKNOWN, null);
             }
             ranAt = found.repeatUntilMs() - rule.windowMs();
         }
-        if (running.size() >= bounds.mostRunning()) { return decided(Verdict.FULL, null); }
+        if (running.size() >= bounds.maxRunning()) { return decided(Verdict.FULL, null); }
         if (found != null) { counts.ledAgain++; }
         Run<W> begun = new Run<>(print, rule, who, nowMs);
-        begun.ranAt = ranAt;
+        begun.earliestRunMs = ranAt;
         running.put(key, begun);
         return decided(Verdict.LEAD, null);
     }
@@ -137,7 +137,7 @@
      * Somebody left a run, or its time is over. True when nobody is left whom the run is for: it is to be given up,
      * and told by {@link #ended}.
      */
-    boolean left(long key, W who) {
+    boolean leave(long key, W who) {
         Run<W> run = running.get(key);
         if (run == null) { return false; }
         if (who.equals(run.leader)) { run.leader = null; } else { run.waiting.remove(who); }
@@ -145,7 +145,7 @@
     }
 
     /** Whether a key runs with nobody to lead it. */
-    boolean leaderless(long key) {
+    boolean hasNoLeader(long key) {
         Run<W> run = running.get(key);
         return run != null && run.leader == null;
     }
@@ -153,29 +153,29 @@
     /**
      * A run's transaction is over. The leader's answer is its own transaction's; who waited gets what this says.
      */
-    Next<W> ended(double nowMs, long key, Ending ending, byte[] value) {
+    Next<W> complete(double nowMs, long key, RunOutcome ending, byte[] value) {
         Run<W> run = running.get(key);
         if (run == null) { return new Next<>(List.of(), null, key); }
         double until = nowMs + run.rule.lifetimeMs();
-        if (ending == Ending.SERVED) {
+        if (ending == RunOutcome.SERVED) {
             running.remove(key);
-            finished.put(nowMs, key, run.print, FinishedKeys.Kind.SERVED, until, 0, value);
+            finished.put(nowMs, key, run.fingerprint, FinishedKeys.Kind.SERVED, until, 0, value);
             return new Next<>(new ArrayList<>(run.waiting), null, key);
         }
-        if (ending == Ending.MAY_HAVE_RUN) { run.ranAt = Math.min(run.ranAt, run.begunAt); }
-        boolean mayHaveRun = run.ranAt < Double.POSITIVE_INFINITY;
-        double repeatUntil = !mayHaveRun || !run.rule.repeats() ? 0 : run.ranAt + run.rule.windowMs();
+        if (ending == RunOutcome.MAY_HAVE_RUN) { run.earliestRunMs = Math.min(run.earliestRunMs, run.startedAtMs); }
+        boolean mayHaveRun = run.earliestRunMs < Double.POSITIVE_INFINITY;
+        double repeatUntil = !mayHaveRun || !run.rule.allowsRepeats() ? 0 : run.earliestRunMs + run.rule.windowMs();
         boolean again = !mayHaveRun || nowMs < repeatUntil;
         if (again && !run.waiting.isEmpty()) {
             // Exactly one of those that wait leads; the others go on waiting.
             run.leader = run.waiting.poll();
-            run.begunAt = nowMs;
+            run.startedAtMs = nowMs;
             counts.ledAgain++;
             return new Next<>(List.of(), run.leader, key);
         }
         running.remove(key);
         if (mayHaveRun) {
-            finished.put(nowMs, key, run.print, again ? FinishedKeys.Kind.MAY_REPEAT : FinishedKeys.Kind.UNKNOWN, until, repeatUntil, null);
+            finished.put(nowMs, key, run.fingerprint, again ? FinishedKeys.Kind.MAY_REPEAT : FinishedKeys.Kind.UNKNOWN, until, repeatUntil, null);
         } else {
             finished.remove(key);
         }
@@ -183,10 +183,10 @@
     }
 
     /** What a journal tells of a key's run in an earlier life; {@code ran} where it was answered. */
-    void restore(double nowMs, long key, long print, Rule rule, double ranAtMs, double endedAtMs, boolean ran) {
+    void restore(double nowMs, long key, long print, ClassPolicy rule, double ranAtMs, double endedAtMs, boolean ran) {
         double until = endedAtMs + rule.lifetimeMs();
         if (until <= nowMs || running.containsKey(key)) { return; }
-        double repeatUntil = rule.repeats() ? ranAtMs + rule.windowMs() : 0;
+        double repeatUntil = rule.allowsRepeats() ? ranAtMs + rule.windowMs() : 0;
         finished.put(nowMs, key, print, ran ? FinishedKeys.Kind.RAN : FinishedKeys.Kind.UNKNOWN, until, repeatUntil, null);
     }
 
@@ -197,12 +197,12 @@
     FinishedKeys finished() { return finished; }
 
     /** What is known of a key now, in one line; null for nothing. */
-    String told(double nowMs, long key) {
+    String describe(double nowMs, long key) {
         Run<W> run = running.get(key);
         if (run != null) {
-            return "running for_ms=" + (long) (nowMs - run.begunAt) + " waiting=" + run.waiting.size() + " leader=" + (run.leader == null ? "left" : "there");
+            return "running for_ms=" + (long) (nowMs - run.startedAtMs) + " waiting=" + run.waiting.size() + " leader=" + (run.leader == null ? "left" : "there");
         }
-        FinishedKeys.Found found = finished.find(nowMs, key);
+        FinishedKeys.FinishedRun found = finished.find(nowMs, key);
         return found == null ? null : found.kind().name().toLowerCase(java.util.Locale.ROOT) + " held_for_ms=" + (long) (found.untilMs() - nowMs)
                 + (found.value() == null ? "" : " bytes=" + found.value().length)
                 + (found.repeatUntilMs() > nowMs ? " may_repeat_for_ms=" + (long) (found.repeatUntilMs() - nowMs) : "");
--- a/src/main/java/yardusher/keys/KeysSubsystem.java
+++ b/src/main/java/yardusher/keys/KeysSubsystem.java
@@ -5,14 +5,14 @@
 import yardusher.core.RequestAcceptor;
 import yardusher.journal.Journal;
 import yardusher.journal.JournalSettings;
-import yardusher.subsystem.Site;
+import yardusher.subsystem.SubsystemContext;
 import yardusher.subsystem.Subsystem;
 
 /** Idempotency keys as a part of an ingress: stand between the fronts and the core, with what the journal knows of earlier lives. */
 public final class KeysSubsystem implements Subsystem {
     private final KeySettings settings;
     private final JournalSettings journal;
-    private KeyedIntake intake;
+    private KeyedRequestAcceptor intake;
 
     /** {@code journal} is null where there is none: then a restart forgets all keys. */
     public KeysSubsystem(KeySettings settings, JournalSettings journal) {
@@ -24,19 +24,19 @@
     public String name() { return "keys"; }
 
     @Override
-    public RequestAcceptor intake(Site site, RequestAcceptor inner) throws IOException {
+    public RequestAcceptor wrapAcceptor(SubsystemContext site, RequestAcceptor inner) throws IOException {
         List<String> classes = site.classes();
-        intake = new KeyedIntake(inner, site.loop(), settings, site.settings().classes(), classes);
+        intake = new KeyedRequestAcceptor(inner, site.loop(), settings, site.settings().classes(), classes);
         if (journal != null) {
-            Journal.earlier(journal, site.name(), site.loop().now() - intake.longestLifetimeMs(), (key, print, className, sentAt, endedAt, ran) ->
+            Journal.forEachEarlierRequest(journal, site.name(), site.loop().now() - intake.longestLifetimeMs(), (key, print, className, sentAt, endedAt, ran) ->
                     intake.restore(key, print, classes.indexOf(className), sentAt, endedAt, ran));
         }
         return intake;
     }
 
     @Override
-    public void join(Site site) { site.front().enableKeyCommands(intake::told, intake::line); }
+    public void attach(SubsystemContext site) { site.front().enableKeyCommands(intake::describe, intake::line); }
 
     @Override
-    public String line() { return intake.line(); }
+    public String countersLine() { return intake.line(); }
 }
--- a/src/main/java/yardusher/limits/LimitsConfig.java
+++ b/src/main/java/yardusher/limits/LimitsConfig.java
@@ -26,25 +26,25 @@
     public static LimitsConfig read(Path file) { return Toml.read(file, LimitsConfig::parse); }
 
     private static LimitsConfig parse(Toml toml) {
-        toml.only(KEYS);
+        toml.allowOnly(KEYS);
         String listen = toml.text("listen", "");
         Map<String, Customer> customers = new HashMap<>();
         for (Toml entry : toml.tables("partner")) {
-            entry.only(CUSTOMER_KEYS);
+            entry.allowOnly(CUSTOMER_KEYS);
             String key = entry.text("key");
             if (customers.put(key, parseCustomer(entry, requireNumber(entry.text("customer")))) != null) {
                 throw new ConfigError.Conflict(null, "partner.key", "partner " + key + " stands twice");
             }
         }
         Toml others = toml.table("others");
-        if (others != null) { others.only(Set.of("plan", "first", "spread")); }
+        if (others != null) { others.allowOnly(Set.of("plan", "first", "spread")); }
         return new LimitsConfig(listen.isEmpty() ? null : Sockets.parseAddress(listen), toml.text("class", ""),
-                toml.whole("wait_ms", 1000, 1, 600_000), toml.whole("queries_per_s", 200, 1, 1_000_000), customers,
+                toml.integer("wait_ms", 1000, 1, 600_000), toml.integer("queries_per_s", 200, 1, 1_000_000), customers,
                 others == null ? null : parseCustomer(others, -1));
     }
 
     private static Customer parseCustomer(Toml entry, long number) {
-        return new Customer(number, entry.text("plan"), entry.whole("first", 0, 0, 10_000), entry.whole("spread", 1, 1, 10_000));
+        return new Customer(number, entry.text("plan"), entry.integer("first", 0, 0, 10_000), entry.integer("spread", 1, 1, 10_000));
     }
 
     /** The partner of a key: by name, or, where others are let in, by the customer's number itself. */
--- a/src/main/java/yardusher/log/LogSettings.java
+++ b/src/main/java/yardusher/log/LogSettings.java
@@ -9,7 +9,7 @@
     public static LogSettings of(Toml file) {
         Toml table = file.table("log");
         if (table == null) { return null; }
-        table.only(Set.of("format", "level"));
+        table.allowOnly(Set.of("format", "level"));
         return new LogSettings(table.choice("format", "plain", "plain", "json").equals("json"),
                 table.choice("level", "info", "debug", "info", "warn", "error"));
     }
--- a/src/main/java/yardusher/log/Structured.java
+++ b/src/main/java/yardusher/log/StructuredEvents.java
@@ -13,10 +13,10 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /** Events through SLF4J to Logback, set up here and not by a file: lines for people, or a JSON object a line. */
-final class Structured implements Events {
+final class StructuredEvents implements Events {
     private final Logger logger;
 
-    private Structured(Logger logger) { this.logger = logger; }
+    private StructuredEvents(Logger logger) { this.logger = logger; }
 
     /** Sets the whole process's logging up; the last call counts. */
     static Events of(LogSettings settings, String instance) {
@@ -45,7 +45,7 @@
         ch.qos.logback.classic.Logger root = context.getLogger(Logger.ROOT_LOGGER_NAME);
         root.setLevel(Level.toLevel(settings.level()));
         root.addAppender(appender);
-        return new Structured(LoggerFactory.getLogger(instance));
+        return new StructuredEvents(LoggerFactory.getLogger(instance));
     }
 
     @Override
--- a/src/main/java/yardusher/nginx/Importer.java
+++ b/src/main/java/yardusher/nginx/NginxImporter.java
@@ -20,9 +20,9 @@
  * the known regions, each location that passes to it a class, each limit_req_zone a plan. Whatever has no
  * counterpart is named with its line; nothing is dropped in silence.
  */
-public final class Importer {
+public final class NginxImporter {
     private static final double NGINX_READ_TIMEOUT_MS = 60_000;
-    private static final Set<String> WALKED = Set.of("http", "server");
+    private static final Set<String> CONTAINER_BLOCKS = Set.of("http", "server");
 
     private final List<String> notes = new ArrayList<>();
     private final Map<String, Directive> upstreams = new LinkedHashMap<>();
@@ -51,11 +51,11 @@
     /** The configuration as JSON, and what could not be taken over, a line each. */
     public record Result(String json, List<String> notes) { }
 
-    private Importer() { }
+    private NginxImporter() { }
 
     /** Imports a file's text; {@code wanted} names the upstream, null where there is but one in use. */
     public static Result run(String text, String wanted) throws IOException {
-        Importer importer = new Importer();
+        NginxImporter importer = new NginxImporter();
         importer.walk(NginxParser.parse(text));
         return importer.build(wanted);
     }
@@ -64,20 +64,20 @@
 
     private void walk(List<Directive> directives) {
         for (Directive d : directives) {
-            if (WALKED.contains(d.name()) && d.block() != null) {
+            if (CONTAINER_BLOCKS.contains(d.name()) && d.block() != null) {
                 walk(d.block());
                 continue;
             }
             switch (d.name()) {
                 case "upstream" -> {
-                    if (d.block() == null || d.word(1) == null) { throw NginxParser.bad(d.line(), "upstream needs a name and a block"); }
-                    if (upstreams.put(d.word(1), d) != null) { throw NginxParser.bad(d.line(), "upstream " + d.word(1) + " stands twice"); }
+                    if (d.block() == null || d.word(1) == null) { throw NginxParser.syntaxError(d.line(), "upstream needs a name and a block"); }
+                    if (upstreams.put(d.word(1), d) != null) { throw NginxParser.syntaxError(d.line(), "upstream " + d.word(1) + " stands twice"); }
                 }
                 case "location" -> {
-                    if (d.block() == null) { throw NginxParser.bad(d.line(), "location needs a block"); }
+                    if (d.block() == null) { throw NginxParser.syntaxError(d.line(), "location needs a block"); }
                     locations.add(d);
                 }
-                case "limit_req_zone" -> zone(d);
+                case "limit_req_zone" -> addZone(d);
                 case "listen" -> listen(d);
                 case "proxy_read_timeout" -> serverTimeoutMs = time(d);
                 case "proxy_next_upstream" -> serverNoRepeat = "off".equals(d.word(1));
@@ -102,7 +102,7 @@
 
     private static final Pattern RATE = Pattern.compile("([0-9]+)r/([sm])");
 
-    private void zone(Directive d) {
+    private void addZone(Directive d) {
         String zone = d.parameter("zone");
         Matcher rate = RATE.matcher(String.valueOf(d.parameter("rate")));
         if (zone == null || !rate.matches()) {
@@ -160,7 +160,7 @@
             }
         });
         if (classes.isEmpty()) { throw new ConfigError.Missing(null, "location", "a location that passes to " + chosen); }
-        notes.sort(java.util.Comparator.comparingInt(Importer::lineOf));
+        notes.sort(java.util.Comparator.comparingInt(NginxImporter::lineOf));
         return new Result(json(regions, classes), notes);
     }
 
@@ -218,7 +218,7 @@
                     timeout = told != null ? told : timeout;
                 }
                 case "proxy_next_upstream" -> repeatable = !"off".equals(d.word(1));
-                case "limit_req" -> use(d);
+                case "limit_req" -> applyLimit(d);
                 default -> note(d, "not supported");
             }
         }
@@ -232,7 +232,7 @@
         return new ServiceClass(name, timeout, repeatable);
     }
 
-    private void use(Directive d) {
+    private void applyLimit(Directive d) {
         Plan plan = zones.get(String.valueOf(d.parameter("zone")));
         if (plan == null) {
             note(d, "no such zone");
--- a/src/main/java/yardusher/rates/RateSettings.java
+++ b/src/main/java/yardusher/rates/RateSettings.java
@@ -15,7 +15,7 @@
     public static RateSettings of(Toml file) {
         Toml table = file.table("rates");
         if (table == null) { return null; }
-        table.only(KEYS);
-        return new RateSettings(table.whole("bytes_per_s", 1200, 200, 100_000), table.whole("from", 64, 2, 10_000), table.whole("horizon_s", 20, 2, 600));
+        table.allowOnly(KEYS);
+        return new RateSettings(table.integer("bytes_per_s", 1200, 200, 100_000), table.integer("from", 64, 2, 10_000), table.integer("horizon_s", 20, 2, 600));
     }
 }
--- a/src/main/java/yardusher/rates/RatesSubsystem.java
+++ b/src/main/java/yardusher/rates/RatesSubsystem.java
@@ -12,7 +12,7 @@
 import yardusher.core.RequestHandle;
 import yardusher.mesh.Mesh;
 import yardusher.settings.Settings;
-import yardusher.subsystem.Site;
+import yardusher.subsystem.SubsystemContext;
 import yardusher.subsystem.Subsystem;
 import yardusher.view.View;
 
@@ -35,7 +35,7 @@
     public String name() { return "rates"; }
 
     @Override
-    public RequestAcceptor intake(Site site, RequestAcceptor core) {
+    public RequestAcceptor wrapAcceptor(SubsystemContext site, RequestAcceptor core) {
         next = core;
         loop = site.loop();
         ingress = site.ingress();
@@ -47,7 +47,7 @@
     }
 
     @Override
-    public void join(Site site) {
+    public void attach(SubsystemContext site) {
         ingress.deliver(new Api.ExternalDemandThreshold(settings.minSetSize()));
         mesh.setHandler(Mesh.Kind.RATES, (from, body) -> rates.receive(loop.now(), senderId(from), body));
         site.view().subscribe(change -> updateMembers(change.snapshot()));
@@ -99,7 +99,7 @@
     public String reload(Settings next) { return settings.equals(next.rates()) ? null : "table rates waits for a restart"; }
 
     @Override
-    public String line() { return rates.counters(); }
+    public String countersLine() { return rates.counters(); }
 
     @Override
     public void close() { closed = true; }
--- a/src/main/java/yardusher/register/Answer.java
+++ b/src/main/java/yardusher/register/Answer.java
@@ -17,7 +17,7 @@
     static Answer rejected(long token, String text) { return new Answer(false, token, text, null); }
 
     public byte[] encode() {
-        return new Fields.Out().flag(1, ok).number(2, token).text(3, text).bytes(4, state).toBytes();
+        return new Fields.Writer().flag(1, ok).number(2, token).text(3, text).bytes(4, state).toBytes();
     }
 
     public static Answer decode(byte[] bytes) throws IOException {
--- a/src/main/java/yardusher/register/Operation.java
+++ b/src/main/java/yardusher/register/Operation.java
@@ -51,7 +51,7 @@
 
     /** Encodes the operation with the field numbers of register.proto. */
     default byte[] encode() {
-        Fields.Out out = new Fields.Out();
+        Fields.Writer out = new Fields.Writer();
         if (this instanceof Submit o) {
             out.number(1, 1).text(2, o.command).text(3, o.requestedBy).number(4, o.atMs).number(5, o.kind.ordinal()).text(6, o.spec)
                     .flag(7, o.takeOver);
@@ -82,7 +82,7 @@
     static Operation decode(byte[] bytes) throws IOException {
         Fields f = Fields.read(bytes);
         WorkKind kind = WorkKind.values()[checkedIndex(f.number(5), WorkKind.values().length)];
-        return switch (f.whole(1)) {
+        return switch (f.intNumber(1)) {
             case 1 -> new Submit(f.text(2), f.text(3), f.number(4), kind, f.text(6), f.flag(7));
             case 2 -> new Stop(f.text(2), f.text(3), f.number(4), kind);
             case 3 -> new StepDown(f.text(2), f.text(3), kind);
--- a/src/main/java/yardusher/register/RaftLogStore.java
+++ b/src/main/java/yardusher/register/RaftLogStore.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import yardusher.disk.Fields;
-import yardusher.disk.Ledger;
+import yardusher.disk.DurableLog;
 import yardusher.disk.Storage;
 import yardusher.error.RegisterError;
 
@@ -34,7 +34,7 @@
     private final String installation;
     private final String member;
     private boolean joins;
-    private Ledger ledger;
+    private DurableLog ledger;
     private RaftEndpointPersistentState local;
     private RaftGroupMembersView members;
     private RaftTermPersistentState term;
@@ -48,7 +48,7 @@
     }
 
     /** Whether the folder holds a member's store, complete or not. */
-    public static boolean exists(Storage storage) throws IOException { return Ledger.isThere(storage, PREFIX); }
+    public static boolean exists(Storage storage) throws IOException { return DurableLog.exists(storage, PREFIX); }
 
     /**
      * Creates a new member's store in a folder that holds none, once in the member's life. A member that lost its disk
@@ -58,7 +58,7 @@
     public static RaftLogStore create(Storage storage, String installation, String member, boolean joins) throws IOException {
         if (exists(storage)) { throw new RegisterError.Occupied(null); }
         RaftLogStore store = new RaftLogStore(installation, member, joins);
-        store.ledger = Ledger.begin(storage, PREFIX, MAGIC, store.ledgerContent(), SEGMENT_BYTES);
+        store.ledger = DurableLog.create(storage, PREFIX, MAGIC, store.ledgerContent(), SEGMENT_BYTES);
         return store;
     }
 
@@ -74,7 +74,7 @@
         }
         RaftLogStore store = new RaftLogStore(installation, member, false);
         try {
-            store.ledger = Ledger.open(storage, PREFIX, MAGIC, store.ledgerContent(), SEGMENT_BYTES);
+            store.ledger = DurableLog.open(storage, PREFIX, MAGIC, store.ledgerContent(), SEGMENT_BYTES);
         } catch (IOException e) {
             throw new RegisterError.Damaged(null, String.valueOf(e.getMessage()), e);
         }
@@ -108,17 +108,17 @@
     /** Number of log entries kept now. */
     public int entryCount() { return log.size(); }
 
-    private Ledger.Content ledgerContent() {
-        return new Ledger.Content() {
+    private DurableLog.LoggedState ledgerContent() {
+        return new DurableLog.LoggedState() {
             @Override
-            public void take(Ledger.Line line) throws IOException { RaftLogStore.this.replayRecord(line); }
+            public void apply(DurableLog.LogRecord line) throws IOException { RaftLogStore.this.replayRecord(line); }
 
             @Override
-            public List<Ledger.Line> base() { return RaftLogStore.this.currentRecords(); }
+            public List<DurableLog.LogRecord> snapshot() { return RaftLogStore.this.currentRecords(); }
         };
     }
 
-    private void replayRecord(Ledger.Line line) throws IOException {
+    private void replayRecord(DurableLog.LogRecord line) throws IOException {
         if (line.kind() == OWNER) {
             Fields f = Fields.read(line.body());
             if (!f.text(1).equals(installation) || !f.text(2).equals(member)) {
@@ -136,7 +136,7 @@
             case MEMBERS -> members = RaftModelCodec.members(line.body());
             case TERM -> {
                 Fields f = Fields.read(line.body());
-                term = RaftModelCodec.FACTORY.createRaftTermPersistentStateBuilder().setTerm(f.whole(1))
+                term = RaftModelCodec.FACTORY.createRaftTermPersistentStateBuilder().setTerm(f.intNumber(1))
                         .setVotedFor(RaftModelCodec.member(f.text(2))).build();
             }
             case ENTRY -> {
@@ -159,28 +159,28 @@
         if (isWhole(snapshots.get(part.getIndex()))) { snapshots.headMap(part.getIndex(), false).clear(); }
     }
 
-    private List<Ledger.Line> currentRecords() {
-        List<Ledger.Line> base = new ArrayList<>();
-        base.add(new Ledger.Line(OWNER, new Fields.Out().text(1, installation).text(2, member).flag(3, joins).toBytes()));
+    private List<DurableLog.LogRecord> currentRecords() {
+        List<DurableLog.LogRecord> base = new ArrayList<>();
+        base.add(new DurableLog.LogRecord(OWNER, new Fields.Writer().text(1, installation).text(2, member).flag(3, joins).toBytes()));
         if (local != null) { base.add(localLine()); }
-        if (members != null) { base.add(new Ledger.Line(MEMBERS, RaftModelCodec.members(members))); }
+        if (members != null) { base.add(new DurableLog.LogRecord(MEMBERS, RaftModelCodec.members(members))); }
         if (term != null) { base.add(termLine()); }
         snapshots.values().forEach(parts -> parts.values().forEach(part ->
-                base.add(new Ledger.Line(SNAPSHOT_CHUNK, RaftModelCodec.snapshotChunk(part)))));
-        log.values().forEach(entry -> base.add(new Ledger.Line(ENTRY, RaftModelCodec.entry(entry))));
+                base.add(new DurableLog.LogRecord(SNAPSHOT_CHUNK, RaftModelCodec.snapshotChunk(part)))));
+        log.values().forEach(entry -> base.add(new DurableLog.LogRecord(ENTRY, RaftModelCodec.entry(entry))));
         return base;
     }
 
-    private Ledger.Line localLine() {
-        return new Ledger.Line(LOCAL_ENDPOINT, new Fields.Out().text(1, RaftModelCodec.name(local.getLocalEndpoint()))
+    private DurableLog.LogRecord localLine() {
+        return new DurableLog.LogRecord(LOCAL_ENDPOINT, new Fields.Writer().text(1, RaftModelCodec.name(local.getLocalEndpoint()))
                 .flag(2, local.isVoting()).toBytes());
     }
 
-    private Ledger.Line termLine() {
-        return new Ledger.Line(TERM, new Fields.Out().number(1, term.getTerm()).text(2, RaftModelCodec.name(term.getVotedFor())).toBytes());
+    private DurableLog.LogRecord termLine() {
+        return new DurableLog.LogRecord(TERM, new Fields.Writer().number(1, term.getTerm()).text(2, RaftModelCodec.name(term.getVotedFor())).toBytes());
     }
 
-    private void write(List<Ledger.Line> lines, boolean durably) throws IOException {
+    private void write(List<DurableLog.LogRecord> lines, boolean durably) throws IOException {
         ledger.append(lines);
         if (durably) { ledger.force(); }
     }
@@ -194,7 +194,7 @@
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView view) throws IOException {
         members = view;
-        write(List.of(new Ledger.Line(MEMBERS, RaftModelCodec.members(view))), true);
+        write(List.of(new DurableLog.LogRecord(MEMBERS, RaftModelCodec.members(view))), true);
     }
 
     @Override
@@ -205,34 +205,34 @@
 
     @Override
     public void persistLogEntries(List<LogEntry> entries) throws IOException {
-        List<Ledger.Line> lines = new ArrayList<>(entries.size());
-        for (LogEntry entry : entries) { lines.add(new Ledger.Line(ENTRY, RaftModelCodec.entry(entry))); }
+        List<DurableLog.LogRecord> lines = new ArrayList<>(entries.size());
+        for (LogEntry entry : entries) { lines.add(new DurableLog.LogRecord(ENTRY, RaftModelCodec.entry(entry))); }
         write(lines, false);
         entries.forEach(entry -> log.put(entry.getIndex(), entry));
-        if (ledger.isLong()) { ledger.roll(); }
+        if (ledger.isDueToRoll()) { ledger.roll(); }
     }
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk part) throws IOException {
-        write(List.of(new Ledger.Line(SNAPSHOT_CHUNK, RaftModelCodec.snapshotChunk(part))), false);
+        write(List.of(new DurableLog.LogRecord(SNAPSHOT_CHUNK, RaftModelCodec.snapshotChunk(part))), false);
         addSnapshotChunk(part);
     }
 
     @Override
     public void truncateLogEntriesFrom(long index) throws IOException {
-        write(List.of(new Ledger.Line(TRUNCATE_FROM, new Fields.Out().number(1, index).toBytes())), false);
+        write(List.of(new DurableLog.LogRecord(TRUNCATE_FROM, new Fields.Writer().number(1, index).toBytes())), false);
         log.tailMap(index, true).clear();
     }
 
     @Override
     public void truncateLogEntriesUntil(long index) throws IOException {
-        write(List.of(new Ledger.Line(TRUNCATE_UNTIL, new Fields.Out().number(1, index).toBytes())), false);
+        write(List.of(new DurableLog.LogRecord(TRUNCATE_UNTIL, new Fields.Writer().number(1, index).toBytes())), false);
         log.headMap(index, true).clear();
     }
 
     @Override
     public void deleteSnapshotChunks(long index, int count) throws IOException {
-        write(List.of(new Ledger.Line(DELETE_SNAPSHOT, new Fields.Out().number(1, index).toBytes())), false);
+        write(List.of(new DurableLog.LogRecord(DELETE_SNAPSHOT, new Fields.Writer().number(1, index).toBytes())), false);
         snapshots.remove(index);
     }
 
--- a/src/main/java/yardusher/register/RaftMessageCodec.java
+++ b/src/main/java/yardusher/register/RaftMessageCodec.java
@@ -28,7 +28,7 @@
     private RaftMessageCodec() { }
 
     static byte[] encode(RaftMessage message) {
-        Fields.Out out = new Fields.Out();
+        Fields.Writer out = new Fields.Writer();
         if (message instanceof AppendEntriesRequest m) {
             head(out, 1, m).number(QUERY, m.getQuerySequenceNumber()).number(FLOW, m.getFlowControlSequenceNumber())
                     .number(A, m.getPreviousLogIndex()).number(B, m.getPreviousLogTerm()).number(C, m.getCommitIndex());
@@ -69,7 +69,7 @@
         return out.toBytes();
     }
 
-    private static Fields.Out head(Fields.Out out, int kind, RaftMessage m) {
+    private static Fields.Writer head(Fields.Writer out, int kind, RaftMessage m) {
         return out.number(KIND, kind).text(SENDER, RaftModelCodec.name(m.getSender())).number(TERM, m.getTerm());
     }
 
@@ -78,15 +78,15 @@
         Fields f = Fields.read(bytes);
         RaftEndpoint from = RaftModelCodec.member(f.text(SENDER));
         if (from == null || f.number(TERM) < 0 || f.number(TERM) > Integer.MAX_VALUE) { throw new IOException("no message of a member"); }
-        int term = f.whole(TERM);
+        int term = f.intNumber(TERM);
         long query = f.number(QUERY);
         long flow = f.number(FLOW);
-        return switch (f.whole(KIND)) {
+        return switch (f.intNumber(KIND)) {
             case 1 -> {
                 List<LogEntry> entries = new ArrayList<>();
                 for (byte[] one : f.all(ENTRY)) { entries.add(RaftModelCodec.entry(one)); }
                 yield RaftModelCodec.FACTORY.createAppendEntriesRequestBuilder().setGroupId(group).setSender(from).setTerm(term)
-                        .setPreviousLogTerm(f.whole(B)).setPreviousLogIndex(f.number(A)).setCommitIndex(f.number(C)).setLogEntries(entries)
+                        .setPreviousLogTerm(f.intNumber(B)).setPreviousLogIndex(f.number(A)).setCommitIndex(f.number(C)).setLogEntries(entries)
                         .setQuerySequenceNumber(query).setFlowControlSequenceNumber(flow).build();
             }
             case 2 -> RaftModelCodec.FACTORY.createAppendEntriesSuccessResponseBuilder().setGroupId(group).setSender(from).setTerm(term)
@@ -94,26 +94,26 @@
             case 3 -> RaftModelCodec.FACTORY.createAppendEntriesFailureResponseBuilder().setGroupId(group).setSender(from).setTerm(term)
                     .setExpectedNextIndex(f.number(A)).setQuerySequenceNumber(query).setFlowControlSequenceNumber(flow).build();
             case 4 -> RaftModelCodec.FACTORY.createVoteRequestBuilder().setGroupId(group).setSender(from).setTerm(term)
-                    .setLastLogTerm(f.whole(B))
+                    .setLastLogTerm(f.intNumber(B))
                     .setLastLogIndex(f.number(A)).setSticky(f.flag(FLAG)).build();
             case 5 -> RaftModelCodec.FACTORY.createVoteResponseBuilder().setGroupId(group).setSender(from).setTerm(term)
                     .setGranted(f.flag(FLAG)).build();
             case 6 -> RaftModelCodec.FACTORY.createPreVoteRequestBuilder().setGroupId(group).setSender(from).setTerm(term)
-                    .setLastLogTerm(f.whole(B))
+                    .setLastLogTerm(f.intNumber(B))
                     .setLastLogIndex(f.number(A)).build();
             case 7 -> RaftModelCodec.FACTORY.createPreVoteResponseBuilder().setGroupId(group).setSender(from).setTerm(term)
                     .setGranted(f.flag(FLAG)).build();
             case 8 -> RaftModelCodec.FACTORY.createInstallSnapshotRequestBuilder().setGroupId(group).setSender(from).setTerm(term)
-                    .setSenderLeader(f.flag(FLAG)).setSnapshotTerm(f.whole(B)).setSnapshotIndex(f.number(A)).setTotalSnapshotChunkCount(f.whole(C))
+                    .setSenderLeader(f.flag(FLAG)).setSnapshotTerm(f.intNumber(B)).setSnapshotIndex(f.number(A)).setTotalSnapshotChunkCount(f.intNumber(C))
                     .setSnapshotChunk(f.has(PART) ? RaftModelCodec.snapshotChunk(f.bytes(PART)) : null)
                     .setSnapshottedMembers(RaftModelCodec.members(f.texts(NAMES)))
                     .setGroupMembersView(RaftModelCodec.members(f.bytes(MEMBERS)))
                     .setQuerySequenceNumber(query).setFlowControlSequenceNumber(flow).build();
             case 9 -> RaftModelCodec.FACTORY.createInstallSnapshotResponseBuilder().setGroupId(group).setSender(from).setTerm(term)
-                    .setSnapshotIndex(f.number(A)).setRequestedSnapshotChunkIndex(f.whole(B)).setQuerySequenceNumber(query)
+                    .setSnapshotIndex(f.number(A)).setRequestedSnapshotChunkIndex(f.intNumber(B)).setQuerySequenceNumber(query)
                     .setFlowControlSequenceNumber(flow).build();
             case 10 -> RaftModelCodec.FACTORY.createTriggerLeaderElectionRequestBuilder().setGroupId(group).setSender(from).setTerm(term)
-                    .setLastLogTerm(f.whole(B)).setLastLogIndex(f.number(A)).build();
+                    .setLastLogTerm(f.intNumber(B)).setLastLogIndex(f.number(A)).build();
             default -> throw new IOException("a message that is not known here");
         };
     }
--- a/src/main/java/yardusher/register/RaftModelCodec.java
+++ b/src/main/java/yardusher/register/RaftModelCodec.java
@@ -23,19 +23,19 @@
     private RaftModelCodec() { }
 
     static byte[] entry(LogEntry entry) {
-        return new Fields.Out().number(1, entry.getIndex()).number(2, entry.getTerm()).bytes(3, operation(entry.getOperation())).toBytes();
+        return new Fields.Writer().number(1, entry.getIndex()).number(2, entry.getTerm()).bytes(3, operation(entry.getOperation())).toBytes();
     }
 
     static LogEntry entry(byte[] bytes) throws IOException {
         Fields f = Fields.read(bytes);
-        return FACTORY.createLogEntryBuilder().setIndex(f.number(1)).setTerm(f.whole(2)).setOperation(operation(f.bytes(3))).build();
+        return FACTORY.createLogEntryBuilder().setIndex(f.number(1)).setTerm(f.intNumber(2)).setOperation(operation(f.bytes(3))).build();
     }
 
     private static byte[] operation(Object operation) {
-        if (operation instanceof Operation op) { return new Fields.Out().bytes(1, op.encode()).toBytes(); }
-        if (operation instanceof byte[] part) { return new Fields.Out().bytes(2, part).toBytes(); }
+        if (operation instanceof Operation op) { return new Fields.Writer().bytes(1, op.encode()).toBytes(); }
+        if (operation instanceof byte[] part) { return new Fields.Writer().bytes(2, part).toBytes(); }
         UpdateRaftGroupMembersOp op = (UpdateRaftGroupMembersOp) operation;
-        return new Fields.Out().bytes(3, new Fields.Out().texts(1, names(op.getMembers())).texts(2, names(op.getVotingMembers()))
+        return new Fields.Writer().bytes(3, new Fields.Writer().texts(1, names(op.getMembers())).texts(2, names(op.getVotingMembers()))
                 .text(3, name(op.getEndpoint())).number(4, op.getMode().ordinal()).toBytes()).toBytes();
     }
 
@@ -48,11 +48,11 @@
         MembershipChangeMode[] modes = MembershipChangeMode.values();
         if (g.number(4) < 0 || g.number(4) >= modes.length) { throw new IOException("an unknown change of members"); }
         return FACTORY.createUpdateRaftGroupMembersOpBuilder().setMembers(members(g.texts(1))).setVotingMembers(members(g.texts(2)))
-                .setEndpoint(member(g.text(3))).setMode(modes[g.whole(4)]).build();
+                .setEndpoint(member(g.text(3))).setMode(modes[g.intNumber(4)]).build();
     }
 
     static byte[] members(RaftGroupMembersView view) {
-        return new Fields.Out().number(1, view.getLogIndex()).texts(2, names(view.getMembers())).texts(3, names(view.getVotingMembers()))
+        return new Fields.Writer().number(1, view.getLogIndex()).texts(2, names(view.getMembers())).texts(3, names(view.getVotingMembers()))
                 .toBytes();
     }
 
@@ -63,15 +63,15 @@
     }
 
     static byte[] snapshotChunk(SnapshotChunk part) {
-        return new Fields.Out().number(1, part.getIndex()).number(2, part.getTerm()).bytes(3, operation(part.getOperation()))
+        return new Fields.Writer().number(1, part.getIndex()).number(2, part.getTerm()).bytes(3, operation(part.getOperation()))
                 .number(4, part.getSnapshotChunkIndex()).number(5, part.getSnapshotChunkCount()).bytes(6, members(part.getGroupMembersView()))
                 .toBytes();
     }
 
     static SnapshotChunk snapshotChunk(byte[] bytes) throws IOException {
         Fields f = Fields.read(bytes);
-        return FACTORY.createSnapshotChunkBuilder().setIndex(f.number(1)).setTerm(f.whole(2)).setOperation(operation(f.bytes(3)))
-                .setSnapshotChunkIndex(f.whole(4)).setSnapshotChunkCount(f.whole(5)).setGroupMembersView(members(f.bytes(6))).build();
+        return FACTORY.createSnapshotChunkBuilder().setIndex(f.number(1)).setTerm(f.intNumber(2)).setOperation(operation(f.bytes(3)))
+                .setSnapshotChunkIndex(f.intNumber(4)).setSnapshotChunkCount(f.intNumber(5)).setGroupMembersView(members(f.bytes(6))).build();
     }
 
     /** The member's name; empty for null. */
--- a/src/main/java/yardusher/register/Register.java
+++ b/src/main/java/yardusher/register/Register.java
@@ -231,11 +231,11 @@
 
     /** Encodes the whole state. */
     public byte[] encode() {
-        Fields.Out out = new Fields.Out().number(1, tokens).number(2, applied);
+        Fields.Writer out = new Fields.Writer().number(1, tokens).number(2, applied);
         works.values().forEach(work -> out.bytes(3, work.encode()));
-        commands.forEach((id, answer) -> out.bytes(4, new Fields.Out().text(1, id).bytes(2, answer.encode()).toBytes()));
+        commands.forEach((id, answer) -> out.bytes(4, new Fields.Writer().text(1, id).bytes(2, answer.encode()).toBytes()));
         out.texts(5, history);
-        addresses.forEach((member, address) -> out.bytes(6, new Fields.Out().text(1, member).text(2, address).toBytes()));
+        addresses.forEach((member, address) -> out.bytes(6, new Fields.Writer().text(1, member).text(2, address).toBytes()));
         return out.texts(7, forgotten).toBytes();
     }
 
@@ -244,10 +244,10 @@
      * remembered replies.
      */
     private byte[] encodeSummary() {
-        Fields.Out out = new Fields.Out().number(1, tokens).number(2, applied);
+        Fields.Writer out = new Fields.Writer().number(1, tokens).number(2, applied);
         works.values().forEach(work -> out.bytes(3, work.withoutCheckpoint().encode()));
         out.texts(5, history);
-        addresses.forEach((member, address) -> out.bytes(6, new Fields.Out().text(1, member).text(2, address).toBytes()));
+        addresses.forEach((member, address) -> out.bytes(6, new Fields.Writer().text(1, member).text(2, address).toBytes()));
         return out.texts(7, forgotten).toBytes();
     }
 
--- a/src/main/java/yardusher/register/Work.java
+++ b/src/main/java/yardusher/register/Work.java
@@ -63,7 +63,7 @@
     }
 
     byte[] encode() {
-        return new Fields.Out().number(1, kind.ordinal()).number(2, id).text(3, spec).number(4, revision).number(5, token)
+        return new Fields.Writer().number(1, kind.ordinal()).number(2, id).text(3, spec).number(4, revision).number(5, token)
                 .text(6, holder).number(7, nonce).number(8, heartbeat).number(9, seq).text(10, checkpoint).number(11, state.ordinal())
                 .text(12, note).text(13, requestedBy).number(14, requestedAtMs).number(15, grantedAtMs).toBytes();
     }
@@ -73,7 +73,7 @@
         if (f.number(1) < 0 || f.number(1) >= WorkKind.values().length || f.number(11) < 0 || f.number(11) >= State.values().length) {
             throw new IOException("a work of an unknown kind");
         }
-        return new Work(WorkKind.values()[f.whole(1)], f.number(2), f.text(3), f.number(4), f.number(5), f.text(6), f.number(7),
-                f.number(8), f.number(9), f.text(10), State.values()[f.whole(11)], f.text(12), f.text(13), f.number(14), f.number(15));
+        return new Work(WorkKind.values()[f.intNumber(1)], f.number(2), f.text(3), f.number(4), f.number(5), f.text(6), f.number(7),
+                f.number(8), f.number(9), f.text(10), State.values()[f.intNumber(11)], f.text(12), f.text(13), f.number(14), f.number(15));
     }
 }
--- a/src/main/java/yardusher/servers/BackendPool.java
+++ b/src/main/java/yardusher/servers/BackendPool.java
@@ -24,56 +24,56 @@
  * those behind it, and giving one up closes the connection. The most recently used is taken first.
  */
 public final class BackendPool implements Backends {
-    private static final double RETIRED_PART = 0.7;  // of the told idle time: never race the backend's own close
-    private static final double UPKEEP_MS = 1000;
-    private static final double SETTLED_MS = 30;     // a connection rests so long before it is used again
-    private static final double LATE_MS = 2000;      // a dial that nobody waits for any more may come up so long after it began
-    private static final int MOST_LATE = 2;          // such dials, and connections kept from them, at each backend
-    private static final double SECOND_PART = 0.2;   // of the dial's time: then a second one is begun beside it
-    private static final double NOTED = 0.05;        // weight of one attempt in what connections are held to lose
-    private static final double WORSE = 0.05;        // kept ones may lose so much more than new ones
-    private static final int LOOKS = 8;              // else one in so many attempts tries a kept one all the same
+    private static final double MAX_IDLE_FRACTION = 0.7;  // of the told idle time: never race the backend's own close
+    private static final double IDLE_CHECK_INTERVAL_MS = 1000;
+    private static final double MIN_IDLE_MS = 30;     // a connection rests so long before it is used again
+    private static final double ORPHAN_DIAL_TIMEOUT_MS = 2000;      // a dial that nobody waits for any more may come up so long after it began
+    private static final int MAX_ORPHAN_DIALS = 2;          // such dials, and connections kept from them, at each backend
+    private static final double SECOND_DIAL_FRACTION = 0.2;   // of the dial's time: then a second one is begun beside it
+    private static final double LOSS_WEIGHT = 0.05;        // weight of one attempt in what connections are held to lose
+    private static final double LOSS_TOLERANCE = 0.05;        // kept ones may lose so much more than new ones
+    private static final int REUSE_PROBE_INTERVAL = 8;              // else one in so many attempts tries a kept one all the same
 
     final Sockets sockets;
     final Counters counters;
     final double stallMs;
     private final double dialMs;
-    private final double retireMs;
-    private int mostConnections;
+    private final double maxIdleMs;
+    private int maxConnections;
     final List<Api.Metric> report;
-    private final Map<Long, Place> places = new HashMap<>();
+    private final Map<Long, PooledBackend> pooledBackends = new HashMap<>();
     private final Set<Long> banned = new HashSet<>(); // by hand
-    private double keptLost;                         // part of the attempts lost, lately, on kept connections
-    private double newLost;                          // and on new ones
-    private int begun;
+    private double reusedLossRate;                         // part of the attempts lost, lately, on kept connections
+    private double newLossRate;                          // and on new ones
+    private int startedAttempts;
     private Ingress ingress;
-    private Allowance allowance;                     // null where connections are not divided
+    private ConnectionAllowance allowance;                     // null where connections are not divided
     int connections;
-    private int leaving;                             // of those, closed from this side and not yet by the backend
+    private int closing;                             // of those, closed from this side and not yet by the backend
 
     /** A backend of the service table, the connections that stand idle there, and the attempts that wait for one. */
-    static final class Place {
+    static final class PooledBackend {
         InetSocketAddress address;
         boolean draining;
-        final ArrayDeque<BackendLink> idle = new ArrayDeque<>();
+        final ArrayDeque<BackendConnection> idle = new ArrayDeque<>();
         final Set<Attempt> dialling = new HashSet<>(); // where connections are divided
-        final ArrayDeque<Wait> waiting = new ArrayDeque<>(); // the longest first
+        final ArrayDeque<WaitingAttempt> waiting = new ArrayDeque<>(); // the longest first
         final ArrayDeque<Dial> dials = new ArrayDeque<>(); // the oldest first
         int open;                                    // connections, from before the dial to the end
-        int leaving;
+        int closing;
 
-        Place(InetSocketAddress address) { this.address = address; }
+        PooledBackend(InetSocketAddress address) { this.address = address; }
     }
 
     /** An attempt that waits for a connection of its backend, whichever comes first. */
-    private static final class Wait {
+    private static final class WaitingAttempt {
         final Attempt attempt;
         final ByteBuffer[] cargo;
         Deadlines.Entry limit;
-        Deadlines.Entry second;
-        boolean over;
+        Deadlines.Entry secondDial;
+        boolean done;
 
-        Wait(Attempt attempt, ByteBuffer... cargo) {
+        WaitingAttempt(Attempt attempt, ByteBuffer... cargo) {
             this.attempt = attempt;
             this.cargo = cargo;
         }
@@ -81,56 +81,56 @@
 
     /** A connection on its way, for the attempt that asked for it, or whoever waits when it comes up. */
     private static final class Dial {
-        final Wait owner;
-        Runnable drop;
+        final WaitingAttempt owner;
+        Runnable cancel;
 
-        Dial(Wait owner) { this.owner = owner; }
+        Dial(WaitingAttempt owner) { this.owner = owner; }
     }
 
     /** {@code stallMs}: a large value of which nothing moves for so long is given up. */
     public BackendPool(Sockets sockets, Counters counters, List<Api.Metric> report, double dialMs, double idleMs,
-            double stallMs, int mostConnections) {
+            double stallMs, int maxConnections) {
         this.stallMs = stallMs;
         this.sockets = sockets;
         this.counters = counters;
         this.report = report;
         this.dialMs = dialMs;
-        this.retireMs = idleMs * RETIRED_PART;
-        this.mostConnections = mostConnections;
-        sockets.loop().deadlines().schedule(sockets.loop().now() + UPKEEP_MS, this::upkeep);
+        this.maxIdleMs = idleMs * MAX_IDLE_FRACTION;
+        this.maxConnections = maxConnections;
+        sockets.loop().deadlines().schedule(sockets.loop().now() + IDLE_CHECK_INTERVAL_MS, this::closeExpiredIdle);
     }
 
     /** How many connections are held at the most; idle ones beyond that close. */
-    public void limit(int most) {
-        mostConnections = most;
-        while (connections - leaving > mostConnections && closeOneIdle()) { /* one by one */ }
+    public void setMaxConnections(int max) {
+        maxConnections = max;
+        while (connections - closing > maxConnections && closeOneIdle()) { /* one by one */ }
     }
 
     /** Connections held, also those on their way up or down. */
-    public int held() { return connections; }
+    public int connectionCount() { return connections; }
 
     /** From now on no connection is opened without a word of this; before any is. */
-    public void allow(Allowance by) { allowance = by; }
+    public void setAllowance(ConnectionAllowance by) { allowance = by; }
 
     /** Connections to a backend that carry an attempt, or are dialled for one. */
-    public int busy(long backend) {
-        Place place = places.get(backend);
-        return place == null ? 0 : place.open - place.leaving - place.idle.size();
+    public int busyConnections(long backend) {
+        PooledBackend place = pooledBackends.get(backend);
+        return place == null ? 0 : place.open - place.closing - place.idle.size();
     }
 
     /** Closes so many connections of a backend that stand idle, the longest idle first; the result says how many there were. */
-    public int shed(long backend, int count) {
-        Place place = places.get(backend);
+    public int closeIdle(long backend, int count) {
+        PooledBackend place = pooledBackends.get(backend);
         int closed = 0;
-        for (BackendLink link; place != null && closed < count && (link = place.idle.pollFirst()) != null; closed++) { link.close(); }
+        for (BackendConnection link; place != null && closed < count && (link = place.idle.pollFirst()) != null; closed++) { link.close(); }
         return closed;
     }
 
-    public void serve(Ingress core) { ingress = core; }
+    public void setIngress(Ingress core) { ingress = core; }
 
     /** The service table names a backend, at this address now. */
-    public void place(long backend, InetSocketAddress address) {
-        Place place = places.computeIfAbsent(backend, r -> new Place(address));
+    public void addOrUpdate(long backend, InetSocketAddress address) {
+        PooledBackend place = pooledBackends.computeIfAbsent(backend, r -> new PooledBackend(address));
         place.draining = false;
         if (!place.address.equals(address)) {
             place.address = address;
@@ -143,8 +143,8 @@
      * A backend drains or is gone: what stands idle there is closed at once, and what is still being dialled has sent
      * nothing and goes elsewhere. Guards against a dial that comes up after the grace of a drain, and is then written to.
      */
-    public void leave(long backend, boolean forget) {
-        Place place = forget ? places.remove(backend) : places.get(backend);
+    public void retire(long backend, boolean remove) {
+        PooledBackend place = remove ? pooledBackends.remove(backend) : pooledBackends.get(backend);
         if (place == null) { return; }
         place.draining = true;
         dropIdle(place);
@@ -152,123 +152,123 @@
     }
 
     /** Told once this turn's news have reached the module: it must not choose by the list before. */
-    private void dropDialling(Place place) {
+    private void dropDialling(PooledBackend place) {
         for (Attempt attempt : Set.copyOf(place.dialling)) {
             attempt.abort.run();
             attempt.abort = () -> { };
-            sockets.loop().defer(() -> end(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED)));
+            sockets.loop().defer(() -> attemptEnded(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED)));
         }
-        for (Wait wait; (wait = place.waiting.peek()) != null;) {
+        for (WaitingAttempt wait; (wait = place.waiting.peek()) != null;) {
             Attempt attempt = wait.attempt;
-            stop(place, wait);
-            sockets.loop().defer(() -> end(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED)));
+            stopWaiting(place, wait);
+            sockets.loop().defer(() -> attemptEnded(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED)));
         }
-        for (Dial dial; (dial = place.dials.peek()) != null;) { dial.drop.run(); }
+        for (Dial dial; (dial = place.dials.peek()) != null;) { dial.cancel.run(); }
     }
 
-    private void dropIdle(Place place) {
-        for (BackendLink link; (link = place.idle.poll()) != null;) { link.close(); }
+    private void dropIdle(PooledBackend place) {
+        for (BackendConnection link; (link = place.idle.poll()) != null;) { link.close(); }
     }
 
     /**
      * A backend is kept out by hand, or no longer. What is out there already ends as in a drain; what is still being
      * dialled has sent nothing and ends at once.
      */
-    public void ban(long backend, boolean out) {
-        if (!out) {
+    public void setBanned(long backend, boolean isBanned) {
+        if (!isBanned) {
             banned.remove(backend);
             return;
         }
-        Place place = places.get(backend);
+        PooledBackend place = pooledBackends.get(backend);
         if (!banned.add(backend) || place == null) { return; }
         dropIdle(place);
         dropDialling(place);
     }
 
     @Override
-    public boolean isAvailable(long backend) { return isOpen(places.get(backend), backend); }
+    public boolean isAvailable(long backend) { return acceptsAttempts(pooledBackends.get(backend), backend); }
 
     /** Whether attempts may begin there: it is listed, does not drain, and is not out by hand. */
-    private boolean isOpen(Place place, long backend) {
-        return place != null && places.get(backend) == place && !place.draining && !banned.contains(backend);
+    private boolean acceptsAttempts(PooledBackend place, long backend) {
+        return place != null && pooledBackends.get(backend) == place && !place.draining && !banned.contains(backend);
     }
 
     @Override
     public void start(Attempt attempt, ByteBuffer... cargo) {
-        Place place = places.get(attempt.backend);
-        BackendLink link = ++begun % LOOKS == 0 || !keepingLoses() ? settled(place) : null;
+        PooledBackend place = pooledBackends.get(attempt.backend);
+        BackendConnection link = ++startedAttempts % REUSE_PROBE_INTERVAL == 0 || !prefersNewConnections() ? takeReusable(place) : null;
         if (link != null) {
             counters.connectionsReused++;
-            if (!carries(link, attempt, cargo)) { link.close(); }
+            if (!trySend(link, attempt, cargo)) { link.close(); }
             return;
         }
-        if (connections - leaving >= mostConnections && !closeOneIdle()) {
+        if (connections - closing >= maxConnections && !closeOneIdle()) {
             // Guards the descriptor limit: past the budget nothing was sent, so the module may go elsewhere.
-            sockets.loop().defer(() -> end(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED)));
+            sockets.loop().defer(() -> attemptEnded(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED)));
             return;
         }
         if (allowance != null) {
-            counted(place, attempt, cargo);
+            startWithAllowance(place, attempt, cargo);
             return;
         }
         Deadlines deadlines = sockets.loop().deadlines();
         double now = sockets.loop().now();
-        Wait wait = new Wait(attempt, cargo);
+        WaitingAttempt wait = new WaitingAttempt(attempt, cargo);
         place.waiting.addLast(wait);
-        attempt.abort = () -> stop(place, wait);
-        wait.limit = deadlines.schedule(now + dialMs, () -> fails(place, wait));
+        attempt.abort = () -> stopWaiting(place, wait);
+        wait.limit = deadlines.schedule(now + dialMs, () -> failWaiting(place, wait));
         // A dial that does not come up is often lost alone: a second one beside it comes up sooner than the first would fail.
-        wait.second = deadlines.schedule(now + dialMs * SECOND_PART, () -> {
-            if (!wait.over && connections < mostConnections) { dial(place, wait); }
+        wait.secondDial = deadlines.schedule(now + dialMs * SECOND_DIAL_FRACTION, () -> {
+            if (!wait.done && connections < maxConnections) { dial(place, wait); }
         });
         dial(place, wait);
     }
 
     /** Hands an attempt to a connection; false where nothing of it may be sent any more, and it ends as never sent. */
-    private boolean carries(BackendLink link, Attempt attempt, ByteBuffer... cargo) {
+    private boolean trySend(BackendConnection link, Attempt attempt, ByteBuffer... cargo) {
         double now = sockets.loop().now();
         if (attempt.handToSocket(now)) {
-            link.carry(attempt, cargo);
+            link.send(attempt, cargo);
             return true;
         }
         Api.Outcome never = attempt.isTooLateToWrite(now) ? Api.Outcome.CONNECT_FAILED : Api.Outcome.NOT_SENT;
-        sockets.loop().defer(() -> end(attempt, Attempt.Result.of(never)));
+        sockets.loop().defer(() -> attemptEnded(attempt, Attempt.Result.of(never)));
         return false;
     }
 
-    private void dial(Place place, Wait owner) {
+    private void dial(PooledBackend place, WaitingAttempt owner) {
         long backend = owner.attempt.backend;
         Dial dial = new Dial(owner);
         connections++;
         place.open++;
         counters.connectionsOpened++;
         place.dials.addLast(dial);
-        Runnable giveUp = sockets.connect(place.address, Math.max(dialMs, LATE_MS), channel -> {
+        Runnable giveUp = sockets.connect(place.address, Math.max(dialMs, ORPHAN_DIAL_TIMEOUT_MS), channel -> {
             place.dials.remove(dial);
-            BackendLink fresh = new BackendLink(this, place, backend);
+            BackendConnection fresh = new BackendConnection(this, place, backend);
             fresh.open(channel);
-            cameUp(fresh, dial.owner);
+            assignNewConnection(fresh, dial.owner);
         }, () -> {
-            over(place, backend, false);
+            recordClosed(place, backend, false);
             place.dials.remove(dial);
-            if (!dial.owner.over) { fails(place, dial.owner); }
+            if (!dial.owner.done) { failWaiting(place, dial.owner); }
         });
-        dial.drop = () -> {
-            over(place, backend, false);
+        dial.cancel = () -> {
+            recordClosed(place, backend, false);
             place.dials.remove(dial);
             giveUp.run();
         };
     }
 
     /** A new connection goes to who asked for it, else to who has waited for longest, else it is kept: it has cost its dial. */
-    private void cameUp(BackendLink link, Wait owner) {
-        Place place = link.place;
-        for (Wait next = owner.over ? place.waiting.peek() : owner; next != null; next = place.waiting.peek()) {
-            stop(place, next);
-            if (carries(link, next.attempt, next.cargo)) { return; }
+    private void assignNewConnection(BackendConnection link, WaitingAttempt owner) {
+        PooledBackend place = link.pooledBackend;
+        for (WaitingAttempt next = owner.done ? place.waiting.peek() : owner; next != null; next = place.waiting.peek()) {
+            stopWaiting(place, next);
+            if (trySend(link, next.attempt, next.cargo)) { return; }
         }
-        if (isOpen(place, link.backend) && place.idle.size() < MOST_LATE && !link.isUsed()) {
-            link.idleSince = sockets.loop().now();
+        if (acceptsAttempts(place, link.backend) && place.idle.size() < MAX_ORPHAN_DIALS && !link.isUsed()) {
+            link.idleSinceMs = sockets.loop().now();
             place.idle.addLast(link);
         } else {
             link.close();
@@ -276,44 +276,44 @@
     }
 
     /** An attempt waits no more; dials that nobody waits for may still come up, as many as are of use. */
-    private void stop(Place place, Wait wait) {
-        wait.over = true;
+    private void stopWaiting(PooledBackend place, WaitingAttempt wait) {
+        wait.done = true;
         sockets.loop().deadlines().cancel(wait.limit);
-        sockets.loop().deadlines().cancel(wait.second);
+        sockets.loop().deadlines().cancel(wait.secondDial);
         place.waiting.remove(wait);
-        long late = place.dials.stream().filter(dial -> dial.owner.over).count();
-        for (Dial dial : late > MOST_LATE ? List.copyOf(place.dials) : List.<Dial>of()) {
-            if (dial.owner.over && late-- > MOST_LATE) { dial.drop.run(); }
+        long late = place.dials.stream().filter(dial -> dial.owner.done).count();
+        for (Dial dial : late > MAX_ORPHAN_DIALS ? List.copyOf(place.dials) : List.<Dial>of()) {
+            if (dial.owner.done && late-- > MAX_ORPHAN_DIALS) { dial.cancel.run(); }
         }
     }
 
-    private void fails(Place place, Wait wait) {
-        stop(place, wait);
+    private void failWaiting(PooledBackend place, WaitingAttempt wait) {
+        stopWaiting(place, wait);
         counters.connectionsFailed++;
-        end(wait.attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED));
+        attemptEnded(wait.attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED));
     }
 
     /** A connection has rested: who waits for a dial has it instead. */
-    private void serveWaiting(Place place) {
-        if (place.waiting.isEmpty() || keepingLoses()) { return; }
-        BackendLink link = settled(place);
+    private void serveWaiting(PooledBackend place) {
+        if (place.waiting.isEmpty() || prefersNewConnections()) { return; }
+        BackendConnection link = takeReusable(place);
         if (link == null) { return; }
         counters.connectionsReused++;
-        cameUp(link, place.waiting.peek());
+        assignNewConnection(link, place.waiting.peek());
     }
 
     /**
      * Dials where each connection counts until its very end. One that has just answered is used rather than none; a dial that is
      * given up goes on, since a backend may have accepted it already, and closes once it is there.
      */
-    private void counted(Place place, Attempt attempt, ByteBuffer... cargo) {
-        if (!allowance.take(attempt.backend)) {
-            BackendLink resting = place.idle.pollFirst();
+    private void startWithAllowance(PooledBackend place, Attempt attempt, ByteBuffer... cargo) {
+        if (!allowance.tryAcquire(attempt.backend)) {
+            BackendConnection resting = place.idle.pollFirst();
             if (resting == null) {                   // known before the choice, but for what this very turn changed
-                sockets.loop().defer(() -> end(attempt, Attempt.Result.of(Api.Outcome.NOT_SENT)));
+                sockets.loop().defer(() -> attemptEnded(attempt, Attempt.Result.of(Api.Outcome.NOT_SENT)));
             } else {
                 counters.connectionsReused++;
-                if (!carries(resting, attempt, cargo)) { resting.close(); }
+                if (!trySend(resting, attempt, cargo)) { resting.close(); }
             }
             return;
         }
@@ -325,31 +325,31 @@
         Runnable drop = () -> {
             dropped[0] = true;
             place.dialling.remove(attempt);
-            leaving(place, attempt.backend);
+            recordClosing(place, attempt.backend);
         };
         Deadlines.Entry limit = sockets.loop().deadlines().schedule(sockets.loop().now() + dialMs, () -> {
             if (dropped[0]) { return; }
             drop.run();
             counters.connectionsFailed++;
-            end(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED));
+            attemptEnded(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED));
         });
         sockets.dial(place.address, channel -> {
             sockets.loop().deadlines().cancel(limit);
             if (dropped[0]) {
-                BackendLink.drop(this, channel, () -> over(place, attempt.backend, true));
+                BackendConnection.discard(this, channel, () -> recordClosed(place, attempt.backend, true));
                 return;
             }
             place.dialling.remove(attempt);
-            BackendLink fresh = new BackendLink(this, place, attempt.backend);
+            BackendConnection fresh = new BackendConnection(this, place, attempt.backend);
             fresh.open(channel);
-            if (!carries(fresh, attempt, cargo)) { rest(fresh); }
+            if (!trySend(fresh, attempt, cargo)) { returnIdle(fresh); }
         }, () -> {
             sockets.loop().deadlines().cancel(limit);
-            over(place, attempt.backend, dropped[0]);
+            recordClosed(place, attempt.backend, dropped[0]);
             if (dropped[0]) { return; }
             place.dialling.remove(attempt);
             counters.connectionsFailed++;
-            end(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED));
+            attemptEnded(attempt, Attempt.Result.of(Api.Outcome.CONNECT_FAILED));
         });
         attempt.abort = () -> {
             sockets.loop().deadlines().cancel(limit);
@@ -358,54 +358,54 @@
     }
 
     /** A connection is closed from this side. */
-    void leaves(Place place, long backend, Connection link) {
+    void closeLocally(PooledBackend place, long backend, Connection link) {
         if (allowance == null) {
-            over(place, backend, false);
+            recordClosed(place, backend, false);
             link.close();
             return;
         }
-        leaving(place, backend);
-        link.shutdownAndAwaitPeer(() -> over(place, backend, true));
+        recordClosing(place, backend);
+        link.shutdownAndAwaitPeer(() -> recordClosed(place, backend, true));
     }
 
-    private void leaving(Place place, long backend) {
-        place.leaving++;
-        leaving++;
-        allowance.leaving(backend);
+    private void recordClosing(PooledBackend place, long backend) {
+        place.closing++;
+        closing++;
+        allowance.closing(backend);
     }
 
     /** A connection is over, or a dial came to nothing. */
-    void over(Place place, long backend, boolean wasLeaving) {
+    void recordClosed(PooledBackend place, long backend, boolean wasLeaving) {
         connections--;
         place.open--;
         if (wasLeaving) {
-            place.leaving--;
-            leaving--;
+            place.closing--;
+            closing--;
         }
-        if (allowance != null) { allowance.ended(backend, wasLeaving); }
+        if (allowance != null) { allowance.closed(backend, wasLeaving); }
     }
 
     /** How an attempt's connection ended, or that it did not. */
-    void noteLost(boolean kept, boolean lost) {
+    void recordLoss(boolean kept, boolean lost) {
         double now = lost ? 1 : 0;
-        if (kept) { keptLost += NOTED * (now - keptLost); } else { newLost += NOTED * (now - newLost); }
+        if (kept) { reusedLossRate += LOSS_WEIGHT * (now - reusedLossRate); } else { newLossRate += LOSS_WEIGHT * (now - newLossRate); }
     }
 
     /**
      * Guards against backends, or what stands before them, that reset a kept connection at its next request: each
      * time it may have run. A new connection costs a handshake, and one that is refused proves that nothing ran.
      */
-    private boolean keepingLoses() { return keptLost > newLost + WORSE; }
+    private boolean prefersNewConnections() { return reusedLossRate > newLossRate + LOSS_TOLERANCE; }
 
     /**
      * The most recently used connection that has rested. Guards against a second copy or noise right behind an
      * answer: it would be taken for the answer to what is written next.
      */
-    private BackendLink settled(Place place) {
-        double before = sockets.loop().now() - SETTLED_MS;
-        for (Iterator<BackendLink> all = place.idle.descendingIterator(); all.hasNext();) {
-            BackendLink link = all.next();
-            if (link.idleSince <= before) {
+    private BackendConnection takeReusable(PooledBackend place) {
+        double before = sockets.loop().now() - MIN_IDLE_MS;
+        for (Iterator<BackendConnection> all = place.idle.descendingIterator(); all.hasNext();) {
+            BackendConnection link = all.next();
+            if (link.idleSinceMs <= before) {
                 all.remove();
                 return link;
             }
@@ -414,15 +414,15 @@
     }
 
     private boolean closeOneIdle() {
-        for (Place place : places.values()) {        // a dial that may never come up gives way first
+        for (PooledBackend place : pooledBackends.values()) {        // a dial that may never come up gives way first
             Dial oldest = place.dials.peek();
-            if (oldest != null && oldest.owner.over && place.waiting.isEmpty()) {
-                oldest.drop.run();
+            if (oldest != null && oldest.owner.done && place.waiting.isEmpty()) {
+                oldest.cancel.run();
                 return true;
             }
         }
-        for (Place place : places.values()) {
-            BackendLink oldest = place.idle.pollFirst();
+        for (PooledBackend place : pooledBackends.values()) {
+            BackendConnection oldest = place.idle.pollFirst();
             if (oldest != null) {
                 oldest.close();
                 return true;
@@ -431,33 +431,33 @@
         return false;
     }
 
-    ResponseStream begin(Attempt attempt, long length) { return ingress.beginStream(attempt, length); }
+    ResponseStream beginStream(Attempt attempt, long length) { return ingress.beginStream(attempt, length); }
 
-    void written(Attempt attempt) { ingress.attemptWritten(attempt); }
+    void attemptWritten(Attempt attempt) { ingress.attemptWritten(attempt); }
 
-    void end(Attempt attempt, Attempt.Result result) { ingress.attemptEnded(attempt, result); }
+    void attemptEnded(Attempt attempt, Attempt.Result result) { ingress.attemptEnded(attempt, result); }
 
     /** An attempt ended in order: its connection waits for the next. */
-    void rest(BackendLink link) {
-        link.idleSince = sockets.loop().now();
-        boolean enough = keepingLoses() && !link.place.idle.isEmpty() || allowance != null && allowance.isSurplus(link.backend);
-        if (isOpen(link.place, link.backend) && !enough) {
-            link.place.idle.addLast(link);
-            if (!link.place.waiting.isEmpty()) {
-                sockets.loop().deadlines().schedule(link.idleSince + SETTLED_MS, () -> serveWaiting(link.place));
+    void returnIdle(BackendConnection link) {
+        link.idleSinceMs = sockets.loop().now();
+        boolean enough = prefersNewConnections() && !link.pooledBackend.idle.isEmpty() || allowance != null && allowance.isSurplus(link.backend);
+        if (acceptsAttempts(link.pooledBackend, link.backend) && !enough) {
+            link.pooledBackend.idle.addLast(link);
+            if (!link.pooledBackend.waiting.isEmpty()) {
+                sockets.loop().deadlines().schedule(link.idleSinceMs + MIN_IDLE_MS, () -> serveWaiting(link.pooledBackend));
             }
         } else {
             link.close();
         }
     }
 
-    private void upkeep() {
+    private void closeExpiredIdle() {
         double now = sockets.loop().now();
-        sockets.loop().deadlines().schedule(now + UPKEEP_MS, this::upkeep);
-        for (Place place : places.values()) {
-            for (Iterator<BackendLink> all = place.idle.iterator(); all.hasNext();) {
-                BackendLink link = all.next();
-                if (now - link.idleSince < retireMs) { break; }
+        sockets.loop().deadlines().schedule(now + IDLE_CHECK_INTERVAL_MS, this::closeExpiredIdle);
+        for (PooledBackend place : pooledBackends.values()) {
+            for (Iterator<BackendConnection> all = place.idle.iterator(); all.hasNext();) {
+                BackendConnection link = all.next();
+                if (now - link.idleSinceMs < maxIdleMs) { break; }
                 all.remove();
                 link.close();
             }
--- a/src/main/java/yardusher/settings/Settings.java
+++ b/src/main/java/yardusher/settings/Settings.java
@@ -19,7 +19,7 @@
  * platform's file says nothing of them.
  */
 public record Settings(JournalSettings journal, KeySettings keys, LogSettings log, boolean fenced, ViewSettings view,
-        UnitSettings units, ConnectionQuotaSettings parts, RateSettings rates) {
+        UnitSettings units, ConnectionQuotaSettings connectionQuota, RateSettings rates) {
     /** Everything off. */
     public static final Settings OFF = new Settings(null, null, null, false, null, null, null, null);
     private static final Set<String> TABLES = Set.of("journal", "keys", "log", "fleet", "view", "units", "parts", "rates");
@@ -30,11 +30,11 @@
      * @throws yardusher.error.ConfigError in one plain line that names the file, the key and what is allowed
      */
     public static Settings read(Path file) {
-        if (file == null || isSilent(file)) { return OFF; }
+        if (file == null || hasNoSettings(file)) { return OFF; }
         return Toml.read(file, toml -> {
-            Settings all = new Settings(JournalSettings.of(toml.only(TABLES)), KeySettings.of(toml), LogSettings.of(toml), fenced(toml),
+            Settings all = new Settings(JournalSettings.of(toml.allowOnly(TABLES)), KeySettings.of(toml), LogSettings.of(toml), fenced(toml),
                     ViewSettings.of(toml), UnitSettings.of(toml), ConnectionQuotaSettings.of(toml), RateSettings.of(toml));
-            String lone = all.view != null ? null : all.units != null ? "units" : all.parts != null ? "parts" : all.rates != null ? "rates" : null;
+            String lone = all.view != null ? null : all.units != null ? "units" : all.connectionQuota != null ? "parts" : all.rates != null ? "rates" : null;
             if (lone != null) { throw new ConfigError.Conflict(null, lone, lone + " needs a table view, by which ingresses reach one another"); }
             return all;
         });
@@ -43,10 +43,10 @@
     /** Whether this ingress takes orders of the fleet's work at its second address. */
     private static boolean fenced(Toml file) {
         Toml table = file.table("fleet");
-        return table != null && table.only(Set.of("orders")).flag("orders", true);
+        return table != null && table.allowOnly(Set.of("orders")).flag("orders", true);
     }
 
-    private static boolean isSilent(Path file) {
+    private static boolean hasNoSettings(Path file) {
         try {
             return Files.readString(file).lines().map(String::strip).allMatch(line -> line.isEmpty() || line.startsWith("#"));
         } catch (IOException e) {
--- a/src/main/java/yardusher/subsystem/Subsystem.java
+++ b/src/main/java/yardusher/subsystem/Subsystem.java
@@ -15,13 +15,13 @@
     String name();
 
     /** Writes down the core's orders, over what {@code inner} does; by default nothing is added. Before the core is made. */
-    default RequestLog orders(RequestLog inner) { return inner; }
+    default RequestLog wrapRequestLog(RequestLog inner) { return inner; }
 
     /** Stands between the fronts and the core; by default it does not. Once, when the core is there and the fronts are not. */
-    default RequestAcceptor intake(Site site, RequestAcceptor inner) throws IOException { return inner; }
+    default RequestAcceptor wrapAcceptor(SubsystemContext site, RequestAcceptor inner) throws IOException { return inner; }
 
     /** Gets what it needs of the ingress, once all of it is made and nothing has been taken yet. */
-    default void join(Site site) throws IOException { }
+    default void attach(SubsystemContext site) throws IOException { }
 
     /** Begins its work; an {@link IOException} ends the start of the program. Before clients are taken. */
     default void start() throws IOException { }
@@ -33,7 +33,7 @@
     default String reload(Settings next) { return null; }
 
     /** Names and values for the counters line, such as {@code orders_open=3}; empty for none. */
-    default String line() { return ""; }
+    default String countersLine() { return ""; }
 
     /** What it answers to a call of its own at the second address, lines that are each ended; null where it has no such call. */
     default String report(String call) { return null; }
--- a/src/main/java/yardusher/units/UnitSettings.java
+++ b/src/main/java/yardusher/units/UnitSettings.java
@@ -20,20 +20,20 @@
     public static UnitSettings of(Toml file) {
         Toml table = file.table("units");
         if (table == null) { return null; }
-        table.only(Set.of("mode", "most_open", "most_open_of_customer", "most_waiting", "idle_ms", "ask_ms", "settle_ms", "hand_over_ms",
+        table.allowOnly(Set.of("mode", "most_open", "most_open_of_customer", "most_waiting", "idle_ms", "ask_ms", "settle_ms", "hand_over_ms",
                 "hand_over_kb", "when_unsure", "pass_on", "trace"));
         Map<String, Mode> modes = new HashMap<>();
         for (Toml entry : table.tables("mode")) {
-            entry.only(Set.of("plan", "mode"));
+            entry.allowOnly(Set.of("plan", "mode"));
             Mode mode = Mode.valueOf(entry.choice("mode", "single", "session", "unit", "single").toUpperCase(java.util.Locale.ROOT));
             if (modes.put(entry.text("plan"), mode) != null) {
                 throw new ConfigError.Conflict(null, "units.mode", "units.mode names the plan " + entry.text("plan") + " twice");
             }
         }
-        return new UnitSettings(modes, table.whole("most_open", 100_000, 1, 1_000_000), table.whole("most_open_of_customer", 1000, 1, 1_000_000),
-                table.whole("most_waiting", 16, 1, 1000), table.whole("idle_ms", 30_000, MIN_IDLE_MS, 86_400_000),
-                table.whole("ask_ms", 400, 10, 60_000), table.whole("settle_ms", 2000, 0, 600_000), table.whole("hand_over_ms", 2000, 0, 60_000),
-                1024 * table.whole("hand_over_kb", 4096, 1, 1 << 20), table.choice("when_unsure", "refuse", "refuse", "send").equals("send"),
+        return new UnitSettings(modes, table.integer("most_open", 100_000, 1, 1_000_000), table.integer("most_open_of_customer", 1000, 1, 1_000_000),
+                table.integer("most_waiting", 16, 1, 1000), table.integer("idle_ms", 30_000, MIN_IDLE_MS, 86_400_000),
+                table.integer("ask_ms", 400, 10, 60_000), table.integer("settle_ms", 2000, 0, 600_000), table.integer("hand_over_ms", 2000, 0, 60_000),
+                1024 * table.integer("hand_over_kb", 4096, 1, 1 << 20), table.choice("when_unsure", "refuse", "refuse", "send").equals("send"),
                 table.flag("pass_on", false), table.flag("trace", false));
     }
 
--- a/src/main/java/yardusher/units/UnitsSubsystem.java
+++ b/src/main/java/yardusher/units/UnitsSubsystem.java
@@ -7,7 +7,7 @@
 import yardusher.core.RequestLog;
 import yardusher.discovery.DiscoveredBackends;
 import yardusher.settings.Settings;
-import yardusher.subsystem.Site;
+import yardusher.subsystem.SubsystemContext;
 import yardusher.subsystem.Subsystem;
 
 /** Units of work in an ingress: turned on by the table {@code units}, and needs the mesh and the view. */
@@ -25,13 +25,13 @@
     public String name() { return "units"; }
 
     @Override
-    public RequestLog orders(RequestLog inner) {
+    public RequestLog wrapRequestLog(RequestLog inner) {
         log = new UnitRequestLog(inner);
         return log;
     }
 
     @Override
-    public RequestAcceptor intake(Site site, RequestAcceptor inner) throws IOException {
+    public RequestAcceptor wrapAcceptor(SubsystemContext site, RequestAcceptor inner) throws IOException {
         Supplier<DiscoveredBackends> table = site::table;
         long incarnation = (ids.next() >>> 64 - INCARNATION_BITS) | 1;
         intake = new UnitsIntake(new UnitsIntake.Context(site.name(), incarnation, site.loop(), inner, log, new UnitsIntake.Regions() {
@@ -45,7 +45,7 @@
     }
 
     @Override
-    public void join(Site site) {
+    public void attach(SubsystemContext site) {
         if (site.front() != null) { site.front().enableUnits(settings.forwardsUnitFields()); }
     }
 
@@ -56,7 +56,7 @@
     }
 
     @Override
-    public String line() { return intake.statusLine(); }
+    public String countersLine() { return intake.statusLine(); }
 
     @Override
     public String report(String call) { return call.equals("units") ? intake.report() : null; }
--- a/src/main/java/yardusher/view/ViewSettings.java
+++ b/src/main/java/yardusher/view/ViewSettings.java
@@ -32,7 +32,7 @@
     public static ViewSettings of(Toml file) {
         Toml table = file.table("view");
         if (table == null) { return null; }
-        table.only(KEYS);
+        table.allowOnly(KEYS);
         String installation = table.text("installation");
         if (!installation.matches("[!-~]{1,64}")) { throw invalidValue("installation", "1 to 64 visible characters"); }
         String hall = table.text("hall", null);
@@ -45,8 +45,8 @@
             throw invalidValue("advertise", "an address that the others reach, since view.listen names none");
         }
         return new ViewSettings(listen, advertise == null ? null : address("advertise", advertise), installation, seeds,
-                table.whole("probe_ms", DEFAULT_PROBE_MS, 50, 60_000), table.whole("suspicion", DEFAULT_SUSPICION_ROUNDS, 2, 100), table.whole("remember_s", DEFAULT_REMEMBER_S, 1, 86_400),
-                table.whole("settle_ms", DEFAULT_SETTLE_MS, 0, 60_000), hall);
+                table.integer("probe_ms", DEFAULT_PROBE_MS, 50, 60_000), table.integer("suspicion", DEFAULT_SUSPICION_ROUNDS, 2, 100), table.integer("remember_s", DEFAULT_REMEMBER_S, 1, 86_400),
+                table.integer("settle_ms", DEFAULT_SETTLE_MS, 0, 60_000), hall);
     }
 
     private static InetSocketAddress address(String key, String text) {
--- a/src/main/java/yardusher/view/ViewSubsystem.java
+++ b/src/main/java/yardusher/view/ViewSubsystem.java
@@ -95,7 +95,7 @@
     public String reload(Settings next) { return settings.equals(next.view()) ? null : "table view waits for a restart"; }
 
     @Override
-    public String line() { return membership.counters() + " " + mesh.countersLine(); }
+    public String countersLine() { return membership.counters() + " " + mesh.countersLine(); }
 
     @Override
     public String report(String call) { return call.equals("members") ? membership.report(loop.now()) : null; }
--- a/src/test/java/yardusher/admin/AdminCallTest.java
+++ b/src/test/java/yardusher/admin/AdminCallTest.java
@@ -14,7 +14,7 @@
 
 /** Calls and lines of the second address, without a socket. */
 class AdminCallTest {
-    private static AdminCall call(String line) { return AdminCall.of(line); }
+    private static AdminCall call(String line) { return AdminCall.parse(line); }
 
     @Test
     void everyCallIsReadFromTheLineThatItWrites() {
--- a/src/test/java/yardusher/admin/FiguresTest.java
+++ b/src/test/java/yardusher/admin/StatsdReportTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import yardusher.Api;
-import yardusher.cli.Config;
+import yardusher.cli.IngressConfig;
 import yardusher.core.Attempt;
 import yardusher.core.BackendCommand;
 import yardusher.core.Counters;
@@ -23,7 +23,7 @@
 import yardusher.core.EventLoop;
 
 /** The figures against what terminals were told and regions were sent, over random orders of events by seed. */
-class FiguresTest {
+class StatsdReportTest {
     private static final int CLASSES = 2;
 
     private double now = 1000;
@@ -100,7 +100,7 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
     void everyRequestStandsOnceHoweverItEnds(long seed) throws Exception {
         Random random = new Random(seed);
-        Config config = Config.read("src/test/resources/ingress.json");
+        IngressConfig config = IngressConfig.read("src/test/resources/ingress.json");
         Backends regions = new Backends() {
             @Override
             public boolean isAvailable(long region) { return true; }
--- a/src/test/java/yardusher/cli/AdminCommandTest.java
+++ b/src/test/java/yardusher/cli/AdminCommandTest.java
@@ -56,7 +56,7 @@
             Files.writeString(agent, Files.readString(agent) + "[[instance]]\nname = \"n" + i + "\"\naddress = \"127.0.0.1:1\"\nconfig = '"
                     + config("n" + i, ports[i]) + "'\n");
         }
-        Serve serve = yardusher.story.LongServing.of(Config.read(folder.resolve("n0.json").toString()), null);
+        IngressProcess serve = yardusher.story.LongServing.of(IngressConfig.read(folder.resolve("n0.json").toString()), null);
         serve.start();
         try {
             assertThat(said(() -> AdminCommand.run(List.of(here, "health")))).isEqualTo("0 200 yes\n");
--- a/src/test/java/yardusher/cli/BudgetTest.java
+++ b/src/test/java/yardusher/cli/BudgetTest.java
@@ -9,10 +9,10 @@
     @Test
     void clientsAndBackendsAreNeverPromisedWhatTheProcessHoldsItself() {
         for (int sockets = 48; sockets < 4096; sockets++) {
-            assertThat(Serve.budget(sockets)).as(sockets + " descriptors").isBetween(8, sockets - 40);
-            assertThat(Serve.budget(sockets + 1)).isGreaterThanOrEqualTo(Serve.budget(sockets));
+            assertThat(IngressProcess.descriptorBudget(sockets)).as(sockets + " descriptors").isBetween(8, sockets - 40);
+            assertThat(IngressProcess.descriptorBudget(sockets + 1)).isGreaterThanOrEqualTo(IngressProcess.descriptorBudget(sockets));
         }
-        assertThat(Serve.budget(384)).isEqualTo(320);
-        assertThat(Serve.budget(0)).as("too few for any ingress").isEqualTo(8);
+        assertThat(IngressProcess.descriptorBudget(384)).isEqualTo(320);
+        assertThat(IngressProcess.descriptorBudget(0)).as("too few for any ingress").isEqualTo(8);
     }
 }
--- a/src/test/java/yardusher/discovery/BackoffTest.java
+++ b/src/test/java/yardusher/discovery/BackoffTest.java
@@ -14,7 +14,7 @@
         int all = 0;
         for (int i = 0; i < fleet; i++) {
             Backoff backoff = new Backoff(100, 1000, 7000 + i);
-            for (double at = backoff.next(); at < 10_000; at += backoff.next()) {
+            for (double at = backoff.nextDelayMs(); at < 10_000; at += backoff.nextDelayMs()) {
                 asks.merge((int) (at / 100), 1, Integer::sum);
                 all++;
             }
@@ -26,8 +26,8 @@
     @Test
     void whatIsHeardBeginsAnew() {
         Backoff backoff = new Backoff(100, 1000, 1);
-        for (int i = 0; i < 20; i++) { assertThat(backoff.next()).isBetween(50.0, 1500.0); }
+        for (int i = 0; i < 20; i++) { assertThat(backoff.nextDelayMs()).isBetween(50.0, 1500.0); }
         backoff.reset();
-        assertThat(backoff.next()).isBetween(50.0, 150.0);
+        assertThat(backoff.nextDelayMs()).isBetween(50.0, 150.0);
     }
 }
--- a/src/test/java/yardusher/discovery/DiscoveredBackendsTest.java
+++ b/src/test/java/yardusher/discovery/DiscoveredBackendsTest.java
@@ -32,8 +32,8 @@
         try {
             BackendPool pool = new BackendPool(sockets, new Counters(), List.of(), 250, 30_000, 8000, 10);
             DiscoveredBackends table = new DiscoveredBackends(List.of("hall-a"), pool);
-            table.line(news(1, true, member("s-1", 81, "Ready"), member("s-2", 82, "Ready")));
-            Api.ServerList told = table.line(news(2, false, member("s-3", 81, "Ready")));
+            table.applyLine(news(1, true, member("s-1", 81, "Ready"), member("s-2", 82, "Ready")));
+            Api.ServerList told = table.applyLine(news(2, false, member("s-3", 81, "Ready")));
             assertThat(told.servers()).extracting(Api.Server::id, Api.Server::readiness)
                     .contains(org.assertj.core.groups.Tuple.tuple(1L, Api.Readiness.GONE))
                     .contains(org.assertj.core.groups.Tuple.tuple(3L, Api.Readiness.READY));
@@ -41,7 +41,7 @@
             assertThat(pool.isAvailable(2)).isTrue();
             assertThat(pool.isAvailable(3)).isTrue();
             // Named in the same news, the old one is what these say of it.
-            told = table.line(news(3, false, member("s-2", 82, "Terminating"), member("s-4", 82, "Ready")));
+            told = table.applyLine(news(3, false, member("s-2", 82, "Terminating"), member("s-4", 82, "Ready")));
             assertThat(told.servers()).extracting(Api.Server::readiness).containsExactly(Api.Readiness.DRAINING, Api.Readiness.READY);
         } finally {
             sockets.shutdown();
@@ -58,12 +58,12 @@
             DiscoveredBackends table = new DiscoveredBackends(List.of("hall-a"), pool);
             for (int i = 1; i <= 10_000; i++) {
                 String id = "s-" + Integer.toHexString(i);
-                table.line(news(2 * i, false, member(id, 1000 + i % 200, "Ready")));
-                if (i % 2 == 0) { table.line(news(2 * i + 1, false, member(id, 1000 + i % 200, "Gone"))); } // the others are replaced
+                table.applyLine(news(2 * i, false, member(id, 1000 + i % 200, "Ready")));
+                if (i % 2 == 0) { table.applyLine(news(2 * i + 1, false, member(id, 1000 + i % 200, "Gone"))); } // the others are replaced
             }
             assertThat(table.size()).isLessThanOrEqualTo(200);
-            assertThat(table.everListed("s-1")).isFalse();
-            assertThat(table.everListed("s-" + Integer.toHexString(10_000))).isTrue();
+            assertThat(table.wasEverListed("s-1")).isFalse();
+            assertThat(table.wasEverListed("s-" + Integer.toHexString(10_000))).isTrue();
             assertThat(pool.isAvailable(1)).isFalse();
             assertThat(pool.isAvailable(9_000)).isFalse();
         } finally {
@@ -75,7 +75,7 @@
 
     private static Api.Server told(List<String> zones, String id, String more) throws Exception {
         Api.Server[] told = new Api.Server[1];
-        table(zones, (table, pool) -> told[0] = table.line(news(1, true, "{\"id\":\"" + id + "\",\"host_port\":\"127.0.0.1:81\"," + more
+        table(zones, (table, pool) -> told[0] = table.applyLine(news(1, true, "{\"id\":\"" + id + "\",\"host_port\":\"127.0.0.1:81\"," + more
                 + "\"phase\":\"Ready\"}")).servers().get(0));
         return told[0];
     }
@@ -133,12 +133,12 @@
     /** Danger: two backends taken for one, of which only one is then ever asked. */
     @Test
     void idsOfAnyFormAreToldApart() {
-        assertThat(DiscoveredBackends.id("s-5be2a07c")).isEqualTo(0x5be2a07cL);
-        assertThat(DiscoveredBackends.id("s-1")).isEqualTo(1);
+        assertThat(DiscoveredBackends.numericId("s-5be2a07c")).isEqualTo(0x5be2a07cL);
+        assertThat(DiscoveredBackends.numericId("s-1")).isEqualTo(1);
         java.util.Set<Long> seen = new java.util.HashSet<>();
         String[] forms = {"web-", "db-", "s-x", "s--", "i-0123456789ab", "", "10.0.0.1:6379/", "Aa", "BB", "-"};
         for (String form : forms) {
-            for (int i = 0; i < 50; i++) { seen.add(DiscoveredBackends.id(form + i)); }
+            for (int i = 0; i < 50; i++) { seen.add(DiscoveredBackends.numericId(form + i)); }
         }
         assertThat(seen).hasSize(forms.length * 50).allMatch(id -> id >= 0 && id < 1L << 32);
     }
@@ -153,8 +153,8 @@
         "{\"revision\":9,\"complete\":false,\"members\":[GONE", "{\"members\":[[[[[[", "{\"error\":\"not ready\"}"})
     void spoiltNewsChangeNothing(String text) throws Exception {
         table((table, pool) -> {
-            table.line(news(1, true, member("s-1", 81, "Ready"), member("s-2", 82, "Ready")));
-            assertThatThrownBy(() -> table.line(text.replace("GONE", member("s-1", 81, "Gone")))).isInstanceOf(IOException.class);
+            table.applyLine(news(1, true, member("s-1", 81, "Ready"), member("s-2", 82, "Ready")));
+            assertThatThrownBy(() -> table.applyLine(text.replace("GONE", member("s-1", 81, "Gone")))).isInstanceOf(IOException.class);
             assertThat(table.revision()).isEqualTo(1);
             assertThat(table.size()).isEqualTo(2);
             assertThat(pool.isAvailable(1)).isTrue();
@@ -165,7 +165,7 @@
     @Test
     void anEmptyListIsBelievedWhereNothingIsKnown() throws Exception {
         table((table, pool) -> {
-            assertThat(table.line(news(1, true)).servers()).isEmpty();
+            assertThat(table.applyLine(news(1, true)).servers()).isEmpty();
             assertThat(table.revision()).isEqualTo(1);
         });
     }
@@ -176,17 +176,17 @@
         for (String bad : List.of(member("s-3", 83, "Ready").replace("127.0.0.1:83", "nowhere"), member("s-3", 83, "Ready").replace("\"Ready\"", "7"),
                 member("s-3", 83, "Ready").replace("1.0", "\"much\""), "{\"id\":\"s-3\"}", member("s-3", 83, "Ready").replace(":83", ":99999"))) {
             table((table, pool) -> {
-                table.line(news(1, true, member("s-1", 81, "Ready"), member("s-2", 82, "Ready"), member("s-3", 83, "Ready")));
-                Api.ServerList told = table.line(news(5, true, "7", member("s-1", 81, "Terminating"), bad, member("s-4", 84, "Ready")));
-                assertThat(table.unread()).isEqualTo(2);
+                table.applyLine(news(1, true, member("s-1", 81, "Ready"), member("s-2", 82, "Ready"), member("s-3", 83, "Ready")));
+                Api.ServerList told = table.applyLine(news(5, true, "7", member("s-1", 81, "Terminating"), bad, member("s-4", 84, "Ready")));
+                assertThat(table.unreadableEntries()).isEqualTo(2);
                 assertThat(table.revision()).as("what could not be read is told again").isEqualTo(1);
                 assertThat(told.kind()).isEqualTo(Api.ListKind.DELTA);
                 assertThat(told.servers()).extracting(Api.Server::id, Api.Server::readiness).containsExactlyInAnyOrder(
                         tuple(1L, Api.Readiness.DRAINING), tuple(4L, Api.Readiness.READY), tuple(3L, Api.Readiness.DRAINING));
                 assertThat(table.size()).isEqualTo(4);
                 assertThat(pool.isAvailable(2)).isTrue();
-                table.line(news(6, true, member("s-3", 83, "Ready")));
-                assertThat(table.unread()).isZero();
+                table.applyLine(news(6, true, member("s-3", 83, "Ready")));
+                assertThat(table.unreadableEntries()).isZero();
                 assertThat(table.size()).isEqualTo(1);
             });
         }
@@ -195,16 +195,16 @@
     @Test
     void oddEntriesAreTakenAsTheyCan() throws Exception {
         table((table, pool) -> {
-            Api.ServerList told = table.line(news(1, true, member("s-1", 81, "Ready"), member("s-1", 81, "Terminating"), member("s-2", 82, "Resting"),
+            Api.ServerList told = table.applyLine(news(1, true, member("s-1", 81, "Ready"), member("s-1", 81, "Terminating"), member("s-2", 82, "Resting"),
                     member("no hex", 83, "Ready"), member("", 84, "Ready"), member("s-5", 85, "Ready").replace("\"locality\":\"a\",", ""),
                     member("s-6", 86, "Ready").replace("\"size\":1.0", "\"size\":-1e308"), member("s-7", 81, "Ready")));
             assertThat(table.listed(1).readiness()).as("the last word of two").isEqualTo(Api.Readiness.DRAINING);
             assertThat(table.listed(2).readiness()).as("a phase that is not known").isEqualTo(Api.Readiness.DRAINING);
             assertThat(told.servers()).hasSize(8);
             assertThat(table.size()).isEqualTo(7);
-            table.line(news(2, false, member("s-5", 99, "Ready")));
+            table.applyLine(news(2, false, member("s-5", 99, "Ready")));
             assertThat(table.size()).isEqualTo(7);
-            assertThat(table.everListed("no hex")).isTrue();
+            assertThat(table.wasEverListed("no hex")).isTrue();
         });
     }
 
@@ -212,7 +212,7 @@
     @Test
     void aLongVersionIsKeptToItsLastDigit() throws Exception {
         table((table, pool) -> {
-            table.line(news(1, false).replace("\"revision\":1", "\"revision\":1733106404123456789"));
+            table.applyLine(news(1, false).replace("\"revision\":1", "\"revision\":1733106404123456789"));
             assertThat(table.revision()).isEqualTo(1_733_106_404_123_456_789L);
         });
     }
@@ -227,10 +227,10 @@
                 first[i] = member("s-" + Integer.toHexString(i), 1000 + i, "Ready");
                 second[i] = member("s-" + Integer.toHexString(20_000 + i), 30_000 + i, "Ready");
             }
-            table.line(news(1, false, first));
-            table.line(news(2, false, second));
+            table.applyLine(news(1, false, first));
+            table.applyLine(news(2, false, second));
             assertThat(table.size()).isEqualTo(20_000);
-            assertThat(table.line(news(3, true, member("s-1", 1001, "Ready"))).servers()).hasSize(1);
+            assertThat(table.applyLine(news(3, true, member("s-1", 1001, "Ready"))).servers()).hasSize(1);
             assertThat(table.size()).isEqualTo(1);
         });
     }
--- a/src/test/java/yardusher/discovery/ChunkedLinesTest.java
+++ b/src/test/java/yardusher/discovery/HttpLineReaderTest.java
@@ -15,14 +15,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class ChunkedLinesTest {
+class HttpLineReaderTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     private static String chunk(String text) { return Integer.toHexString(text.getBytes(StandardCharsets.UTF_8).length) + "\r\n" + text + "\r\n"; }
 
     /** Feeds it in parts of these sizes, again and again. */
-    private static ChunkedLines fed(byte[] bytes, List<Integer> sizes) throws IOException {
-        ChunkedLines lines = new ChunkedLines();
+    private static HttpLineReader fed(byte[] bytes, List<Integer> sizes) throws IOException {
+        HttpLineReader lines = new HttpLineReader();
         for (int from = 0, i = 0; from < bytes.length; i++) {
             int count = Math.min(sizes.get(i % sizes.size()), bytes.length - from);
             byte[] part = new byte[count];
@@ -33,11 +33,11 @@
         return lines;
     }
 
-    private static ChunkedLines fed(String text) throws IOException { return fed(text.getBytes(StandardCharsets.ISO_8859_1), List.of(text.length())); }
+    private static HttpLineReader fed(String text) throws IOException { return fed(text.getBytes(StandardCharsets.ISO_8859_1), List.of(text.length())); }
 
-    private static List<String> all(ChunkedLines lines) {
+    private static List<String> all(HttpLineReader lines) {
         List<String> all = new ArrayList<>();
-        for (String line; (line = lines.next()) != null;) { all.add(line); }
+        for (String line; (line = lines.nextLine()) != null;) { all.add(line); }
         return all;
     }
 
@@ -45,15 +45,15 @@
     void whereverItIsCutTheSameLinesCome(@ForAll @Size(min = 1, max = 8) List<@IntRange(min = 1, max = 20_000) Integer> sizes) throws IOException {
         String large = "x".repeat(30_000);
         String text = HEAD + chunk("{\"a\":") + chunk("1}\n\n") + chunk(large + "\nr\u00e9") + chunk("gion\n") + "0\r\n\r\n";
-        ChunkedLines lines = fed(text.getBytes(StandardCharsets.UTF_8), sizes);
+        HttpLineReader lines = fed(text.getBytes(StandardCharsets.UTF_8), sizes);
         assertThat(all(lines)).containsExactly("{\"a\":1}", "", large, "r\u00e9gion");
-        assertThat(lines.ended()).isTrue();
+        assertThat(lines.isComplete()).isTrue();
     }
 
     @Property(tries = 500)
     void madeUpBytesAreAnErrorOrNothing(@ForAll byte[] bytes, @ForAll boolean afterAHead) throws IOException {
         byte[] head = (afterAHead ? HEAD : "HTTP/1.1 200 OK\r\n").getBytes(StandardCharsets.US_ASCII);
-        ChunkedLines lines = new ChunkedLines();
+        HttpLineReader lines = new HttpLineReader();
         lines.feed(head, head.length);
         try {
             lines.feed(bytes, bytes.length);
@@ -86,18 +86,18 @@
         String large = "x".repeat(30_000);
         String text = "{\"a\":\n1}\r\n\n" + large + "\nlast";
         String head = "HTTP/1." + (old ? 0 : 1) + " 200 OK\r\nserver: a\r\n" + (counted ? "content-length: " + text.length() + "\r\n" : "") + "\r\n";
-        ChunkedLines lines = fed((head + text).getBytes(StandardCharsets.US_ASCII), sizes);
+        HttpLineReader lines = fed((head + text).getBytes(StandardCharsets.US_ASCII), sizes);
         assertThat(all(lines)).containsExactly("{\"a\":", "1}\r", "", large);
-        assertThat(lines.ended()).as("without a length it lasts as long as its connection").isEqualTo(counted);
-        assertThat(lines.rest()).isEqualTo("last");
-        assertThat(lines.rest()).isNull();
+        assertThat(lines.isComplete()).as("without a length it lasts as long as its connection").isEqualTo(counted);
+        assertThat(lines.takeUnterminatedLine()).isEqualTo("last");
+        assertThat(lines.takeUnterminatedLine()).isNull();
     }
 
     @Test
     void anAnswerOfNoLengthAtAllEndsAtOnceAndOneWithoutItsHeadNever() throws IOException {
-        assertThat(fed("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").ended()).isTrue();
-        assertThat(fed("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n").ended()).isFalse();
-        assertThat(fed("HTTP/1.1 200 OK\r\n").rest()).isNull();
+        assertThat(fed("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").isComplete()).isTrue();
+        assertThat(fed("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n").isComplete()).isFalse();
+        assertThat(fed("HTTP/1.1 200 OK\r\n").takeUnterminatedLine()).isNull();
         assertThatThrownBy(() -> fed("HTTP/1.1 100 Continue\r\n\r\n".repeat(20))).isInstanceOf(IOException.class);
     }
 
@@ -106,7 +106,7 @@
         assertThatThrownBy(() -> fed("HTTP/1.1 200 OK\r\nX: " + "y".repeat(20_000))).isInstanceOf(IOException.class);
         assertThatThrownBy(() -> fed("HTTP/1.1 200 OK\r\n" + "X: y\r\n".repeat(100))).isInstanceOf(IOException.class);
         String part = chunk("x".repeat(1 << 20));
-        ChunkedLines lines = fed(HEAD + part.repeat(4));
+        HttpLineReader lines = fed(HEAD + part.repeat(4));
         assertThatThrownBy(() -> lines.feed(part.getBytes(StandardCharsets.US_ASCII), part.length())).hasMessage("line too long");
     }
 }
--- a/src/test/java/yardusher/discovery/ObjectLinesTest.java
+++ b/src/test/java/yardusher/discovery/JsonObjectAssemblerTest.java
@@ -18,10 +18,10 @@
 import org.junit.jupiter.api.Test;
 import yardusher.wire.Codec;
 
-class ObjectLinesTest {
+class JsonObjectAssemblerTest {
     /** What each object holds, whole, from the lines of a feed; empty lines are left out. */
     private static List<Object> read(String feed) throws IOException {
-        ObjectLines lines = new ObjectLines();
+        JsonObjectAssembler lines = new JsonObjectAssembler();
         List<Object> read = new ArrayList<>();
         for (String line : feed.split("\n", -1)) {
             String object = lines.add(line);
@@ -63,14 +63,14 @@
 
     @Test
     void whatIsNoObjectIsGivenOnAsItIs() throws IOException {
-        ObjectLines lines = new ObjectLines();
+        JsonObjectAssembler lines = new JsonObjectAssembler();
         assertThat(lines.add("not JSON")).isEqualTo("not JSON");
         assertThat(lines.add("[1]")).isEqualTo("[1]");
         assertThat(lines.add("")).isEmpty();
         assertThat(lines.add("{\"a\":")).isNull();
         assertThat(lines.add("1}")).isEqualToIgnoringWhitespace("{\"a\":1}");
         assertThatThrownBy(() -> lines.add("{\"a")).isInstanceOf(IOException.class).hasMessageContaining("cut off");
-        ObjectLines large = new ObjectLines();
+        JsonObjectAssembler large = new JsonObjectAssembler();
         assertThatThrownBy(() -> {
             String line = "{\"a\":\"" + "x".repeat(1 << 20) + "\",\"b\":[";
             for (int i = 0; i < 5; i++) { large.add(line); }
@@ -79,6 +79,6 @@
 
     @Test
     void whatIsNestedDeeplyIsNotReadOn() {
-        assertThatThrownBy(() -> new ObjectLines().add("{\"a\":" + "[".repeat(100_000))).isInstanceOf(IOException.class).hasMessageContaining("deep");
+        assertThatThrownBy(() -> new JsonObjectAssembler().add("{\"a\":" + "[".repeat(100_000))).isInstanceOf(IOException.class).hasMessageContaining("deep");
     }
 }
--- a/src/test/java/yardusher/discovery/WatchClockTest.java
+++ b/src/test/java/yardusher/discovery/WatchSchedulerTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 /** When discovery is asked, on scripted time: orders of accept, silence, refusal, close, hanging, move, and a process held up. */
-class WatchClockTest {
+class WatchSchedulerTest {
     /** How a dial goes. Only PROMPT tells the list. */
     enum Dial { PROMPT, REFUSED, HANGS, SILENT, EMPTY_LINES, CLOSED_SOON, CLOSED_LATE, RUBBISH }
 
@@ -34,7 +34,7 @@
         final List<Double> dials = new ArrayList<>();
         final List<Double> objects = new ArrayList<>();
         final List<Boolean> whole = new ArrayList<>();
-        final WatchClock clock;
+        final WatchScheduler clock;
         double now;
         private long order;
         int mostOpen;
@@ -44,11 +44,11 @@
         Consumer<Integer> script = watch -> answer(watch, Dial.PROMPT);
 
         World(long seed) {
-            clock = new WatchClock(new WatchClock.Hands() {
+            clock = new WatchScheduler(new WatchScheduler.Actions() {
                 @Override
                 public void dial(int watch) {
                     dials.add(now);
-                    whole.add(clock.asksWhole());
+                    whole.add(clock.requestsFullList());
                     open.put(watch, true);
                     mostOpen = Math.max(mostOpen, open.size());
                     script.accept(watch);
@@ -69,19 +69,19 @@
 
         void end(int watch) {
             open.remove(watch);
-            clock.ended(watch, now);
+            clock.watchEnded(watch, now);
         }
 
         void object(int watch) {
             objects.add(now);
             believed = watch;
-            clock.object(watch, now);
+            clock.objectReceived(watch, now);
         }
 
         void emptyLines(int watch, boolean always) {
             after(2000, watch, () -> {
                 if (!always && !keepsAlive) { return; }
-                clock.empty(watch, now);
+                clock.keepAliveReceived(watch, now);
                 emptyLines(watch, always);
             });
         }
@@ -95,12 +95,12 @@
                 case REFUSED -> after(1, watch, () -> end(watch));
                 case RUBBISH -> after(ANSWER_MS, watch, () -> {
                     open.remove(watch);
-                    clock.spoilt(watch, now);
+                    clock.malformedReceived(watch, now);
                 });
                 case CLOSED_SOON -> after(20, watch, () -> end(watch));
                 case CLOSED_LATE -> after(700, watch, () -> end(watch));
                 case EMPTY_LINES -> {
-                    after(ANSWER_MS, watch, () -> clock.empty(watch, now));
+                    after(ANSWER_MS, watch, () -> clock.keepAliveReceived(watch, now));
                     emptyLines(watch, true);
                 }
                 default -> { }
@@ -110,11 +110,11 @@
         /** Until that time; a look comes late by what the process is held up then. */
         void run(double until, double heldUpMs) {
             for (;;) {
-                double look = clock.next() + heldUpMs;
+                double look = clock.nextDueMs() + heldUpMs;
                 double event = events.isEmpty() ? Double.POSITIVE_INFINITY : events.peek().time;
                 if (Math.min(look, event) > until) { break; }
                 now = Math.max(now, Math.min(look, event));
-                if (event <= look) { events.poll().what.run(); } else { clock.look(now); }
+                if (event <= look) { events.poll().what.run(); } else { clock.runDue(now); }
                 leastOpen = Math.min(leastOpen, open.size());
             }
             now = until;
@@ -176,7 +176,7 @@
             Dial how = bad.get((world.dials.size() - before) % bad.size());
             world.answer(watch, world.now >= healed ? Dial.PROMPT : how == Dial.PROMPT ? Dial.SILENT : how);
         };
-        for (double move : moves) { world.at(silent + move, () -> world.clock.move(world.now)); }
+        for (double move : moves) { world.at(silent + move, () -> world.clock.addressMoved(world.now)); }
         world.run(silent + 70_000);
         double due = Math.max(healed, silent + 3450) + 2250 + ANSWER_MS;
         assertThat(world.objects.get(1)).isLessThanOrEqualTo(due + ANSWER_MS);
@@ -194,7 +194,7 @@
         List<Dial> all = new ArrayList<>(bad);
         all.add(Dial.PROMPT);
         script(world, all);
-        world.clock.move(world.now);
+        world.clock.addressMoved(world.now);
         world.run(20_000);
         assertThat(world.objects.get(1) - 10_000).isLessThan(3300 + ANSWER_MS);
         assertThat(world.whole.subList(1, world.whole.size())).as("its versions are its own").containsOnly(true);
@@ -276,7 +276,7 @@
                     case ENDS_SOON -> world.after(700, watch, () -> world.end(watch));
                     case SPOILT -> world.after(300, watch, () -> {
                         world.open.remove(watch);
-                        world.clock.spoilt(watch, world.now);
+                        world.clock.malformedReceived(watch, world.now);
                     });
                     default -> { }
                 }
@@ -284,7 +284,7 @@
         };
         for (double reset : resets) { world.at(reset, resetAll[0]); }
         for (double move : moves) {
-            if (move < change) { world.at(move, () -> world.clock.move(world.now)); }
+            if (move < change) { world.at(move, () -> world.clock.addressMoved(world.now)); }
         }
         world.clock.start(0);
         world.run(change + 40_000);
@@ -297,7 +297,7 @@
         double next = Math.min(world.now + 2000, change);
         if (next <= world.now) { return; }
         world.after(next - world.now, watch, () -> {
-            world.clock.empty(watch, world.now);
+            world.clock.keepAliveReceived(watch, world.now);
             emptyUpTo(world, watch, change);
         });
     }
@@ -309,7 +309,7 @@
         World world = told ? healthy(seed) : new World(seed);
         world.keepsAlive = false;
         world.script = watch -> world.answer(watch, empty.get(watch % empty.size()) ? Dial.EMPTY_LINES : Dial.SILENT);
-        for (double move : moves) { world.at(world.now + move, () -> world.clock.move(world.now)); }
+        for (double move : moves) { world.at(world.now + move, () -> world.clock.addressMoved(world.now)); }
         if (!told) { world.clock.start(0); }
         world.leastOpen = Integer.MAX_VALUE;
         world.run(world.now + 40_000);
--- a/src/test/java/yardusher/disk/LedgerTest.java
+++ b/src/test/java/yardusher/disk/DurableLogTest.java
@@ -13,21 +13,21 @@
 import yardusher.lab.MemoryDisk;
 
 /** A log that forgets nothing it has synced, through deaths at any moment, and starts from nothing never. */
-class LedgerTest {
-    private static final class Numbers implements Ledger.Content {
+class DurableLogTest {
+    private static final class Numbers implements DurableLog.LoggedState {
         final List<Long> held = new ArrayList<>();
 
         @Override
-        public void take(Ledger.Line line) throws IOException { held.add(Fields.read(line.body()).number(1)); }
+        public void apply(DurableLog.LogRecord line) throws IOException { held.add(Fields.read(line.body()).number(1)); }
 
         @Override
-        public List<Ledger.Line> base() { return held.stream().map(Numbers::line).toList(); }
+        public List<DurableLog.LogRecord> snapshot() { return held.stream().map(Numbers::line).toList(); }
 
-        static Ledger.Line line(long number) { return new Ledger.Line(1, new Fields.Out().number(1, number).toBytes()); }
+        static DurableLog.LogRecord line(long number) { return new DurableLog.LogRecord(1, new Fields.Writer().number(1, number).toBytes()); }
     }
 
-    private static Ledger open(MemoryDisk disk, Numbers numbers) throws IOException {
-        return Ledger.isThere(disk, "t") ? Ledger.open(disk, "t", 77, numbers, 300) : Ledger.begin(disk, "t", 77, numbers, 300);
+    private static DurableLog open(MemoryDisk disk, Numbers numbers) throws IOException {
+        return DurableLog.exists(disk, "t") ? DurableLog.open(disk, "t", 77, numbers, 300) : DurableLog.create(disk, "t", 77, numbers, 300);
     }
 
     @Property(tries = 200)
@@ -38,7 +38,7 @@
         long synced = 0;
         for (int life = 0; life < 6; life++) {
             Numbers numbers = new Numbers();
-            Ledger ledger = open(disk, numbers);
+            DurableLog ledger = open(disk, numbers);
             assertThat(numbers.held.size()).isBetween((int) synced, (int) next - 1);
             for (int i = 0; i < numbers.held.size(); i++) { assertThat(numbers.held.get(i)).isEqualTo(i + 1); }
             next = numbers.held.size() + 1;
@@ -49,7 +49,7 @@
                     ledger.force();
                     synced = next - 1;
                 }
-                if (ledger.isLong()) {
+                if (ledger.isDueToRoll()) {
                     ledger.roll();
                     synced = next - 1;
                 }
@@ -62,7 +62,7 @@
     void aFullDiskLosesNothingAndIsWrittenAgainWhenThereIsRoom() throws IOException {
         MemoryDisk disk = new MemoryDisk();
         Numbers numbers = new Numbers();
-        Ledger ledger = open(disk, numbers);
+        DurableLog ledger = open(disk, numbers);
         disk.full = true;
         assertThatThrownBy(() -> ledger.append(List.of(Numbers.line(1)))).isInstanceOf(IOException.class);
         assertThatThrownBy(ledger::roll).isInstanceOf(IOException.class);
@@ -77,7 +77,7 @@
     @Test
     void damageBeforeAValidRecordIsRefusedAndNamed() throws IOException {
         MemoryDisk disk = new MemoryDisk();
-        Ledger ledger = open(disk, new Numbers());
+        DurableLog ledger = open(disk, new Numbers());
         ledger.append(List.of(Numbers.line(1), Numbers.line(2), Numbers.line(3)));
         ledger.force();
         byte[] bytes = disk.bytes(disk.list().get(0));
--- a/src/test/java/yardusher/handover/NoteTest.java
+++ b/src/test/java/yardusher/handover/HandoverFileTest.java
@@ -15,25 +15,25 @@
 import yardusher.error.WireError;
 
 /** The note by which a process is found, and the words that two processes say to each other. */
-class NoteTest {
+class HandoverFileTest {
     @TempDir
     Path folder;
 
     @Test
     void aNoteIsReadAsItWasWrittenByItsOwnerAlone() throws Exception {
-        assertThat(Note.read(folder, "n0")).isNull();
-        Note note = Note.at(new InetSocketAddress("127.0.0.1", 19000));
+        assertThat(HandoverFile.read(folder, "n0")).isNull();
+        HandoverFile note = HandoverFile.create(new InetSocketAddress("127.0.0.1", 19000));
         note.write(folder, "n0");
-        assertThat(Note.read(folder, "n0")).isEqualTo(note);
-        assertThat(Note.read(folder, "n1")).isNull();
+        assertThat(HandoverFile.read(folder, "n0")).isEqualTo(note);
+        assertThat(HandoverFile.read(folder, "n1")).isNull();
         List<Path> files;
         try (var all = Files.list(folder)) { files = all.toList(); }
         assertThat(files).hasSize(1);
         assertThat(PosixFilePermissions.toString(Files.getPosixFilePermissions(files.get(0)))).isEqualTo("rw-------");
-        Note.at(note.address()).remove(folder, "n0"); // another's stays
-        assertThat(Note.read(folder, "n0")).isEqualTo(note);
+        HandoverFile.create(note.address()).remove(folder, "n0"); // another's stays
+        assertThat(HandoverFile.read(folder, "n0")).isEqualTo(note);
         note.remove(folder, "n0");
-        assertThat(Note.read(folder, "n0")).isNull();
+        assertThat(HandoverFile.read(folder, "n0")).isNull();
     }
 
     @ParameterizedTest
@@ -42,20 +42,20 @@
         "yardusher 2\n127.0.0.1:1\n0123456789abcdef0123456789abcdef\nend\n", "something else\n\n\n\n", "\u0000\u0001"})
     void whatIsNoNoteIsToldInOneLine(String text) throws Exception {
         Files.writeString(folder.resolve("yardusher-n0.handover"), text);
-        assertThatThrownBy(() -> Note.read(folder, "n0")).isInstanceOf(WireError.class).hasMessageNotContaining("\n");
+        assertThatThrownBy(() -> HandoverFile.read(folder, "n0")).isInstanceOf(WireError.class).hasMessageNotContaining("\n");
     }
 
     @Test
     void everyWordIsReadAsItWasSaid() {
-        for (Word word : List.of(new Word.Ban("s-5be2a07c", true), new Word.Ban("s-1", false), new Word.Held(), new Word.Drain(true),
-                new Word.Drain(false), new Word.Heard(3, "m\u0007\n\r\u007e"), new Word.Send(2, "x".repeat(256)), new Word.Whole(),
-                new Word.Serving())) {
-            assertThat(Word.of(word.line())).isEqualTo(word);
-            assertThat(word.line().length()).isLessThanOrEqualTo(Word.MOST_LINE);
+        for (HandoverMessage word : List.of(new HandoverMessage.Ban("s-5be2a07c", true), new HandoverMessage.Ban("s-1", false), new HandoverMessage.BanConfirmed(), new HandoverMessage.Drain(true),
+                new HandoverMessage.Drain(false), new HandoverMessage.PeerDatagram(3, "m\u0007\n\r\u007e"), new HandoverMessage.SendDatagram(2, "x".repeat(256)), new HandoverMessage.StateComplete(),
+                new HandoverMessage.Serving())) {
+            assertThat(HandoverMessage.parse(word.encode())).isEqualTo(word);
+            assertThat(word.encode().length()).isLessThanOrEqualTo(HandoverMessage.MAX_LINE_BYTES);
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "ban", "ban a b", "heard x eA==", "heard 1 ***", "send 1", "400 no such call", "whole 1"})
-    void whatIsNoWordIsNotGuessed(String line) { assertThatThrownBy(() -> Word.of(line)).isInstanceOf(WireError.class); }
+    void whatIsNoWordIsNotGuessed(String line) { assertThatThrownBy(() -> HandoverMessage.parse(line)).isInstanceOf(WireError.class); }
 }
--- a/src/test/java/yardusher/journal/CrashTest.java
+++ b/src/test/java/yardusher/journal/CrashTest.java
@@ -46,7 +46,7 @@
                 long[] o = open.isEmpty() || random.nextInt(4) == 0 ? null : open.get(random.nextInt(open.size()));
                 if (o == null) {
                     open.add(new long[] {++orders, 0, 0});
-                    batch.add(new Entry.Taken(us, orders, facts(orders)));
+                    batch.add(new Entry.Accepted(us, orders, facts(orders)));
                 } else if (o[2] == 0 && random.nextInt(4) > 0) {
                     o[2] = 1;
                     batch.add(new Entry.Intended(us, o[0], (int) o[1]++, random.nextInt(5), facts(o[0]), us - 5));
@@ -68,57 +68,57 @@
         return new Life(disk, told, acknowledged);
     }
 
-    private static Entry.Facts facts(long order) {
-        return new Entry.Facts(order * 31, true, order * 17, order % 7, 1, 0, 1, 0);
+    private static Entry.RequestFacts facts(long order) {
+        return new Entry.RequestFacts(order * 31, true, order * 17, order % 7, 1, 0, 1, 0);
     }
 
     /** What a whole reading of the segments gives, orders that are over included. */
-    private static OrderBook read(FaultyDisk disk) throws IOException {
-        OrderBook book = new OrderBook();
+    private static RequestTable read(FaultyDisk disk) throws IOException {
+        RequestTable book = new RequestTable();
         for (long number : Recovery.segments(disk)) {
-            Framing<Entry>.Reader reader = Frames.reader(disk.open(Frames.name(number)), number, (from, to, torn) -> { });
+            Framing<Entry>.Reader reader = SegmentFiles.reader(disk.open(SegmentFiles.name(number)), number, (from, to, torn) -> { });
             for (Entry entry; (entry = reader.next()) != null;) { book.apply(entry); }
         }
         return book;
     }
 
-    private static Map<String, Order> byNumber(Iterable<Order> orders) {
-        Map<String, Order> map = new HashMap<>();
-        for (Order order : orders) { map.put(order.life + "/" + order.number, order); }
+    private static Map<String, JournaledRequest> byNumber(Iterable<JournaledRequest> orders) {
+        Map<String, JournaledRequest> map = new HashMap<>();
+        for (JournaledRequest order : orders) { map.put(order.life + "/" + order.number, order); }
         return map;
     }
 
     /** Recovers, begins a next life, and holds both against the entries told: none invented, none acknowledged lost. */
     private static void check(FaultyDisk disk, List<Entry> told, int acknowledged) throws IOException {
-        OrderBook all = new OrderBook();
-        OrderBook certain = new OrderBook();
+        RequestTable all = new RequestTable();
+        RequestTable certain = new RequestTable();
         all.apply(WHO);
         certain.apply(WHO);
         told.forEach(all::apply);
         told.subList(0, acknowledged).forEach(certain::apply);
-        Recovery.Found found = Recovery.run(disk, 2e6);
-        Map<String, Order> toldOrders = byNumber(all.orders());
-        for (Order order : found.open().orders()) {
-            Order of = toldOrders.get(order.life + "/" + order.number);
+        Recovery.Result found = Recovery.run(disk, 2e6);
+        Map<String, JournaledRequest> toldOrders = byNumber(all.requests());
+        for (JournaledRequest order : found.open().requests()) {
+            JournaledRequest of = toldOrders.get(order.life + "/" + order.number);
             assertThat(of).as("invented " +  order.life + "/" + order.number).isNotNull();
-            assertThat(order.tries.size()).isLessThanOrEqualTo(of.tries.size());
+            assertThat(order.attempts.size()).isLessThanOrEqualTo(of.attempts.size());
             assertThat(order.isOver()).isFalse();
         }
-        Map<String, Order> seen = byNumber(read(disk).orders());
-        for (Order order : certain.orders()) {
-            Order kept = seen.get(order.life + "/" + order.number);
+        Map<String, JournaledRequest> seen = byNumber(read(disk).requests());
+        for (JournaledRequest order : certain.requests()) {
+            JournaledRequest kept = seen.get(order.life + "/" + order.number);
             assertThat(kept).as("lost").isNotNull();
-            assertThat(kept.tries.size()).isGreaterThanOrEqualTo(order.tries.size());
-            assertThat(kept.state()).isGreaterThanOrEqualTo(order.tries.stream().anyMatch(one -> one.intendedUs > 0)
-                    && order.state() == Order.State.INTENDED ? Order.State.REFUSED : Order.State.NEVER_SENT);
-            assertThat(found.open().orders().stream().anyMatch(o -> o.number == order.number) || kept.isOver()).as("open is known").isTrue();
+            assertThat(kept.attempts.size()).isGreaterThanOrEqualTo(order.attempts.size());
+            assertThat(kept.state()).isGreaterThanOrEqualTo(order.attempts.stream().anyMatch(one -> one.intendedUs > 0)
+                    && order.state() == JournaledRequest.State.INTENDED ? JournaledRequest.State.REFUSED : JournaledRequest.State.NEVER_SENT);
+            assertThat(found.open().requests().stream().anyMatch(o -> o.number == order.number) || kept.isOver()).as("open is known").isTrue();
         }
         // The next life begins, carries what was open, closed, and a third finds nothing open.
         new Segments(disk, settings(JournalSettings.Durability.PROCESS, 1500, true), found, new Entry.Opened(0, 78, "n0", List.of(), List.of()),
                 () -> 2e6, new Indexer(disk, "test")).close();
         assertThat(Recovery.run(disk, 2e6).open().size()).isZero();
-        assertThat(Verify.run(disk, false, bytes -> { }).unknown()).isEqualTo(found.open().orders().stream()
-                .filter(order -> order.tries.stream().anyMatch(one -> one.outcome == null)).count());
+        assertThat(Verify.run(disk, false, bytes -> { }).unknown()).isEqualTo(found.open().requests().stream()
+                .filter(order -> order.attempts.stream().anyMatch(one -> one.outcome == null)).count());
     }
 
     /** The long run cuts 100 lives; this cuts one, at every byte. */
@@ -130,7 +130,7 @@
             FaultyDisk.Change change = life.disk.changes.get(i);
             while (done < life.acknowledged.size() && life.acknowledged.get(done)[0] <= i) { done++; }
             int acknowledged = done == 0 ? 0 : life.acknowledged.get(done - 1)[1];
-            int whole = change.bytes() == null || change.file().equals(Segments.RESERVE) ? 0 : change.bytes().length;
+            int whole = change.bytes() == null || change.file().equals(Segments.RESERVE_FILE) ? 0 : change.bytes().length;
             for (int length = 0; length < whole; length++) {
                 FaultyDisk cut = disk.copy(false);
                 cut.redo(change, length);
@@ -166,22 +166,22 @@
         Life life = live(seed, 80, JournalSettings.Durability.PROCESS);
         List<Long> numbers = Recovery.segments(life.disk);
         long number = numbers.get(Math.floorMod(noise, numbers.size()));
-        byte[] bytes = life.disk.bytes(Frames.name(number)).clone();
+        byte[] bytes = life.disk.bytes(SegmentFiles.name(number)).clone();
         int from = place % bytes.length;
         int to = Math.min(bytes.length, from + length);
         List<long[]> frames = new ArrayList<>();     // where each stood, and which it was
         List<Entry> before = new ArrayList<>();
-        Framing<Entry>.Reader whole = Frames.reader(life.disk.open(Frames.name(number)), number, (f, t, torn) -> { });
+        Framing<Entry>.Reader whole = SegmentFiles.reader(life.disk.open(SegmentFiles.name(number)), number, (f, t, torn) -> { });
         for (Entry entry; (entry = whole.next()) != null;) {
-            frames.add(new long[] {whole.frameAt(), whole.position()});
+            frames.add(new long[] {whole.frameOffset(), whole.position()});
             before.add(entry);
         }
         Random random = new Random(noise);
         for (int i = from; i < to; i++) { bytes[i] ^= (byte) (1 + random.nextInt(255)); }
         FaultyDisk disk = life.disk.copy(false);
-        disk.put(Frames.name(number), bytes);
+        disk.put(SegmentFiles.name(number), bytes);
         List<Entry> after = new ArrayList<>();
-        Framing<Entry>.Reader reader = Frames.reader(disk.open(Frames.name(number)), number, (f, t, torn) -> { });
+        Framing<Entry>.Reader reader = SegmentFiles.reader(disk.open(SegmentFiles.name(number)), number, (f, t, torn) -> { });
         for (Entry entry; (entry = reader.next()) != null;) { after.add(entry); }
         List<String> untouched = new ArrayList<>();
         for (int i = 0; i < before.size(); i++) {
@@ -193,7 +193,7 @@
     }
 
     private static String plain(Entry entry) {
-        return entry instanceof Entry.Carried c ? "carried " + c.order() + " " + c.tries().size() : entry.toString();
+        return entry instanceof Entry.Carried c ? "carried " + c.order() + " " + c.attempts().size() : entry.toString();
     }
 
     @Test
@@ -201,21 +201,21 @@
         Life life = live(3, 2500, JournalSettings.Durability.PROCESS);
         List<Long> numbers = Recovery.segments(life.disk);
         assertThat(numbers.size()).isGreaterThan(50);
-        Recovery.Found found = Recovery.run(life.disk, 2e6);
+        Recovery.Result found = Recovery.run(life.disk, 2e6);
         assertThat(found.segmentsRead()).isEqualTo(1);
         for (long number : numbers) { SegmentIndex.build(life.disk, number); }
-        OrderBook all = read(life.disk);
+        RequestTable all = read(life.disk);
         Set<Long> regions = new HashSet<>();
-        for (Order order : all.orders()) { order.tries.forEach(one -> regions.add(one.region)); }
+        for (JournaledRequest order : all.requests()) { order.attempts.forEach(one -> regions.add(one.region)); }
         for (Map.Entry<SegmentIndex.Field, Long> wanted : Map.of(SegmentIndex.Field.KEY, 40 * 17L, SegmentIndex.Field.ID, 55 * 31L,
                 SegmentIndex.Field.CUSTOMER, 3L, SegmentIndex.Field.REGION, 4L).entrySet()) {
             Query query = new Query(Map.of(wanted.getKey(), wanted.getValue()), Set.of(), false, false, 0, Long.MAX_VALUE);
-            List<Long> expected = all.orders().stream().filter(query::wants).map(order -> order.number).sorted().toList();
+            List<Long> expected = all.requests().stream().filter(query::matches).map(order -> order.number).sorted().toList();
             List<Long> given = new ArrayList<>();
             try (Scan scan = new Scan(life.disk, query, bytes -> { })) {
-                for (Order order; (order = scan.next()) != null;) {
+                for (JournaledRequest order; (order = scan.next()) != null;) {
                     given.add(order.number);
-                    Order whole = byNumber(all.orders()).get(order.life + "/" + order.number);
+                    JournaledRequest whole = byNumber(all.requests()).get(order.life + "/" + order.number);
                     assertThat(order.state()).isEqualTo(whole.state());
                     assertThat(order.isOver()).isEqualTo(whole.isOver());
                 }
@@ -235,7 +235,7 @@
         for (int i = 1; i <= 300; i++) {
             disk.failures = random.nextInt(4) == 0 ? 1 + random.nextInt(2) : 0;
             disk.syncFailures = random.nextInt(6) == 0 ? 1 : 0;
-            List<Entry> batch = List.of(new Entry.Taken(i, i, facts(i)), new Entry.Intended(i, i, 0, 1, facts(i), i));
+            List<Entry> batch = List.of(new Entry.Accepted(i, i, facts(i)), new Entry.Intended(i, i, 0, 1, facts(i), i));
             while (!segments.append(batch).written()) { segments.recheck(); } // as the journal does: again until it stands
             told.addAll(batch);
         }
@@ -246,15 +246,15 @@
     void segmentsGoByAgeAndSizeAndAClockThatStepsBackRetiresNothing() {
         Retention retention = new Retention(settings(JournalSettings.Durability.PROCESS, 1500, true)); // 1 MiB less 1 KiB
         double hour = 3_600_000;
-        List<Retention.Sealed> sealed = List.of(new Retention.Sealed(1, 400_000, 0), new Retention.Sealed(2, 400_000, 80 * hour),
-                new Retention.Sealed(3, 400_000, 80.5 * hour));
+        List<Retention.SealedSegment> sealed = List.of(new Retention.SealedSegment(1, 400_000, 0), new Retention.SealedSegment(2, 400_000, 80 * hour),
+                new Retention.SealedSegment(3, 400_000, 80.5 * hour));
         assertThat(numbers(retention.decide(sealed, 100_000, 81.2 * hour))).containsExactly(1L);   // older than 72 hours
         assertThat(numbers(retention.decide(sealed, 300_000, 81.2 * hour))).containsExactly(1L, 2L); // and no room
         assertThat(retention.decide(sealed.subList(1, 3), 300_000, 80.6 * hour).full()).isTrue();  // all too young to go
         assertThat(numbers(retention.decide(sealed, 900_000, -5 * hour))).isEmpty();
     }
 
-    private static List<Long> numbers(Retention.Verdict verdict) {
-        return verdict.retire().stream().map(Retention.Sealed::number).toList();
+    private static List<Long> numbers(Retention.Decision verdict) {
+        return verdict.retire().stream().map(Retention.SealedSegment::number).toList();
     }
 }
--- a/src/test/java/yardusher/journal/FaultyDisk.java
+++ b/src/test/java/yardusher/journal/FaultyDisk.java
@@ -172,7 +172,7 @@
     public synchronized void rename(String from, String to) throws IOException { files.put(to, file(from)); files.remove(from); }
 
     @Override
-    public void forceNames() { }
+    public void forceDirectory() { }
 
     @Override
     public void close() { }
--- a/src/test/java/yardusher/journal/JournalJmh.java
+++ b/src/test/java/yardusher/journal/JournalJmh.java
@@ -25,7 +25,7 @@
 import org.openjdk.jmh.annotations.Warmup;
 import yardusher.Api;
 import yardusher.core.RequestLog;
-import yardusher.disk.Folder;
+import yardusher.disk.Directory;
 import yardusher.disk.Storage;
 
 /** Appending, recovery and looking up at size, each with the heap of an ingress. By hand: {@code org.openjdk.jmh.Main JournalJmh}. */
@@ -47,7 +47,7 @@
 
     /** Four records an order, some of a thousand always open, in batches of about 32. */
     private static void fill(Path folder, int records) throws IOException {
-        Storage storage = Folder.writing(folder, "bench");
+        Storage storage = Directory.openForWriting(folder, "bench");
         double[] now = {1.7e12};
         Segments segments = new Segments(storage, settings(folder), Recovery.run(storage, now[0]),
                 new Entry.Opened(0, 5, "n0", List.of("lookup", "place-order"), List.of("basis")), () -> now[0], new Indexer(storage, "bench"));
@@ -57,7 +57,7 @@
             now[0] += 0.25;
             long us = (long) (now[0] * 1000);
             if (i <= orders) {
-                batch.add(new Entry.Intended(us, i, 0, i % 100, new Entry.Facts(i * 0x9E3779B97F4A7C15L, true, i * 31, i % 5000, 1, 0, 1, 0), us));
+                batch.add(new Entry.Intended(us, i, 0, i % 100, new Entry.RequestFacts(i * 0x9E3779B97F4A7C15L, true, i * 31, i % 5000, 1, 0, 1, 0), us));
                 batch.add(new Entry.Written(us, i, 0));
             }
             if (i > 1000) {
@@ -77,7 +77,7 @@
     public void made() throws IOException {
         folder = Files.createTempDirectory("journal-jmh");
         fill(folder, records);
-        Storage storage = Folder.reading(folder);
+        Storage storage = Directory.openForReading(folder);
         for (long number : Recovery.segments(storage)) { SegmentIndex.build(storage, number); }
     }
 
@@ -99,7 +99,7 @@
     /** Time to know the open orders again after a crash. */
     @Benchmark
     public int recovery() throws IOException {
-        Recovery.Found found = Recovery.run(Folder.reading(folder), 2e12);
+        Recovery.Result found = Recovery.run(Directory.openForReading(folder), 2e12);
         return found.open().size();
     }
 
@@ -107,8 +107,8 @@
     @Benchmark
     public long lookUp() throws IOException {
         Query query = new Query(Map.of(SegmentIndex.Field.KEY, records / 8 * 31L), Set.of(), false, false, 0, Long.MAX_VALUE);
-        try (Scan scan = new Scan(Folder.reading(folder), query, bytes -> { })) {
-            Order order = scan.next();
+        try (Scan scan = new Scan(Directory.openForReading(folder), query, bytes -> { })) {
+            JournaledRequest order = scan.next();
             if (order == null) { throw new IOException("not found"); }
             return order.number;
         }
@@ -116,5 +116,5 @@
 
     /** Time to read all of it, as verify does. */
     @Benchmark
-    public long wholeReading() throws IOException { return Verify.run(Folder.reading(folder), false, bytes -> { }).entries(); }
+    public long wholeReading() throws IOException { return Verify.run(Directory.openForReading(folder), false, bytes -> { }).entries(); }
 }
--- a/src/test/java/yardusher/journal/JournalStoryTest.java
+++ b/src/test/java/yardusher/journal/JournalStoryTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import yardusher.Api;
-import yardusher.cli.Config;
+import yardusher.cli.IngressConfig;
 import yardusher.core.Attempt;
 import yardusher.core.BackendCommand;
 import yardusher.core.Counters;
@@ -49,7 +49,7 @@
     Path folder;
 
     private void start(boolean refuses, JournalSettings.Durability durability) throws Exception {
-        Config config = Config.read("src/test/resources/ingress.json");
+        IngressConfig config = IngressConfig.read("src/test/resources/ingress.json");
         Events events = new Events() {
             @Override
             public void info(String text, Object... pairs) { told.add(Events.line("", text, pairs)); }
@@ -138,11 +138,11 @@
     }
 
     /** Ends the journal and gives the orders as a reader finds them, in the order of taking in. */
-    private List<Order> read() throws IOException {
+    private List<JournaledRequest> read() throws IOException {
         assertThat(journal.close(5000)).isTrue();
-        List<Order> orders = new ArrayList<>();
+        List<JournaledRequest> orders = new ArrayList<>();
         try (Scan scan = new Scan(disk, Query.ALL, bytes -> { })) {
-            for (Order order; (order = scan.next()) != null;) { orders.add(order); }
+            for (JournaledRequest order; (order = scan.next()) != null;) { orders.add(order); }
         }
         return orders;
     }
@@ -161,8 +161,8 @@
             Attempt attempt = next(begun);
             try (Scan scan = new Scan(disk.copy(true), Query.ALL, bytes -> { })) { // as a loss of power now would leave it
                 boolean intended = false;
-                for (Order order; (order = scan.next()) != null;) {
-                    intended |= order.number == attempt.request.number && order.state() == Order.State.INTENDED;
+                for (JournaledRequest order; (order = scan.next()) != null;) {
+                    intended |= order.number == attempt.request.number && order.state() == JournaledRequest.State.INTENDED;
                 }
                 assertThat(intended).isTrue();
             }
@@ -170,7 +170,7 @@
         }
         assertThat(List.of(next(answers), next(answers))).containsExactlyInAnyOrder("1 served", "2 served");
         assertThat(read()).hasSize(2).allSatisfy(order -> {
-            assertThat(order.state()).isEqualTo(Order.State.ANSWERED);
+            assertThat(order.state()).isEqualTo(JournaledRequest.State.ANSWERED);
             assertThat(order.isOver()).isTrue();
         });
     }
@@ -188,9 +188,9 @@
         pass(2100);
         assertThat(next(answers)).isIn("2 refused", "2 failed");
         disk.hang.countDown();
-        List<Order> orders = read();
+        List<JournaledRequest> orders = read();
         assertThat(begun).isEmpty();
-        assertThat(orders).hasSize(2).allSatisfy(order -> assertThat(order.state()).isEqualTo(Order.State.NEVER_SENT));
+        assertThat(orders).hasSize(2).allSatisfy(order -> assertThat(order.state()).isEqualTo(JournaledRequest.State.NEVER_SENT));
         assertThat(orders.get(0).answer).isEqualTo(yardusher.core.RequestLog.Answer.GONE);
     }
 
@@ -215,9 +215,9 @@
         awaitGood(200);                              // looks for room again
         take(ORDER);
         end(begun.peek() == null ? next(begun) : begun.take(), Api.Outcome.REJECTED);
-        List<Order> orders = read();
-        assertThat(orders.get(0).state()).isEqualTo(Order.State.ANSWERED);
-        assertThat(orders.get(1).state()).isEqualTo(Order.State.SENT);
+        List<JournaledRequest> orders = read();
+        assertThat(orders.get(0).state()).isEqualTo(JournaledRequest.State.ANSWERED);
+        assertThat(orders.get(1).state()).isEqualTo(JournaledRequest.State.SENT);
         assertThat(orders).noneMatch(order -> order.facts.id() == 3);
     }
 
@@ -238,7 +238,7 @@
         awaitGood(200);
         take(ORDER);
         end(next(begun), Api.Outcome.SERVED);
-        assertThat(read()).hasSize(2).allMatch(order -> order.state() == Order.State.ANSWERED);
+        assertThat(read()).hasSize(2).allMatch(order -> order.state() == JournaledRequest.State.ANSWERED);
         assertThat(Verify.run(disk, false, bytes -> { }).gapOrders()).isEqualTo(3);
     }
 
@@ -271,9 +271,9 @@
         awaitGood(200);
         take(ORDER);
         end(next(begun), Api.Outcome.SERVED);
-        List<Order> orders = read();
-        assertThat(orders.get(0).state()).isEqualTo(Order.State.NEVER_SENT);
-        assertThat(orders.get(1).state()).isEqualTo(Order.State.ANSWERED);
+        List<JournaledRequest> orders = read();
+        assertThat(orders.get(0).state()).isEqualTo(JournaledRequest.State.NEVER_SENT);
+        assertThat(orders.get(1).state()).isEqualTo(JournaledRequest.State.ANSWERED);
         assertThat(Verify.run(disk, false, bytes -> { }).damage()).isEmpty();
     }
 
@@ -287,13 +287,13 @@
         }
         Thread opens = new Thread(disk.hang::countDown);
         opens.start();
-        assertThat(read()).hasSize(500).allMatch(Order::isOver);
+        assertThat(read()).hasSize(500).allMatch(JournaledRequest::isOver);
     }
 
     @Test
     void aFolderIsReadMergedListedAndVerifiedAsPeopleAskAndHeldByOneWriter() throws Exception {
         start(true, JournalSettings.Durability.PROCESS);
-        Config config = Config.read("src/test/resources/ingress.json");
+        IngressConfig config = IngressConfig.read("src/test/resources/ingress.json");
         JournalSettings settings = new JournalSettings(folder, JournalSettings.Durability.PROCESS, 50, 5, 200, 1 << 20, 1 << 24, 4096, 72, 60, true, 500, false);
         for (String name : new String[] {"n0", "n1"}) {
             Journal own = Journal.open(settings, name, config.settings(), config.classes(), config.plans(), loop, Events.plain(name));
@@ -321,26 +321,26 @@
             own.close(5000);
             journal = before;
         }
-        List<Path> folders = Orders.folders(List.of(folder.toString()));
+        List<Path> folders = JournalReports.folders(List.of(folder.toString()));
         assertThat(folders).hasSize(2);
-        Orders.Asked all = new Orders.Asked(Instant.ofEpochMilli((long) now));
-        List<String> rows = printed(out -> Orders.list(folders, all, Orders.Form.CSV, 100, out, null)).lines().toList();
+        JournalReports.Filter all = new JournalReports.Filter(Instant.ofEpochMilli((long) now));
+        List<String> rows = printed(out -> JournalReports.list(folders, all, JournalReports.OutputFormat.CSV, 100, out, null)).lines().toList();
         assertThat(rows).hasSize(7).isSortedAccordingTo((a, b) -> a.startsWith("taken") ? -1 : a.substring(0, 20).compareTo(b.substring(0, 20)));
         assertThat(rows.get(1)).contains("n0,answered,served,00000abc,1,served,0000000000000001");
-        Orders.Asked some = new Orders.Asked(Instant.ofEpochMilli((long) now)).by("region", "s-abc").states("sent").from("1h");
-        assertThat(printed(out -> Orders.list(folders, some, Orders.Form.JSON, 100, out, null)).lines()).hasSize(4).allMatch(line ->
+        JournalReports.Filter some = new JournalReports.Filter(Instant.ofEpochMilli((long) now)).by("region", "s-abc").states("sent").from("1h");
+        assertThat(printed(out -> JournalReports.list(folders, some, JournalReports.OutputFormat.JSON, 100, out, null)).lines()).hasSize(4).allMatch(line ->
                 line.contains("\"state\":\"sent\""));
-        assertThat(printed(out -> Orders.list(folders, new Orders.Asked(Instant.now()).open(), Orders.Form.TABLE, 9, out, null)).lines()).hasSize(3);
-        assertThat(printed(out -> Orders.show(folders, new Orders.Asked(Instant.now()).by("key", "2"), out))).contains("sent",
+        assertThat(printed(out -> JournalReports.list(folders, new JournalReports.Filter(Instant.now()).open(), JournalReports.OutputFormat.TABLE, 9, out, null)).lines()).hasSize(3);
+        assertThat(printed(out -> JournalReports.show(folders, new JournalReports.Filter(Instant.now()).by("key", "2"), out))).contains("sent",
                 "attempt 0 to region 00000abc intended", "timed-out, it may have run");
-        assertThat(printed(out -> Orders.verify(folders, out, null))).contains("sound");
+        assertThat(printed(out -> JournalReports.verify(folders, out, null))).contains("sound");
         assertThatThrownBy(() -> all.states("lost")).hasMessageContaining("state must be some of never-sent, refused, intended, sent, answered, unknown");
         assertThatThrownBy(() -> all.from("noon")).hasMessageStartingWith("from must be a time");
-        Path segment = folder.resolve("n1").resolve(Frames.name(1));
+        Path segment = folder.resolve("n1").resolve(SegmentFiles.name(1));
         byte[] bytes = Files.readAllBytes(segment);
         bytes[bytes.length / 2] ^= 4;
         Files.write(segment, bytes);
-        assertThat(printed(out -> assertThat(Orders.verify(folders, out, null)).isFalse())).contains("n1: damaged");
+        assertThat(printed(out -> assertThat(JournalReports.verify(folders, out, null)).isFalse())).contains("n1: damaged");
     }
 
     private interface Printing {
--- a/src/test/java/yardusher/journal/KillRun.java
+++ b/src/test/java/yardusher/journal/KillRun.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import org.awaitility.Awaitility;
-import yardusher.disk.Folder;
+import yardusher.disk.Directory;
 import yardusher.resp.Decoder;
 import yardusher.resp.Encoder;
 
@@ -185,34 +185,34 @@
         // One more life closes what the last left open.
         JournalSettings settings = yardusher.settings.Settings.read(own).journal();
         yardusher.core.EventLoop loop = new yardusher.core.EventLoop(System::currentTimeMillis, e -> { });
-        Journal.open(settings, "n0", yardusher.cli.Config.read(config.toString()).settings(), List.of(), List.of(), loop,
+        Journal.open(settings, "n0", yardusher.cli.IngressConfig.read(config.toString()).settings(), List.of(), List.of(), loop,
                 yardusher.log.Events.plain("check")).close(5000);
-        Map<Order.State, Integer> states = new HashMap<>();
+        Map<JournaledRequest.State, Integer> states = new HashMap<>();
         List<String> leftOpen = new ArrayList<>();
         int orders = 0;
-        try (Scan scan = new Scan(Folder.reading(journal), Query.ALL, bytes -> { })) {
-            for (Order order; (order = scan.next()) != null; orders++) {
+        try (Scan scan = new Scan(Directory.openForReading(journal), Query.ALL, bytes -> { })) {
+            for (JournaledRequest order; (order = scan.next()) != null; orders++) {
                 states.merge(order.state(), 1, Integer::sum);
                 if (!order.isOver()) { leftOpen.add(name(order)); }
             }
         }
         for (ServerSocket door : doors) { door.close(); }
-        return new Result(kills, orders, received.size(), states.getOrDefault(Order.State.SENT, 0), states.getOrDefault(Order.State.INTENDED, 0),
-                states.getOrDefault(Order.State.NEVER_SENT, 0), states.getOrDefault(Order.State.ANSWERED, 0)
-                        + states.getOrDefault(Order.State.REFUSED, 0), unaccounted, neverArrived, outTwice, leftOpen);
+        return new Result(kills, orders, received.size(), states.getOrDefault(JournaledRequest.State.SENT, 0), states.getOrDefault(JournaledRequest.State.INTENDED, 0),
+                states.getOrDefault(JournaledRequest.State.NEVER_SENT, 0), states.getOrDefault(JournaledRequest.State.ANSWERED, 0)
+                        + states.getOrDefault(JournaledRequest.State.REFUSED, 0), unaccounted, neverArrived, outTwice, leftOpen);
     }
 
-    private static String name(Order order) { return String.format("%016x", order.facts == null ? 0 : order.facts.id()); }
+    private static String name(JournaledRequest order) { return String.format("%016x", order.facts == null ? 0 : order.facts.id()); }
 
     /** The journal of a dead instance against what the regions hold. */
     private void check(Path journal, List<String> unaccounted, List<String> neverArrived) throws IOException {
         Set<String> accounted = ConcurrentHashMap.newKeySet();
-        try (Scan scan = new Scan(Folder.reading(journal), Query.ALL, bytes -> { })) {
-            for (Order order; (order = scan.next()) != null;) {
-                for (Order.Try one : order.tries) {
+        try (Scan scan = new Scan(Directory.openForReading(journal), Query.ALL, bytes -> { })) {
+            for (JournaledRequest order; (order = scan.next()) != null;) {
+                for (JournaledRequest.JournaledAttempt one : order.attempts) {
                     String at = name(order) + "@" + one.region;
-                    if (one.state() != Order.State.NEVER_SENT) { accounted.add(at); }
-                    boolean claimed = one.state() == Order.State.SENT || one.state() == Order.State.ANSWERED || one.state() == Order.State.REFUSED;
+                    if (one.state() != JournaledRequest.State.NEVER_SENT) { accounted.add(at); }
+                    boolean claimed = one.state() == JournaledRequest.State.SENT || one.state() == JournaledRequest.State.ANSWERED || one.state() == JournaledRequest.State.REFUSED;
                     if (claimed && !received.contains(at)) { neverArrived.add(at + " " + one.state()); }
                 }
             }
--- a/src/test/java/yardusher/keys/KeysTest.java
+++ b/src/test/java/yardusher/keys/KeysTest.java
@@ -28,7 +28,7 @@
     private EventLoop loop;
     private final List<Sent> out = new ArrayList<>();
     private final Map<Long, Held> held = new HashMap<>();
-    private KeyedIntake intake;
+    private KeyedRequestAcceptor intake;
     private int sent;
 
     /** A transaction that the core was given and has not ended. */
@@ -102,7 +102,7 @@
             return one;
         };
         KeySettings settings = new KeySettings(answerBytes, mostRunning, 8, LIFETIME_MS, Map.of(), 200);
-        intake = new KeyedIntake(core, loop, settings, List.of(new Api.RequestClass(1000, 8000, 1, 0, Api.Effect.DEDUPLICATED, Api.Group.ALL,
+        intake = new KeyedRequestAcceptor(core, loop, settings, List.of(new Api.RequestClass(1000, 8000, 1, 0, Api.Effect.DEDUPLICATED, Api.Group.ALL,
                 WINDOW_MS, false)), List.of("place-order"));
     }
 
@@ -252,8 +252,8 @@
             ask(i, 1, 1000);
             end(out.get(0), 0);
         }
-        assertThat(intake.told(20_999)).startsWith("served");
-        assertThat(intake.told(1000)).isEqualTo("not known");
+        assertThat(intake.describe(20_999)).startsWith("served");
+        assertThat(intake.describe(1000)).isEqualTo("not known");
         assertThat(intake.line()).contains("keys_running=0").containsPattern("keys_gone_by_size=[1-9]");
     }
 
@@ -277,11 +277,11 @@
                 ring.remove(key);
                 newest.remove(key);
             }
-            FinishedKeys.Found found = ring.find(time, key);
+            FinishedKeys.FinishedRun found = ring.find(time, key);
             if (found != null) {
                 assertThat(newest).as("seed " + seed).containsKey(key);
                 assertThat(found.value()).isEqualTo(newest.get(key));
-                assertThat(found.print()).isEqualTo(key * 7);
+                assertThat(found.fingerprint()).isEqualTo(key * 7);
                 assertThat(until.get(key)).isGreaterThan(time);
             }
             assertThat(ring.bytes()).isLessThanOrEqualTo(140_000);
--- a/src/test/java/yardusher/nginx/ImporterTest.java
+++ b/src/test/java/yardusher/nginx/NginxImporterTest.java
@@ -7,19 +7,19 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import yardusher.cli.Config;
+import yardusher.cli.IngressConfig;
 import yardusher.error.ConfigError;
 
-class ImporterTest {
+class NginxImporterTest {
     @TempDir
     Path folder;
 
     @Test
     void upstreamAndLocationsBecomeAConfigurationThatServeReads() throws Exception {
-        Importer.Result result = Importer.run(Files.readString(Path.of("example/shop.conf")), null);
+        NginxImporter.Result result = NginxImporter.run(Files.readString(Path.of("example/shop.conf")), null);
         Path file = folder.resolve("out.json");
         Files.writeString(file, result.json());
-        Config config = Config.read(file.toString());
+        IngressConfig config = IngressConfig.read(file.toString());
         assertThat(config.listen()).hasToString("/127.0.0.1:6379");
         assertThat(config.classes()).containsExactly("lookup", "place-order");
         assertThat(config.settings().classes()).extracting(c -> c.deadlineMs() + " " + c.effect())
@@ -37,7 +37,7 @@
 
     @Test
     void everythingWithoutACounterpartIsNamedWithItsLine() throws Exception {
-        Importer.Result result = Importer.run("""
+        NginxImporter.Result result = NginxImporter.run("""
                 http {
                   gzip on;
                   upstream a { server 10.0.0.1; server b.example:80; server 10.0.0.2:81 down backup; server unix:/x; }
@@ -63,7 +63,7 @@
             {"{".repeat(100), "line 1: unexpected.*"}, {"a {".repeat(100), "line 1: blocks nested too deep"},
             {"upstream;", "line 1: upstream needs.*"}, {"gzip on;", "needs an upstream block"},
             {"upstream a { } upstream b { }", "needs one upstream named, of a, b"}, {"upstream a { }", "needs a location that passes to a"}}) {
-            assertThatThrownBy(() -> Importer.run(bad[0], null)).as(bad[0]).isInstanceOf(ConfigError.class)
+            assertThatThrownBy(() -> NginxImporter.run(bad[0], null)).as(bad[0]).isInstanceOf(ConfigError.class)
                     .hasMessageMatching(bad[1]);
         }
     }
--- a/src/test/java/yardusher/servers/DrainTest.java
+++ b/src/test/java/yardusher/servers/DrainTest.java
@@ -85,17 +85,17 @@
             loop.execute(() -> {
                 BackendPool pool = new BackendPool(sockets, counters, List.of(), 250, 30_000, 8000, 10);
                 Ingress ingress = new Ingress(settings, 1, loop, pool, (to, body) -> { }, counters, new Parks());
-                pool.serve(ingress);
-                pool.place(5, at);
+                pool.setIngress(ingress);
+                pool.addOrUpdate(5, at);
                 ingress.deliver(new Api.ServerList(Api.ListKind.FULL, List.of(new Api.Server(5, 0, 0, 1, 0, Api.Readiness.READY))));
                 ingress.accept(order());
                 assertThat(parked).hasSize(1);
-                pool.leave(5, false);
+                pool.retire(5, false);
                 assertThat(pool.isAvailable(5)).as("drains").isFalse();
                 ingress.deliver(new Api.ServerList(Api.ListKind.DELTA, List.of(new Api.Server(5, 0, 0, 1, 0, Api.Readiness.DRAINING))));
                 parked.remove(0).accept(true);
                 assertThat(counters.connectionsOpened).as("dials").isZero();
-                pool.place(5, at);
+                pool.addOrUpdate(5, at);
                 assertThat(pool.isAvailable(5)).as("ready again").isTrue();
             });
             assertThat(answers).containsExactly("refused");
--- a/src/test/java/yardusher/settings/TablesTogetherTest.java
+++ b/src/test/java/yardusher/settings/TablesTogetherTest.java
@@ -25,7 +25,7 @@
         Settings own = read(VIEW + "[units]\n[[units.mode]]\nplan = \"basis\"\nmode = \"unit\"\n[parts]\nconnections = 8\n");
         assertThat(own.view().installation()).isEqualTo("hall");
         assertThat(own.units()).isNotNull();
-        assertThat(own.parts().connections()).isEqualTo(8);
+        assertThat(own.connectionQuota().connections()).isEqualTo(8);
     }
 
     @Test
