--- a/src/test/java/yardusher/story/BackendEndsStoryTest.java
+++ b/src/test/java/yardusher/story/BackendEndsStoryTest.java
@@ -20,7 +20,7 @@
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import yardusher.cli.Serve;
+import yardusher.cli.IngressProcess;
 import yardusher.settings.Settings;
 import yardusher.story.StandIn.Client;
 import yardusher.story.StandIn.Discovery;
@@ -31,7 +31,7 @@
     private final List<AutoCloseable> all = new CopyOnWriteArrayList<>();
     private volatile double now = 1.7e12;
     private Discovery discovery;
-    private Serve serve;
+    private IngressProcess serve;
 
     @AfterEach
     void close() throws Exception {
--- a/src/test/java/yardusher/story/BulkStoryTest.java
+++ b/src/test/java/yardusher/story/BulkStoryTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import yardusher.cli.Serve;
+import yardusher.cli.IngressProcess;
 import yardusher.story.StandIn.Client;
 import yardusher.story.StandIn.Listener;
 
@@ -96,10 +96,10 @@
 
     private static void tail(OutputStream out) throws IOException { out.write("\r\n$-1\r\n$-1\r\n".getBytes(StandardCharsets.US_ASCII)); }
 
-    private Serve ingress(Bulk... regions) throws Exception {
+    private IngressProcess ingress(Bulk... regions) throws Exception {
         String[] members = new String[regions.length];
         for (int i = 0; i < members.length; i++) { members[i] = member("s-" + i, regions[i].address(), "Ready"); }
-        Serve serve = StandIn.ingress("127.0.0.1:9", null, members);
+        IngressProcess serve = StandIn.ingress("127.0.0.1:9", null, members);
         open.add(serve::close);
         return serve;
     }
@@ -196,7 +196,7 @@
     @Test
     void firstBytesGoOnBeforeTheRestIsThereAndNothingElseWaits() throws Exception {
         BlockingQueue<String> go = new LinkedBlockingQueue<>();
-        Serve serve = ingress(new Bulk((id, out, guest) -> {
+        IngressProcess serve = ingress(new Bulk((id, out, guest) -> {
             if (id == 1) {
                 head(out, 100_000);
                 value(id, 0, 10, 3, new Random(SEED), out);
@@ -238,7 +238,7 @@
                 value(id, 0, 70_000, 9999, new Random(SEED), out);
                 bad.answer(id, out, guest);
             });
-            Serve serve = ingress(region, region);
+            IngressProcess serve = ingress(region, region);
             try (Client client = new Client(serve.front().server().address())) {
                 ask(client, 7);
                 byte[] all = client.socket.getInputStream().readAllBytes();
@@ -256,7 +256,7 @@
             head(out, 80_000);
             guest.close();
         });
-        Serve serve = ingress(region);
+        IngressProcess serve = ingress(region);
         try (Client client = new Client(serve.front().server().address())) {
             ask(client, 1);
             client.send("PING");
@@ -271,7 +271,7 @@
             head(out, 4 * MIB);
             value(id, 0, 4 * MIB, 9999, new Random(SEED), out); // far more than the buffers between hold
         });
-        Serve serve = ingress(region);
+        IngressProcess serve = ingress(region);
         try (Client client = new Client(serve.front().server().address())) {
             ask(client, 7);
             assertThat(client.socket.getInputStream().read()).isEqualTo('$');
@@ -286,7 +286,7 @@
             head(out, 3_000_000_000L);
             out.write(new byte[1000]);
         });
-        Serve serve = ingress(region);
+        IngressProcess serve = ingress(region);
         try (Client client = new Client(serve.front().server().address())) {
             ask(client, 7);
             assertThat(client.told()).startsWith("-");
@@ -340,7 +340,7 @@
             };
             open.add(regions[r]);
         }
-        Serve serve = StandIn.ingress("127.0.0.1:9", null, member("s-1", regions[0].address(), "Ready"),
+        IngressProcess serve = StandIn.ingress("127.0.0.1:9", null, member("s-1", regions[0].address(), "Ready"),
                 member("s-2", regions[1].address(), "Ready"), member("s-3", regions[2].address(), "Ready"));
         open.add(serve::close);
         ExecutorService clients = Executors.newFixedThreadPool(8);
@@ -366,7 +366,7 @@
 
     @Test
     void aLargeBodyThatIsNeverEndedOrTooLargeHoldsNothing() throws Exception {
-        Serve serve = ingress(new Bulk((id, out, guest) -> { }));
+        IngressProcess serve = ingress(new Bulk((id, out, guest) -> { }));
         try (Client gone = new Client(serve.front().server().address())) {
             gone.raw(java.util.Arrays.copyOf(order(1, 4 * MIB), MIB));
         }
--- a/src/test/java/yardusher/story/ConnectionStoryTest.java
+++ b/src/test/java/yardusher/story/ConnectionStoryTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import yardusher.cli.Serve;
+import yardusher.cli.IngressProcess;
 import yardusher.limits.LimitsConfig;
 import yardusher.net.Sockets;
 import yardusher.story.StandIn.Client;
@@ -29,7 +29,7 @@
 class ConnectionStoryTest {
     private Region region;
     private Discovery discovery;
-    private Serve serve;
+    private IngressProcess serve;
 
     @BeforeEach
     void open() throws Exception {
--- a/src/test/java/yardusher/story/EndStoryTest.java
+++ b/src/test/java/yardusher/story/EndStoryTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import yardusher.cli.Serve;
+import yardusher.cli.IngressProcess;
 import yardusher.settings.Settings;
 import yardusher.story.StandIn.Client;
 import yardusher.story.StandIn.Discovery;
@@ -29,7 +29,7 @@
     private volatile double later;                   // added to the clock
     private Region region;
     private Discovery discovery;
-    private Serve serve;
+    private IngressProcess serve;
     private Thread drain;
     private final BlockingQueue<String> halted = new LinkedBlockingQueue<>();
     private InetSocketAddress door;
@@ -46,7 +46,7 @@
         serve = StandIn.ingress(edit, config -> LongServing.of(config, null, Settings.OFF, clock), discovery.address(),
                 member("s-1", region.address(), "Ready"));
         door = (InetSocketAddress) serve.front().server().address();
-        Serve drained = serve;
+        IngressProcess drained = serve;
         drain = new Thread(() -> {
             try { drained.drain(); } catch (InterruptedException e) { /* ends */ }
             drained.close();                         // here as at the halt: what is still open is cut off
--- a/src/test/java/yardusher/story/FinalAnswerStoryTest.java
+++ b/src/test/java/yardusher/story/FinalAnswerStoryTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import yardusher.cli.Serve;
+import yardusher.cli.IngressProcess;
 import yardusher.settings.Settings;
 import yardusher.story.StandIn.Client;
 import yardusher.story.StandIn.Discovery;
@@ -21,7 +21,7 @@
 class FinalAnswerStoryTest {
     private final List<AutoCloseable> all = new CopyOnWriteArrayList<>();
     private volatile double now = 1.7e12;
-    private Serve serve;
+    private IngressProcess serve;
 
     @AfterEach
     void close() throws Exception {
--- a/src/test/java/yardusher/story/GoneStoryTest.java
+++ b/src/test/java/yardusher/story/GoneStoryTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import yardusher.cli.Serve;
+import yardusher.cli.IngressProcess;
 import yardusher.resp.Encoder;
 import yardusher.settings.Settings;
 import yardusher.story.StandIn.Client;
@@ -28,7 +28,7 @@
     private final Semaphore gate = new Semaphore(1);  // whoever holds it stops the ingress in its next look at the clock
     private volatile double later;                   // added to the clock
     private Region region;
-    private Serve serve;
+    private IngressProcess serve;
     private InetSocketAddress door;
 
     @BeforeEach
--- a/src/test/java/yardusher/story/HangupStoryTest.java
+++ b/src/test/java/yardusher/story/HangupStoryTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import yardusher.cli.Serve;
+import yardusher.cli.IngressProcess;
 import yardusher.story.StandIn.Client;
 import yardusher.story.StandIn.Discovery;
 import yardusher.story.StandIn.Region;
@@ -211,7 +211,7 @@
     @Test
     void ofTwoReadingsAtOnceTheOneThatBeganLastHolds() throws Exception {
         Path config = pipe("n0.json");
-        Serve serve = StandIn.ingress("127.0.0.1:9", null);
+        IngressProcess serve = StandIn.ingress("127.0.0.1:9", null);
         try (Discovery before = new Discovery(); Discovery after = new Discovery(); Region region = new Region();
                 Client client = new Client((InetSocketAddress) serve.front().server().address())) {
             Thread first = new Thread(() -> serve.reload(config.toString()));
--- a/src/test/java/yardusher/story/KeysStoryTest.java
+++ b/src/test/java/yardusher/story/KeysStoryTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import yardusher.cli.Serve;
+import yardusher.cli.IngressProcess;
 import yardusher.settings.Settings;
 import yardusher.story.StandIn.Client;
 import yardusher.story.StandIn.Region;
@@ -23,7 +23,7 @@
     @TempDir
     Path folder;
     private Region region;
-    private Serve serve;
+    private IngressProcess serve;
     private volatile double later;                   // added to the clock
     private final long start = System.nanoTime();
     private final DoubleSupplier clock = () -> 1.7e12 + later + (System.nanoTime() - start) / 1e6;
--- a/src/test/java/yardusher/story/LastAnswersStoryTest.java
+++ b/src/test/java/yardusher/story/LastAnswersStoryTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import yardusher.cli.Serve;
+import yardusher.cli.IngressProcess;
 import yardusher.resp.Encoder;
 import yardusher.settings.Settings;
 import yardusher.story.StandIn.Client;
@@ -25,7 +25,7 @@
     private volatile double later;                   // added to the clock
     private Region region;
     private Discovery discovery;
-    private Serve serve;
+    private IngressProcess serve;
     private Thread drain;
     private InetSocketAddress door;
 
--- a/src/test/java/yardusher/story/LimitsStoryTest.java
+++ b/src/test/java/yardusher/story/LimitsStoryTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import yardusher.cli.Serve;
+import yardusher.cli.IngressProcess;
 import yardusher.error.ConfigError;
 import yardusher.limits.LimitsConfig;
 import yardusher.story.StandIn.Client;
@@ -25,7 +25,7 @@
     @TempDir
     Path folder;
     private Region region;
-    private Serve serve;
+    private IngressProcess serve;
     private Client client;
 
     @BeforeEach
--- a/src/test/java/yardusher/story/LongServing.java
+++ b/src/test/java/yardusher/story/LongServing.java
@@ -2,8 +2,8 @@
 
 import java.io.IOException;
 import java.util.function.DoubleSupplier;
-import yardusher.cli.Config;
-import yardusher.cli.Serve;
+import yardusher.cli.IngressConfig;
+import yardusher.cli.IngressProcess;
 import yardusher.limits.LimitsConfig;
 import yardusher.settings.Settings;
 
@@ -14,12 +14,12 @@
 
     private LongServing() { }
 
-    public static Serve of(Config config, LimitsConfig limits, Settings own, DoubleSupplier clock) throws IOException {
-        return new Serve(config, config.admin(), null, limits, own, clock, clock.getAsDouble() - EARNED_MS);
+    public static IngressProcess of(IngressConfig config, LimitsConfig limits, Settings own, DoubleSupplier clock) throws IOException {
+        return new IngressProcess(config, config.admin(), null, limits, own, clock, clock.getAsDouble() - EARNED_MS);
     }
 
     /** On the system's clocks. */
-    public static Serve of(Config config, LimitsConfig limits) throws IOException {
+    public static IngressProcess of(IngressConfig config, LimitsConfig limits) throws IOException {
         double startMs = System.currentTimeMillis();
         long startNanos = System.nanoTime();
         return of(config, limits, Settings.OFF, () -> startMs + (System.nanoTime() - startNanos) / 1e6);
--- a/src/test/java/yardusher/story/OtherSettingsStoryTest.java
+++ b/src/test/java/yardusher/story/OtherSettingsStoryTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import yardusher.cli.Config;
-import yardusher.cli.Serve;
+import yardusher.cli.IngressConfig;
+import yardusher.cli.IngressProcess;
 import yardusher.error.ConfigError;
 import yardusher.limits.LimitsConfig;
 import yardusher.settings.Settings;
@@ -36,7 +36,7 @@
     Path folder;
     private Region region;
     private Discovery discovery;
-    private Serve serve;
+    private IngressProcess serve;
 
     @BeforeEach
     void open() throws Exception {
@@ -208,7 +208,7 @@
         Path file = folder.resolve("config.json");
         String good = Files.readString(Path.of("src/test/resources/ingress.json"));
         Files.writeString(file, replaced(good, from, to));
-        assertThatThrownBy(() -> Config.read(file.toString())).isInstanceOfSatisfying(ConfigError.class, why -> {
+        assertThatThrownBy(() -> IngressConfig.read(file.toString())).isInstanceOfSatisfying(ConfigError.class, why -> {
             assertThat(why.getMessage()).startsWith(file + ": ").contains(line).doesNotContain("\n");
             assertThat(why.exitCode()).isEqualTo(2);
         });
--- a/src/test/java/yardusher/story/PeersStoryTest.java
+++ b/src/test/java/yardusher/story/PeersStoryTest.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import java.util.function.DoubleSupplier;
 import org.junit.jupiter.api.Test;
-import yardusher.cli.Serve;
+import yardusher.cli.IngressProcess;
 import yardusher.core.EventLoop;
 import yardusher.limits.LimitsConfig;
 import yardusher.peers.PeerSocket;
@@ -50,7 +50,7 @@
         DoubleSupplier slow = () -> 4_000_000 * SLOT_MS + (System.nanoTime() - start) / 1e6 / 20;
         LimitsConfig limits = new LimitsConfig(new InetSocketAddress(here, 0), "lookup", 1000, 100_000,
                 Map.of("wide", new LimitsConfig.Customer(17, "basis", 0, 2)), null);
-        Serve[] serves = new Serve[2];
+        IngressProcess[] serves = new IngressProcess[2];
         StandIn.Client[] clients = new StandIn.Client[2];
         try (StandIn.Region region = new StandIn.Region()) {
             for (int i = 0; i < 2; i++) {
--- a/src/test/java/yardusher/story/PlatformStoryTest.java
+++ b/src/test/java/yardusher/story/PlatformStoryTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import yardusher.cli.Serve;
+import yardusher.cli.IngressProcess;
 import yardusher.story.StandIn.Client;
 import yardusher.story.StandIn.Discovery;
 import yardusher.story.StandIn.Region;
@@ -22,7 +22,7 @@
     private Region region;
     private Region other;
     private Discovery discovery;
-    private Serve serve;
+    private IngressProcess serve;
 
     @BeforeEach
     void open() throws Exception {
--- a/src/test/java/yardusher/story/ReadyStoryTest.java
+++ b/src/test/java/yardusher/story/ReadyStoryTest.java
@@ -7,7 +7,7 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 import org.junit.jupiter.api.Test;
-import yardusher.cli.Serve;
+import yardusher.cli.IngressProcess;
 import yardusher.story.StandIn.Client;
 import yardusher.story.StandIn.Listener;
 import yardusher.story.StandIn.Region;
@@ -16,7 +16,7 @@
 class ReadyStoryTest {
     private static void servesAndEnds(String discovery) throws Exception {
         try (Region region = new Region()) {
-            Serve serve = StandIn.ingress(discovery, null, member("s-1", region.address(), "Ready"));
+            IngressProcess serve = StandIn.ingress(discovery, null, member("s-1", region.address(), "Ready"));
             try (Client client = new Client((InetSocketAddress) serve.front().server().address())) {
                 assertThat(client.ask("PING")).isEqualTo("+PONG");
                 assertThat(client.lookup(1, 2000)).isEqualTo("made here");
--- a/src/test/java/yardusher/story/SpoiltStoryTest.java
+++ b/src/test/java/yardusher/story/SpoiltStoryTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import yardusher.cli.Serve;
+import yardusher.cli.IngressProcess;
 import yardusher.story.StandIn.Client;
 import yardusher.story.StandIn.Region;
 
@@ -25,7 +25,7 @@
     private static final String GOOD = "c=lookup,t=basis,d=2000,units=1,spread=1,first=0";
 
     private Region region;
-    private Serve serve;
+    private IngressProcess serve;
 
     @BeforeEach
     void open() throws Exception {
--- a/src/test/java/yardusher/story/StandIn.java
+++ b/src/test/java/yardusher/story/StandIn.java
@@ -23,8 +23,8 @@
 import java.util.function.UnaryOperator;
 import java.util.stream.Collectors;
 import org.awaitility.core.ConditionFactory;
-import yardusher.cli.Config;
-import yardusher.cli.Serve;
+import yardusher.cli.IngressConfig;
+import yardusher.cli.IngressProcess;
 import yardusher.limits.LimitsConfig;
 import yardusher.resp.Decoder;
 import yardusher.resp.Encoder;
@@ -263,33 +263,33 @@
     }
 
     /** An ingress with these regions known, in this process, on ports of its own. */
-    static Serve ingress(String discovery, LimitsConfig limits, String... members) throws Exception {
+    static IngressProcess ingress(String discovery, LimitsConfig limits, String... members) throws Exception {
         return ingress(json -> json, discovery, limits, members);
     }
 
-    static Serve ingress(UnaryOperator<String> edit, String discovery, LimitsConfig limits, String... members)
+    static IngressProcess ingress(UnaryOperator<String> edit, String discovery, LimitsConfig limits, String... members)
             throws Exception {
         return ingress(edit, config -> LongServing.of(config, limits), discovery, members);
     }
 
     /** What a configuration becomes. */
     interface Maker {
-        Serve make(Config config) throws IOException;
+        IngressProcess make(IngressConfig config) throws IOException;
     }
 
-    static Serve ingress(UnaryOperator<String> edit, Maker maker, String discovery, String... members) throws Exception {
+    static IngressProcess ingress(UnaryOperator<String> edit, Maker maker, String discovery, String... members) throws Exception {
         return ingress(edit, maker, 0, discovery, members);
     }
 
     /** One that waits so long for discovery's first word, in milliseconds, before it takes clients. */
-    static Serve ingress(UnaryOperator<String> edit, Maker maker, double waitMs, String discovery, String... members) throws Exception {
+    static IngressProcess ingress(UnaryOperator<String> edit, Maker maker, double waitMs, String discovery, String... members) throws Exception {
         String json = edit.apply(Files.readString(Path.of("src/test/resources/ingress.json")))
                 .replace("127.0.0.1:9\"", discovery + "\"")
                 .replace("\"members\": []", "\"members\": [" + String.join(",", members) + "]");
         Path file = Files.createTempFile("ingress", ".json");
         try {
             Files.writeString(file, json);
-            Serve serve = maker.make(Config.read(file.toString()));
+            IngressProcess serve = maker.make(IngressConfig.read(file.toString()));
             serve.start(waitMs);
             return serve;
         } finally {
--- a/src/test/java/yardusher/story/WatchStoryTest.java
+++ b/src/test/java/yardusher/story/WatchStoryTest.java
@@ -24,8 +24,8 @@
 import java.util.function.ToLongFunction;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import yardusher.cli.Config;
-import yardusher.cli.Serve;
+import yardusher.cli.IngressConfig;
+import yardusher.cli.IngressProcess;
 import yardusher.core.Counters;
 import yardusher.resp.Encoder;
 import yardusher.settings.Settings;
@@ -106,7 +106,7 @@
     private Agent agent;
     private Agent newer;
     private volatile double now = 1.7e12;
-    private Serve serve;
+    private IngressProcess serve;
     private Client client;
 
     WatchStoryTest() throws IOException {
@@ -282,7 +282,7 @@
         try (Region first = new Region(); Region second = new Region()) {
             second.script = command -> Region.served("elsewhere");
             agent.members = new String[] {member("s-1", first.address(), "Terminating"), member("s-2", second.address(), "Ready")};
-            Serve[] made = new Serve[1];
+            IngressProcess[] made = new IngressProcess[1];
             List<Boolean> shut = new CopyOnWriteArrayList<>();
             agent.script = ask -> {
                 try {
@@ -322,8 +322,8 @@
     /** Starts one while the clock moves on, and stands still after that time until it is open; gives the milliseconds until it takes clients. */
     private double openedAfter(String discovery, Region region, double waitAtMs) throws Exception {
         double from = now;
-        Serve[] made = new Serve[1];
-        FutureTask<Serve> start = new FutureTask<>(() -> StandIn.ingress(json -> json,
+        IngressProcess[] made = new IngressProcess[1];
+        FutureTask<IngressProcess> start = new FutureTask<>(() -> StandIn.ingress(json -> json,
                 config -> made[0] = LongServing.of(config, null, Settings.OFF, () -> now), 1500, discovery, member("s-1", region.address(), "Ready")));
         Thread starter = new Thread(start);
         starter.start();
@@ -470,8 +470,8 @@
         assertThat(until(4000, () -> newer.told.get() > 0)).isLessThan(SILENT_MS);
     }
 
-    private static Config elsewhere(Config config) {
-        return new Config(config.name(), config.listen(), config.admin(), InetSocketAddress.createUnresolved("nowhere", 1), config.seed(),
+    private static IngressConfig elsewhere(IngressConfig config) {
+        return new IngressConfig(config.name(), config.listen(), config.admin(), InetSocketAddress.createUnresolved("nowhere", 1), config.seed(),
                 config.sockets(), config.peerListen(), config.peers(), config.known(), config.settings(), config.classes(), config.plans(),
                 config.zones(), config.idleMs(), config.dialMs(), config.unused());
     }
--- a/src/test/java/yardusher/wire/SettingsKeysTest.java
+++ b/src/test/java/yardusher/wire/SettingsKeysTest.java
@@ -15,7 +15,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import yardusher.cli.Config;
+import yardusher.cli.IngressConfig;
 
 /** Every key that the platform's pages name: it changes what the program decides by, or is told as not used, or is a name alone. */
 class SettingsKeysTest {
@@ -85,18 +85,18 @@
     private static Map.Entry<String, String[]> reported(String key, String value, String words) { return Map.entry(key, new String[] {value, words}); }
 
     /** The file with one value set: replaced where the key is there, else added to the object that it stands in. */
-    private Config configWith(String key, String value) throws IOException {
+    private IngressConfig configWith(String key, String value) throws IOException {
         String text = Files.readString(BASE_CONFIG);
         Path file = folder.resolve("config.json");
         Files.writeString(file, Edit.set(text, key, value));
-        return Config.read(file.toString());
+        return IngressConfig.read(file.toString());
     }
 
     @Test
     void aKeyThatIsReadChangesTheConfiguration() throws IOException {
-        Config given = Config.read(BASE_CONFIG.toString());
+        IngressConfig given = IngressConfig.read(BASE_CONFIG.toString());
         for (Map.Entry<String, String> one : READ_KEYS.entrySet()) {
-            Config other = configWith(one.getKey(), one.getValue());
+            IngressConfig other = configWith(one.getKey(), one.getValue());
             assertThat(List.of(other.settings(), other.classes(), other.plans(), other.zones(), other.idleMs(), other.dialMs(), other.name(), other.listen(),
                     other.discovery(), String.valueOf(other.admin()), other.seed(), other.sockets(), other.peerListen(), other.peers()))
                     .as(one.getKey()).isNotEqualTo(List.of(given.settings(), given.classes(), given.plans(), given.zones(), given.idleMs(), given.dialMs(),
@@ -123,7 +123,7 @@
         text = Edit.set(Edit.set(Edit.set(Edit.set(text, "settings.resolution_ms", "0"), "settings.limits.max_open", "0"), "settings.limits.cpu_us_per_s", "0"), "settings.contracts[2].beyond_earns", "0");
         Path file = folder.resolve("config.json");
         Files.writeString(file, text);
-        assertThat(Config.read(file.toString()).unused()).isEmpty();
+        assertThat(IngressConfig.read(file.toString()).unused()).isEmpty();
     }
 
     /** Guards the lists above: a key of the resource that stands in none of them is one that nobody has looked at. */
