--- a/lab/src/yardusher/lab/fleet/Costs.java
+++ b/lab/src/yardusher/lab/fleet/Costs.java
@@ -201,7 +201,8 @@
     }
 
     private static RegisterNode node(RaftLogStore store, RaftThreadExecutor loop, java.util.function.Consumer<RegisterView> changed) {
-        return new RegisterNode("site", "m0", List.of("m0"), store, 200, loop, () -> System.nanoTime() / 1e6, new Random(1), new RegisterNode.Environment() {
+        return new RegisterNode("site", "m0", List.of("m0"), store, 200, loop, () -> System.nanoTime() / 1e6,
+                new Random(1), new RegisterNode.Environment() {
             @Override
             public void send(String member, byte[] message) { /* nobody else */ }
 
--- a/lab/src/yardusher/lab/fleet/FleetRun.java
+++ b/lab/src/yardusher/lab/fleet/FleetRun.java
@@ -222,7 +222,8 @@
         }
         int target = (owner + 1 + which) % site.agents();
         site.relay(owner, target).there.holdAt("FLEET.DO");
-        for (until = System.currentTimeMillis() + MAX_TAKEOVER_MS; System.currentTimeMillis() < until && !site.relay(owner, target).there.isHolding();) { Thread.sleep(10); }
+        for (until = System.currentTimeMillis() + MAX_TAKEOVER_MS; System.currentTimeMillis() < until
+                && !site.relay(owner, target).there.isHolding();) { Thread.sleep(10); }
         record((site.relay(owner, target).there.isHolding() ? "an order of a" : "no order of a") + owner + " to a" + target + " is held");
         if (dies) { site.kill(owner); } else { site.pause(owner); }
         // Before the roll is taken over: otherwise the next owner completes the step, and the late request finds it finished.
@@ -303,7 +304,8 @@
                         if (Files.exists(folder)) { Seeds.delete(folder); }
                         Verdict verdict = play(folder, seed, agents, instances, troubles, plant);
                         System.out.printf("seed %d: %d faults, %d rolls ordered, %d done, %d owners, %d effects, %d late orders refused, %d transactions, %d unserved, %.0f s%s%n", seed,
-                                verdict.faults(), verdict.rolls(), verdict.rollsDone(), verdict.owners(), verdict.effects(), verdict.refused(), verdict.requests(), verdict.unserved(),
+                                verdict.faults(), verdict.rolls(), verdict.rollsDone(), verdict.owners(), verdict.effects(), verdict.refused(),
+                                verdict.requests(), verdict.unserved(),
                                 (System.nanoTime() - from) / 1e9, verdict.breaches().isEmpty() ? "" : "  BREACH " + verdict.breaches());
                         if (verdict.breaches().isEmpty()) { Seeds.delete(folder); } else { broken.incrementAndGet(); }
                     } catch (IOException | InterruptedException | RuntimeException e) {
--- a/lab/src/yardusher/lab/fleet/Plant.java
+++ b/lab/src/yardusher/lab/fleet/Plant.java
@@ -35,15 +35,19 @@
                 new Edit("fence/Fence.java", "if (token < state.sealedToken) { return new Refused(state.sealedToken); }", ""),
                 new Edit("fence/Fence.java", "if (token > state.sealedToken) { return new Unsealed(state.sealedToken); }", ""),
                 new Edit("fence/Fence.java", "return sealedToken(work) == token;", "return true;"),
-                new Edit("fleet/StepExecutor.java", "long newest = Math.max(grantedToken(kind), fence.sealedToken(kind.label()));", "long newest = 0;"),
+                new Edit("fleet/StepExecutor.java", "long newest = Math.max(grantedToken(kind), fence.sealedToken(kind.label()));",
+                        "long newest = 0;"),
                 new Edit("fleet/StepExecutor.java", "long newest = grantedToken(kind);", "long newest = 0;"),
                 new Edit("fleet/StepExecutor.java", "|| token < grantedToken(kind))", "|| false)")));
+        // Steps of different owners are not deduplicated.
         ALL.put("no-step-ids", List.of(new Edit("fence/Fence.java", "Step known = state.steps.get(step);",
-                "Step known = state.steps.get(step);\n if (known != null && known.token() != token) { known = null; }"))); // steps of different owners are not deduplicated
+                "Step known = state.steps.get(step);\n if (known != null && known.token() != token) { known = null; }")));
         ALL.put("no-resume", List.of(new Edit("fleet/StepExecutor.java", "targets.starts(instance) > Long.parseLong(before)", "false")));
-        ALL.put("no-look", List.of(SLOW_DISK, new Edit("fleet/StepExecutor.java", "!fence.isCurrent(kind.label(), token) || token < grantedToken(kind)", "false")));
+        ALL.put("no-look", List.of(SLOW_DISK, new Edit("fleet/StepExecutor.java",
+                "!fence.isCurrent(kind.label(), token) || token < grantedToken(kind)", "false")));
         // The next two must cause no breach: the remaining safeguards have to hold.
-        ALL.put("no-lease", List.of(new Edit("fleet/LeaseHolder.java", "holdings.get(holding.kind) == holding && leases.holds(loop.now(), holding.kind, holding.token)",
+        ALL.put("no-lease", List.of(new Edit("fleet/LeaseHolder.java",
+                "holdings.get(holding.kind) == holding && leases.holds(loop.now(), holding.kind, holding.token)",
                 "true")));
         ALL.put("slow-disk", List.of(SLOW_DISK));
     }
--- a/lab/src/yardusher/lab/register/Scripted.java
+++ b/lab/src/yardusher/lab/register/Scripted.java
@@ -55,7 +55,8 @@
         void start() {
             int mine = ++lifeNumber;
             try {
-                store = node == null && !RaftLogStore.exists(disk) ? RaftLogStore.create(disk, "sim", name, false) : RaftLogStore.open(disk, "sim", name);
+                store = node == null && !RaftLogStore.exists(disk) ? RaftLogStore.create(disk, "sim", name, false)
+                        : RaftLogStore.open(disk, "sim", name);
             } catch (IOException | RuntimeException e) {
                 breach = breach == null ? name + " failed to open its store: " + e.getMessage() : breach;
                 return;
@@ -76,7 +77,8 @@
                     if (mine == lifeNumber) { task.run(); }
                 }
             };
-            node = new RegisterNode("sim", name, names, store, LIBRARY_SECOND_MS, executor, () -> now, new Random(random.nextLong()), new RegisterNode.Environment() {
+            node = new RegisterNode("sim", name, names, store, LIBRARY_SECOND_MS, executor, () -> now,
+                    new Random(random.nextLong()), new RegisterNode.Environment() {
                 @Override
                 public void send(String member, byte[] message) { Scripted.this.send(SimulatedMember.this, member, message); }
 
@@ -88,7 +90,9 @@
                     String state = view.highestToken() + " " + view.works();
                     states.put(view.appliedIndex(), state);
                     String other = stateByIndex.putIfAbsent(view.appliedIndex(), state);
-                    if (other != null && !other.equals(state) && breach == null) { breach = "members differ at " + view.appliedIndex() + ": " + other + " and " + state; }
+                    if (other != null && !other.equals(state) && breach == null) {
+                        breach = "members differ at " + view.appliedIndex() + ": " + other + " and " + state;
+                    }
                 }
 
                 @Override
@@ -148,7 +152,9 @@
     private boolean isCut(String a, String b) { return cutUntil.getOrDefault(a + b, 0.0) > now; }
 
     /** Runs a seed: {@code ms} of faults, then a fault-free phase, then the check. */
-    public static Run run(long seed, int members, double ms, boolean liesAboutSync) { return new Scripted(seed, members, liesAboutSync).simulate(ms); }
+    public static Run run(long seed, int members, double ms, boolean liesAboutSync) {
+        return new Scripted(seed, members, liesAboutSync).simulate(ms);
+    }
 
     private Run simulate(double ms) {
         names.forEach(name -> membersByName.get(name).start());
@@ -238,13 +244,17 @@
             }
         }
         for (ClientCall one : history) {
-            if (one.op() instanceof Operation.Claim && one.answer() != null && one.answer().ok()) { token = Math.max(token, one.answer().token()); }
+            if (one.op() instanceof Operation.Claim && one.answer() != null && one.answer().ok()) {
+                token = Math.max(token, one.answer().token());
+            }
         }
         return switch (random.nextInt(6)) {
             case 0 -> new Operation.Submit("c" + i + "-" + history.size(), "c" + i, 0, WorkKind.ROLL, "restart", random.nextInt(3) == 0);
-            case 1, 2 -> new Operation.Claim("m" + i, 1 + random.nextInt(1_000_000), 0, WorkKind.ROLL, seen == null ? 0 : seen.token(), seen == null ? 0 : seen.heartbeat());
+            case 1, 2 -> new Operation.Claim("m" + i, 1 + random.nextInt(1_000_000), 0, WorkKind.ROLL,
+                    seen == null ? 0 : seen.token(), seen == null ? 0 : seen.heartbeat());
             case 3 -> new Operation.Renew(WorkKind.ROLL, token, random.nextInt(5));
-            case 4 -> new Operation.Checkpoint(WorkKind.ROLL, token, seen == null ? 1 : seen.seq() + 1, "p" + ++seq, Work.State.RUNNING, "");
+            case 4 -> new Operation.Checkpoint(WorkKind.ROLL, token, seen == null ? 1 : seen.seq() + 1, "p" + ++seq,
+                    Work.State.RUNNING, "");
             default -> new Operation.Read();
         };
     }
--- a/src/main/java/yardusher/fence/FenceStore.java
+++ b/src/main/java/yardusher/fence/FenceStore.java
@@ -188,7 +188,7 @@
         if (pendingRecords.isEmpty()) { return; }
         writing = true;
         List<Ledger.Line> lines = new ArrayList<>(pendingRecords);
-        List<Consumer<IOException>> heirs = new ArrayList<>(pendingCallbacks);
+        List<Consumer<IOException>> callbacks = new ArrayList<>(pendingCallbacks);
         pendingRecords.clear();
         pendingCallbacks.clear();
         try {
@@ -201,11 +201,11 @@
                 } catch (IOException e) {
                     why = e;
                 }
-                IOException told = why;
+                IOException failure = why;
                 loop.execute(() -> {
-                    reportWriteState(told);
+                    reportWriteState(failure);
                     writing = false;
-                    heirs.forEach(heir -> heir.accept(told));
+                    callbacks.forEach(callback -> callback.accept(failure));
                     if (!writing) { flush(); }
                 });
             });
--- a/src/main/java/yardusher/fleet/FleetCommandHandler.java
+++ b/src/main/java/yardusher/fleet/FleetCommandHandler.java
@@ -162,8 +162,8 @@
     private void read(RespServer.Slot slot) {
         participant.untilAnswered(new Operation.Read(), loop.now() + 1500, answer -> {
             try {
-                RegisterView told = answer == null || answer.state() == null ? participant.view() : RegisterView.of(answer.state());
-                slot.answer(new Encoder(1024).bulk(RegisterReport.text(told, answer == null, settings,
+                RegisterView view = answer == null || answer.state() == null ? participant.view() : RegisterView.of(answer.state());
+                slot.answer(new Encoder(1024).bulk(RegisterReport.text(view, answer == null, settings,
                         participant.node(), participant.addresses())).toBytes());
             } catch (IOException e) {
                 slot.answer(failure("ERR " + e.getMessage()));
--- a/src/main/java/yardusher/fleet/LeaseHolder.java
+++ b/src/main/java/yardusher/fleet/LeaseHolder.java
@@ -154,9 +154,9 @@
 
     private void seal(HeldWork holding, String member) {
         callAgent(member, List.of("FLEET.SEAL", holding.kind.label(), Long.toString(holding.token)), answer -> {
-            if (answer instanceof Value.BulkString told) {
+            if (answer instanceof Value.BulkString reply) {
                 List<WorkProcedure.InstanceStatus> standings = new ArrayList<>();
-                for (String line : told.text().lines().toList()) {
+                for (String line : reply.text().lines().toList()) {
                     String[] words = line.split(" ");
                     if (words.length == 2) { standings.add(new WorkProcedure.InstanceStatus(words[0], words[1].equals("ready"))); }
                 }
@@ -170,8 +170,8 @@
 
     private void requestStep(HeldWork holding, WorkProcedure.RunStep order) {
         callAgent(order.member(), List.of("FLEET.DO", holding.kind.label(), Long.toString(holding.token), order.step(), order.act()), answer -> {
-            if (answer instanceof Value.BulkString told) {
-                holding.procedure.onOutcome(loop.now(), order.member(), order.step(), told.text());
+            if (answer instanceof Value.BulkString reply) {
+                holding.procedure.onOutcome(loop.now(), order.member(), order.step(), reply.text());
             } else {
                 holding.procedure.onNoAnswer(loop.now(), order.member(), answer instanceof Value.ErrorReply failure ? failure.text() : "no answer");
             }
--- a/src/test/java/yardusher/fleet/HardCasesTest.java
+++ b/src/test/java/yardusher/fleet/HardCasesTest.java
@@ -170,7 +170,7 @@
             site.start(full);
             await("agent " + full + " again", () -> Labs.ready(site, full));
             site.setDiskFull(full, true);
-            assertThat(site.order((full + 1) % 3, "command-0", "ban", "s-00000001")).doesNotStartWith("-"); // the other members form a majority
+            assertThat(site.order((full + 1) % 3, "command-0", "ban", "s-00000001")).doesNotStartWith("-"); // the others are a majority
             said(site, full, "takes no part in the register: ");
             roll(site, (full + 1) % 3, "command-1");
             String id = Installation.cell(site.report((full + 1) % 3), "roll", "id");
--- a/src/test/java/yardusher/fleet/LeaseManagerTest.java
+++ b/src/test/java/yardusher/fleet/LeaseManagerTest.java
@@ -20,7 +20,10 @@
 class LeaseManagerTest {
     private static final LeaseManager.LeaseTimings TERMS = new LeaseManager.LeaseTimings(1000, 0.01, 50);
 
-    private static RegisterView view(Register register) { return new RegisterView(register.appliedIndex(), register.highestToken(), Map.of(WorkKind.ROLL, register.work(WorkKind.ROLL)), Map.of(), List.of()); }
+    private static RegisterView view(Register register) {
+        return new RegisterView(register.appliedIndex(), register.highestToken(), Map.of(WorkKind.ROLL, register.work(WorkKind.ROLL)),
+                Map.of(), List.of());
+    }
 
     @Test
     void holderStopsBeforeTakeOverAndContinuesWhileRenewed() {
@@ -29,7 +32,8 @@
         LeaseManager one = new LeaseManager("a1", TERMS, new Random(1));
         assertThat(one.nextActions(0, view(register), work -> true)).isEmpty();   // claims are spread
         LeaseManager.Claim claim = (LeaseManager.Claim) one.nextActions(100, view(register), work -> true).get(0);
-        long token = register.apply(2, new Operation.Claim("a1", claim.nonce(), 0, WorkKind.ROLL, claim.seenToken(), claim.seenHeartbeat())).token();
+        long token = register.apply(2, new Operation.Claim("a1", claim.nonce(), 0, WorkKind.ROLL, claim.seenToken(),
+                claim.seenHeartbeat())).token();
         assertThat(one.nextActions(130, view(register), work -> true)).containsExactly(new LeaseManager.Begin(WorkKind.ROLL, token));
         assertThat(one.holds(1089, WorkKind.ROLL, token)).isTrue();
         assertThat(one.holds(1091, WorkKind.ROLL, token)).isFalse();           // 990 ms after the claim was sent
@@ -72,20 +76,25 @@
                 if (random.nextInt(200) == 0) { pausedUntil[i] = t + random.nextInt(3000); }
                 if (random.nextInt(4) > 0) { views[i] = view(register); }
                 double mine = t * rates[i];
-                for (LeaseManager.Action act : all[i].nextActions(mine, views[i], work -> true)) { answer(register, all[i], i, act, mine, random, held); }
+                for (LeaseManager.Action act : all[i].nextActions(mine, views[i], work -> true)) {
+                    answer(register, all[i], i, act, mine, random, held);
+                }
             }
             boolean both = all[0].holds(t, WorkKind.ROLL, held[0]) && all[1].holds(t * rate, WorkKind.ROLL, held[1]) && held[0] != 0 && held[1] != 0;
             assertThat(both).as("at " + t).isFalse();
         }
     }
 
-    private static void answer(Register register, LeaseManager leases, int i, LeaseManager.Action act, double mine, Random random, long[] held) {
+    private static void answer(Register register, LeaseManager leases, int i, LeaseManager.Action act, double mine, Random random,
+            long[] held) {
         boolean lost = random.nextInt(10) == 0;
         if (act instanceof LeaseManager.Claim claim) {
-            Answer answer = random.nextInt(10) == 0 ? null : register.apply(0, new Operation.Claim("a" + i, claim.nonce(), 0, WorkKind.ROLL, claim.seenToken(), claim.seenHeartbeat()));
+            Answer answer = random.nextInt(10) == 0 ? null
+                    : register.apply(0, new Operation.Claim("a" + i, claim.nonce(), 0, WorkKind.ROLL, claim.seenToken(), claim.seenHeartbeat()));
             leases.claimed(mine, WorkKind.ROLL, claim.nonce(), lost || answer == null || !answer.ok() ? 0 : answer.token());
         } else if (act instanceof LeaseManager.Renew renew) {
-            boolean ok = random.nextInt(10) > 0 && register.apply(0, new Operation.Renew(WorkKind.ROLL, renew.token(), renew.heartbeat())).ok();
+            boolean ok = random.nextInt(10) > 0
+                    && register.apply(0, new Operation.Renew(WorkKind.ROLL, renew.token(), renew.heartbeat())).ok();
             leases.renewed(mine, WorkKind.ROLL, renew.token(), lost ? null : Boolean.valueOf(ok));
         } else if (act instanceof LeaseManager.Begin begin) {
             held[i] = begin.token();
--- a/src/test/java/yardusher/fleet/RollWorkTest.java
+++ b/src/test/java/yardusher/fleet/RollWorkTest.java
@@ -24,7 +24,8 @@
     }
 
     private static WorkProcedure.SaveCheckpoint keep(List<WorkProcedure.Action> acts) {
-        return acts.stream().filter(WorkProcedure.SaveCheckpoint.class::isInstance).map(WorkProcedure.SaveCheckpoint.class::cast).findFirst().orElse(null);
+        return acts.stream().filter(WorkProcedure.SaveCheckpoint.class::isInstance).map(WorkProcedure.SaveCheckpoint.class::cast)
+                .findFirst().orElse(null);
     }
 
     private static Set<WorkProcedure.RunStep> orders(List<WorkProcedure.Action> acts) {
--- a/src/test/java/yardusher/register/RegisterTest.java
+++ b/src/test/java/yardusher/register/RegisterTest.java
@@ -18,9 +18,13 @@
 
     private Answer apply(Operation op) { return register.apply(++index, op); }
 
-    private Answer roll(String command, boolean takeOver) { return apply(new Operation.Submit(command, "eva", 1, WorkKind.ROLL, "restart away=1 failures=0", takeOver)); }
+    private Answer roll(String command, boolean takeOver) {
+        return apply(new Operation.Submit(command, "eva", 1, WorkKind.ROLL, "restart away=1 failures=0", takeOver));
+    }
 
-    private Answer claim(String member, long nonce, long token, long beat) { return apply(new Operation.Claim(member, nonce, 2, WorkKind.ROLL, token, beat)); }
+    private Answer claim(String member, long nonce, long token, long heartbeat) {
+        return apply(new Operation.Claim(member, nonce, 2, WorkKind.ROLL, token, heartbeat));
+    }
 
     @Test
     void grantsWorkToOneHolderUnderGrowingTokens() {
@@ -35,7 +39,8 @@
         Answer next = claim("a2", 9, granted.token(), 1);
         assertThat(next.token()).isGreaterThan(granted.token());
         assertThat(apply(new Operation.Renew(WorkKind.ROLL, granted.token(), 2)).ok()).isFalse();
-        assertThat(apply(new Operation.Checkpoint(WorkKind.ROLL, granted.token(), 1, "x", Work.State.RUNNING, "")).token()).isEqualTo(next.token());
+        assertThat(apply(new Operation.Checkpoint(WorkKind.ROLL, granted.token(), 1, "x", Work.State.RUNNING, "")).token())
+                .isEqualTo(next.token());
         Operation.Checkpoint kept = new Operation.Checkpoint(WorkKind.ROLL, next.token(), 1, "x", Work.State.RUNNING, "half");
         assertThat(apply(kept).ok()).isTrue();
         assertThat(apply(kept).ok()).isTrue();                             // retry
@@ -61,7 +66,9 @@
 
     @Test
     void bansFormOneBoundedListWithRevisions() {
-        for (int i = 0; i < Bans.MAX_REGIONS; i++) { assertThat(apply(new Operation.Submit("b" + i, "eva", 1, WorkKind.BANS, "s-" + i + " out", false)).ok()).isTrue(); }
+        for (int i = 0; i < Bans.MAX_REGIONS; i++) {
+            assertThat(apply(new Operation.Submit("b" + i, "eva", 1, WorkKind.BANS, "s-" + i + " out", false)).ok()).isTrue();
+        }
         assertThat(apply(new Operation.Submit("more", "eva", 1, WorkKind.BANS, "s-x out", false)).ok()).isFalse();
         assertThat(apply(new Operation.Submit("in", "eva", 1, WorkKind.BANS, "s-7 in", false)).ok()).isTrue();
         assertThat(apply(new Operation.Submit("now", "eva", 1, WorkKind.BANS, "s-x out", false)).ok()).isTrue();
@@ -89,13 +96,15 @@
         Register again = Register.decode(register.encode());
         assertThat(again.encode()).isEqualTo(register.encode());
         assertThat(register.copy().encode()).isEqualTo(register.encode());
-        assertThat(again.apply(index + 1, new Operation.Submit("c1", "eva", 1, WorkKind.ROLL, "x", false)).text()).contains("ordered"); // remembered after decoding
+        assertThat(again.apply(index + 1, new Operation.Submit("c1", "eva", 1, WorkKind.ROLL, "x", false)).text())
+                .contains("ordered");                // remembered after decoding
     }
 
     @Test
     void readReplyFitsOneMessageAtFullState() throws IOException {
         for (int i = 0; i < 2 * Register.MAX_REMEMBERED_COMMANDS; i++) {
-            apply(new Operation.Submit("command-" + i + "-" + "x".repeat(40), "e".repeat(64), 1, WorkKind.BANS, "s-" + "y".repeat(55) + i % 250 + " out", false));
+            apply(new Operation.Submit("command-" + i + "-" + "x".repeat(40), "e".repeat(64), 1, WorkKind.BANS,
+                    "s-" + "y".repeat(55) + i % 250 + " out", false));
         }
         Answer told = apply(new Operation.Read());
         assertThat(told.encode().length).isLessThan(RaftMessageCodec.MAX_MESSAGE_BYTES);
--- a/src/test/java/yardusher/register/StalledPreVoteTest.java
+++ b/src/test/java/yardusher/register/StalledPreVoteTest.java
@@ -52,7 +52,8 @@
             @Override
             public void schedule(Runnable task, long delay, TimeUnit unit) { later(unit.toMicros(delay) / 1e6 * SECOND_MS, task); }
         };
-        RegisterNode node = new RegisterNode("sim", name, NAMES, RaftLogStore.create(new MemoryDisk(), "sim", name, false), SECOND_MS, executor, () -> now, new Random(seed), new RegisterNode.Environment() {
+        RegisterNode node = new RegisterNode("sim", name, NAMES, RaftLogStore.create(new MemoryDisk(), "sim", name, false), SECOND_MS,
+                executor, () -> now, new Random(seed), new RegisterNode.Environment() {
             @Override
             public void send(String member, byte[] message) {
                 if (cut.contains(name + member)) { return; }
